--- a/benches/routing/model.rs
+++ b/benches/routing/model.rs
@@ -689,7 +689,7 @@
             return true;
         }
         let owner = self.owner(0, engine);
-        self.routers[owner].placer.health.in_use(self.engines[engine].id, self.instant())
+        self.routers[owner].placer.health.is_available(self.engines[engine].id, self.instant())
     }
 
     /// Busiest over mean of the live engines that `count` takes in.
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -180,7 +180,7 @@
                 lock(&self.held).remove(&number);
                 Some(Err(match refusal {
                     REFUSED_AT_BOUND => Refusal::AtBound,
-                    REFUSED_NOT_IN_USE => Refusal::NotInUse,
+                    REFUSED_NOT_IN_USE => Refusal::Unavailable,
                     _ => Refusal::NotOwner,
                 }))
             }
@@ -210,7 +210,7 @@
                 engine: 0,
                 refusal: match refusal {
                     Refusal::AtBound => REFUSED_AT_BOUND,
-                    Refusal::NotInUse => REFUSED_NOT_IN_USE,
+                    Refusal::Unavailable => REFUSED_NOT_IN_USE,
                     Refusal::NotOwner => REFUSED_NOT_OWNER,
                 },
             },
@@ -341,7 +341,7 @@
             }
             return Ok(placed);
         }
-        if search.any_in_use() { Err(Unplaced::AtBound) } else { Err(Unplaced::NoneInUse) }
+        if search.any_available() { Err(Unplaced::AtBound) } else { Err(Unplaced::NoneInUse) }
     }
 
     fn placed(
--- a/src/place/health.rs
+++ b/src/place/health.rs
@@ -86,7 +86,7 @@
     }
 
     /// Whether an engine may get new work.
-    pub fn in_use(&self, engine: Id, now: Instant) -> bool {
+    pub fn is_available(&self, engine: Id, now: Instant) -> bool {
         self.engines.get(&engine).is_none_or(|s| !s.down && !s.leaving && now >= s.held_until)
     }
 
--- a/src/place/placer.rs
+++ b/src/place/placer.rs
@@ -54,7 +54,7 @@
     /// It carries as much as the bound allows.
     AtBound,
     /// It is down, leaving, held down or not in the pool.
-    NotInUse,
+    Unavailable,
     /// The router that was asked does not take itself for the owner: the lists of routers differ.
     NotOwner,
 }
@@ -190,7 +190,7 @@
             }
         }
         for &(id, capacity) in self.owned(cat, pool).iter() {
-            if self.health.in_use(id, now) {
+            if self.health.is_available(id, now) {
                 digest.capacity += u64::from(capacity);
             }
         }
@@ -227,15 +227,15 @@
         if let Some(engine) = self.ledger.held(req.hold) {
             return Ok(Grant { engine });
         }
-        let pool = cat.pool_by_id(req.pool).ok_or(Refusal::NotInUse)?;
+        let pool = cat.pool_by_id(req.pool).ok_or(Refusal::Unavailable)?;
         let mean = self.mean(cat, pool, now);
         let engine = match req.engine {
             Some(id) => id,
-            None => self.roomiest(cat, pool, now).ok_or(Refusal::NotInUse)?,
+            None => self.roomiest(cat, pool, now).ok_or(Refusal::Unavailable)?,
         };
-        let key = pool.member(engine).ok_or(Refusal::NotInUse)?;
-        if !self.health.in_use(engine, now) {
-            return Err(Refusal::NotInUse);
+        let key = pool.member(engine).ok_or(Refusal::Unavailable)?;
+        if !self.health.is_available(engine, now) {
+            return Err(Refusal::Unavailable);
         }
         let engine_of = cat.engine(key);
         let owner = self.members.owner(engine, &engine_of.data_centre);
@@ -351,7 +351,7 @@
         let mean = self.mean(cat, pool, now);
         let mut best: Option<(f64, Id)> = None;
         for &(id, capacity) in self.owned(cat, pool).iter() {
-            if !self.health.in_use(id, now) {
+            if !self.health.is_available(id, now) {
                 continue;
             }
             let load = self.load(id, capacity, mean, now) / f64::from(capacity);
--- a/src/place/search.rs
+++ b/src/place/search.rs
@@ -68,7 +68,7 @@
     own_tried: bool,
     any: u32,
     scored: usize,
-    any_in_use: bool,
+    any_available: bool,
 }
 
 impl Search {
@@ -110,7 +110,7 @@
             own_tried: false,
             any: 0,
             scored: 0,
-            any_in_use: false,
+            any_available: false,
         }
     }
 
@@ -135,8 +135,8 @@
     }
 
     /// Whether some engine met so far was in use.
-    pub fn any_in_use(&self) -> bool {
-        self.any_in_use
+    pub fn any_available(&self) -> bool {
+        self.any_available
     }
 
     /// Engine with the fullest copy of the chat, and its tokens, if the chat is placed on another one.
@@ -164,7 +164,7 @@
         if let Some(step) = self.named(placer, cat, pool, now) {
             return Some(step);
         }
-        if !self.any_in_use || self.any >= ANY_ASKS {
+        if !self.any_available || self.any >= ANY_ASKS {
             return None;
         }
         self.any += 1;
@@ -193,8 +193,8 @@
     fn candidate(&mut self, placer: &Placer, cat: &Catalog, pool: &Pool, now: Instant) -> Option<Candidate> {
         loop {
             while let Some(candidate) = self.ready.pop_front() {
-                if self.seen.insert(candidate.id) && placer.health.in_use(candidate.id, now) {
-                    self.any_in_use = true;
+                if self.seen.insert(candidate.id) && placer.health.is_available(candidate.id, now) {
+                    self.any_available = true;
                     return Some(candidate);
                 }
             }
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -146,9 +146,9 @@
     for flap in 0..6 {
         let at = s(100 * flap);
         health.note_down(engine, at);
-        assert!(!health.in_use(engine, at));
+        assert!(!health.is_available(engine, at));
         health.note_up(engine, at + s(1));
-        held.push((0..100).find(|&t| health.in_use(engine, at + s(1 + t))).unwrap());
+        held.push((0..100).find(|&t| health.is_available(engine, at + s(1 + t))).unwrap());
     }
 
     assert_eq!(held, [0, 5, 10, 20, 40, 40]);
@@ -163,10 +163,10 @@
     health.note_leaving(engine);
     health.note_start(engine, 1);
     health.note_up(engine, s(1));
-    assert!(!health.in_use(engine, s(60)));
+    assert!(!health.is_available(engine, s(60)));
 
     health.note_start(engine, 2);
-    assert!(health.in_use(engine, s(60)));
+    assert!(health.is_available(engine, s(60)));
 }
 
 /// Events are lost: after a gap the chat may have been stored again unseen, so the eviction is forgotten and
--- a/tests/place_owners.rs
+++ b/tests/place_owners.rs
@@ -134,7 +134,7 @@
     let asked = a.reserve(&cat, &request(&a, 1, excluded), s(1));
 
     assert_eq!(walk, []);
-    assert_eq!(asked, Err(Refusal::NotInUse));
+    assert_eq!(asked, Err(Refusal::Unavailable));
 }
 
 /// A chat overflowed to its second engine and has its newest context there. Its hint names both; it returns to
