--- a/benches/routing/model.rs
+++ b/benches/routing/model.rs
@@ -339,7 +339,7 @@
         let data_centre = format!("dc-{}", r % self.setup.data_centres);
         let mut placer = Placer::new(id, data_centre.as_str());
         for e in self.engines.iter().filter(|e| e.alive) {
-            placer.health.note_start(e.id, e.start);
+            placer.health.set_start(e.id, e.start);
         }
         Router {
             id,
@@ -553,12 +553,12 @@
         router.down[engine] = !matches!(news, News::Up(_));
         let health = &mut router.placer.health;
         match news {
-            News::Down => health.note_down(id, now),
+            News::Down => health.mark_down(id, now),
             News::Up(start) => {
-                health.note_start(id, start);
-                health.note_up(id, now);
+                health.set_start(id, start);
+                health.mark_up(id, now);
             }
-            News::Leaving => health.note_leaving(id),
+            News::Leaving => health.mark_leaving(id),
         }
     }
 
@@ -763,7 +763,7 @@
         self.note_sent(router, engine, work as i64);
         self.publish_evictions(engine, &evicted);
         let chat_hash = hash(key.to_string().as_str());
-        self.routers[router].placer.cache.note_start(self.engines[engine].id, chat_hash);
+        self.routers[router].placer.cache.mark_cached(self.engines[engine].id, chat_hash);
         let named = self.owner(router, engine);
         let home: Arc<str> = self.routers[router].data_centre.as_str().into();
         let c = &mut self.chats[chat as usize];
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -140,13 +140,13 @@
         let id = Id::of(&view.name);
         let (mut placer, now) = (self.placement.placer(), now());
         if view.start != 0 {
-            placer.health.note_start(id, view.start);
+            placer.health.set_start(id, view.start);
         }
         placer.health.set_leaving(id, view.state == State::Leaving);
         if view.state == State::Down || !view.reachable {
-            placer.health.note_down(id, now);
+            placer.health.mark_down(id, now);
         } else {
-            placer.health.note_up(id, now);
+            placer.health.mark_up(id, now);
         }
     }
 
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -355,7 +355,7 @@
     ) -> Placed {
         let mut placer = self.placement.placer();
         let engine = cat.engine(key);
-        placer.cache.note_start(engine.id, search.chat());
+        placer.cache.mark_cached(engine.id, search.chat());
         let copy = CachedCopy {
             engine: engine.name.clone(),
             start: placer.health.start(engine.id),
@@ -399,12 +399,12 @@
 
     /// Notes that an engine can't be reached.
     pub fn note_engine_down(&self, engine: &str) {
-        self.placement.placer().health.note_down(Id::of(engine), now());
+        self.placement.placer().health.mark_down(Id::of(engine), now());
     }
 
     /// Notes that an engine is leaving, from whatever source; it gets no new work from now on.
     pub fn note_engine_leaving(&self, engine: &str) {
-        self.placement.placer().health.note_leaving(Id::of(engine));
+        self.placement.placer().health.mark_leaving(Id::of(engine));
     }
 
     /// Notes an engine's load report, which also says that it lives.
--- a/src/place/cache.rs
+++ b/src/place/cache.rs
@@ -77,7 +77,7 @@
     }
 
     /// Notes that a request of the chat starts on the engine, whose cache will hold it before any event tells.
-    pub fn note_start(&mut self, engine: Id, chat: u64) {
+    pub fn mark_cached(&mut self, engine: Id, chat: u64) {
         if let Some(evictions) = self.engines.get_mut(&engine) {
             evictions.chats.remove(&chat);
         }
--- a/src/place/health.rs
+++ b/src/place/health.rs
@@ -34,7 +34,7 @@
 
 impl Health {
     /// Notes that an engine can't be reached.
-    pub fn note_down(&mut self, engine: Id, now: Instant) {
+    pub fn mark_down(&mut self, engine: Id, now: Instant) {
         let state = self.engines.entry(engine).or_default();
         if state.down {
             return;
@@ -49,7 +49,7 @@
     ///
     /// Without it the chats of a flapping engine would move there and back with each flap and find neither
     /// cache warm.
-    pub fn note_up(&mut self, engine: Id, now: Instant) {
+    pub fn mark_up(&mut self, engine: Id, now: Instant) {
         let state = self.engines.entry(engine).or_default();
         if !state.down {
             return;
@@ -62,7 +62,7 @@
     }
 
     /// Notes that an engine is leaving: it gets no new work, whatever else is heard of it.
-    pub fn note_leaving(&mut self, engine: Id) {
+    pub fn mark_leaving(&mut self, engine: Id) {
         self.engines.entry(engine).or_default().leaving = true;
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Notes the number that an engine drew when it started; a new one ends an earlier leave.
-    pub fn note_start(&mut self, engine: Id, start: u64) {
+    pub fn set_start(&mut self, engine: Id, start: u64) {
         let state = self.engines.entry(engine).or_default();
         if state.start != start {
             state.start = start;
--- a/src/place/placer.rs
+++ b/src/place/placer.rs
@@ -276,10 +276,10 @@
         if self.health.start(engine) != load.start {
             self.cache.remove(engine);
         }
-        self.health.note_start(engine, load.start);
-        self.health.note_up(engine, now);
+        self.health.set_start(engine, load.start);
+        self.health.mark_up(engine, now);
         if load.leaving {
-            self.health.note_leaving(engine);
+            self.health.mark_leaving(engine);
         }
         self.ledger.note_report(engine, load.running + load.waiting, now);
     }
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -145,9 +145,9 @@
 
     for flap in 0..6 {
         let at = s(100 * flap);
-        health.note_down(engine, at);
+        health.mark_down(engine, at);
         assert!(!health.is_available(engine, at));
-        health.note_up(engine, at + s(1));
+        health.mark_up(engine, at + s(1));
         held.push((0..100).find(|&t| health.is_available(engine, at + s(1 + t))).unwrap());
     }
 
@@ -158,14 +158,14 @@
 fn a_leaving_engine_stays_out_until_it_starts_anew() {
     let mut health = Health::default();
     let engine = Id::of("engine");
-    health.note_start(engine, 1);
+    health.set_start(engine, 1);
 
-    health.note_leaving(engine);
-    health.note_start(engine, 1);
-    health.note_up(engine, s(1));
+    health.mark_leaving(engine);
+    health.set_start(engine, 1);
+    health.mark_up(engine, s(1));
     assert!(!health.is_available(engine, s(60)));
 
-    health.note_start(engine, 2);
+    health.set_start(engine, 2);
     assert!(health.is_available(engine, s(60)));
 }
 
@@ -183,7 +183,7 @@
     cache.note(engine, 5, Event::Evicted(8));
     assert!(!cache.evicted(engine, 7), "the gap may hide a store");
     assert!(cache.evicted(engine, 8));
-    cache.note_start(engine, 8);
+    cache.mark_cached(engine, 8);
     assert!(!cache.evicted(engine, 8), "a request stores it anew");
 }
 
--- a/tests/place_owners.rs
+++ b/tests/place_owners.rs
@@ -109,7 +109,7 @@
     let mut a = router("a", &["a"]);
     let mut b = router("b", &["b"]);
     let down = Id::of("engine-2");
-    a.health.note_down(down, s(1));
+    a.health.mark_down(down, s(1));
 
     for chat in 0..100 {
         let chat = format!("chat-{chat}");
@@ -126,7 +126,7 @@
     let cat = catalog(3);
     let mut a = router("a", &["a"]);
     let excluded = Id::of("engine-3");
-    (0..3).for_each(|at| a.health.note_down(Id::of(&format!("engine-{at}")), s(1)));
+    (0..3).for_each(|at| a.health.mark_down(Id::of(&format!("engine-{at}")), s(1)));
     let copies = vec![CachedCopy { engine: "engine-3".into(), start: 0, tokens: 500 }];
     let hint = Hint { home: "akl-a".into(), copies };
 
@@ -163,7 +163,7 @@
     let copies = vec![CachedCopy { engine: far.clone(), start: 1, tokens: 500 }];
     let hint = Hint { home: "akl-a".into(), copies };
 
-    a.health.note_start(Id::of(&far), 2);
+    a.health.set_start(Id::of(&far), 2);
 
     assert_eq!(engines(&steps(&mut a, &cat, "chat", Some(&hint), s(1))), plain);
 }
