--- a/benches/routing/model.rs
+++ b/benches/routing/model.rs
@@ -524,7 +524,7 @@
             Event::Evicted(engine, event, chat) => {
                 let owner = self.owner(0, engine);
                 let (id, chat) = (self.engines[engine].id, hash(chat.to_string().as_str()));
-                self.routers[owner].placer.cache.note(id, event, CacheEvent::Evicted(chat));
+                self.routers[owner].placer.cache.record(id, event, CacheEvent::Evicted(chat));
             }
         }
     }
@@ -644,7 +644,7 @@
                 }
                 let owner = self.owner(engine % self.routers.len(), engine);
                 let (id, running, now) = (self.engines[engine].id, self.report[engine].0, self.instant());
-                self.routers[owner].placer.ledger.note_report(id, running, now);
+                self.routers[owner].placer.ledger.record_report(id, running, now);
             }
         }
     }
@@ -658,7 +658,7 @@
         let Some(pool) = cat.pool_by_id(self.pool_id()) else { return };
         let digest = self.routers[r].placer.digest(&cat, pool, now);
         for other in &mut self.routers {
-            other.placer.note_digest(id, pool.id, digest, now);
+            other.placer.record_digest(id, pool.id, digest, now);
         }
     }
 
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -166,7 +166,7 @@
         let answer = self.ask(req, owner).await;
         if answer.is_none() {
             self.metrics.retry("owner_unreachable");
-            self.placer().note_unreachable(owner.id, now());
+            self.placer().mark_unreachable(owner.id, now());
         }
         answer?.ok()
     }
@@ -246,7 +246,7 @@
         let mut answers = futures_util::stream::iter(asks).buffer_unordered(LOAD_ASKS);
         while let Some((id, load)) = answers.next().await {
             if let Ok(load) = load {
-                self.placer().note_load(id, &load, now());
+                self.placer().record_load(id, &load, now());
             }
         }
     }
@@ -409,17 +409,17 @@
 
     /// Notes an engine's load report, which also says that it lives.
     pub fn note_engine_load(&self, engine: &str, load: &Load) {
-        self.placement.placer().note_load(Id::of(engine), load, now());
+        self.placement.placer().record_load(Id::of(engine), load, now());
     }
 
     /// Notes an engine's cache events.
     pub fn note_cache_events(&self, engine: &str, events: &CacheEvents) {
-        self.placement.placer().note_cache_events(Id::of(engine), events);
+        self.placement.placer().record_cache_events(Id::of(engine), events);
     }
 
     /// Notes what a router says of the load of its engines in a pool.
     pub fn note_digest(&self, source: Id, pool: Id, digest: Digest, at: Instant) {
-        self.placement.placer().note_digest(source, pool, digest, at);
+        self.placement.placer().record_digest(source, pool, digest, at);
     }
 
     /// Loads of this router's engines by pool, to be told to the other routers about once a second.
--- a/src/place/bound.rs
+++ b/src/place/bound.rs
@@ -115,7 +115,7 @@
 
 impl Digests {
     /// Notes what a source says of a pool.
-    pub fn note(&mut self, source: Id, pool: Id, digest: Digest, now: Instant) {
+    pub fn record(&mut self, source: Id, pool: Id, digest: Digest, now: Instant) {
         let slope = self.latest.get(&(pool, source)).map_or(0.0, |old| {
             let seconds = now.saturating_sub(old.at).as_secs_f64();
             (digest.work as f64 - old.digest.work as f64) / seconds.max(LEAST_PERIOD_S)
--- a/src/place/cache.rs
+++ b/src/place/cache.rs
@@ -60,7 +60,7 @@
     ///
     /// After a gap a chat that was evicted may have been stored again unseen. Trusting the old evictions would
     /// send it away from a warm cache, so a gap forgets them.
-    pub fn note(&mut self, engine: Id, sequence: u64, event: Event) {
+    pub fn record(&mut self, engine: Id, sequence: u64, event: Event) {
         let evictions = self.engines.entry(engine).or_default();
         if sequence <= evictions.sequence {
             return;
--- a/src/place/ledger.rs
+++ b/src/place/ledger.rs
@@ -71,7 +71,7 @@
 }
 
 impl Past {
-    fn note(&mut self, running: u32, now: Instant) {
+    fn record(&mut self, running: u32, now: Instant) {
         match self.steps.back_mut() {
             Some((at, most)) if now.saturating_sub(*at) < PAST_STEP => *most = running.max(*most),
             _ => self.steps.push_back((now, running)),
@@ -151,7 +151,7 @@
         account.work += hold.work;
         account.adopted += if hold.adopted { hold.work } else { 0 };
         account.running += 1;
-        account.past.note(account.running, now);
+        account.past.record(account.running, now);
     }
 
     /// A router that crashes and is back before any list lacks it never ends what it held. Its engines would
@@ -177,7 +177,7 @@
             account.work = account.work.saturating_sub(hold.work);
             account.adopted = account.adopted.saturating_sub(if hold.adopted { hold.work } else { 0 });
             account.running = account.running.saturating_sub(1);
-            account.past.note(account.running, now);
+            account.past.record(account.running, now);
         }
     }
 
@@ -224,9 +224,9 @@
     /// Two routers that both take themselves for the owner don't see each other's reservations. What the
     /// engine reports beyond the most that was reserved here at that time is the other's, and counts against
     /// the bound. So is the work of a former owner, until its holders made it known here.
-    pub fn note_report(&mut self, engine: Id, running: u32, now: Instant) {
+    pub fn record_report(&mut self, engine: Id, running: u32, now: Instant) {
         let account = self.accounts.entry(engine).or_default();
-        account.past.note(account.running, now);
+        account.past.record(account.running, now);
         account.foreign = Some(running.saturating_sub(account.past.most(now)));
     }
 }
--- a/src/place/placer.rs
+++ b/src/place/placer.rs
@@ -159,7 +159,7 @@
     }
 
     /// Notes that a router did not answer in time.
-    pub fn note_unreachable(&mut self, router: Id, now: Instant) {
+    pub fn mark_unreachable(&mut self, router: Id, now: Instant) {
         self.unreachable.insert(router, now + UNREACHABLE);
     }
 
@@ -174,9 +174,9 @@
     }
 
     /// Notes what another router says of a pool.
-    pub fn note_digest(&mut self, source: Id, pool: Id, digest: Digest, now: Instant) {
+    pub fn record_digest(&mut self, source: Id, pool: Id, digest: Digest, now: Instant) {
         if source != self.me {
-            self.digests.note(source, pool, digest, now);
+            self.digests.record(source, pool, digest, now);
         }
     }
 
@@ -272,7 +272,7 @@
     }
 
     /// Notes an engine's load report, which also says that it lives.
-    pub fn note_load(&mut self, engine: Id, load: &Load, now: Instant) {
+    pub fn record_load(&mut self, engine: Id, load: &Load, now: Instant) {
         if self.health.start(engine) != load.start {
             self.cache.remove(engine);
         }
@@ -281,18 +281,18 @@
         if load.leaving {
             self.health.mark_leaving(engine);
         }
-        self.ledger.note_report(engine, load.running + load.waiting, now);
+        self.ledger.record_report(engine, load.running + load.waiting, now);
     }
 
     /// Notes an engine's cache events; those of an earlier start are of a cache that is gone.
-    pub fn note_cache_events(&mut self, engine: Id, events: &CacheEvents) {
+    pub fn record_cache_events(&mut self, engine: Id, events: &CacheEvents) {
         if events.start != self.health.start(engine) {
             return;
         }
         for event in &events.events {
             let chat = ChatId { workspace: &event.workspace, chat: &event.chat }.hash();
             let what = if event.evicted { Event::Evicted(chat) } else { Event::Stored(chat) };
-            self.cache.note(engine, event.seq, what);
+            self.cache.record(engine, event.seq, what);
         }
     }
 
--- a/src/place/work.rs
+++ b/src/place/work.rs
@@ -25,7 +25,7 @@
     }
 
     /// Notes how many tokens an answer had.
-    pub fn note(&mut self, workspace: &str, model: &str, tokens: u32) {
+    pub fn record(&mut self, workspace: &str, model: &str, tokens: u32) {
         let key = hash((workspace, model));
         if self.output.len() >= MOST && !self.output.contains_key(&key) {
             return;
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -176,11 +176,11 @@
     let engine = Id::of("engine");
     let mut cache = CacheEvents::default();
 
-    cache.note(engine, 1, Event::Evicted(7));
+    cache.record(engine, 1, Event::Evicted(7));
     assert!(cache.evicted(engine, 7));
-    cache.note(engine, 1, Event::Stored(7));
+    cache.record(engine, 1, Event::Stored(7));
     assert!(cache.evicted(engine, 7), "an old event counts for nothing");
-    cache.note(engine, 5, Event::Evicted(8));
+    cache.record(engine, 5, Event::Evicted(8));
     assert!(!cache.evicted(engine, 7), "the gap may hide a store");
     assert!(cache.evicted(engine, 8));
     cache.mark_cached(engine, 8);
@@ -192,7 +192,7 @@
     let engine = Id::of("engine");
     let mut cache = CacheEvents::default();
 
-    (1..=10_000).for_each(|n| cache.note(engine, n, Event::Evicted(n)));
+    (1..=10_000).for_each(|n| cache.record(engine, n, Event::Evicted(n)));
 
     assert!(!cache.evicted(engine, 1));
     assert!(cache.evicted(engine, 10_000));
--- a/tests/place_owners.rs
+++ b/tests/place_owners.rs
@@ -85,7 +85,7 @@
 /// A pool whose other owner carries `work` on `engines` engines.
 fn note_others(placer: &mut Placer, engines: u64, work: u64, now: Duration) {
     let digest = Digest { work, running: (work / WORK) as u32, capacity: engines * 8 };
-    placer.note_digest(Id::of("other"), Id::of("pool"), digest, now);
+    placer.record_digest(Id::of("other"), Id::of("pool"), digest, now);
 }
 
 #[test]
@@ -258,10 +258,10 @@
     let engine = Id::of("engine-0");
     note_others(&mut new, 40, 40 * mean, s(10));
 
-    new.ledger.note_report(engine, 125, s(10));
+    new.ledger.record_report(engine, 125, s(10));
 
     assert_eq!(new.reserve(&cat, &request(&new, 1, engine), s(10)), Err(Refusal::AtBound));
-    new.ledger.note_report(engine, 60, s(11));
+    new.ledger.record_report(engine, 60, s(11));
     assert!(new.reserve(&cat, &request(&new, 2, engine), s(11)).is_ok());
 }
 
@@ -275,7 +275,7 @@
     (0..10).for_each(|n| a.ledger.add(HoldId { router: a.me(), number: n }, engine, WORK, s(5)));
     a.release(a.me(), 0..9, s(8));
 
-    a.ledger.note_report(engine, 10, s(9));
+    a.ledger.record_report(engine, 10, s(9));
 
     assert_eq!(a.ledger.account(engine).unwrap().foreign, Some(0));
     assert!(a.reserve(&cat, &request(&a, 50, engine), s(9)).is_ok());
@@ -302,7 +302,7 @@
     let cat = catalog(12);
     let mut a = router("a", &["a", "b"]);
 
-    a.note_unreachable(Id::of("b"), s(1));
+    a.mark_unreachable(Id::of("b"), s(1));
     let during = steps(&mut a, &cat, "chat", None, s(2));
     let after = steps(&mut a, &cat, "chat", None, s(4));
 
@@ -358,9 +358,9 @@
     let asked = |a: &mut Placer| a.unsettled_loads(&cat, s(2)).iter().any(|&k| cat.engine(k).id == engine);
 
     let unknown = asked(&mut a);
-    a.ledger.note_report(engine, 3, s(2));
+    a.ledger.record_report(engine, 3, s(2));
     let foreign = asked(&mut a);
-    a.ledger.note_report(engine, 0, s(2));
+    a.ledger.record_report(engine, 0, s(2));
     let settled = asked(&mut a);
 
     assert_eq!((unknown, foreign, settled), (true, true, false));
