--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -448,7 +448,7 @@
         let (placement, client, cat) = (self.placement.clone(), self.client.clone(), cat.clone());
         *asking = Some(tokio::spawn(async move {
             loop {
-                let keys = placement.placer().unsettled_loads(&cat, now());
+                let keys = placement.placer().engines_without_load(&cat, now());
                 if keys.is_empty() {
                     return;
                 }
--- a/src/place/placer.rs
+++ b/src/place/placer.rs
@@ -145,7 +145,7 @@
 
     /// Engines that this router has come to own and whose load it does not know yet, or which then ran work that
     /// this router had not granted: that ends, and the next report says when.
-    pub fn unsettled_loads(&mut self, cat: &Catalog, now: Instant) -> Vec<EngineKey> {
+    pub fn engines_without_load(&mut self, cat: &Catalog, now: Instant) -> Vec<EngineKey> {
         if now >= self.unsure_until {
             return Vec::new();
         }
--- a/tests/place_owners.rs
+++ b/tests/place_owners.rs
@@ -355,7 +355,8 @@
     a.set_members(vec![member("a"), member("b")], s(1));
     a.set_members(vec![member("a")], s(2));
     let engine = Id::of("engine-0");
-    let asked = |a: &mut Placer| a.unsettled_loads(&cat, s(2)).iter().any(|&k| cat.engine(k).id == engine);
+    let asked =
+        |a: &mut Placer| a.engines_without_load(&cat, s(2)).iter().any(|&k| cat.engine(k).id == engine);
 
     let unknown = asked(&mut a);
     a.ledger.record_report(engine, 3, s(2));
@@ -364,5 +365,5 @@
     let settled = asked(&mut a);
 
     assert_eq!((unknown, foreign, settled), (true, true, false));
-    assert!(a.unsettled_loads(&cat, s(60)).is_empty());
+    assert!(a.engines_without_load(&cat, s(60)).is_empty());
 }
