--- a/benches/routing/cost.rs
+++ b/benches/routing/cost.rs
@@ -8,7 +8,7 @@
     place::{
         Placer, Request,
         hint::{CachedCopy, Hint, HintKey},
-        ledger::HoldId,
+        ledger::ReservationId,
         members::Member,
         search::Search,
     },
@@ -44,8 +44,8 @@
     placer.set_members(vec![member], Time::ZERO);
     for (_, engine) in cat.engines() {
         for _ in 0..RUNNING {
-            let number = placer.ledger.holds() as u64;
-            placer.ledger.add(HoldId { router: me, number }, engine.id, 1_000, Time::ZERO);
+            let number = placer.ledger.reservations() as u64;
+            placer.ledger.add(ReservationId { router: me, number }, engine.id, 1_000, Time::ZERO);
         }
     }
     (placer, cat)
@@ -83,7 +83,7 @@
     let hint = hint.and_then(|text| keys.open(chat, text));
     let mut search = Search::new(placer, cat, pool, chat.hash(), hint.as_ref(), []);
     while let Some(step) = search.next(placer, cat, pool, now) {
-        let hold = HoldId { router: placer.me(), number: (1 << 40) + number };
+        let hold = ReservationId { router: placer.me(), number: (1 << 40) + number };
         let engine = step.engine.map(|c| c.id);
         let req = Request { hold, engine, pool: pool.id, work: 1_000, above_mean: step.above_mean };
         if let Ok(grant) = placer.reserve(cat, &req, now) {
@@ -102,7 +102,7 @@
 
 /// Prints the size of each message.
 pub fn messages() {
-    let number = HoldId::first_number(1_800_000_000_000);
+    let number = ReservationId::first_number(1_800_000_000_000);
     let (router, engine, pool) = (Id::of("router").0, Id::of("engine").0, Id::of("pool").0);
     let reserve = Reserve { router, number, engine, pool, work: 1_500, running: false, above_mean: true };
     let numbers = (0..10).map(|n| number + n).collect();
--- a/benches/routing/model.rs
+++ b/benches/routing/model.rs
@@ -14,7 +14,7 @@
         Placer, Request,
         cache::Event as CacheEvent,
         hint::{CachedCopy, Hint},
-        ledger::HoldId,
+        ledger::ReservationId,
         members::Member,
         search::Search,
         transfer::Costs,
@@ -383,11 +383,11 @@
             if owner == old {
                 continue;
             }
-            let hold = HoldId { router: self.routers[r].id, number };
+            let reservation = ReservationId { router: self.routers[r].id, number };
             let pool = self.pool_id();
-            let req = Request { hold, engine: Some(id), pool, work, above_mean: false };
+            let req = Request { reservation, engine: Some(id), pool, work, above_mean: false };
             self.routers[owner].placer.adopt(&req, now);
-            self.ended[r][old].push((hold.router, number));
+            self.ended[r][old].push((reservation.router, number));
             self.tally.messages += 2;
             if let Some(run) = self.running[slot].as_mut() {
                 run.owner = owner;
--- a/benches/routing/policy.rs
+++ b/benches/routing/policy.rs
@@ -6,7 +6,7 @@
 };
 use rand::Rng;
 
-use super::{HoldId, News, Policy, Request, Search, World};
+use super::{News, Policy, Request, ReservationId, Search, World};
 
 /// Engine, owner of the reservation and its number.
 pub(super) type Place = (usize, usize, u64);
@@ -71,9 +71,14 @@
         let router = &mut self.routers[r];
         let number = router.next;
         router.next += 1;
-        let hold = HoldId { router: router.id, number };
-        let req =
-            Request { hold, engine: step.engine.map(|c| c.id), pool, work, above_mean: step.above_mean };
+        let reservation = ReservationId { router: router.id, number };
+        let req = Request {
+            reservation,
+            engine: step.engine.map(|c| c.id),
+            pool,
+            work,
+            above_mean: step.above_mean,
+        };
         self.tally.asks += 1;
         self.tally.messages += if owner == r { 0 } else { 2 };
         let (cat, now) = (self.routers[owner].cat.clone(), self.instant());
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -21,7 +21,7 @@
         Placer, Refusal, Request,
         bound::Digest,
         hint::{CachedCopy, Hint, HintKey},
-        ledger::HoldId,
+        ledger::ReservationId,
         members::Member,
         search::{Candidate, Search},
         transfer::Costs,
@@ -129,7 +129,7 @@
             links,
             hints,
             metrics,
-            next: AtomicU64::new(HoldId::first_number(wall_ms())),
+            next: AtomicU64::new(ReservationId::first_number(wall_ms())),
             held: Mutex::default(),
             ended: Mutex::default(),
         }
@@ -153,7 +153,7 @@
     }
 
     fn hold(&self, owner: Id, req: Request) {
-        lock(&self.held).insert(req.hold.number, Held { owner, req });
+        lock(&self.held).insert(req.reservation.number, Held { owner, req });
     }
 
     /// Reserves at the owner, which is this router or another.
@@ -172,7 +172,7 @@
     }
 
     async fn ask(&self, req: Request, owner: &Member) -> Option<Result<Id, Refusal>> {
-        let number = req.hold.number;
+        let number = req.reservation.number;
         self.hold(owner.id, req);
         let body = Body::Reserve(to_wire(&req, false));
         match self.links.call(owner.peer, body, RESERVE_TIMEOUT).await {
@@ -279,7 +279,7 @@
             if owner.id == held.owner {
                 continue;
             }
-            let number = held.req.hold.number;
+            let number = held.req.reservation.number;
             if held.owner == self.me {
                 placer.release(self.me, [number], now());
             } else {
@@ -317,7 +317,7 @@
             let number = place.next.fetch_add(1, Ordering::Relaxed);
             let slot = Slot { placement: place.clone(), number, refused: false };
             let req = Request {
-                hold: HoldId { router: place.me, number },
+                reservation: ReservationId { router: place.me, number },
                 engine: step.engine.map(|c| c.id),
                 pool: pool.id,
                 work: ask.work,
@@ -470,8 +470,8 @@
 
 fn to_wire(req: &Request, running: bool) -> Reserve {
     Reserve {
-        router: req.hold.router.0,
-        number: req.hold.number,
+        router: req.reservation.router.0,
+        number: req.reservation.number,
         engine: req.engine.map_or(0, |id| id.0),
         pool: req.pool.0,
         work: req.work,
@@ -482,7 +482,7 @@
 
 fn from_wire(msg: &Reserve) -> Request {
     Request {
-        hold: HoldId { router: Id(msg.router), number: msg.number },
+        reservation: ReservationId { router: Id(msg.router), number: msg.number },
         engine: (msg.engine != 0).then_some(Id(msg.engine)),
         pool: Id(msg.pool),
         work: msg.work,
--- a/src/place/ledger.rs
+++ b/src/place/ledger.rs
@@ -19,7 +19,7 @@
 
 /// One reservation: the router that holds it and the router's own number for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct HoldId {
+pub struct ReservationId {
     /// Router.
     pub router: Id,
     /// Number; the upper bits tell the runs of a router that restarts apart.
@@ -31,7 +31,7 @@
 /// Part of a second that tells two runs apart.
 const RUN_MS: u64 = 250;
 
-impl HoldId {
+impl ReservationId {
     /// First number of a run that starts at this wall clock time, in milliseconds.
     pub fn first_number(wall_ms: u64) -> u64 {
         (wall_ms / RUN_MS) << RUN_SHIFT
@@ -43,7 +43,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Hold {
+struct Reservation {
     engine: Id,
     work: Work,
     adopted: bool,
@@ -93,9 +93,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     accounts: Map<Id, Account>,
-    holds: Map<HoldId, Hold>,
-    early: VecDeque<HoldId>,
-    early_set: Set<HoldId>,
+    reservations: Map<ReservationId, Reservation>,
+    early: VecDeque<ReservationId>,
+    early_set: Set<ReservationId>,
     /// Latest run of each router.
     runs: Map<Id, u64>,
 }
@@ -112,51 +112,51 @@
     }
 
     /// Number of reservations.
-    pub fn holds(&self) -> usize {
-        self.holds.len()
+    pub fn reservations(&self) -> usize {
+        self.reservations.len()
     }
 
     /// Bytes of state for each engine and for each reservation, without the tables' spare room.
     pub fn bytes(&self) -> (usize, usize) {
         let past = self.accounts.values().map(|a| a.past.steps.len()).max().unwrap_or(0);
         let account = size_of::<(Id, Account)>() + past * size_of::<(Instant, u32)>();
-        (account, size_of::<(HoldId, Hold)>())
+        (account, size_of::<(ReservationId, Reservation)>())
     }
 
     /// The engine that this reservation is already on.
-    pub fn held(&self, id: HoldId) -> Option<Id> {
-        self.holds.get(&id).map(|h| h.engine)
+    pub fn held(&self, id: ReservationId) -> Option<Id> {
+        self.reservations.get(&id).map(|h| h.engine)
     }
 
     /// Counts a reservation; a repeat counts once.
     ///
     /// A release can overtake its reservation when the caller gave up waiting for the answer. Counting the
     /// late reservation would load the engine until [`LONGEST_HOLD`] with work that never comes.
-    pub fn add(&mut self, id: HoldId, engine: Id, work: Work, now: Instant) {
-        self.insert(id, Hold { engine, work, adopted: false, since: now }, now);
+    pub fn add(&mut self, id: ReservationId, engine: Id, work: Work, now: Instant) {
+        self.insert(id, Reservation { engine, work, adopted: false, since: now }, now);
     }
 
     /// Counts work that was already running when this router became the engine's owner.
-    pub fn adopt(&mut self, id: HoldId, engine: Id, work: Work, now: Instant) {
-        self.insert(id, Hold { engine, work, adopted: true, since: now }, now);
+    pub fn adopt(&mut self, id: ReservationId, engine: Id, work: Work, now: Instant) {
+        self.insert(id, Reservation { engine, work, adopted: true, since: now }, now);
     }
 
-    fn insert(&mut self, id: HoldId, hold: Hold, now: Instant) {
-        if self.early_set.contains(&id) || self.holds.contains_key(&id) {
+    fn insert(&mut self, id: ReservationId, reservation: Reservation, now: Instant) {
+        if self.early_set.contains(&id) || self.reservations.contains_key(&id) {
             return;
         }
         self.end_former_run(id, now);
-        self.holds.insert(id, hold);
-        let account = self.accounts.entry(hold.engine).or_default();
-        account.work += hold.work;
-        account.adopted += if hold.adopted { hold.work } else { 0 };
+        self.reservations.insert(id, reservation);
+        let account = self.accounts.entry(reservation.engine).or_default();
+        account.work += reservation.work;
+        account.adopted += if reservation.adopted { reservation.work } else { 0 };
         account.running += 1;
         account.past.record(account.running, now);
     }
 
     /// A router that crashes and is back before any list lacks it never ends what it held. Its engines would
     /// seem full for as long as [`LONGEST_HOLD`]; a number of a later run shows that the former one is over.
-    fn end_former_run(&mut self, id: HoldId, now: Instant) {
+    fn end_former_run(&mut self, id: ReservationId, now: Instant) {
         let latest = self.runs.entry(id.router).or_insert(id.run());
         if id.run() > *latest {
             *latest = id.run();
@@ -165,23 +165,24 @@
     }
 
     /// Ends a reservation.
-    pub fn release(&mut self, id: HoldId, now: Instant) {
-        match self.holds.remove(&id) {
-            Some(hold) => self.subtract(hold, now),
+    pub fn release(&mut self, id: ReservationId, now: Instant) {
+        match self.reservations.remove(&id) {
+            Some(reservation) => self.subtract(reservation, now),
             None => self.remember(id),
         }
     }
 
-    fn subtract(&mut self, hold: Hold, now: Instant) {
-        if let Some(account) = self.accounts.get_mut(&hold.engine) {
-            account.work = account.work.saturating_sub(hold.work);
-            account.adopted = account.adopted.saturating_sub(if hold.adopted { hold.work } else { 0 });
+    fn subtract(&mut self, reservation: Reservation, now: Instant) {
+        if let Some(account) = self.accounts.get_mut(&reservation.engine) {
+            account.work = account.work.saturating_sub(reservation.work);
+            account.adopted =
+                account.adopted.saturating_sub(if reservation.adopted { reservation.work } else { 0 });
             account.running = account.running.saturating_sub(1);
             account.past.record(account.running, now);
         }
     }
 
-    fn remember(&mut self, id: HoldId) {
+    fn remember(&mut self, id: ReservationId) {
         if !self.early_set.insert(id) {
             return;
         }
@@ -208,12 +209,17 @@
 
     /// Ends reservations that outlived every request, and forgets engines that are no longer configured.
     pub fn expire(&mut self, now: Instant, keep: impl Fn(Id) -> bool) {
-        self.end(now, |_, hold| now.saturating_sub(hold.since) > LONGEST_HOLD);
+        self.end(now, |_, reservation| now.saturating_sub(reservation.since) > LONGEST_HOLD);
         self.accounts.retain(|&id, account| account.running > 0 || keep(id));
     }
 
-    fn end(&mut self, now: Instant, over: impl Fn(&HoldId, &Hold) -> bool) {
-        let gone: Vec<_> = self.holds.iter().filter(|(id, hold)| over(id, hold)).map(|(id, _)| *id).collect();
+    fn end(&mut self, now: Instant, over: impl Fn(&ReservationId, &Reservation) -> bool) {
+        let gone: Vec<_> = self
+            .reservations
+            .iter()
+            .filter(|(id, reservation)| over(id, reservation))
+            .map(|(id, _)| *id)
+            .collect();
         for id in gone {
             self.release(id, now);
         }
--- a/src/place/placer.rs
+++ b/src/place/placer.rs
@@ -7,7 +7,7 @@
     cache::{CacheEvents as CacheNews, Event},
     health::Health,
     hint::Hint,
-    ledger::{HoldId, Ledger},
+    ledger::{Ledger, ReservationId},
     members::{Distance, Member, Members},
 };
 use crate::{
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
     /// Reservation.
-    pub hold: HoldId,
+    pub reservation: ReservationId,
     /// Engine; `None` for any engine of the owner with room.
     pub engine: Option<Id>,
     /// Pool whose bound applies.
@@ -224,7 +224,7 @@
     /// When the engine is at the bound, not in use or not owned by this router. Were a former owner to go on
     /// granting for routers with an old list, two owners would fill the engine for as long as the lists differ.
     pub fn reserve(&mut self, cat: &Catalog, req: &Request, now: Instant) -> Result<Grant, Refusal> {
-        if let Some(engine) = self.ledger.held(req.hold) {
+        if let Some(engine) = self.ledger.held(req.reservation) {
             return Ok(Grant { engine });
         }
         let pool = cat.pool_by_id(req.pool).ok_or(Refusal::Unavailable)?;
@@ -247,7 +247,7 @@
         if self.load(engine, capacity, mean, now) + req.work as f64 > limit {
             return Err(Refusal::AtBound);
         }
-        self.ledger.add(req.hold, engine, req.work, now);
+        self.ledger.add(req.reservation, engine, req.work, now);
         // Without this, a burst on idle engines meets a mean of before the burst, and all but one request an engine
         // are refused until the mean is computed anew.
         if let Some((load, _)) = self.means.get_mut(&req.pool) {
@@ -260,14 +260,14 @@
     /// Counts work that already runs on an engine which this router now owns. It is never refused.
     pub fn adopt(&mut self, req: &Request, now: Instant) {
         if let Some(engine) = req.engine {
-            self.ledger.adopt(req.hold, engine, req.work, now);
+            self.ledger.adopt(req.reservation, engine, req.work, now);
         }
     }
 
     /// Ends reservations.
     pub fn release(&mut self, router: Id, numbers: impl IntoIterator<Item = u64>, now: Instant) {
         for number in numbers {
-            self.ledger.release(HoldId { router, number }, now);
+            self.ledger.release(ReservationId { router, number }, now);
         }
     }
 
--- a/tests/place_owners.rs
+++ b/tests/place_owners.rs
@@ -8,7 +8,7 @@
         Placer, Refusal, Request,
         bound::Digest,
         hint::{CachedCopy, Hint},
-        ledger::HoldId,
+        ledger::ReservationId,
         members::Member,
         search::{Search, Step},
     },
@@ -55,8 +55,8 @@
 }
 
 fn request(placer: &Placer, number: u64, engine: Id) -> Request {
-    let hold = HoldId { router: placer.me(), number };
-    Request { hold, engine: Some(engine), pool: Id::of("pool"), work: WORK, above_mean: true }
+    let reservation = ReservationId { router: placer.me(), number };
+    Request { reservation, engine: Some(engine), pool: Id::of("pool"), work: WORK, above_mean: true }
 }
 
 fn owned_by(placer: &mut Placer, engine: Id) -> Id {
@@ -198,8 +198,8 @@
     let mut a = router("a", &["a", "b"]);
     let mine = (0..2).map(|n| Id::of(&format!("engine-{n}")));
     let engine = mine.into_iter().find(|&e| owned_by(&mut a, e) == Id::of("a")).unwrap();
-    let hold = HoldId { router: Id::of("b"), number: 1 };
-    let req = Request { hold, ..request(&a, 1, engine) };
+    let reservation = ReservationId { router: Id::of("b"), number: 1 };
+    let req = Request { reservation, ..request(&a, 1, engine) };
     assert!(a.reserve(&cat, &req, s(1)).is_ok());
 
     a.set_members(vec![member("a")], s(2));
@@ -214,9 +214,11 @@
     let cat = catalog(2);
     let mut a = router("a", &["a"]);
     let engine = Id::of("engine-0");
-    let of_run =
-        |wall_ms: u64, n: u64| HoldId { router: Id::of("b"), number: HoldId::first_number(wall_ms) + n };
-    let req = |hold| Request { hold, ..request(&router("a", &["a"]), 1, engine) };
+    let of_run = |wall_ms: u64, n: u64| ReservationId {
+        router: Id::of("b"),
+        number: ReservationId::first_number(wall_ms) + n,
+    };
+    let req = |reservation| Request { reservation, ..request(&router("a", &["a"]), 1, engine) };
     assert!(a.reserve(&cat, &req(of_run(1_000_000, 1)), s(1)).is_ok());
     a.ledger.add(of_run(1_000_000, 2), engine, WORK, s(1));
 
@@ -272,7 +274,7 @@
     let cat = catalog(1);
     let mut a = router("a", &["a"]);
     let engine = Id::of("engine-0");
-    (0..10).for_each(|n| a.ledger.add(HoldId { router: a.me(), number: n }, engine, WORK, s(5)));
+    (0..10).for_each(|n| a.ledger.add(ReservationId { router: a.me(), number: n }, engine, WORK, s(5)));
     a.release(a.me(), 0..9, s(8));
 
     a.ledger.record_report(engine, 10, s(9));
@@ -320,7 +322,7 @@
     for (n, (_, engine)) in cat.engines().enumerate() {
         let busy = engines(&walk).contains(&engine.id);
         let work = if busy { 200 * WORK } else { 10 * WORK };
-        a.ledger.add(HoldId { router: a.me(), number: n as u64 }, engine.id, work, s(1));
+        a.ledger.add(ReservationId { router: a.me(), number: n as u64 }, engine.id, work, s(1));
     }
 
     let any = Request { engine: None, ..request(&a, 99, Id::default()) };
