--- a/benches/routing/model.rs
+++ b/benches/routing/model.rs
@@ -17,7 +17,7 @@
         ledger::ReservationId,
         members::Member,
         search::Search,
-        transfer::Costs,
+        transfer::TransferCosts,
     },
     schema::object::Meta,
     util::{Instant, Map, hash},
@@ -817,7 +817,7 @@
             .map(|&e| self.engines[e].cache.tokens(key).min(context))
             .max()
             .unwrap_or(0);
-        if Costs::default().worth_moving(tokens) { tokens } else { 0 }
+        if TransferCosts::default().is_transfer_faster(tokens) { tokens } else { 0 }
     }
 }
 
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -24,7 +24,7 @@
         ledger::ReservationId,
         members::Member,
         search::{Candidate, Search},
-        transfer::Costs,
+        transfer::TransferCosts,
     },
     schema::{
         engine::{CacheEvents, Load},
@@ -377,8 +377,8 @@
         to: EngineKey,
         tokens: u32,
     ) {
-        let costs = Costs::default();
-        if !costs.worth_moving(tokens) {
+        let costs = TransferCosts::default();
+        if !costs.is_transfer_faster(tokens) {
             return;
         }
         let client = |key| EngineClient::new(self.client.clone(), cat.engine(key).addr);
@@ -388,7 +388,7 @@
             anyhow::Ok(true)
         };
         // Beyond the time that computing takes, the transfer gains nothing; the request then goes on without.
-        let how = match tokio::time::timeout(costs.recompute(tokens), transfer).await {
+        let how = match tokio::time::timeout(costs.recompute_time(tokens), transfer).await {
             Ok(Ok(true)) => "kv_moved",
             Ok(Ok(false)) => "kv_gone",
             Ok(Err(_)) => "kv_failed",
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -10,7 +10,7 @@
         cache::{CacheEvents, Event},
         health::Health,
         hint::{COPIES, CachedCopy, Hint, HintKey},
-        transfer::Costs,
+        transfer::TransferCosts,
     },
     schema::object::Meta,
 };
@@ -200,12 +200,12 @@
 
 #[test]
 fn a_long_context_is_moved_and_a_short_one_computed_again() {
-    let costs = Costs::default();
+    let costs = TransferCosts::default();
 
     let cases = [(0, false), (100, false), (1_000, true), (30_000, true)];
 
     for (tokens, moved) in cases {
-        assert_eq!(costs.worth_moving(tokens), moved, "{tokens} tokens");
+        assert_eq!(costs.is_transfer_faster(tokens), moved, "{tokens} tokens");
     }
 }
 
