--- a/src/place/bound.rs
+++ b/src/place/bound.rs
@@ -50,7 +50,7 @@
 
 /// Mean load of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Mean {
+pub struct MeanLoad {
     /// Work a unit of capacity.
     pub per_capacity: f64,
     /// Work of one request.
@@ -59,9 +59,9 @@
     pub running_per_capacity: f64,
 }
 
-impl Mean {
+impl MeanLoad {
     /// Mean of a pool with this load in total.
-    pub fn of(total: Digest) -> Self {
+    pub fn from_total(total: Digest) -> Self {
         Self {
             per_capacity: total.work as f64 / total.capacity.max(1) as f64,
             per_request: total.work as f64 / f64::from(total.running.max(1)),
--- a/src/place/hint.rs
+++ b/src/place/hint.rs
@@ -14,7 +14,7 @@
 /// Longer text is not decoded, so that a caller can't make routers work.
 const MAX_TEXT: usize = 1024;
 /// Copies named in a hint: the engine that answered last, and the one before when the chat moved.
-pub const COPIES: usize = 2;
+pub const MAX_COPIES: usize = 2;
 
 /// A copy of a chat's context in an engine's cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     pub fn with_copy(mut self, copy: CachedCopy) -> Self {
         self.copies.retain(|c| c.engine != copy.engine);
         self.copies.insert(0, copy);
-        self.copies.truncate(COPIES);
+        self.copies.truncate(MAX_COPIES);
         self
     }
 }
@@ -91,7 +91,7 @@
         if raw.version != VERSION {
             return None;
         }
-        let copies = raw.copies.into_iter().take(COPIES).map(|c| CachedCopy {
+        let copies = raw.copies.into_iter().take(MAX_COPIES).map(|c| CachedCopy {
             engine: c.engine.into(),
             start: c.start,
             tokens: c.tokens,
--- a/src/place/placer.rs
+++ b/src/place/placer.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use super::{
-    bound::{Digest, Digests, Mean, Work, total},
+    bound::{Digest, Digests, MeanLoad, Work, total},
     cache::{CacheEvents as CacheNews, Event},
     health::Health,
     hint::Hint,
@@ -198,15 +198,15 @@
     }
 
     /// Mean load of a pool over all owners.
-    pub fn mean(&mut self, cat: &Catalog, pool: &Pool, now: Instant) -> Mean {
+    pub fn mean(&mut self, cat: &Catalog, pool: &Pool, now: Instant) -> MeanLoad {
         if let Some((load, at)) = self.means.get(&pool.id)
             && now.saturating_sub(*at) < MEAN_LIFE
         {
-            return Mean::of(*load);
+            return MeanLoad::from_total(*load);
         }
         let load = total(self.digest(cat, pool, now), self.digests.total(pool.id, now));
         self.means.insert(pool.id, (load, now));
-        Mean::of(load)
+        MeanLoad::from_total(load)
     }
 
     /// Whether a pool's engines run as many requests as they run well at once.
@@ -336,7 +336,7 @@
     /// A new owner doesn't know yet what the former one granted, and would fill an engine that is full. Until
     /// the first report it takes the engine to carry the mean, beside what it reserves itself. While a former
     /// owner still grants up to the bound `b`, the new one thus adds at most `b - 1`: together `2b - 1` means.
-    fn load(&self, engine: Id, capacity: u32, mean: Mean, now: Instant) -> f64 {
+    fn load(&self, engine: Id, capacity: u32, mean: MeanLoad, now: Instant) -> f64 {
         let account = self.ledger.account(engine);
         let (work, adopted) = account.map_or((0, 0), |a| (a.work, a.adopted));
         let foreign = account.and_then(|a| a.foreign);
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -6,10 +6,10 @@
     catalog::{AnyObject, Catalog, Id, Object},
     engine::ChatId,
     place::{
-        bound::{Digest, Mean},
+        bound::{Digest, MeanLoad},
         cache::{CacheEvents, Event},
         health::Health,
-        hint::{COPIES, CachedCopy, Hint, HintKey},
+        hint::{CachedCopy, Hint, HintKey, MAX_COPIES},
         transfer::TransferCosts,
     },
     schema::object::Meta,
@@ -132,7 +132,7 @@
 
     let names: Vec<_> = hint.copies.iter().map(|c| &*c.engine).collect();
     assert_eq!(names, ["b", "c"]);
-    assert_eq!(hint.copies.len(), COPIES);
+    assert_eq!(hint.copies.len(), MAX_COPIES);
 }
 
 /// An engine's network comes and goes. After the first failure its chats return at once; from the second on it
@@ -213,7 +213,7 @@
 /// a strict bound would refuse them all while every engine stands idle.
 #[test]
 fn a_small_mean_lets_one_request_through() {
-    let pool = |work, running| Mean::of(Digest { work, running, capacity: 9 * 8 });
+    let pool = |work, running| MeanLoad::from_total(Digest { work, running, capacity: 9 * 8 });
 
     // Work in the pool, requests, work on the engine, what is asked, whether it fits.
     let cases = [
