--- a/src/place/work.rs
+++ b/src/place/work.rs
@@ -18,7 +18,7 @@
 
 impl Estimator {
     /// Expected tokens of a request with a body of `bytes`, whose answer is limited to `max_tokens`.
-    pub fn expect(&self, workspace: &str, model: &str, bytes: usize, max_tokens: Option<u32>) -> Work {
+    pub fn estimate(&self, workspace: &str, model: &str, bytes: usize, max_tokens: Option<u32>) -> Work {
         let output = self.output.get(&hash((workspace, model))).copied().unwrap_or(FIRST_GUESS);
         let most = max_tokens.map_or(f64::INFINITY, f64::from);
         prompt_tokens(bytes) + output.min(most) as Work
