--- a/src/place/cache.rs
+++ b/src/place/cache.rs
@@ -15,7 +15,7 @@
 
 /// What an engine published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum CacheEvent {
     /// The chat's context is cached.
     Stored(u64),
     /// The chat's context was evicted.
@@ -51,16 +51,16 @@
 
 /// Recent evictions of the engines that this router owns.
 #[derive(Clone, Debug, Default)]
-pub struct CacheEvents {
+pub struct EvictionTracker {
     engines: Map<Id, Evictions>,
 }
 
-impl CacheEvents {
+impl EvictionTracker {
     /// Notes event number `sequence` of an engine.
     ///
     /// After a gap a chat that was evicted may have been stored again unseen. Trusting the old evictions would
     /// send it away from a warm cache, so a gap forgets them.
-    pub fn record(&mut self, engine: Id, sequence: u64, event: Event) {
+    pub fn record(&mut self, engine: Id, sequence: u64, event: CacheEvent) {
         let evictions = self.engines.entry(engine).or_default();
         if sequence <= evictions.sequence {
             return;
@@ -70,9 +70,9 @@
         }
         evictions.sequence = sequence;
         match event {
-            Event::Stored(chat) => drop(evictions.chats.remove(&chat)),
-            Event::Evicted(chat) => evictions.evict(chat),
-            Event::Cleared => evictions.forget(),
+            CacheEvent::Stored(chat) => drop(evictions.chats.remove(&chat)),
+            CacheEvent::Evicted(chat) => evictions.evict(chat),
+            CacheEvent::Cleared => evictions.forget(),
         }
     }
 
--- a/src/place/placer.rs
+++ b/src/place/placer.rs
@@ -4,7 +4,7 @@
 
 use super::{
     bound::{Digest, Digests, MeanLoad, Work, total},
-    cache::{CacheEvents as CacheNews, Event},
+    cache::{CacheEvent, EvictionTracker as CacheNews},
     health::Health,
     hint::Hint,
     ledger::{Ledger, ReservationId},
@@ -291,7 +291,7 @@
         }
         for event in &events.events {
             let chat = ChatId { workspace: &event.workspace, chat: &event.chat }.hash();
-            let what = if event.evicted { Event::Evicted(chat) } else { Event::Stored(chat) };
+            let what = if event.evicted { CacheEvent::Evicted(chat) } else { CacheEvent::Stored(chat) };
             self.cache.record(engine, event.seq, what);
         }
     }
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -7,7 +7,7 @@
     engine::ChatId,
     place::{
         bound::{Digest, MeanLoad},
-        cache::{CacheEvents, Event},
+        cache::{CacheEvent, EvictionTracker},
         health::Health,
         hint::{CachedCopy, Hint, HintKey, MAX_COPIES},
         transfer::TransferCosts,
@@ -174,13 +174,13 @@
 #[test]
 fn an_eviction_counts_until_a_gap() {
     let engine = Id::of("engine");
-    let mut cache = CacheEvents::default();
+    let mut cache = EvictionTracker::default();
 
-    cache.record(engine, 1, Event::Evicted(7));
+    cache.record(engine, 1, CacheEvent::Evicted(7));
     assert!(cache.evicted(engine, 7));
-    cache.record(engine, 1, Event::Stored(7));
+    cache.record(engine, 1, CacheEvent::Stored(7));
     assert!(cache.evicted(engine, 7), "an old event counts for nothing");
-    cache.record(engine, 5, Event::Evicted(8));
+    cache.record(engine, 5, CacheEvent::Evicted(8));
     assert!(!cache.evicted(engine, 7), "the gap may hide a store");
     assert!(cache.evicted(engine, 8));
     cache.mark_cached(engine, 8);
@@ -190,9 +190,9 @@
 #[test]
 fn evictions_take_bounded_memory() {
     let engine = Id::of("engine");
-    let mut cache = CacheEvents::default();
+    let mut cache = EvictionTracker::default();
 
-    (1..=10_000).for_each(|n| cache.record(engine, n, Event::Evicted(n)));
+    (1..=10_000).for_each(|n| cache.record(engine, n, CacheEvent::Evicted(n)));
 
     assert!(!cache.evicted(engine, 1));
     assert!(cache.evicted(engine, 10_000));
