--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -335,7 +335,7 @@
             let Some(engine) = pool.member(granted).filter(|_| !search.excludes(granted)) else { continue };
             self.metrics.add(Counter::Placements, how(step.engine), 1);
             let placed = self.placed(cat, ask, &search, hint, engine, slot);
-            let source = search.source(&place.placer(), pool, engine);
+            let source = search.transfer_source(&place.placer(), pool, engine);
             if let Some((from, tokens)) = source {
                 self.move_context(cat, ask.chat_id(), from, engine, tokens).await;
             }
--- a/src/place/search.rs
+++ b/src/place/search.rs
@@ -142,7 +142,7 @@
     /// Engine with the fullest copy of the chat, and its tokens, if the chat is placed on another one.
     ///
     /// A leaving engine and one at its bound still export; one that is down does not.
-    pub fn source(&self, placer: &Placer, pool: &Pool, to: EngineKey) -> Option<(EngineKey, u32)> {
+    pub fn transfer_source(&self, placer: &Placer, pool: &Pool, to: EngineKey) -> Option<(EngineKey, u32)> {
         let (id, tokens) = self.copies.iter().copied().max_by_key(|(_, tokens)| *tokens)?;
         let from = pool.member(id)?;
         (from != to && !placer.health.down(id)).then_some((from, tokens))
