--- a/benches/routing/cost.rs
+++ b/benches/routing/cost.rs
@@ -83,12 +83,12 @@
     let hint = hint.and_then(|text| keys.open(chat, text));
     let mut search = Search::new(placer, cat, pool, chat.hash(), hint.as_ref(), []);
     while let Some(step) = search.next(placer, cat, pool, now) {
-        let hold = ReservationId { router: placer.me(), number: (1 << 40) + number };
+        let reservation = ReservationId { router: placer.me(), number: (1 << 40) + number };
         let engine = step.engine.map(|c| c.id);
-        let req = Request { hold, engine, pool: pool.id, work: 1_000, above_mean: step.above_mean };
+        let req = Request { reservation, engine, pool: pool.id, work: 1_000, above_mean: step.above_mean };
         if let Ok(grant) = placer.reserve(cat, &req, now) {
             black_box(grant);
-            placer.release(placer.me(), [hold.number], now);
+            placer.release(placer.me(), [reservation.number], now);
             return;
         }
     }
--- a/benches/routing/model.rs
+++ b/benches/routing/model.rs
@@ -12,7 +12,7 @@
     catalog::{AnyObject, Catalog, Id, Object},
     place::{
         Placer, Request,
-        cache::Event as CacheEvent,
+        cache::CacheEvent,
         hint::{CachedCopy, Hint},
         ledger::ReservationId,
         members::Member,
--- a/src/gateway/ask.rs
+++ b/src/gateway/ask.rs
@@ -59,7 +59,7 @@
         };
         let max_tokens = body.get("max_tokens").and_then(|n| n.as_u64());
         let max_tokens = max_tokens.map(|n| u32::try_from(n).unwrap_or(u32::MAX));
-        let work = Estimator::default().expect("", "", size, max_tokens);
+        let work = Estimator::default().estimate("", "", size, max_tokens);
         Ok(Self {
             is_chat: true,
             ..Self::read(id, headers, now, model.into(), work, Fingerprint::chat(&body))?
@@ -77,7 +77,7 @@
         body: &[u8],
         now: Instant,
     ) -> Result<Self, Fault> {
-        let work = Estimator::default().expect("", "", body.len(), None);
+        let work = Estimator::default().estimate("", "", body.len(), None);
         Self::read(id, headers, now, "".into(), work, Fingerprint::call(path, body))
     }
 
