--- a/src/place.rs
+++ b/src/place.rs
@@ -1,10 +1,10 @@
-//! Placement: which engine of a pool answers a chat, so that its context is found cached and no engine carries
-//! more than a set multiple of the mean load.
+//! Placement: selects the engine of a pool that answers a chat. Chats return to the engine that caches their
+//! context, and no engine exceeds a configured multiple of the mean load (bounded-load consistent hashing).
 //!
-//! A [`search::Search`] walks over the engines of one chat: those that its hint names, then its own order of the
-//! engines near its home ([`rank`]). Each engine has an owner among the routers of its data centre
-//! ([`members`]), which counts the work reserved on it ([`ledger`]) and keeps the bound ([`bound`]). The
-//! stream itself goes straight from the router to the engine.
+//! A [`search::Search`] yields the candidate engines of one chat: first those named by its placement hint, then
+//! the engines near its home data centre in rendezvous order ([`rank`]). Each engine is owned by one router of
+//! its data centre ([`members`]), which counts the work reserved on it ([`ledger`]) and enforces the load bound
+//! ([`bound`]). Answer streams go directly between router and engine, not through the owner.
 
 pub mod bound;
 pub mod cache;
--- a/src/place/bound.rs
+++ b/src/place/bound.rs
@@ -1,4 +1,4 @@
-//! The load bound: how much work an engine may carry, as a multiple of the mean.
+//! Load bound: the maximum work of an engine, as a multiple of its pool's mean load.
 
 use std::time::Duration;
 
@@ -7,36 +7,37 @@
     util::{Instant, Map},
 };
 
-/// Expected tokens, prompt and output.
+/// Work in expected tokens, prompt plus output.
 pub type Work = u64;
 
-/// A digest that was not renewed for this long is of a router that has gone.
-const DIGEST_LIFE: Duration = Duration::from_secs(5);
-/// Largest part of a digest's work by which it is projected.
-const MOST_CHANGE: f64 = 0.2;
-/// Digests that come closer together tell nothing of a slope.
-const LEAST_PERIOD_S: f64 = 0.2;
-/// Part of the room above the mean that is given out. The rest covers digests a second old, and requests of
-/// other engines that end while this engine's go on.
-const HEADROOM: f64 = 0.85;
-/// Requests an engine up to which that part holds; beyond, it shrinks with the root of their number.
+/// Digests older than this are ignored: their router is down.
+const DIGEST_TTL: Duration = Duration::from_secs(5);
+/// Maximum change by extrapolation, as a fraction of the work in the digest.
+const MAX_EXTRAPOLATED_FRACTION: f64 = 0.2;
+/// Minimum period over which a rate of change is computed; a shorter one would only amplify noise.
+const MIN_SLOPE_PERIOD_S: f64 = 0.2;
+/// Fraction of the room between mean and bound that is granted. The rest absorbs digests that are up to a second
+/// old, and the fall of the mean when requests end on other engines first.
+const HEADROOM_FRACTION: f64 = 0.85;
+/// Mean number of requests per engine up to which the full headroom is granted; above it, the headroom shrinks
+/// with the square root of that number.
 ///
-/// When a surge ends, the mean falls while engines near the bound drain unevenly, and nothing can be done for
-/// them then. Chance makes load uneven by the root of the number of requests: with more of them an engine that
-/// takes part in a surge has little use for the room, and is kept further from the bound.
-const FEW: f64 = 32.0;
-/// Part of that room which work without a cached context may use: none. It does as well on an engine at or
-/// below the mean, and so evens the load out and leaves the room to chats that return to their cache.
-const UNCACHED_HEADROOM: f64 = 0.0;
-
-/// Load of one owner's engines in one pool.
+/// When a surge ends, the mean falls while engines near the bound drain unevenly, which can't be corrected then.
+/// Random imbalance grows only with the square root of the number of requests, so at high load an engine needs
+/// less headroom and is kept further below the bound.
+const FULL_HEADROOM_REQUESTS: f64 = 32.0;
+/// Fraction of the headroom for work without a cached context: none. Such work runs equally well on an engine at
+/// or below the mean, which balances the load and reserves the headroom for chats that return to their cache.
+const UNCACHED_HEADROOM_FRACTION: f64 = 0.0;
+
+/// Summary of the load that one owner's engines carry in one pool, sent to the other routers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Digest {
     /// Work of the requests in progress.
     pub work: Work,
     /// Requests in progress.
     pub running: u32,
-    /// Sum of the capacities of the engines in use.
+    /// Sum of the capacities of the available engines.
     pub capacity: u64,
 }
 
@@ -51,101 +52,101 @@
 /// Mean load of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MeanLoad {
-    /// Work a unit of capacity.
-    pub per_capacity: f64,
-    /// Work of one request.
-    pub per_request: f64,
-    /// Requests a unit of capacity.
-    pub running_per_capacity: f64,
+    /// Work per unit of capacity.
+    pub work_per_capacity: f64,
+    /// Work per request.
+    pub work_per_request: f64,
+    /// Requests per unit of capacity.
+    pub requests_per_capacity: f64,
 }
 
 impl MeanLoad {
-    /// Mean of a pool with this load in total.
+    /// Computes the mean from the total load of a pool.
     pub fn from_total(total: Digest) -> Self {
         Self {
-            per_capacity: total.work as f64 / total.capacity.max(1) as f64,
-            per_request: total.work as f64 / f64::from(total.running.max(1)),
-            running_per_capacity: f64::from(total.running) / total.capacity.max(1) as f64,
+            work_per_capacity: total.work as f64 / total.capacity.max(1) as f64,
+            work_per_request: total.work as f64 / f64::from(total.running.max(1)),
+            requests_per_capacity: f64::from(total.running) / total.capacity.max(1) as f64,
         }
     }
 
-    /// Work that an engine of `capacity` may carry once `work` is added.
+    /// Maximum work of an engine of `capacity`, including the `work` to be added.
     ///
-    /// Under a small mean one request alone exceeds any multiple of it, and a strict bound would refuse
-    /// everything while engines stand idle. One request above the mean is therefore always within the bound:
-    /// some engine is at or below the mean, so that one can take the request.
+    /// When the mean is small, a single request exceeds any multiple of it, and a strict bound would refuse every
+    /// request while engines are idle. One request above the mean is therefore always allowed: some engine is at
+    /// or below the mean and can accept it.
     pub fn limit(&self, capacity: u32, bound: f64, work: Work, above_mean: bool) -> f64 {
-        let share = self.per_capacity * f64::from(capacity);
-        let running = self.running_per_capacity * f64::from(capacity);
-        let kept = (FEW / running.max(FEW)).sqrt();
-        let headroom = kept * if above_mean { HEADROOM } else { UNCACHED_HEADROOM };
-        let aim = 1.0 + (bound - 1.0) * headroom;
-        (aim * share).max(share + self.per_request.max(work as f64))
+        let share = self.work_per_capacity * f64::from(capacity);
+        let running = self.requests_per_capacity * f64::from(capacity);
+        let fraction = (FULL_HEADROOM_REQUESTS / running.max(FULL_HEADROOM_REQUESTS)).sqrt();
+        let headroom = fraction * if above_mean { HEADROOM_FRACTION } else { UNCACHED_HEADROOM_FRACTION };
+        let factor = 1.0 + (bound - 1.0) * headroom;
+        (factor * share).max(share + self.work_per_request.max(work as f64))
     }
 }
 
-/// Two successive digests of one source.
+/// Latest digest of one source, with its rate of change.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     digest: Digest,
     at: Instant,
-    /// Change of work a second between the two.
-    slope: f64,
+    /// Change of the work per second since the previous digest.
+    work_per_s: f64,
 }
 
 impl Entry {
-    /// The digest as it probably is by now.
+    /// Extrapolates the digest to `now`.
     ///
-    /// While a surge ends, the work falls by a tenth each second. A mean that is half a second old then stands
-    /// above the true one, and would let engines through that are above the bound. The slope makes up for it.
-    fn projected(&self, now: Instant) -> Digest {
-        let change = self.slope * now.saturating_sub(self.at).as_secs_f64();
+    /// At the end of a surge the work falls by a tenth per second. A mean that is half a second old is then too
+    /// high and would admit requests to engines above the bound; extrapolation corrects for this.
+    fn extrapolate(&self, now: Instant) -> Digest {
+        let change = self.work_per_s * now.saturating_sub(self.at).as_secs_f64();
         let work = self.digest.work as f64;
-        let most = work * MOST_CHANGE;
-        Digest { work: (work + change.clamp(-most, most)) as Work, ..self.digest }
+        let max_change = work * MAX_EXTRAPOLATED_FRACTION;
+        Digest { work: (work + change.clamp(-max_change, max_change)) as Work, ..self.digest }
     }
 }
 
-/// Latest digests of the other owners.
+/// Latest load digests of the other owners.
 #[derive(Clone, Debug, Default)]
 pub struct Digests {
-    /// By pool and source.
+    /// Keyed by pool and source.
     latest: Map<(Id, Id), Entry>,
 }
 
 impl Digests {
-    /// Notes what a source says of a pool.
+    /// Records the digest of `source` for a pool.
     pub fn record(&mut self, source: Id, pool: Id, digest: Digest, now: Instant) {
-        let slope = self.latest.get(&(pool, source)).map_or(0.0, |old| {
+        let work_per_s = self.latest.get(&(pool, source)).map_or(0.0, |old| {
             let seconds = now.saturating_sub(old.at).as_secs_f64();
-            (digest.work as f64 - old.digest.work as f64) / seconds.max(LEAST_PERIOD_S)
+            (digest.work as f64 - old.digest.work as f64) / seconds.max(MIN_SLOPE_PERIOD_S)
         });
-        self.latest.insert((pool, source), Entry { digest, at: now, slope });
+        self.latest.insert((pool, source), Entry { digest, at: now, work_per_s });
     }
 
-    /// Sum over the sources of a pool that are not out of date.
+    /// Sums the unexpired digests of a pool.
     pub fn total(&self, pool: Id, now: Instant) -> Digest {
         let mut total = Digest::default();
         for ((of, _), entry) in &self.latest {
-            if *of == pool && now.saturating_sub(entry.at) < DIGEST_LIFE {
-                total.add(entry.projected(now));
+            if *of == pool && now.saturating_sub(entry.at) < DIGEST_TTL {
+                total.add(entry.extrapolate(now));
             }
         }
         total
     }
 
-    /// Forgets a source that has gone: its work was cut, or goes on at new owners.
+    /// Removes the digests of a router that left: its work was aborted or continues under new owners.
     pub fn remove(&mut self, source: Id) {
         self.latest.retain(|(_, of), _| *of != source);
     }
 
-    /// Forgets what is out of date.
+    /// Removes expired digests.
     pub fn expire(&mut self, now: Instant) {
-        self.latest.retain(|_, entry| now.saturating_sub(entry.at) < DIGEST_LIFE);
+        self.latest.retain(|_, entry| now.saturating_sub(entry.at) < DIGEST_TTL);
     }
 }
 
-/// Sum of an owner's digest and those of the others.
+/// Adds the own digest and the sum of the others.
 pub fn total(own: Digest, others: Digest) -> Digest {
     let mut total = own;
     total.add(others);
--- a/src/place/health.rs
+++ b/src/place/health.rs
@@ -1,4 +1,4 @@
-//! Which engines are in use: down, leaving and flapping engines are passed over.
+//! Availability of engines: engines that are down, leaving or flapping get no new work.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
     util::{Instant, Map},
 };
 
-/// Time in which a second failure makes an engine a flapping one.
-const WINDOW: Duration = Duration::from_secs(120);
-/// Hold-down after the second failure in the window; doubles with each further one.
-const HOLD_DOWN: Duration = Duration::from_secs(5);
-const LONGEST_HOLD_DOWN: Duration = Duration::from_secs(40);
+/// A failure within this time of the previous one marks an engine as flapping.
+const FLAP_WINDOW: Duration = Duration::from_secs(120);
+/// Hold-down time after the second failure within the window; doubles with each further failure.
+const BASE_HOLD_DOWN: Duration = Duration::from_secs(5);
+const MAX_HOLD_DOWN: Duration = Duration::from_secs(40);
 
 #[derive(Clone, Copy, Debug, Default)]
-struct State {
+struct EngineState {
     down: bool,
     leaving: bool,
     failures: u32,
@@ -23,32 +23,32 @@
     start: u64,
 }
 
-/// What this router believes about engines; one of which nothing is known is in use.
+/// Health of engines as this router sees it; an engine without an entry is available.
 ///
-/// An engine that is passed over keeps its place in every chat's rank. Its chats go to the next in their rank,
-/// and no other chat moves; when it returns, the same chats return.
+/// An unavailable engine keeps its position in the rendezvous order of every chat: only its own chats move, each
+/// to its next choice, and the same chats return once it is available again.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    engines: Map<Id, State>,
+    engines: Map<Id, EngineState>,
 }
 
 impl Health {
-    /// Notes that an engine can't be reached.
+    /// Marks an engine as unreachable.
     pub fn mark_down(&mut self, engine: Id, now: Instant) {
         let state = self.engines.entry(engine).or_default();
         if state.down {
             return;
         }
-        let recent = state.failures > 0 && now.saturating_sub(state.last_failure) < WINDOW;
+        let recent = state.failures > 0 && now.saturating_sub(state.last_failure) < FLAP_WINDOW;
         state.failures = if recent { state.failures + 1 } else { 1 };
         state.last_failure = now;
         state.down = true;
     }
 
-    /// Notes that an engine answers again; a flapping one stays out of use for the hold-down time.
+    /// Marks an engine as reachable; a flapping engine stays unavailable for the hold-down time.
     ///
-    /// Without it the chats of a flapping engine would move there and back with each flap and find neither
-    /// cache warm.
+    /// Without the hold-down, the chats of a flapping engine would move back and forth and find a cold cache each
+    /// time.
     pub fn mark_up(&mut self, engine: Id, now: Instant) {
         let state = self.engines.entry(engine).or_default();
         if !state.down {
@@ -57,21 +57,21 @@
         state.down = false;
         if state.failures > 1 {
             let factor = 1 << (state.failures - 2).min(16);
-            state.held_until = now + (HOLD_DOWN * factor).min(LONGEST_HOLD_DOWN);
+            state.held_until = now + (BASE_HOLD_DOWN * factor).min(MAX_HOLD_DOWN);
         }
     }
 
-    /// Notes that an engine is leaving: it gets no new work, whatever else is heard of it.
+    /// Marks an engine as leaving: it gets no new work until it restarts, whatever probes report.
     pub fn mark_leaving(&mut self, engine: Id) {
         self.engines.entry(engine).or_default().leaving = true;
     }
 
-    /// Sets whether an engine is leaving, as all that is known of it says now.
+    /// Sets whether an engine is leaving, from the merged state of all reports.
     pub fn set_leaving(&mut self, engine: Id, leaving: bool) {
         self.engines.entry(engine).or_default().leaving = leaving;
     }
 
-    /// Notes the number that an engine drew when it started; a new one ends an earlier leave.
+    /// Sets the random start number of an engine's process; a new number means a restart and resets `leaving`.
     pub fn set_start(&mut self, engine: Id, start: u64) {
         let state = self.engines.entry(engine).or_default();
         if state.start != start {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Number of the engine's present start; 0 when not known.
+    /// Start number of the engine's current process; 0 if unknown.
     pub fn start(&self, engine: Id) -> u64 {
         self.engines.get(&engine).map_or(0, |s| s.start)
     }
@@ -100,7 +100,7 @@
         self.engines.get(&engine).is_some_and(|s| s.leaving)
     }
 
-    /// Forgets engines that are no longer configured.
+    /// Removes engines that are no longer configured, for which `keep` returns false.
     pub fn retain(&mut self, mut keep: impl FnMut(Id) -> bool) {
         self.engines.retain(|&id, _| keep(id));
     }
--- a/src/place/hint.rs
+++ b/src/place/hint.rs
@@ -1,6 +1,7 @@
-//! Placement hints, carried by callers: where a chat's context is cached.
+//! Placement hints: signed tokens, stored by callers, that say which engines cache a chat's context.
 //!
-//! No router keeps a table of chats. A hint that is missing, forged, old or another chat's only costs reuse.
+//! Routers keep no table of chats. A hint that is missing, forged, outdated or issued for another chat only costs
+//! cache reuse.
 
 use std::sync::Arc;
 
@@ -10,10 +11,10 @@
 
 const KEY_CONTEXT: &str = "cranberrytally placement hint 1";
 const VERSION: u32 = 1;
-const MAC: usize = 16;
-/// Longer text is not decoded, so that a caller can't make routers work.
-const MAX_TEXT: usize = 1024;
-/// Copies named in a hint: the engine that answered last, and the one before when the chat moved.
+const MAC_LEN: usize = 16;
+/// Longer hints are rejected without decoding, so that a caller can't burn router CPU.
+const MAX_ENCODED_LEN: usize = 1024;
+/// Maximum number of copies in a hint: the engine that answered last and, if the chat moved, the one before.
 pub const MAX_COPIES: usize = 2;
 
 /// A copy of a chat's context in an engine's cache.
@@ -21,23 +22,23 @@
 pub struct CachedCopy {
     /// Name of the engine.
     pub engine: Arc<str>,
-    /// Number that the engine drew when it started.
+    /// Random number that the engine chose when its process started.
     pub start: u64,
     /// Tokens cached.
     pub tokens: u32,
 }
 
-/// Where a chat was first placed and where its context is cached.
+/// Home data centre of a chat and the engines that cache its context.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Hint {
-    /// Data centre in which the chat was first placed; its rank starts there on every router.
+    /// Data centre in which the chat was first placed; every router starts the search for an engine there.
     pub home: Arc<str>,
-    /// Copies, the fullest first.
+    /// Cached copies, the most recent (and so the longest) first.
     pub copies: Vec<CachedCopy>,
 }
 
 impl Hint {
-    /// The hint after `copy` was made by an answer: it comes first, and the fullest other copy is kept.
+    /// Adds `copy`, made by the latest answer, at the front and drops the copies beyond [`MAX_COPIES`].
     pub fn with_copy(mut self, copy: CachedCopy) -> Self {
         self.copies.retain(|c| c.engine != copy.engine);
         self.copies.insert(0, copy);
@@ -62,7 +63,7 @@
         Self(blake3::derive_key(KEY_CONTEXT, shared_key.as_bytes()))
     }
 
-    /// Encodes a hint for `chat`.
+    /// Encodes and signs a hint for `chat`.
     pub fn seal(&self, chat: ChatId<'_>, hint: &Hint) -> String {
         let copies = hint.copies.iter().map(|c| raw::Copy {
             engine: c.engine.to_string(),
@@ -72,19 +73,20 @@
         let raw = raw::Hint { version: VERSION, home: hint.home.to_string(), copies: copies.collect() };
         let mut buf = postcard::to_stdvec(&raw).unwrap_or_default();
         let tag = self.mac(chat, &buf);
-        buf.extend_from_slice(&tag.as_bytes()[..MAC]);
+        buf.extend_from_slice(&tag.as_bytes()[..MAC_LEN]);
         URL_SAFE_NO_PAD.encode(buf)
     }
 
-    /// Decodes a hint of `chat`; `None` when it is forged, of another version or of another chat or workspace.
+    /// Verifies and decodes a hint for `chat`; `None` if it is forged, of another version, or for another chat or
+    /// workspace.
     pub fn open(&self, chat: ChatId<'_>, text: &str) -> Option<Hint> {
-        if text.len() > MAX_TEXT {
+        if text.len() > MAX_ENCODED_LEN {
             return None;
         }
         let buf = URL_SAFE_NO_PAD.decode(text).ok()?;
-        let (body, tag) = buf.split_at_checked(buf.len().checked_sub(MAC)?)?;
-        // Comparing hashes instead of the tags leaks nothing about the right tag by its time.
-        if blake3::hash(&self.mac(chat, body).as_bytes()[..MAC]) != blake3::hash(tag) {
+        let (body, tag) = buf.split_at_checked(buf.len().checked_sub(MAC_LEN)?)?;
+        // Hashing both tags makes the comparison time independent of the expected tag.
+        if blake3::hash(&self.mac(chat, body).as_bytes()[..MAC_LEN]) != blake3::hash(tag) {
             return None;
         }
         let raw: raw::Hint = postcard::from_bytes(body).ok()?;
@@ -101,7 +103,7 @@
 
     fn mac(&self, id: ChatId<'_>, body: &[u8]) -> blake3::Hash {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
-        // With its length before each, no two pairs of names make the same bytes.
+        // Length prefixes make the encoding of the two names unambiguous.
         for name in [id.workspace, id.chat] {
             hasher.update(&(name.len() as u64).to_le_bytes()).update(name.as_bytes());
         }
--- a/src/place/members.rs
+++ b/src/place/members.rs
@@ -1,4 +1,4 @@
-//! The routers, and which of them owns an engine.
+//! Live routers and the ownership of engines among them.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -7,45 +7,46 @@
     util::{Map, hash},
 };
 
-/// A router as placement sees it.
+/// A live router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Identifier made from the name.
+    /// Hash of the router's name.
     pub id: Id,
-    /// Data centre in which it stands.
+    /// Data centre of the router.
     pub data_centre: Arc<str>,
     /// Region of the data centre.
     pub region: Arc<str>,
-    /// Where other routers reach it.
+    /// Address for other routers.
     pub peer: SocketAddr,
-    /// Where callers reach it.
+    /// Address for callers.
     pub addr: SocketAddr,
 }
 
-/// How far a data centre is from another.
+/// Distance between two data centres.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// The same data centre.
-    Own,
-    /// Another one of the same region.
-    Region,
-    /// In another region, or not known.
-    Far,
+    SameDataCentre,
+    /// Different data centres of the same region.
+    SameRegion,
+    /// Different or unknown regions.
+    OtherRegion,
 }
 
-/// Live routers. Two routers with different lists disagree only on the engines of the routers that differ.
+/// Live routers and the engine owners derived from them. Routers with different member lists disagree only on the
+/// engines owned by the members that differ.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     list: Vec<Member>,
     regions: Map<Arc<str>, Arc<str>>,
-    owners: Map<Id, usize>,
+    owner_cache: Map<Id, usize>,
 }
 
 impl Members {
-    /// Members of this list; routers that take no new ownership are not in it.
+    /// Creates the membership from a list without routers that must not own engines, such as leaving ones.
     pub fn new(list: Vec<Member>) -> Self {
         let regions = list.iter().map(|m| (m.data_centre.clone(), m.region.clone())).collect();
-        Self { list, regions, owners: Map::default() }
+        Self { list, regions, owner_cache: Map::default() }
     }
 
     /// All members.
@@ -53,34 +54,34 @@
         &self.list
     }
 
-    /// The member that owns an engine of a data centre: by rendezvous hashing over the routers there, else over
-    /// those of any other, so that an engine without a router nearby has one too.
+    /// Owner of an engine, by rendezvous hashing over the routers nearest to its data centre. Without a router in
+    /// that data centre, one of the region or of any other region owns the engine.
     pub fn owner(&mut self, engine: Id, data_centre: &str) -> Option<&Member> {
-        if let Some(&at) = self.owners.get(&engine) {
+        if let Some(&at) = self.owner_cache.get(&engine) {
             return self.list.get(at);
         }
         let at = (0..self.list.len()).min_by_key(|&at| {
             let member = &self.list[at];
             (self.distance(&member.data_centre, data_centre), hash((engine.0, member.id.0)))
         })?;
-        self.owners.insert(engine, at);
+        self.owner_cache.insert(engine, at);
         self.list.get(at)
     }
 
-    /// Engines whose owner was looked up and is `member`.
-    pub fn known_of(&self, member: Id) -> impl Iterator<Item = Id> {
-        let of = move |(&id, &at): (&Id, &usize)| (self.list.get(at)?.id == member).then_some(id);
-        self.owners.iter().filter_map(of)
+    /// Engines owned by `member`, among those whose owner has been looked up.
+    pub fn known_engines_of(&self, member: Id) -> impl Iterator<Item = Id> {
+        let is_owner = move |(&id, &at): (&Id, &usize)| (self.list.get(at)?.id == member).then_some(id);
+        self.owner_cache.iter().filter_map(is_owner)
     }
 
-    /// How far apart two data centres are.
+    /// Distance between two data centres.
     pub fn distance(&self, a: &str, b: &str) -> Distance {
         if a == b {
-            return Distance::Own;
+            return Distance::SameDataCentre;
         }
         match (self.regions.get(a), self.regions.get(b)) {
-            (Some(a), Some(b)) if a == b => Distance::Region,
-            _ => Distance::Far,
+            (Some(a), Some(b)) if a == b => Distance::SameRegion,
+            _ => Distance::OtherRegion,
         }
     }
 }
--- a/src/place/placer.rs
+++ b/src/place/placer.rs
@@ -1,10 +1,10 @@
-//! Placement state of one router: what it knows of engines and routers, and the work reserved on its engines.
+//! Placement state of one router: engines, routers, and the reservations on the engines that it owns.
 
 use std::{sync::Arc, time::Duration};
 
 use super::{
     bound::{Digest, Digests, MeanLoad, Work, total},
-    cache::{CacheEvent, EvictionTracker as CacheNews},
+    cache::{CacheEvent, EvictionTracker},
     health::Health,
     hint::Hint,
     ledger::{Ledger, ReservationId},
@@ -17,51 +17,51 @@
     util::{Instant, Map, Set},
 };
 
-/// How long a computed mean serves.
-const MEAN_LIFE: Duration = Duration::from_millis(50);
-/// How long a new owner without a report takes an engine to carry the mean. Reports come well within it; an
-/// engine that reports nothing must not stay half empty for ever.
-const UNSURE: Duration = Duration::from_secs(6);
-/// How long a router that did not answer is not asked again.
-const UNREACHABLE: Duration = Duration::from_secs(2);
+/// How long a computed mean load is cached.
+const MEAN_TTL: Duration = Duration::from_millis(50);
+/// How long a new owner assumes the mean load for an engine without a report. Reports normally arrive well within
+/// this time; the limit keeps an engine that never reports from staying half empty forever.
+const TAKEOVER_PERIOD: Duration = Duration::from_secs(6);
+/// How long a router that did not answer is not contacted again.
+const UNREACHABLE_BACKOFF: Duration = Duration::from_secs(2);
 
-/// A wish to reserve work on one engine.
+/// Request to reserve work on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Reservation.
+    /// Identifies the reservation.
     pub reservation: ReservationId,
-    /// Engine; `None` for any engine of the owner with room.
+    /// Engine to reserve; `None` for the least loaded engine of the owner.
     pub engine: Option<Id>,
     /// Pool whose bound applies.
     pub pool: Id,
-    /// Expected tokens.
+    /// Expected work.
     pub work: Work,
-    /// Whether the room between the mean and the bound may be used: by a chat that returns to its cache, and by
-    /// one that found no other engine.
+    /// Whether the engine may exceed the mean up to the bound: for a chat that returns to its cache, and as a last
+    /// resort when no other engine accepted the request.
     pub above_mean: bool,
 }
 
 /// A granted reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Engine.
+    /// Engine on which the work was reserved.
     pub engine: Id,
 }
 
-/// Why an engine was not reserved.
+/// Why a reservation was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It carries as much as the bound allows.
+    /// The engine's load would exceed the bound.
     AtBound,
-    /// It is down, leaving, held down or not in the pool.
+    /// The engine is down, leaving, held down or not in the pool.
     Unavailable,
-    /// The router that was asked does not take itself for the owner: the lists of routers differ.
+    /// The router that was asked does not own the engine by its member list, which differs from the sender's.
     NotOwner,
 }
 
-/// Engines of one pool that this router owns, as of one version of the configuration.
+/// Engines of one pool that this router owns, cached for one version of the configuration.
 #[derive(Clone, Debug)]
-struct Owned {
+struct OwnedEngines {
     version: u64,
     engines: Arc<[(Id, u32)]>,
 }
@@ -74,21 +74,21 @@
     members: Members,
     digests: Digests,
     means: Map<Id, (Digest, Instant)>,
-    owned: Map<Id, Owned>,
-    /// Engines that this router owned before the list of routers changed.
-    sure: Set<Id>,
-    unsure_until: Instant,
+    owned_engines: Map<Id, OwnedEngines>,
+    /// Engines that this router already owned before the latest change of the member list.
+    settled: Set<Id>,
+    takeover_until: Instant,
     unreachable: Map<Id, Instant>,
     /// Health of engines.
     pub health: Health,
     /// Reservations granted by this router.
     pub ledger: Ledger,
     /// Cache events of engines.
-    pub cache: CacheNews,
+    pub cache: EvictionTracker,
 }
 
 impl Placer {
-    /// State of a router that knows nothing yet.
+    /// Creates the state of a router without members, reports or reservations.
     pub fn new(me: Id, data_centre: impl Into<Arc<str>>) -> Self {
         Self {
             me,
@@ -96,13 +96,13 @@
             members: Members::default(),
             digests: Digests::default(),
             means: Map::default(),
-            owned: Map::default(),
-            sure: Set::default(),
-            unsure_until: Instant::ZERO,
+            owned_engines: Map::default(),
+            settled: Set::default(),
+            takeover_until: Instant::ZERO,
             unreachable: Map::default(),
             health: Health::default(),
             ledger: Ledger::default(),
-            cache: CacheNews::default(),
+            cache: EvictionTracker::default(),
         }
     }
 
@@ -111,59 +111,59 @@
         self.me
     }
 
-    /// The routers.
+    /// Live routers.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Sets the live routers; reservations of those that have gone end.
+    /// Sets the live routers and ends the reservations of routers that left.
     pub fn set_members(&mut self, list: Vec<Member>, now: Instant) {
         let live: Set<Id> = list.iter().map(|m| m.id).collect();
         for member in self.members.list().to_vec() {
             if !live.contains(&member.id) && member.id != self.me {
-                self.ledger.drop_router(member.id, now);
+                self.ledger.remove_router(member.id, now);
                 self.digests.remove(member.id);
             }
         }
-        self.take_over(list.len(), now);
+        self.begin_takeover(list.len(), now);
         self.members = Members::new(list);
-        self.owned.clear();
+        self.owned_engines.clear();
     }
 
-    fn take_over(&mut self, members: usize, now: Instant) {
+    fn begin_takeover(&mut self, members: usize, now: Instant) {
         let alone = self.members.list().is_empty() && members == 1;
         if alone {
             return;
         }
-        let unsure = now < self.unsure_until;
-        let before: Set<Id> = self.members.known_of(self.me).collect();
-        self.sure = before.into_iter().filter(|id| !unsure || self.sure.contains(id)).collect();
-        self.unsure_until = now + UNSURE;
-        let sure = &self.sure;
-        self.ledger.forget_reports(|id| !sure.contains(&id));
+        let in_takeover = now < self.takeover_until;
+        let before: Set<Id> = self.members.known_engines_of(self.me).collect();
+        self.settled = before.into_iter().filter(|id| !in_takeover || self.settled.contains(id)).collect();
+        self.takeover_until = now + TAKEOVER_PERIOD;
+        let settled = &self.settled;
+        self.ledger.clear_reports(|id| !settled.contains(&id));
     }
 
-    /// Engines that this router has come to own and whose load it does not know yet, or which then ran work that
-    /// this router had not granted: that ends, and the next report says when.
+    /// Newly owned engines that should report their load: those without a report, and those that last reported
+    /// requests which this router did not grant, until a report shows that these have ended.
     pub fn engines_without_load(&mut self, cat: &Catalog, now: Instant) -> Vec<EngineKey> {
-        if now >= self.unsure_until {
+        if now >= self.takeover_until {
             return Vec::new();
         }
-        let owned = |(key, engine): (EngineKey, &Engine)| {
+        let unknown_load = |(key, engine): (EngineKey, &Engine)| {
             let owner = self.members.owner(engine.id, &engine.data_centre).map(|m| m.id);
-            let known = self.sure.contains(&engine.id)
+            let load_known = self.settled.contains(&engine.id)
                 || self.ledger.account(engine.id).is_some_and(|a| a.foreign == Some(0));
-            (owner == Some(self.me) && !known).then_some(key)
+            (owner == Some(self.me) && !load_known).then_some(key)
         };
-        cat.engines().filter_map(owned).collect()
+        cat.engines().filter_map(unknown_load).collect()
     }
 
-    /// Notes that a router did not answer in time.
+    /// Marks a router that did not answer in time.
     pub fn mark_unreachable(&mut self, router: Id, now: Instant) {
-        self.unreachable.insert(router, now + UNREACHABLE);
+        self.unreachable.insert(router, now + UNREACHABLE_BACKOFF);
     }
 
-    /// Whether a router may be asked.
+    /// Whether a router may be contacted.
     pub fn reachable(&self, router: Id, now: Instant) -> bool {
         self.unreachable.get(&router).is_none_or(|until| now >= *until)
     }
@@ -173,14 +173,14 @@
         self.members.owner(engine, data_centre)
     }
 
-    /// Notes what another router says of a pool.
+    /// Records another router's load digest for a pool.
     pub fn record_digest(&mut self, source: Id, pool: Id, digest: Digest, now: Instant) {
         if source != self.me {
             self.digests.record(source, pool, digest, now);
         }
     }
 
-    /// Load of this router's engines in a pool, to be told to the others.
+    /// Load digest of this router's engines in a pool, to be sent to the other routers.
     pub fn digest(&mut self, cat: &Catalog, pool: &Pool, now: Instant) -> Digest {
         let mut digest = Digest::default();
         for (id, account) in self.ledger.accounts() {
@@ -189,7 +189,7 @@
                 digest.running += account.running;
             }
         }
-        for &(id, capacity) in self.owned(cat, pool).iter() {
+        for &(id, capacity) in self.owned_engines(cat, pool).iter() {
             if self.health.is_available(id, now) {
                 digest.capacity += u64::from(capacity);
             }
@@ -200,7 +200,7 @@
     /// Mean load of a pool over all owners.
     pub fn mean(&mut self, cat: &Catalog, pool: &Pool, now: Instant) -> MeanLoad {
         if let Some((load, at)) = self.means.get(&pool.id)
-            && now.saturating_sub(*at) < MEAN_LIFE
+            && now.saturating_sub(*at) < MEAN_TTL
         {
             return MeanLoad::from_total(*load);
         }
@@ -209,29 +209,29 @@
         MeanLoad::from_total(load)
     }
 
-    /// Whether a pool's engines run as many requests as they run well at once.
+    /// Whether the requests running on a pool's engines reach the pool's total capacity.
     ///
-    /// The bound keeps engines near the mean, however high that is: a surge would raise the mean, and every
-    /// request would run slowly on engines that all are too full. Requests wait in fair queues instead.
+    /// The load bound is relative to the mean, so in a surge it rises with the load and all engines would slow down
+    /// together. Requests wait in fair queues instead once the pool is full.
     pub fn is_full(&mut self, cat: &Catalog, pool: &Pool, now: Instant) -> bool {
         let all = total(self.digest(cat, pool, now), self.digests.total(pool.id, now));
         all.capacity > 0 && u64::from(all.running) >= all.capacity
     }
 
-    /// Reserves work on an engine as its owner; a repeat of a granted request is granted again, counted once.
+    /// Reserves work on an engine as its owner. Idempotent: a repeated request gets the same grant.
     ///
     /// # Errors
-    /// When the engine is at the bound, not in use or not owned by this router. Were a former owner to go on
-    /// granting for routers with an old list, two owners would fill the engine for as long as the lists differ.
+    /// When the engine is at the bound, unavailable or not owned by this router. A former owner must not grant to
+    /// routers with an outdated member list, or two owners would fill the engine until the lists converge.
     pub fn reserve(&mut self, cat: &Catalog, req: &Request, now: Instant) -> Result<Grant, Refusal> {
-        if let Some(engine) = self.ledger.held(req.reservation) {
+        if let Some(engine) = self.ledger.reserved_engine(req.reservation) {
             return Ok(Grant { engine });
         }
         let pool = cat.pool_by_id(req.pool).ok_or(Refusal::Unavailable)?;
         let mean = self.mean(cat, pool, now);
         let engine = match req.engine {
             Some(id) => id,
-            None => self.roomiest(cat, pool, now).ok_or(Refusal::Unavailable)?,
+            None => self.least_loaded(cat, pool, now).ok_or(Refusal::Unavailable)?,
         };
         let key = pool.member(engine).ok_or(Refusal::Unavailable)?;
         if !self.health.is_available(engine, now) {
@@ -248,8 +248,8 @@
             return Err(Refusal::AtBound);
         }
         self.ledger.add(req.reservation, engine, req.work, now);
-        // Without this, a burst on idle engines meets a mean of before the burst, and all but one request an engine
-        // are refused until the mean is computed anew.
+        // Update the cached mean: with the value from before a burst, idle engines would refuse all but one request
+        // each until the mean is recomputed.
         if let Some((load, _)) = self.means.get_mut(&req.pool) {
             load.work += req.work;
             load.running += 1;
@@ -257,21 +257,21 @@
         Ok(Grant { engine })
     }
 
-    /// Counts work that already runs on an engine which this router now owns. It is never refused.
+    /// Adds work that already runs on an engine that this router now owns; never refused.
     pub fn adopt(&mut self, req: &Request, now: Instant) {
         if let Some(engine) = req.engine {
             self.ledger.adopt(req.reservation, engine, req.work, now);
         }
     }
 
-    /// Ends reservations.
+    /// Releases reservations of a router.
     pub fn release(&mut self, router: Id, numbers: impl IntoIterator<Item = u64>, now: Instant) {
         for number in numbers {
             self.ledger.release(ReservationId { router, number }, now);
         }
     }
 
-    /// Notes an engine's load report, which also says that it lives.
+    /// Records an engine's load report, which also marks the engine as reachable.
     pub fn record_load(&mut self, engine: Id, load: &Load, now: Instant) {
         if self.health.start(engine) != load.start {
             self.cache.remove(engine);
@@ -284,7 +284,7 @@
         self.ledger.record_report(engine, load.running + load.waiting, now);
     }
 
-    /// Notes an engine's cache events; those of an earlier start are of a cache that is gone.
+    /// Records an engine's cache events; events from before its restart are ignored.
     pub fn record_cache_events(&mut self, engine: Id, events: &CacheEvents) {
         if events.start != self.health.start(engine) {
             return;
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Forgets what is out of date or no longer configured.
+    /// Removes expired state and engines that are no longer configured.
     pub fn expire(&mut self, cat: &Catalog, now: Instant) {
         self.digests.expire(now);
         self.unreachable.retain(|_, until| now < *until);
@@ -304,16 +304,18 @@
         self.ledger.expire(now, |id| cat.key(id).is_some());
     }
 
-    /// Data centre in which a chat's rank starts: its first one if that is in this region, else this one.
+    /// Home data centre of a chat: the one in its hint if it is in this region, otherwise this router's.
     pub fn home(&self, hint: Option<&Hint>) -> Arc<str> {
         match hint {
-            Some(h) if self.members.distance(&h.home, &self.data_centre) != Distance::Far => h.home.clone(),
+            Some(h) if self.members.distance(&h.home, &self.data_centre) != Distance::OtherRegion => {
+                h.home.clone()
+            }
             _ => self.data_centre.clone(),
         }
     }
 
-    fn owned(&mut self, cat: &Catalog, pool: &Pool) -> Arc<[(Id, u32)]> {
-        if let Some(owned) = self.owned.get(&pool.id)
+    fn owned_engines(&mut self, cat: &Catalog, pool: &Pool) -> Arc<[(Id, u32)]> {
+        if let Some(owned) = self.owned_engines.get(&pool.id)
             && owned.version == cat.version
         {
             return owned.engines.clone();
@@ -327,30 +329,30 @@
             }
         }
         let engines: Arc<[_]> = engines.into();
-        self.owned.insert(pool.id, Owned { version: cat.version, engines: engines.clone() });
+        self.owned_engines.insert(pool.id, OwnedEngines { version: cat.version, engines: engines.clone() });
         engines
     }
 
-    /// Load of an engine: what is reserved here, and what it reports beyond that.
+    /// Load of an engine: the work reserved here plus an estimate for requests reported beyond the reservations.
     ///
-    /// A new owner doesn't know yet what the former one granted, and would fill an engine that is full. Until
-    /// the first report it takes the engine to carry the mean, beside what it reserves itself. While a former
-    /// owner still grants up to the bound `b`, the new one thus adds at most `b - 1`: together `2b - 1` means.
+    /// A new owner does not know what the former owner granted and would overfill a full engine. Until the first
+    /// report it assumes the mean load in addition to its own reservations. While the former owner still grants up
+    /// to the bound `b`, the new one thus adds at most `b - 1`, which limits the engine to `2b - 1` times the mean.
     fn load(&self, engine: Id, capacity: u32, mean: MeanLoad, now: Instant) -> f64 {
         let account = self.ledger.account(engine);
         let (work, adopted) = account.map_or((0, 0), |a| (a.work, a.adopted));
         let foreign = account.and_then(|a| a.foreign);
-        if foreign.is_none() && now < self.unsure_until && !self.sure.contains(&engine) {
-            let former = (mean.per_capacity * f64::from(capacity)).max(adopted as f64);
+        if foreign.is_none() && now < self.takeover_until && !self.settled.contains(&engine) {
+            let former = (mean.work_per_capacity * f64::from(capacity)).max(adopted as f64);
             return former + (work - adopted) as f64;
         }
-        work as f64 + f64::from(foreign.unwrap_or(0)) * mean.per_request
+        work as f64 + f64::from(foreign.unwrap_or(0)) * mean.work_per_request
     }
 
-    fn roomiest(&mut self, cat: &Catalog, pool: &Pool, now: Instant) -> Option<Id> {
+    fn least_loaded(&mut self, cat: &Catalog, pool: &Pool, now: Instant) -> Option<Id> {
         let mean = self.mean(cat, pool, now);
         let mut best: Option<(f64, Id)> = None;
-        for &(id, capacity) in self.owned(cat, pool).iter() {
+        for &(id, capacity) in self.owned_engines(cat, pool).iter() {
             if !self.health.is_available(id, now) {
                 continue;
             }
--- a/src/place/rank.rs
+++ b/src/place/rank.rs
@@ -1,19 +1,20 @@
-//! Weighted rendezvous hashing: the engines of one data centre in a chat's own order.
+//! Weighted rendezvous hashing: orders the engines of one data centre for a chat.
 //!
-//! Two routers with different lists disagree only on the chats of the engines that differ, and a chat's second
-//! choice is the same everywhere.
+//! Routers with different engine lists disagree only on the chats of the engines that differ, and all agree on a
+//! chat's next choice when its first one fails.
 
 use crate::{
     catalog::{Engine, EngineKey, Id},
     util::hash,
 };
 
-/// Places looked at for one chat in one data centre.
-pub const DEPTH: usize = 8;
+/// Maximum number of engines ranked for one chat in one data centre.
+pub const MAX_RANKED: usize = 8;
 
-/// Engines grouped by capacity, so that a chat's best engines are found in one pass without a sort.
+/// Engines grouped by capacity, so that a chat's top engines are found in one pass without sorting.
 ///
-/// Within a group the order by score is the order by hash; only the best of each group need a logarithm.
+/// Within a group the order by score equals the order by hash, so the logarithm of the score is only computed for
+/// the top engines of each group.
 #[derive(Clone, Debug, Default)]
 pub struct Ranking {
     groups: Vec<Group>,
@@ -25,26 +26,26 @@
     engines: Vec<(Id, EngineKey)>,
 }
 
-/// A chat's best engines, the first choice first.
+/// Top engines of a chat, best first.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Top {
-    entries: [Option<EngineKey>; DEPTH],
+pub struct RankedEngines {
+    entries: [Option<EngineKey>; MAX_RANKED],
 }
 
-impl Top {
-    /// The engine at a position.
+impl RankedEngines {
+    /// Engine at a position, from 0.
     pub fn get(&self, at: usize) -> Option<EngineKey> {
         self.entries.get(at).copied().flatten()
     }
 
-    /// Engines in order.
+    /// Iterates over the engines, best first.
     pub fn iter(&self) -> impl Iterator<Item = EngineKey> {
         self.entries.into_iter().flatten()
     }
 }
 
 impl Ranking {
-    /// Ranking of these engines.
+    /// Groups these engines.
     pub fn new<'a>(engines: impl Iterator<Item = (EngineKey, &'a Engine)>) -> Self {
         let mut groups: Vec<Group> = Vec::new();
         for (key, engine) in engines {
@@ -58,7 +59,7 @@
         Self { groups }
     }
 
-    /// Number of engines, each of which one pass scores once.
+    /// Number of engines.
     pub fn len(&self) -> usize {
         self.groups.iter().map(|g| g.engines.len()).sum()
     }
@@ -68,34 +69,34 @@
         self.groups.is_empty()
     }
 
-    /// The best engines of a chat.
-    pub fn top(&self, chat: u64) -> Top {
-        let mut best: [Option<(f64, EngineKey)>; DEPTH] = [None; DEPTH];
+    /// Computes the top engines for a chat, given by its hash.
+    pub fn top(&self, chat: u64) -> RankedEngines {
+        let mut best: [Option<(f64, EngineKey)>; MAX_RANKED] = [None; MAX_RANKED];
         for group in &self.groups {
             for &(hash, key) in group.top(chat).iter().flatten() {
                 insert(&mut best, (score(hash, group.capacity), key));
             }
         }
-        Top { entries: best.map(|e| e.map(|(_, key)| key)) }
+        RankedEngines { entries: best.map(|e| e.map(|(_, key)| key)) }
     }
 }
 
 impl Group {
-    fn top(&self, chat: u64) -> [Option<(u64, EngineKey)>; DEPTH] {
-        let mut best = [None; DEPTH];
+    fn top(&self, chat: u64) -> [Option<(u64, EngineKey)>; MAX_RANKED] {
+        let mut best = [None; MAX_RANKED];
         let mut floor = 0;
         for &(id, key) in &self.engines {
             let hash = hash((id.0, chat));
             if hash >= floor {
                 insert(&mut best, (hash, key));
-                floor = best[DEPTH - 1].map_or(0, |(hash, _)| hash);
+                floor = best[MAX_RANKED - 1].map_or(0, |(hash, _)| hash);
             }
         }
         best
     }
 }
 
-fn insert<S: PartialOrd + Copy>(best: &mut [Option<(S, EngineKey)>; DEPTH], entry: (S, EngineKey)) {
+fn insert<S: PartialOrd + Copy>(best: &mut [Option<(S, EngineKey)>; MAX_RANKED], entry: (S, EngineKey)) {
     let at = best.iter().position(|b| b.is_none_or(|(score, _)| entry.0 > score));
     if let Some(at) = at {
         best[at..].rotate_right(1);
@@ -103,7 +104,7 @@
     }
 }
 
-/// Score of one engine for one chat; the share of chats that an engine wins is in proportion to its capacity.
+/// Weighted rendezvous score: each engine wins a share of chats proportional to its capacity.
 fn score(hash: u64, capacity: u32) -> f64 {
     let unit = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
     f64::from(capacity) / -unit.ln()
--- a/src/place/transfer.rs
+++ b/src/place/transfer.rs
@@ -1,17 +1,17 @@
-//! Whether to move a chat's cached context to the engine that it must move to.
+//! Cost model for the transfer of a cached context between engines.
 
 use std::time::Duration;
 
-/// What recomputing and moving cost.
+/// Costs of transferring a cached context and of recomputing it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TransferCosts {
-    /// Prompt tokens that an engine computes a second.
+    /// Prompt tokens that an engine computes per second.
     pub prefill_tokens_per_s: f64,
-    /// Bytes of cached context a token.
+    /// Bytes of cached context per token.
     pub bytes_per_token: f64,
-    /// Bytes that one export moves a second.
+    /// Throughput of one transfer in bytes per second.
     pub bytes_per_s: f64,
-    /// Time that an export and an import take whatever their size.
+    /// Fixed time of an export and an import, regardless of size.
     pub setup: Duration,
 }
 
@@ -27,17 +27,17 @@
 }
 
 impl TransferCosts {
-    /// Time to recompute a context.
+    /// Time to recompute a context of this many tokens.
     pub fn recompute_time(&self, tokens: u32) -> Duration {
         Duration::from_secs_f64(f64::from(tokens) / self.prefill_tokens_per_s)
     }
 
-    /// Time to move a context.
+    /// Time to transfer a context of this many tokens.
     pub fn transfer_time(&self, tokens: u32) -> Duration {
         self.setup + Duration::from_secs_f64(f64::from(tokens) * self.bytes_per_token / self.bytes_per_s)
     }
 
-    /// Whether moving `tokens` is quicker than computing them again.
+    /// Whether transferring a context of this many tokens takes less time than recomputing it.
     pub fn is_transfer_faster(&self, tokens: u32) -> bool {
         self.transfer_time(tokens) < self.recompute_time(tokens)
     }
