--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -5,7 +5,7 @@
 use std::{hint::black_box, sync::Arc, time::Duration, time::Instant};
 
 use cranberrytally::{
-    admit::{Cap, Demand, Lane, LaneLimits, Offer, Priority, Scope, Usage},
+    admit::{Cap, Demand, FairQueue, Offer, Priority, QueueLimits, Scope, Usage},
     retry::{Attempts, Budget, Policy, Reason},
     suspect::{CrashId, Fingerprint, Permits, Table},
 };
@@ -197,8 +197,8 @@
     }
 }
 
-fn filled(waiting: usize) -> (Vec<Demand>, Lane) {
-    let mut lane = Lane::new(LaneLimits::default().with_total(waiting + 1));
+fn filled(waiting: usize) -> (Vec<Demand>, FairQueue) {
+    let mut lane = FairQueue::new(QueueLimits::default().with_total(waiting + 1));
     let demands: Vec<_> = (0..waiting)
         .map(|i| Demand {
             workspace: format!("workspace-{}", i % 10).into(),
--- a/benches/admission/surge.rs
+++ b/benches/admission/surge.rs
@@ -8,7 +8,7 @@
 };
 
 use cranberrytally::{
-    admit::{Demand, Lane, LaneLimits, Offer, Priority, Ticket},
+    admit::{Demand, FairQueue, Offer, Priority, QueueLimits, Ticket},
     util::{Instant, Map},
 };
 use rand::{Rng, SeedableRng};
@@ -125,7 +125,7 @@
     match order {
         Order::Fifo => fifo(&arrivals, usize::MAX),
         Order::BoundedFifo => fifo(&arrivals, 256),
-        Order::Lane(burst) => lane(&arrivals, LaneLimits::default().with_burst(burst)),
+        Order::Lane(burst) => lane(&arrivals, QueueLimits::default().with_burst(burst)),
     }
 }
 
@@ -221,16 +221,16 @@
 
 struct LaneRun<'a> {
     arrivals: &'a [Arrival],
-    lane: Lane,
+    lane: FairQueue,
     tickets: Map<Ticket, usize>,
     ends: BinaryHeap<Reverse<(Instant, usize, Instant)>>,
     figures: Figures,
 }
 
-fn lane(arrivals: &[Arrival], limits: LaneLimits) -> Figures {
+fn lane(arrivals: &[Arrival], limits: QueueLimits) -> Figures {
     let mut run = LaneRun {
         arrivals,
-        lane: Lane::new(limits),
+        lane: FairQueue::new(limits),
         tickets: Map::default(),
         ends: BinaryHeap::new(),
         figures: Figures::default(),
--- a/src/admit.rs
+++ b/src/admit.rs
@@ -1,6 +1,6 @@
 //! Admission: which requests wait for an engine, in which order, and which are refused at once.
 //!
-//! A [`Lane`] is the queue of one pool or plain service. While an engine has room, requests pass it by. Once
+//! A [`FairQueue`] is the queue of one pool or plain service. While an engine has room, requests pass it by. Once
 //! all eligible engines stand at their bound they wait in it, and the lane says whose turn is next.
 
 use std::{sync::Arc, time::Duration};
@@ -8,12 +8,12 @@
 use crate::{error::Kind, util::Instant};
 
 mod flow;
-pub mod lane;
 pub mod limit;
+pub mod queue;
 mod rate;
 
-pub use lane::{Lane, Offer, Ticket};
 pub use limit::{Cap, Scope, Usage};
+pub use queue::{FairQueue, Offer, Ticket};
 
 /// Expected tokens of a request, prompt and answer.
 pub type Work = u32;
@@ -77,20 +77,20 @@
 
 /// Bounds of a lane.
 #[derive(Clone, Copy, Debug)]
-pub struct LaneLimits {
+pub struct QueueLimits {
     pub(crate) total: usize,
     pub(crate) workspace: usize,
     pub(crate) burst: Work,
     pub(crate) trying: usize,
 }
 
-impl Default for LaneLimits {
+impl Default for QueueLimits {
     fn default() -> Self {
         Self { total: 256, workspace: 64, burst: 2048, trying: 4 }
     }
 }
 
-impl LaneLimits {
+impl QueueLimits {
     /// Sets how many requests may wait in all.
     pub fn with_total(self, total: usize) -> Self {
         Self { total, ..self }
--- a/src/admit/flow.rs
+++ b/src/admit/flow.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{Priority, Work, lane::Ticket};
+use super::{Priority, Work, queue::Ticket};
 use crate::util::Instant;
 
 /// Order within a workspace: class, then deadline, then arrival.
--- a/src/admit/lane.rs
+++ b/src/admit/queue.rs
@@ -10,7 +10,7 @@
 use slotmap::{SlotMap, new_key_type};
 
 use super::{
-    Demand, LaneLimits, Refusal,
+    Demand, QueueLimits, Refusal,
     flow::{Flow, Rank},
     rate::Rate,
 };
@@ -47,8 +47,8 @@
 
 /// Queue of one pool or plain service.
 #[derive(Debug, Default)]
-pub struct Lane {
-    limits: LaneLimits,
+pub struct FairQueue {
+    limits: QueueLimits,
     tickets: SlotMap<Ticket, Waiting>,
     flows: Map<std::sync::Arc<str>, Flow>,
     clock: u64,
@@ -57,9 +57,9 @@
     rate: Rate,
 }
 
-impl Lane {
+impl FairQueue {
     /// Empty lane.
-    pub fn new(limits: LaneLimits) -> Self {
+    pub fn new(limits: QueueLimits) -> Self {
         Self { limits, ..Self::default() }
     }
 
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Gives the next turn: its holder asks for an engine and calls [`Lane::settle`].
+    /// Gives the next turn: its holder asks for an engine and calls [`FairQueue::settle`].
     pub fn grant(&mut self) -> Option<Ticket> {
         if self.trying >= self.limits.trying {
             return None;
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -10,7 +10,7 @@
 
 use super::{ask::Ask, lock, read};
 use crate::{
-    admit::{Cap, Lane, Offer, Refusal, Ticket, Usage, Work},
+    admit::{Cap, FairQueue, Offer, Refusal, Ticket, Usage, Work},
     error::Fault,
     retry::spread,
     util::{Instant, Map, now},
@@ -78,7 +78,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    lane: Lane,
+    lane: FairQueue,
     waiters: Map<Ticket, oneshot::Sender<Turn>>,
     pumped: bool,
     pause: Duration,
--- a/tests/admit.rs
+++ b/tests/admit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranberrytally::{
-    admit::{Cap, Demand, Lane, LaneLimits, Offer, Priority, Scope, Ticket, Usage},
+    admit::{Cap, Demand, FairQueue, Offer, Priority, QueueLimits, Scope, Ticket, Usage},
     error::Kind,
 };
 
@@ -17,8 +17,8 @@
     demand(workspace, Priority::Normal, LATE)
 }
 
-fn wait(lane: &mut Lane, now: Duration, demand: Demand) -> Ticket {
-    match lane.offer(now, demand) {
+fn wait(queue: &mut FairQueue, now: Duration, demand: Demand) -> Ticket {
+    match queue.offer(now, demand) {
         Offer::Queued(ticket) => ticket,
         other => panic!("not queued: {other:?}"),
     }
@@ -31,22 +31,22 @@
     }
 }
 
-fn next(lane: &mut Lane, now: Duration) -> Option<Ticket> {
-    let ticket = lane.grant()?;
-    lane.settle(now, ticket, true);
+fn next(queue: &mut FairQueue, now: Duration) -> Option<Ticket> {
+    let ticket = queue.grant()?;
+    queue.settle(now, ticket, true);
     Some(ticket)
 }
 
 /// Lets the lane measure 400 units of work a second.
-fn measured(limits: LaneLimits) -> Lane {
-    let mut lane = Lane::new(limits);
+fn measured(limits: QueueLimits) -> FairQueue {
+    let mut queue = FairQueue::new(limits);
     for i in 0..20 {
-        wait(&mut lane, Duration::from_millis(i * 250), normal("a"));
+        wait(&mut queue, Duration::from_millis(i * 250), normal("a"));
     }
     for i in 0..8 {
-        next(&mut lane, Duration::from_millis(i * 250 + 250));
+        next(&mut queue, Duration::from_millis(i * 250 + 250));
     }
-    lane
+    queue
 }
 
 #[test]
@@ -56,32 +56,32 @@
         ("deadline", demand("a", Priority::Low, LATE), demand("a", Priority::Low, LATE / 2)),
     ];
     for (case, later, sooner) in table {
-        let mut lane = Lane::default();
-        wait(&mut lane, Duration::ZERO, later);
-        let sooner = wait(&mut lane, Duration::ZERO, sooner);
+        let mut queue = FairQueue::default();
+        wait(&mut queue, Duration::ZERO, later);
+        let sooner = wait(&mut queue, Duration::ZERO, sooner);
 
-        let first = next(&mut lane, Duration::ZERO);
+        let first = next(&mut queue, Duration::ZERO);
 
         assert_eq!(first, Some(sooner), "{case}");
     }
-    let mut lane = Lane::default();
-    let first = wait(&mut lane, Duration::ZERO, normal("a"));
-    wait(&mut lane, Duration::ZERO, normal("a"));
-    assert_eq!(next(&mut lane, Duration::ZERO), Some(first), "arrival");
+    let mut queue = FairQueue::default();
+    let first = wait(&mut queue, Duration::ZERO, normal("a"));
+    wait(&mut queue, Duration::ZERO, normal("a"));
+    assert_eq!(next(&mut queue, Duration::ZERO), Some(first), "arrival");
 }
 
 /// A large workspace has queued fifty chats when a small one sends its first.
 /// In order of arrival the traveller would wait for all fifty; it must be among the next two.
 #[test]
 fn a_small_workspace_does_not_wait_behind_anothers_queue() {
-    let mut lane = Lane::default();
+    let mut queue = FairQueue::default();
     for _ in 0..50 {
-        wait(&mut lane, Duration::ZERO, normal("large"));
+        wait(&mut queue, Duration::ZERO, normal("large"));
     }
-    next(&mut lane, Duration::ZERO);
-    let small = wait(&mut lane, Duration::ZERO, normal("small"));
+    next(&mut queue, Duration::ZERO);
+    let small = wait(&mut queue, Duration::ZERO, normal("small"));
 
-    let turns = [next(&mut lane, Duration::ZERO), next(&mut lane, Duration::ZERO)];
+    let turns = [next(&mut queue, Duration::ZERO), next(&mut queue, Duration::ZERO)];
 
     assert!(turns.contains(&Some(small)));
 }
@@ -90,43 +90,43 @@
 /// The last request of the longest queue gives way instead, and is told at once.
 #[test]
 fn a_full_queue_still_takes_a_small_workspace() {
-    let mut lane = Lane::new(LaneLimits::default().with_total(8));
+    let mut queue = FairQueue::new(QueueLimits::default().with_total(8));
     for name in ["a", "b", "b", "b", "c", "c", "d", "d"] {
-        wait(&mut lane, Duration::ZERO, normal(name));
+        wait(&mut queue, Duration::ZERO, normal(name));
     }
 
-    let offer = lane.offer(Duration::ZERO, normal("small"));
+    let offer = queue.offer(Duration::ZERO, normal("small"));
 
     let Offer::Displaced(_, victim, refusal) = offer else { panic!("not displaced: {offer:?}") };
     assert_eq!(refusal.kind, Kind::QueueFull);
-    assert_eq!(lane.len(), 8);
-    lane.leave(victim);
-    assert_eq!(lane.len(), 8, "the victim was already out");
+    assert_eq!(queue.len(), 8);
+    queue.leave(victim);
+    assert_eq!(queue.len(), 8, "the victim was already out");
 }
 
 #[test]
 fn queues_are_bounded() {
-    let limits = LaneLimits::default().with_total(4).with_workspace(2);
-    let mut lane = Lane::new(limits);
+    let limits = QueueLimits::default().with_total(4).with_workspace(2);
+    let mut queue = FairQueue::new(limits);
     for name in ["a", "a", "b", "b"] {
-        wait(&mut lane, Duration::ZERO, normal(name));
+        wait(&mut queue, Duration::ZERO, normal(name));
     }
 
-    assert_eq!(refused(lane.offer(Duration::ZERO, normal("a"))), Kind::QueueFull, "of the workspace");
-    let offer = lane.offer(Duration::ZERO, normal("c"));
+    assert_eq!(refused(queue.offer(Duration::ZERO, normal("a"))), Kind::QueueFull, "of the workspace");
+    let offer = queue.offer(Duration::ZERO, normal("c"));
     assert!(matches!(offer, Offer::Displaced(..)));
-    assert_eq!(lane.len(), 4);
+    assert_eq!(queue.len(), 4);
 }
 
 /// Phrases shall be tagged within 500 ms while 12 chats wait before them and four start a second.
 /// Let in, they would be told after their deadline that they are late; told at once, they can come back.
 #[test]
 fn a_deadline_that_can_not_be_met_is_refused_at_once() {
-    let mut lane = measured(LaneLimits::default());
+    let mut queue = measured(QueueLimits::default());
     let now = Duration::from_millis(2250);
 
-    let tight = lane.offer(now, demand("a", Priority::Low, now + Duration::from_millis(500)));
-    let roomy = lane.offer(now, demand("a", Priority::Low, now + Duration::from_secs(60)));
+    let tight = queue.offer(now, demand("a", Priority::Low, now + Duration::from_millis(500)));
+    let roomy = queue.offer(now, demand("a", Priority::Low, now + Duration::from_secs(60)));
 
     let Offer::Refused(refusal) = tight else { panic!("not refused: {tight:?}") };
     assert_eq!(refusal.kind, Kind::DeadlineUnmeetable);
@@ -138,15 +138,15 @@
 /// A lane that refused on the old rate would keep all requests out for ever.
 #[test]
 fn an_empty_lane_lets_a_request_in_after_a_stall() {
-    let mut lane = Lane::default();
-    let ticket = wait(&mut lane, Duration::ZERO, normal("a"));
+    let mut queue = FairQueue::default();
+    let ticket = wait(&mut queue, Duration::ZERO, normal("a"));
     for i in 1..100 {
-        lane.expire(Duration::from_millis(i * 250));
+        queue.expire(Duration::from_millis(i * 250));
     }
-    lane.leave(ticket);
+    queue.leave(ticket);
     let now = Duration::from_secs(30);
 
-    let offer = lane.offer(now, demand("a", Priority::Normal, now + Duration::from_secs(1)));
+    let offer = queue.offer(now, demand("a", Priority::Normal, now + Duration::from_secs(1)));
 
     assert!(matches!(offer, Offer::Queued(_)));
 }
@@ -155,29 +155,29 @@
 /// lane's speed, that would refuse everybody who comes with a minute to spare.
 #[test]
 fn a_second_without_a_start_refuses_nobody_with_a_minute() {
-    let mut lane = Lane::default();
-    wait(&mut lane, Duration::ZERO, normal("a"));
+    let mut queue = FairQueue::default();
+    wait(&mut queue, Duration::ZERO, normal("a"));
     for i in 1..5 {
-        lane.expire(Duration::from_millis(i * 250));
+        queue.expire(Duration::from_millis(i * 250));
     }
     let now = Duration::from_secs(1);
 
-    let offer = lane.offer(now, demand("b", Priority::Normal, now + Duration::from_secs(60)));
+    let offer = queue.offer(now, demand("b", Priority::Normal, now + Duration::from_secs(60)));
 
     assert!(matches!(offer, Offer::Queued(_)), "{offer:?}");
 }
 
 #[test]
 fn waiting_requests_leave_at_their_deadline() {
-    let mut lane = Lane::default();
-    let short = wait(&mut lane, Duration::ZERO, demand("a", Priority::High, Duration::from_secs(1)));
-    wait(&mut lane, Duration::ZERO, normal("a"));
+    let mut queue = FairQueue::default();
+    let short = wait(&mut queue, Duration::ZERO, demand("a", Priority::High, Duration::from_secs(1)));
+    wait(&mut queue, Duration::ZERO, normal("a"));
 
-    let gone = lane.expire(Duration::from_secs(1) + Duration::from_millis(1));
+    let gone = queue.expire(Duration::from_secs(1) + Duration::from_millis(1));
 
     assert_eq!(gone.iter().map(|(t, r)| (*t, r.kind)).collect::<Vec<_>>(), [(short, Kind::DeadlinePassed)]);
-    assert_eq!(lane.len(), 1);
-    let passed = lane.offer(Duration::from_secs(2), demand("a", Priority::High, Duration::from_secs(1)));
+    assert_eq!(queue.len(), 1);
+    let passed = queue.offer(Duration::from_secs(2), demand("a", Priority::High, Duration::from_secs(1)));
     assert_eq!(refused(passed), Kind::DeadlinePassed);
 }
 
@@ -185,28 +185,28 @@
 /// after a few such callers.
 #[test]
 fn a_caller_that_goes_away_frees_its_turn() {
-    let mut lane = Lane::new(LaneLimits::default().with_trying(1));
-    wait(&mut lane, Duration::ZERO, normal("a"));
-    let second = wait(&mut lane, Duration::ZERO, normal("a"));
-    let first = lane.grant().unwrap();
-    assert_eq!(lane.grant(), None, "one turn at a time");
+    let mut queue = FairQueue::new(QueueLimits::default().with_trying(1));
+    wait(&mut queue, Duration::ZERO, normal("a"));
+    let second = wait(&mut queue, Duration::ZERO, normal("a"));
+    let first = queue.grant().unwrap();
+    assert_eq!(queue.grant(), None, "one turn at a time");
 
-    lane.leave(first);
+    queue.leave(first);
 
-    assert_eq!(lane.grant(), Some(second));
+    assert_eq!(queue.grant(), Some(second));
 }
 
 /// The engine that a turn was meant for was taken by another router in between.
 #[test]
 fn a_turn_without_an_engine_keeps_the_place() {
-    let mut lane = Lane::default();
-    let first = wait(&mut lane, Duration::ZERO, normal("a"));
-    wait(&mut lane, Duration::ZERO, normal("a"));
-    let ticket = lane.grant().unwrap();
+    let mut queue = FairQueue::default();
+    let first = wait(&mut queue, Duration::ZERO, normal("a"));
+    wait(&mut queue, Duration::ZERO, normal("a"));
+    let ticket = queue.grant().unwrap();
 
-    lane.settle(Duration::ZERO, ticket, false);
+    queue.settle(Duration::ZERO, ticket, false);
 
-    assert_eq!(lane.grant(), Some(first));
+    assert_eq!(queue.grant(), Some(first));
 }
 
 #[test]
@@ -245,22 +245,22 @@
 /// seconds is.
 #[test]
 fn an_old_stall_refuses_no_long_deadline() {
-    let mut lane = Lane::default();
-    let tickets = [0, 1, 2, 3].map(|i| wait(&mut lane, Duration::ZERO, normal(&format!("w{i}"))));
-    next(&mut lane, Duration::from_millis(250));
+    let mut queue = FairQueue::default();
+    let tickets = [0, 1, 2, 3].map(|i| wait(&mut queue, Duration::ZERO, normal(&format!("w{i}"))));
+    next(&mut queue, Duration::from_millis(250));
     for i in 1..30 {
-        lane.expire(Duration::from_secs(2 * i) + Duration::from_millis(250));
+        queue.expire(Duration::from_secs(2 * i) + Duration::from_millis(250));
     }
-    tickets.into_iter().for_each(|t| lane.leave(t));
+    tickets.into_iter().for_each(|t| queue.leave(t));
     let start = Duration::from_secs(100);
-    wait(&mut lane, start, normal("a"));
-    let offer = |lane: &mut Lane, now: Duration| {
+    wait(&mut queue, start, normal("a"));
+    let offer = |queue: &mut FairQueue, now: Duration| {
         let deadline = now + Duration::from_secs(60);
-        lane.offer(now, demand("late", Priority::Normal, deadline))
+        queue.offer(now, demand("late", Priority::Normal, deadline))
     };
 
-    let soon = offer(&mut lane, start + Duration::from_millis(200));
-    let later = offer(&mut lane, start + Duration::from_secs(10));
+    let soon = offer(&mut queue, start + Duration::from_millis(200));
+    let later = offer(&mut queue, start + Duration::from_secs(10));
 
     assert!(matches!(soon, Offer::Queued(_)), "{soon:?}");
     assert_eq!(refused(later), Kind::DeadlineUnmeetable);
