--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -5,7 +5,7 @@
 use std::{hint::black_box, sync::Arc, time::Duration, time::Instant};
 
 use cranberrytally::{
-    admit::{Cap, Demand, FairQueue, Offer, Priority, QueueLimits, Scope, Usage},
+    admit::{Cap, Demand, EnqueueResult, FairQueue, Priority, QueueLimits, Scope, Usage},
     retry::{Attempts, Budget, Policy, Reason},
     suspect::{CrashId, Fingerprint, Permits, Table},
 };
@@ -146,9 +146,9 @@
         report(&format!("offer, grant, settle; {waiting} wait"), || {
             now += Duration::from_micros(100);
             i = (i + 1) % demands.len();
-            black_box(lane.offer(now, demands[i].clone()));
-            if let Some(ticket) = lane.grant() {
-                lane.settle(now, ticket, true);
+            black_box(lane.enqueue(now, demands[i].clone()));
+            if let Some(ticket) = lane.start_turn() {
+                lane.end_turn(now, ticket, true);
             }
         });
     }
@@ -208,7 +208,7 @@
         })
         .collect();
     for demand in &demands {
-        if let Offer::Refused(r) = lane.offer(Duration::ZERO, demand.clone()) {
+        if let EnqueueResult::Refused(r) = lane.enqueue(Duration::ZERO, demand.clone()) {
             println!("refused while filling: {r:?}");
         }
     }
--- a/benches/admission/surge.rs
+++ b/benches/admission/surge.rs
@@ -8,7 +8,7 @@
 };
 
 use cranberrytally::{
-    admit::{Demand, FairQueue, Offer, Priority, QueueLimits, Ticket},
+    admit::{Demand, EnqueueResult, FairQueue, Priority, QueueLimits, Ticket},
     util::{Instant, Map},
 };
 use rand::{Rng, SeedableRng};
@@ -248,13 +248,13 @@
         if self.lane.is_empty() && self.ends.len() < SLOTS {
             return self.start(a.at, i);
         }
-        match self.lane.offer(a.at, a.demand.clone()) {
-            Offer::Queued(ticket) => drop(self.tickets.insert(ticket, i)),
-            Offer::Displaced(ticket, victim, _) => {
+        match self.lane.enqueue(a.at, a.demand.clone()) {
+            EnqueueResult::Queued(ticket) => drop(self.tickets.insert(ticket, i)),
+            EnqueueResult::Displaced(ticket, victim, _) => {
                 self.tickets.insert(ticket, i);
                 self.refuse(a.at, victim);
             }
-            Offer::Refused(_) => note(&mut self.figures, a, a.at, false),
+            EnqueueResult::Refused(_) => note(&mut self.figures, a, a.at, false),
         }
     }
 
@@ -273,12 +273,12 @@
     fn advance(&mut self, to: Instant) {
         while let Some(&Reverse((now, i, began))) = self.ends.peek().filter(|e| e.0.0 <= to) {
             self.ends.pop();
-            self.lane.finish(now - began, self.arrivals[i].demand.work);
+            self.lane.record_run(now - began, self.arrivals[i].demand.work);
             for (ticket, _) in self.lane.expire(now) {
                 self.refuse(now, ticket);
             }
-            if let Some(ticket) = self.lane.grant() {
-                self.lane.settle(now, ticket, true);
+            if let Some(ticket) = self.lane.start_turn() {
+                self.lane.end_turn(now, ticket, true);
                 let next = self.tickets.remove(&ticket).expect("a granted ticket waits");
                 self.start(now, next);
             }
--- a/src/admit.rs
+++ b/src/admit.rs
@@ -13,7 +13,7 @@
 mod rate;
 
 pub use limit::{Cap, Scope, Usage};
-pub use queue::{FairQueue, Offer, Ticket};
+pub use queue::{EnqueueResult, FairQueue, Ticket};
 
 /// Expected tokens of a request, prompt and answer.
 pub type Work = u32;
@@ -108,7 +108,7 @@
     }
 
     /// Sets how many turns may be out at once.
-    pub fn with_trying(self, trying: usize) -> Self {
+    pub fn with_max_turns(self, trying: usize) -> Self {
         Self { trying, ..self }
     }
 }
--- a/src/admit/queue.rs
+++ b/src/admit/queue.rs
@@ -29,7 +29,7 @@
 
 /// What became of a request that asked to wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum EnqueueResult {
     /// It waits.
     Queued(Ticket),
     /// It waits; the other request, the last of the longest queue, is refused in its place.
@@ -74,21 +74,21 @@
     }
 
     /// Lets a request wait, or says why not.
-    pub fn offer(&mut self, now: Instant, demand: Demand) -> Offer {
+    pub fn enqueue(&mut self, now: Instant, demand: Demand) -> EnqueueResult {
         if demand.deadline <= now {
-            return Offer::Refused(self.refusal(now, Kind::DeadlinePassed));
+            return EnqueueResult::Refused(self.refusal(now, Kind::DeadlinePassed));
         }
         let rank = Rank { priority: demand.priority, deadline: demand.deadline, seq: self.seq };
         let due = now + self.estimate(now, &demand, rank) + self.rate.run(demand.work);
         if due > demand.deadline {
-            return Offer::Refused(self.refusal(now, Kind::DeadlineUnmeetable));
+            return EnqueueResult::Refused(self.refusal(now, Kind::DeadlineUnmeetable));
         }
         let own = self.flows.get(&demand.workspace).map_or(0, Flow::len);
         if own >= self.limits.workspace {
-            return Offer::Refused(self.refusal(now, Kind::QueueFull));
+            return EnqueueResult::Refused(self.refusal(now, Kind::QueueFull));
         }
         if self.tickets.len() < self.limits.total {
-            return Offer::Queued(self.insert(now, demand, rank));
+            return EnqueueResult::Queued(self.insert(now, demand, rank));
         }
         // A surge of one workspace could fill the whole queue and shut the others out; the workspace with the
         // longest queue gives way instead, so a small one always finds a place.
@@ -96,14 +96,14 @@
             Some(victim) => {
                 self.remove(victim);
                 let refusal = self.refusal(now, Kind::QueueFull);
-                Offer::Displaced(self.insert(now, demand, rank), victim, refusal)
+                EnqueueResult::Displaced(self.insert(now, demand, rank), victim, refusal)
             }
-            None => Offer::Refused(self.refusal(now, Kind::QueueFull)),
+            None => EnqueueResult::Refused(self.refusal(now, Kind::QueueFull)),
         }
     }
 
-    /// Gives the next turn: its holder asks for an engine and calls [`FairQueue::settle`].
-    pub fn grant(&mut self) -> Option<Ticket> {
+    /// Gives the next turn: its holder asks for an engine and calls [`FairQueue::end_turn`].
+    pub fn start_turn(&mut self) -> Option<Ticket> {
         if self.trying >= self.limits.trying {
             return None;
         }
@@ -120,7 +120,7 @@
     }
 
     /// Ends a turn: the request got an engine and leaves, or waits on in its old place.
-    pub fn settle(&mut self, now: Instant, ticket: Ticket, got_engine: bool) {
+    pub fn end_turn(&mut self, now: Instant, ticket: Ticket, got_engine: bool) {
         let Some(w) = self.tickets.get(ticket).filter(|w| w.trying) else { return };
         let work = w.demand.work;
         if got_engine {
@@ -135,7 +135,7 @@
     }
 
     /// Takes a request out whose caller went away.
-    pub fn leave(&mut self, ticket: Ticket) {
+    pub fn cancel(&mut self, ticket: Ticket) {
         self.remove(ticket);
     }
 
@@ -158,8 +158,8 @@
     }
 
     /// Notes how long a run of this work took.
-    pub fn finish(&mut self, ran: Duration, work: super::Work) {
-        self.rate.finish(ran, work);
+    pub fn record_run(&mut self, ran: Duration, work: super::Work) {
+        self.rate.record_run(ran, work);
     }
 
     /// Refusal of this kind, with the time in which the queue drains.
--- a/src/admit/rate.rs
+++ b/src/admit/rate.rs
@@ -59,7 +59,7 @@
     }
 
     /// Notes a finished run.
-    pub(super) fn finish(&mut self, ran: Duration, work: Work) {
+    pub(super) fn record_run(&mut self, ran: Duration, work: Work) {
         let sample = ran.as_secs_f64() / f64::from(work.max(1));
         self.seconds_per_work = Some(mix(self.seconds_per_work, sample));
     }
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -10,7 +10,7 @@
 
 use super::{ask::Ask, lock, read};
 use crate::{
-    admit::{Cap, FairQueue, Offer, Refusal, Ticket, Usage, Work},
+    admit::{Cap, EnqueueResult, FairQueue, Refusal, Ticket, Usage, Work},
     error::Fault,
     retry::spread,
     util::{Instant, Map, now},
@@ -136,19 +136,19 @@
 
     /// Notes a run that has ended, so that its engine may have room.
     pub(crate) fn note_end(&self, ran: Duration, work: Work) {
-        lock(&self.state).lane.finish(ran, work);
+        lock(&self.state).lane.record_run(ran, work);
         self.freed.notify_one();
     }
 
     fn wait(self: &Arc<Self>, ask: &Ask) -> Result<Waiter, Fault> {
         let mut state = lock(&self.state);
-        let ticket = match state.lane.offer(now(), ask.demand()) {
-            Offer::Queued(ticket) => ticket,
-            Offer::Displaced(ticket, victim, refusal) => {
+        let ticket = match state.lane.enqueue(now(), ask.demand()) {
+            EnqueueResult::Queued(ticket) => ticket,
+            EnqueueResult::Displaced(ticket, victim, refusal) => {
                 state.refuse(victim, refusal);
                 ticket
             }
-            Offer::Refused(refusal) => return Err(fault(refusal)),
+            EnqueueResult::Refused(refusal) => return Err(fault(refusal)),
         };
         let (tx, turn) = oneshot::channel();
         state.waiters.insert(ticket, tx);
@@ -162,7 +162,7 @@
     fn settled(&self, ticket: Ticket) {
         let mut state = lock(&self.state);
         state.waiters.remove(&ticket);
-        state.lane.settle(now(), ticket, true);
+        state.lane.end_turn(now(), ticket, true);
         state.pause = TICK;
         state.grant();
     }
@@ -171,7 +171,7 @@
         let mut state = lock(&self.state);
         let (tx, turn) = oneshot::channel();
         state.waiters.insert(ticket, tx);
-        state.lane.settle(now(), ticket, false);
+        state.lane.end_turn(now(), ticket, false);
         state.pause = (state.pause * 2).min(MOST_PAUSE);
         state.next = now() + state.pause;
         turn
@@ -197,10 +197,10 @@
 
 impl State {
     fn grant(&mut self) {
-        let Some(ticket) = self.lane.grant() else { return };
+        let Some(ticket) = self.lane.start_turn() else { return };
         let sent = self.waiters.remove(&ticket).is_some_and(|tx| tx.send(Turn::Try).is_ok());
         if !sent {
-            self.lane.leave(ticket);
+            self.lane.cancel(ticket);
         }
     }
 
@@ -228,7 +228,7 @@
     fn drop(&mut self) {
         let mut state = lock(&self.queue.state);
         state.waiters.remove(&self.ticket);
-        state.lane.leave(self.ticket);
+        state.lane.cancel(self.ticket);
     }
 }
 
--- a/tests/admit.rs
+++ b/tests/admit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranberrytally::{
-    admit::{Cap, Demand, FairQueue, Offer, Priority, QueueLimits, Scope, Ticket, Usage},
+    admit::{Cap, Demand, EnqueueResult, FairQueue, Priority, QueueLimits, Scope, Ticket, Usage},
     error::Kind,
 };
 
@@ -18,22 +18,22 @@
 }
 
 fn wait(queue: &mut FairQueue, now: Duration, demand: Demand) -> Ticket {
-    match queue.offer(now, demand) {
-        Offer::Queued(ticket) => ticket,
+    match queue.enqueue(now, demand) {
+        EnqueueResult::Queued(ticket) => ticket,
         other => panic!("not queued: {other:?}"),
     }
 }
 
-fn refused(offer: Offer) -> Kind {
+fn refused(offer: EnqueueResult) -> Kind {
     match offer {
-        Offer::Refused(r) => r.kind,
+        EnqueueResult::Refused(r) => r.kind,
         other => panic!("not refused: {other:?}"),
     }
 }
 
 fn next(queue: &mut FairQueue, now: Duration) -> Option<Ticket> {
-    let ticket = queue.grant()?;
-    queue.settle(now, ticket, true);
+    let ticket = queue.start_turn()?;
+    queue.end_turn(now, ticket, true);
     Some(ticket)
 }
 
@@ -95,12 +95,12 @@
         wait(&mut queue, Duration::ZERO, normal(name));
     }
 
-    let offer = queue.offer(Duration::ZERO, normal("small"));
+    let offer = queue.enqueue(Duration::ZERO, normal("small"));
 
-    let Offer::Displaced(_, victim, refusal) = offer else { panic!("not displaced: {offer:?}") };
+    let EnqueueResult::Displaced(_, victim, refusal) = offer else { panic!("not displaced: {offer:?}") };
     assert_eq!(refusal.kind, Kind::QueueFull);
     assert_eq!(queue.len(), 8);
-    queue.leave(victim);
+    queue.cancel(victim);
     assert_eq!(queue.len(), 8, "the victim was already out");
 }
 
@@ -112,9 +112,9 @@
         wait(&mut queue, Duration::ZERO, normal(name));
     }
 
-    assert_eq!(refused(queue.offer(Duration::ZERO, normal("a"))), Kind::QueueFull, "of the workspace");
-    let offer = queue.offer(Duration::ZERO, normal("c"));
-    assert!(matches!(offer, Offer::Displaced(..)));
+    assert_eq!(refused(queue.enqueue(Duration::ZERO, normal("a"))), Kind::QueueFull, "of the workspace");
+    let offer = queue.enqueue(Duration::ZERO, normal("c"));
+    assert!(matches!(offer, EnqueueResult::Displaced(..)));
     assert_eq!(queue.len(), 4);
 }
 
@@ -125,13 +125,13 @@
     let mut queue = measured(QueueLimits::default());
     let now = Duration::from_millis(2250);
 
-    let tight = queue.offer(now, demand("a", Priority::Low, now + Duration::from_millis(500)));
-    let roomy = queue.offer(now, demand("a", Priority::Low, now + Duration::from_secs(60)));
+    let tight = queue.enqueue(now, demand("a", Priority::Low, now + Duration::from_millis(500)));
+    let roomy = queue.enqueue(now, demand("a", Priority::Low, now + Duration::from_secs(60)));
 
-    let Offer::Refused(refusal) = tight else { panic!("not refused: {tight:?}") };
+    let EnqueueResult::Refused(refusal) = tight else { panic!("not refused: {tight:?}") };
     assert_eq!(refusal.kind, Kind::DeadlineUnmeetable);
     assert!(refusal.retry_after >= Duration::from_secs(2), "{refusal:?}");
-    assert!(matches!(roomy, Offer::Queued(_)));
+    assert!(matches!(roomy, EnqueueResult::Queued(_)));
 }
 
 /// Every engine stalls for a while, so the measured rate falls to nothing; then they run again.
@@ -143,12 +143,12 @@
     for i in 1..100 {
         queue.expire(Duration::from_millis(i * 250));
     }
-    queue.leave(ticket);
+    queue.cancel(ticket);
     let now = Duration::from_secs(30);
 
-    let offer = queue.offer(now, demand("a", Priority::Normal, now + Duration::from_secs(1)));
+    let offer = queue.enqueue(now, demand("a", Priority::Normal, now + Duration::from_secs(1)));
 
-    assert!(matches!(offer, Offer::Queued(_)));
+    assert!(matches!(offer, EnqueueResult::Queued(_)));
 }
 
 /// A flapping engine holds all turns up for a second just as the first requests begin to wait. Taken for the
@@ -162,9 +162,9 @@
     }
     let now = Duration::from_secs(1);
 
-    let offer = queue.offer(now, demand("b", Priority::Normal, now + Duration::from_secs(60)));
+    let offer = queue.enqueue(now, demand("b", Priority::Normal, now + Duration::from_secs(60)));
 
-    assert!(matches!(offer, Offer::Queued(_)), "{offer:?}");
+    assert!(matches!(offer, EnqueueResult::Queued(_)), "{offer:?}");
 }
 
 #[test]
@@ -177,7 +177,7 @@
 
     assert_eq!(gone.iter().map(|(t, r)| (*t, r.kind)).collect::<Vec<_>>(), [(short, Kind::DeadlinePassed)]);
     assert_eq!(queue.len(), 1);
-    let passed = queue.offer(Duration::from_secs(2), demand("a", Priority::High, Duration::from_secs(1)));
+    let passed = queue.enqueue(Duration::from_secs(2), demand("a", Priority::High, Duration::from_secs(1)));
     assert_eq!(refused(passed), Kind::DeadlinePassed);
 }
 
@@ -185,15 +185,15 @@
 /// after a few such callers.
 #[test]
 fn a_caller_that_goes_away_frees_its_turn() {
-    let mut queue = FairQueue::new(QueueLimits::default().with_trying(1));
+    let mut queue = FairQueue::new(QueueLimits::default().with_max_turns(1));
     wait(&mut queue, Duration::ZERO, normal("a"));
     let second = wait(&mut queue, Duration::ZERO, normal("a"));
-    let first = queue.grant().unwrap();
-    assert_eq!(queue.grant(), None, "one turn at a time");
+    let first = queue.start_turn().unwrap();
+    assert_eq!(queue.start_turn(), None, "one turn at a time");
 
-    queue.leave(first);
+    queue.cancel(first);
 
-    assert_eq!(queue.grant(), Some(second));
+    assert_eq!(queue.start_turn(), Some(second));
 }
 
 /// The engine that a turn was meant for was taken by another router in between.
@@ -202,11 +202,11 @@
     let mut queue = FairQueue::default();
     let first = wait(&mut queue, Duration::ZERO, normal("a"));
     wait(&mut queue, Duration::ZERO, normal("a"));
-    let ticket = queue.grant().unwrap();
+    let ticket = queue.start_turn().unwrap();
 
-    queue.settle(Duration::ZERO, ticket, false);
+    queue.end_turn(Duration::ZERO, ticket, false);
 
-    assert_eq!(queue.grant(), Some(first));
+    assert_eq!(queue.start_turn(), Some(first));
 }
 
 #[test]
@@ -251,17 +251,17 @@
     for i in 1..30 {
         queue.expire(Duration::from_secs(2 * i) + Duration::from_millis(250));
     }
-    tickets.into_iter().for_each(|t| queue.leave(t));
+    tickets.into_iter().for_each(|t| queue.cancel(t));
     let start = Duration::from_secs(100);
     wait(&mut queue, start, normal("a"));
     let offer = |queue: &mut FairQueue, now: Duration| {
         let deadline = now + Duration::from_secs(60);
-        queue.offer(now, demand("late", Priority::Normal, deadline))
+        queue.enqueue(now, demand("late", Priority::Normal, deadline))
     };
 
     let soon = offer(&mut queue, start + Duration::from_millis(200));
     let later = offer(&mut queue, start + Duration::from_secs(10));
 
-    assert!(matches!(soon, Offer::Queued(_)), "{soon:?}");
+    assert!(matches!(soon, EnqueueResult::Queued(_)), "{soon:?}");
     assert_eq!(refused(later), Kind::DeadlineUnmeetable);
 }
