--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -5,7 +5,7 @@
 use std::{hint::black_box, sync::Arc, time::Duration, time::Instant};
 
 use cranberrytally::{
-    admit::{Cap, Demand, EnqueueResult, FairQueue, Priority, QueueLimits, Scope, Usage},
+    admit::{ConcurrencyLimit, Demand, EnqueueResult, FairQueue, InFlight, Priority, QueueLimits, Scope},
     retry::{Attempts, Budget, Policy, Reason},
     suspect::{CrashId, Fingerprint, Permits, Table},
 };
@@ -153,13 +153,13 @@
         });
     }
     let caps = [
-        Cap { scope: Scope::Workspace("workspace-1".into()), max: 100 },
-        Cap { scope: Scope::Group("group-1".into()), max: 400 },
+        ConcurrencyLimit { scope: Scope::Workspace("workspace-1".into()), max: 100 },
+        ConcurrencyLimit { scope: Scope::Group("group-1".into()), max: 400 },
     ];
-    let mut usage = Usage::default();
+    let mut usage = InFlight::default();
     report("limits of a workspace and a group", || {
-        let _ = black_box(usage.enter(&caps, 8));
-        usage.leave(&caps);
+        let _ = black_box(usage.acquire(&caps, 8));
+        usage.release(&caps);
     });
     let (policy, mut budget) = (Policy::default(), Budget::default());
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
--- a/src/admit.rs
+++ b/src/admit.rs
@@ -12,7 +12,7 @@
 pub mod queue;
 mod rate;
 
-pub use limit::{Cap, Scope, Usage};
+pub use limit::{ConcurrencyLimit, InFlight, Scope};
 pub use queue::{EnqueueResult, FairQueue, Ticket};
 
 /// Expected tokens of a request, prompt and answer.
--- a/src/admit/limit.rs
+++ b/src/admit/limit.rs
@@ -24,14 +24,14 @@
 
 /// A limit of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Cap {
+pub struct ConcurrencyLimit {
     /// What it applies to.
     pub scope: Scope,
     /// Requests in progress over the whole fleet.
     pub max: u32,
 }
 
-impl Cap {
+impl ConcurrencyLimit {
     /// This router's part of the limit. Rounded up, so that a limit below the number of routers still lets
     /// some request through; the fleet exceeds the limit by less than one request a router.
     fn share(&self, routers: u32) -> u32 {
@@ -41,29 +41,31 @@
 
 /// Requests in progress, waiting or running, by scope. Only scopes with a limit are counted.
 #[derive(Debug, Default)]
-pub struct Usage {
+pub struct InFlight {
     running: Map<Scope, u32>,
 }
 
-impl Usage {
+impl InFlight {
     /// Counts a request, or says which limit it would exceed; then nothing is counted.
     ///
     /// # Errors
     /// [`Kind::WorkspaceLimit`] or [`Kind::GroupLimit`].
-    pub fn enter(&mut self, caps: &[Cap], routers: u32) -> Result<(), Kind> {
-        let full = |cap: &&Cap| self.running.get(&cap.scope).copied().unwrap_or(0) >= cap.share(routers);
-        if let Some(cap) = caps.iter().find(full) {
+    pub fn acquire(&mut self, limits: &[ConcurrencyLimit], routers: u32) -> Result<(), Kind> {
+        let full = |cap: &&ConcurrencyLimit| {
+            self.running.get(&cap.scope).copied().unwrap_or(0) >= cap.share(routers)
+        };
+        if let Some(cap) = limits.iter().find(full) {
             return Err(cap.scope.kind());
         }
-        for cap in caps {
+        for cap in limits {
             *self.running.entry(cap.scope.clone()).or_default() += 1;
         }
         Ok(())
     }
 
     /// Ends the count of a request that entered with the same limits.
-    pub fn leave(&mut self, caps: &[Cap]) {
-        for cap in caps {
+    pub fn release(&mut self, limits: &[ConcurrencyLimit]) {
+        for cap in limits {
             if let Some(n) = self.running.get_mut(&cap.scope) {
                 *n -= 1;
                 if *n == 0 {
--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -8,7 +8,7 @@
 use slotmap::{SlotMap, new_key_type};
 
 use crate::{
-    admit::{Cap, Scope},
+    admit::{ConcurrencyLimit, Scope},
     place::rank::Ranking,
     schema::object as raw,
     util::{Map, hash},
@@ -154,7 +154,7 @@
     pools_by_id: Map<Id, Arc<str>>,
     policies: Vec<Policy>,
     workspaces: Map<Arc<str>, Labels>,
-    caps: Map<Arc<str>, Arc<[Cap]>>,
+    concurrency_limits: Map<Arc<str>, Arc<[ConcurrencyLimit]>>,
     /// Policies that select the workspace, by position in `policies`, highest rank first.
     routes: Map<Arc<str>, Vec<usize>>,
     services: Map<Arc<str>, Service>,
@@ -186,8 +186,9 @@
     /// Adds a limit to a workspace; 0 means that there is none.
     fn limit(&mut self, workspace: &Arc<str>, scope: Scope, max: u32) {
         if max > 0 {
-            let caps = self.caps.entry(workspace.clone()).or_default();
-            *caps = caps.iter().cloned().chain([Cap { scope, max }]).collect();
+            let concurrency_limits = self.concurrency_limits.entry(workspace.clone()).or_default();
+            *concurrency_limits =
+                concurrency_limits.iter().cloned().chain([ConcurrencyLimit { scope, max }]).collect();
         }
     }
 
@@ -203,8 +204,8 @@
     }
 
     /// Limits on the requests that a workspace has in progress, its own and those of its groups.
-    pub fn caps(&self, workspace: &str) -> Arc<[Cap]> {
-        self.caps.get(workspace).cloned().unwrap_or_default()
+    pub fn concurrency_limits(&self, workspace: &str) -> Arc<[ConcurrencyLimit]> {
+        self.concurrency_limits.get(workspace).cloned().unwrap_or_default()
     }
 
     fn add_base(&mut self, obj: &AnyObject) -> Result<()> {
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -219,7 +219,7 @@
     /// Counts a request against the limits of its workspace, of which each router keeps its share.
     fn enter(&self, cat: &Catalog, ask: &Ask) -> Result<Entered, Fault> {
         let routers = u32::try_from(read(&self.routers).len()).unwrap_or(u32::MAX);
-        self.admission.enter(cat.caps(&ask.workspace), routers, ask)
+        self.admission.enter(cat.concurrency_limits(&ask.workspace), routers, ask)
     }
 
     /// A ticket under which a caller may make idempotency keys that stay usable while the platform is out.
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -10,7 +10,7 @@
 
 use super::{ask::Ask, lock, read};
 use crate::{
-    admit::{Cap, EnqueueResult, FairQueue, Refusal, Ticket, Usage, Work},
+    admit::{ConcurrencyLimit, EnqueueResult, FairQueue, InFlight, Refusal, Ticket, Work},
     error::Fault,
     retry::spread,
     util::{Instant, Map, now},
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     queues: RwLock<Map<Arc<str>, Arc<Queue>>>,
-    usage: Arc<Mutex<Usage>>,
+    usage: Arc<Mutex<InFlight>>,
 }
 
 impl Admission {
@@ -43,9 +43,14 @@
     ///
     /// # Errors
     /// When a limit is reached.
-    pub(crate) fn enter(&self, caps: Arc<[Cap]>, routers: u32, ask: &Ask) -> Result<Entered, Fault> {
+    pub(crate) fn enter(
+        &self,
+        caps: Arc<[ConcurrencyLimit]>,
+        routers: u32,
+        ask: &Ask,
+    ) -> Result<Entered, Fault> {
         if !caps.is_empty() {
-            let entered = lock(&self.usage).enter(&caps, routers);
+            let entered = lock(&self.usage).acquire(&caps, routers);
             entered.map_err(|kind| {
                 Fault::new(kind, format!("workspace {:?} has too many requests in progress", ask.workspace))
             })?;
@@ -57,14 +62,14 @@
 /// A request that counts against the limits of its workspace until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Entered {
-    caps: Arc<[Cap]>,
-    usage: Arc<Mutex<Usage>>,
+    caps: Arc<[ConcurrencyLimit]>,
+    usage: Arc<Mutex<InFlight>>,
 }
 
 impl Drop for Entered {
     fn drop(&mut self) {
         if !self.caps.is_empty() {
-            lock(&self.usage).leave(&self.caps);
+            lock(&self.usage).release(&self.caps);
         }
     }
 }
--- a/tests/admit.rs
+++ b/tests/admit.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use cranberrytally::{
-    admit::{Cap, Demand, EnqueueResult, FairQueue, Priority, QueueLimits, Scope, Ticket, Usage},
+    admit::{
+        ConcurrencyLimit, Demand, EnqueueResult, FairQueue, InFlight, Priority, QueueLimits, Scope, Ticket,
+    },
     error::Kind,
 };
 
@@ -211,30 +213,30 @@
 
 #[test]
 fn limits_count_requests_in_progress() {
-    let caps = [
-        Cap { scope: Scope::Workspace("a".into()), max: 2 },
-        Cap { scope: Scope::Group("g".into()), max: 3 },
+    let limits = [
+        ConcurrencyLimit { scope: Scope::Workspace("a".into()), max: 2 },
+        ConcurrencyLimit { scope: Scope::Group("g".into()), max: 3 },
     ];
-    let mut usage = Usage::default();
-    assert_eq!(usage.enter(&caps, 1), Ok(()));
-    assert_eq!(usage.enter(&caps, 1), Ok(()));
-
-    assert_eq!(usage.enter(&caps, 1), Err(Kind::WorkspaceLimit));
-    assert_eq!(usage.enter(&caps[1..], 1), Ok(()), "a refused request is not counted");
-    assert_eq!(usage.enter(&caps[1..], 1), Err(Kind::GroupLimit));
-    usage.leave(&caps);
-    usage.leave(&caps);
-    usage.leave(&caps[1..]);
-    assert!(usage.is_empty());
+    let mut in_flight = InFlight::default();
+    assert_eq!(in_flight.acquire(&limits, 1), Ok(()));
+    assert_eq!(in_flight.acquire(&limits, 1), Ok(()));
+
+    assert_eq!(in_flight.acquire(&limits, 1), Err(Kind::WorkspaceLimit));
+    assert_eq!(in_flight.acquire(&limits[1..], 1), Ok(()), "a refused request is not counted");
+    assert_eq!(in_flight.acquire(&limits[1..], 1), Err(Kind::GroupLimit));
+    in_flight.release(&limits);
+    in_flight.release(&limits);
+    in_flight.release(&limits[1..]);
+    assert!(in_flight.is_empty());
 }
 
 #[test]
 fn a_limit_is_shared_by_the_routers() {
-    let caps = [Cap { scope: Scope::Workspace("a".into()), max: 10 }];
+    let limits = [ConcurrencyLimit { scope: Scope::Workspace("a".into()), max: 10 }];
     for (routers, share) in [(1, 10), (3, 4), (20, 1)] {
-        let mut usage = Usage::default();
+        let mut in_flight = InFlight::default();
 
-        let entered = (0..100).take_while(|_| usage.enter(&caps, routers).is_ok()).count();
+        let entered = (0..100).take_while(|_| in_flight.acquire(&limits, routers).is_ok()).count();
 
         assert_eq!(entered, share, "{routers} routers");
     }
