--- a/benches/admission/storm.rs
+++ b/benches/admission/storm.rs
@@ -4,7 +4,7 @@
 
 use cranberrytally::{
     catalog::Id,
-    retry::{Attempts, Avoid, Budget, Policy, Reason},
+    retry::{Attempts, Budget, Cooldowns, Policy, Reason},
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -96,7 +96,7 @@
 impl Router<'_> {
     fn serve(&mut self, carried: u32, made: &mut u32, figures: &mut Figures, rng: &mut ChaCha8Rng) -> bool {
         let mut endless = Budget::new(0.0, u32::MAX);
-        let bounded = matches!(self.bound, Bound::Budget | Bound::Avoid);
+        let bounded = matches!(self.bound, Bound::Budget | Bound::Cooldowns);
         let budget = if bounded { &mut *self.budget } else { &mut endless };
         let limit = if self.bound == Bound::Unbounded { u32::MAX } else { 3 };
         let policy = Policy::default().with_attempts(limit);
@@ -106,17 +106,17 @@
         };
         let mut tried = Vec::new();
         loop {
-            let avoid = if self.bound == Bound::Avoid { self.avoid.list(self.now) } else { Vec::new() };
+            let avoid = if self.bound == Bound::Cooldowns { self.avoid.active(self.now) } else { Vec::new() };
             let engine = pick(self.bound, &tried, &avoid, rng);
             tried.push(engine);
             attempts.start();
             figures.attempts += 1;
             *made = attempts.made();
             if engine >= FAILING {
-                self.avoid.answer(id(engine));
+                self.avoid.record_success(id(engine));
                 return true;
             }
-            self.avoid.fail(self.now, id(engine));
+            self.avoid.record_failure(self.now, id(engine));
             if attempts.fail(&policy, budget, self.now, Reason::ConnectFailed, rng).is_err() {
                 return false;
             }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -26,7 +26,7 @@
     objects::Platform,
     place::hint::HintKey,
     probe::{EngineView, State},
-    retry::{Avoid, Budget, Policy},
+    retry::{Cooldowns, Budget, Policy},
     schema::{
         claim::{ClaimAnswer, ClaimCall},
         link::frame::Body,
@@ -80,7 +80,7 @@
     suspects: Arc<Suspects>,
     retry_policy: Policy,
     budget: Mutex<Budget>,
-    avoid: Mutex<Avoid>,
+    avoid: Mutex<Cooldowns>,
     /// Engines to which dispatches could not connect, until the probes are told.
     unreached: Mutex<Vec<Arc<str>>>,
     /// Asks engines that changed owner for their load.
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -112,11 +112,11 @@
             let reason = match tokio::time::timeout(left, to.send(engine, &request)).await {
                 Ok(Ok(res)) if Unsent::from_head(&res).is_some() => Reason::EngineRefused,
                 Ok(Ok(res)) => {
-                    lock(&self.avoid).answer(engine.id);
+                    lock(&self.avoid).record_success(engine.id);
                     return Ok(Started { res, found, run, request, attempts: attempts.made() });
                 }
                 Ok(Err(Failure::Connect)) => {
-                    lock(&self.avoid).fail(now(), engine.id);
+                    lock(&self.avoid).record_failure(now(), engine.id);
                     lock(&self.unreached).push(engine.name.clone());
                     Reason::ConnectFailed
                 }
@@ -206,7 +206,7 @@
         to: &impl Backends,
         tried: &[Id],
     ) -> Result<Found, Fault> {
-        let avoid = lock(&self.avoid).list(now());
+        let avoid = lock(&self.avoid).active(now());
         let mut last = no_engine();
         for exclude in [&[tried, &avoid].concat()[..], tried, &[]] {
             let find = || async { to.find(exclude, Queued::Yes).await.map_err(no_room) };
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -12,10 +12,10 @@
     util::Instant,
 };
 
-pub mod avoid;
+pub mod cooldown;
 pub mod budget;
 
-pub use avoid::Avoid;
+pub use cooldown::Cooldowns;
 pub use budget::Budget;
 
 /// Why an attempt failed.
--- a/src/retry/avoid.rs
+++ b/src/retry/cooldown.rs
@@ -21,13 +21,13 @@
 /// Until the probes of a failed engine have agreed, each request that prefers it would spend an attempt on it and
 /// a retry of the budget, and soon every request that meets it would be refused.
 #[derive(Clone, Debug, Default)]
-pub struct Avoid {
+pub struct Cooldowns {
     engines: Map<Id, Failed>,
 }
 
-impl Avoid {
+impl Cooldowns {
     /// Notes that an engine could not be reached; the pause doubles with each further failure.
-    pub fn fail(&mut self, now: Instant, engine: Id) {
+    pub fn record_failure(&mut self, now: Instant, engine: Id) {
         let pause = match self.engines.get(&engine) {
             // Requests that were under way at the same time are one failure.
             Some(failed) if failed.until > now => return,
@@ -38,12 +38,12 @@
     }
 
     /// Notes that an engine answered.
-    pub fn answer(&mut self, engine: Id) {
+    pub fn record_success(&mut self, engine: Id) {
         self.engines.remove(&engine);
     }
 
     /// Engines to keep away from.
-    pub fn list(&self, now: Instant) -> Vec<Id> {
+    pub fn active(&self, now: Instant) -> Vec<Id> {
         self.engines.iter().filter(|(_, f)| f.until > now).map(|(id, _)| *id).collect()
     }
 
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     catalog::Id,
     error::{Kind, Ran},
-    retry::{Attempts, Avoid, Budget, Policy, Reason, spread},
+    retry::{Attempts, Budget, Cooldowns, Policy, Reason, spread},
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -133,17 +133,17 @@
 /// time; each further failure doubles that, and an answer ends it.
 #[test]
 fn an_engine_that_can_not_be_reached_is_avoided_for_a_while() {
-    let (mut avoid, engine) = (Avoid::default(), Id::of("engine-0"));
+    let (mut cooldowns, engine) = (Cooldowns::default(), Id::of("engine-0"));
     let second = Duration::from_secs(1);
     for _ in 0..10 {
-        avoid.fail(Duration::ZERO, engine);
+        cooldowns.record_failure(Duration::ZERO, engine);
     }
-    assert_eq!(avoid.list(second / 2), [engine]);
-    assert!(avoid.list(second).is_empty());
+    assert_eq!(cooldowns.active(second / 2), [engine]);
+    assert!(cooldowns.active(second).is_empty());
 
-    avoid.fail(second, engine);
+    cooldowns.record_failure(second, engine);
 
-    assert_eq!(avoid.list(second * 5 / 2), [engine]);
-    avoid.answer(engine);
-    assert!(avoid.list(second).is_empty());
+    assert_eq!(cooldowns.active(second * 5 / 2), [engine]);
+    cooldowns.record_success(engine);
+    assert!(cooldowns.active(second).is_empty());
 }
