--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -165,9 +165,15 @@
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     report("attempt and retry", || {
         let deadline = Duration::from_secs(1);
-        if let Ok(mut a) = Attempts::arrive(&policy, &mut budget, 0, true, deadline) {
-            a.start();
-            let _ = black_box(a.fail(&policy, &mut budget, Duration::ZERO, Reason::ConnectFailed, &mut rng));
+        if let Ok(mut a) = Attempts::begin(&policy, &mut budget, 0, true, deadline) {
+            a.record_start();
+            let _ = black_box(a.record_failure(
+                &policy,
+                &mut budget,
+                Duration::ZERO,
+                Reason::ConnectFailed,
+                &mut rng,
+            ));
         }
     });
     let body =
--- a/benches/admission/storm.rs
+++ b/benches/admission/storm.rs
@@ -63,7 +63,7 @@
 pub fn run(bound: Bound, seed: u64) -> Figures {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut budgets = [Budget::new(RATIO, BURST); ROUTERS];
-    let mut avoids = vec![Avoid::default(); ROUTERS];
+    let mut avoids = vec![Cooldowns::default(); ROUTERS];
     let mut figures = Figures::default();
     for i in 0..REQUESTS {
         let now = PERIOD * i as u32;
@@ -90,26 +90,26 @@
     bound: Bound,
     now: Duration,
     budget: &'a mut Budget,
-    avoid: &'a mut Avoid,
+    avoid: &'a mut Cooldowns,
 }
 
 impl Router<'_> {
     fn serve(&mut self, carried: u32, made: &mut u32, figures: &mut Figures, rng: &mut ChaCha8Rng) -> bool {
         let mut endless = Budget::new(0.0, u32::MAX);
-        let bounded = matches!(self.bound, Bound::Budget | Bound::Cooldowns);
+        let bounded = matches!(self.bound, Bound::Budget | Bound::Avoid);
         let budget = if bounded { &mut *self.budget } else { &mut endless };
         let limit = if self.bound == Bound::Unbounded { u32::MAX } else { 3 };
         let policy = Policy::default().with_attempts(limit);
         let deadline = self.now + DEADLINE;
-        let Ok(mut attempts) = Attempts::arrive(&policy, budget, carried, true, deadline) else {
+        let Ok(mut attempts) = Attempts::begin(&policy, budget, carried, true, deadline) else {
             return false;
         };
         let mut tried = Vec::new();
         loop {
-            let avoid = if self.bound == Bound::Cooldowns { self.avoid.active(self.now) } else { Vec::new() };
+            let avoid = if self.bound == Bound::Avoid { self.avoid.active(self.now) } else { Vec::new() };
             let engine = pick(self.bound, &tried, &avoid, rng);
             tried.push(engine);
-            attempts.start();
+            attempts.record_start();
             figures.attempts += 1;
             *made = attempts.made();
             if engine >= FAILING {
@@ -117,7 +117,7 @@
                 return true;
             }
             self.avoid.record_failure(self.now, id(engine));
-            if attempts.fail(&policy, budget, self.now, Reason::ConnectFailed, rng).is_err() {
+            if attempts.record_failure(&policy, budget, self.now, Reason::ConnectFailed, rng).is_err() {
                 return false;
             }
         }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -26,7 +26,7 @@
     objects::Platform,
     place::hint::HintKey,
     probe::{EngineView, State},
-    retry::{Cooldowns, Budget, Policy},
+    retry::{Budget, Cooldowns, Policy},
     schema::{
         claim::{ClaimAnswer, ClaimCall},
         link::frame::Body,
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -12,7 +12,7 @@
 use crate::{
     admit::{ConcurrencyLimit, EnqueueResult, FairQueue, InFlight, Refusal, Ticket, Work},
     error::Fault,
-    retry::spread,
+    retry::jitter,
     util::{Instant, Map, now},
 };
 
@@ -239,6 +239,6 @@
 
 /// Refused callers are told different times, so that they don't come back together.
 fn fault(refusal: Refusal) -> Fault {
-    let after = refusal.retry_after + spread(refusal.retry_after, &mut rand::rng());
+    let after = refusal.retry_after + jitter(refusal.retry_after, &mut rand::rng());
     Fault::new(refusal.kind, refusal.kind.answer().about).with_retry_after(after)
 }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -20,7 +20,7 @@
     error::{Fault, Kind},
     metrics::Counter,
     outcome::Unsent,
-    retry::{Attempts, Denied, Reason, spread},
+    retry::{Attempts, Denied, Reason, jitter},
     suspect::{Standing, Verdict},
     util::now,
 };
@@ -104,7 +104,7 @@
             let engine = cat.engine(found.engine);
             tried.push(engine.id);
             let run = self.suspects.start(engine, ask, queue, permit);
-            attempts.start();
+            attempts.record_start();
             // An answer, a line of the log and a run at the engine are joined by this name. It is the attempt's own: a
             // late event of an earlier attempt must not pass for one of this.
             let request = format!("{}-{}", ask.id, attempts.made());
@@ -134,7 +134,7 @@
     fn arrive(&self, ask: &Ask, idempotent: bool) -> Result<Attempts, Fault> {
         let mut budget = lock(&self.budget);
         let arrived =
-            Attempts::arrive(&self.retry_policy, &mut budget, ask.attempts, idempotent, ask.deadline);
+            Attempts::begin(&self.retry_policy, &mut budget, ask.attempts, idempotent, ask.deadline);
         match arrived {
             Ok(attempts) if ask.attempts > 0 => {
                 self.metrics.retry(Reason::Caller.as_str());
@@ -150,8 +150,13 @@
 
     /// Waits before the next attempt, or ends with the final answer at once.
     async fn back_off(&self, attempts: &mut Attempts, reason: Reason) -> Result<(), Fault> {
-        let decided =
-            attempts.fail(&self.retry_policy, &mut lock(&self.budget), now(), reason, &mut rand::rng());
+        let decided = attempts.record_failure(
+            &self.retry_policy,
+            &mut lock(&self.budget),
+            now(),
+            reason,
+            &mut rand::rng(),
+        );
         match decided {
             Ok(pause) => {
                 self.metrics.retry(reason.as_str());
@@ -237,7 +242,7 @@
                 Permitted::OnlyAvoided if avoid.len() > unsteady.len() => avoid.clone_from(&unsteady),
                 Permitted::OnlyAvoided => avoid.clear(),
             }
-            let pause = spread(SUSPECT_PAUSE, &mut rand::rng());
+            let pause = jitter(SUSPECT_PAUSE, &mut rand::rng());
             tokio::time::sleep(pause).await;
             if self.suspects.standing(ask.content) == Standing::Quarantined {
                 return Err(self.suspects.refuse(ask.content));
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -12,11 +12,11 @@
     util::Instant,
 };
 
-pub mod cooldown;
 pub mod budget;
+pub mod cooldown;
 
-pub use cooldown::Cooldowns;
 pub use budget::Budget;
+pub use cooldown::Cooldowns;
 
 /// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -84,7 +84,7 @@
     }
 
     /// Sets the longest back-off before the first retry and before any.
-    pub fn with_back_off(self, base: Duration, most: Duration) -> Self {
+    pub fn with_backoff(self, base: Duration, most: Duration) -> Self {
         Self { base, most, ..self }
     }
 }
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     /// When the caller's retry exceeds the attempt limit or the budget.
-    pub fn arrive(
+    pub fn begin(
         policy: &Policy,
         budget: &mut Budget,
         made: u32,
@@ -136,7 +136,7 @@
     }
 
     /// Counts an attempt that starts.
-    pub fn start(&mut self) {
+    pub fn record_start(&mut self) {
         self.made += 1;
     }
 
@@ -144,7 +144,7 @@
     ///
     /// # Errors
     /// When the attempt may have run and the request is not idempotent, or a bound is reached.
-    pub fn fail(
+    pub fn record_failure(
         &mut self,
         policy: &Policy,
         budget: &mut Budget,
@@ -159,7 +159,7 @@
         if self.made >= policy.attempts {
             return Err(self.denied(Kind::AttemptLimit));
         }
-        let pause = back_off(policy, self.made, rng);
+        let pause = backoff(policy, self.made, rng);
         if now + pause >= self.deadline {
             return Err(self.denied(Kind::DeadlinePassed));
         }
@@ -176,12 +176,12 @@
 }
 
 /// Random pause, its range doubling with each attempt: routers that failed together don't retry together.
-fn back_off(policy: &Policy, made: u32, rng: &mut impl Rng) -> Duration {
+fn backoff(policy: &Policy, made: u32, rng: &mut impl Rng) -> Duration {
     let doubled = policy.base.saturating_mul(1 << made.saturating_sub(1).min(16));
-    spread(doubled.min(policy.most), rng)
+    jitter(doubled.min(policy.most), rng)
 }
 
 /// Random part of `most`, at least half of it.
-pub fn spread(most: Duration, rng: &mut impl Rng) -> Duration {
+pub fn jitter(most: Duration, rng: &mut impl Rng) -> Duration {
     most.mul_f64(rng.random_range(0.5..=1.0))
 }
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     catalog::Id,
     error::{Kind, Ran},
-    retry::{Attempts, Budget, Cooldowns, Policy, Reason, spread},
+    retry::{Attempts, Budget, Cooldowns, Policy, Reason, jitter},
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -16,13 +16,14 @@
     ChaCha8Rng::seed_from_u64(1)
 }
 
-fn arrive(made: u32, idempotent: bool) -> Attempts {
-    Attempts::arrive(&Policy::default(), &mut Budget::default(), made, idempotent, DEADLINE).unwrap()
+fn begin(made: u32, idempotent: bool) -> Attempts {
+    Attempts::begin(&Policy::default(), &mut Budget::default(), made, idempotent, DEADLINE).unwrap()
 }
 
 fn fail(a: &mut Attempts, budget: &mut Budget, reason: Reason) -> Result<Duration, (Kind, Kind)> {
-    a.start();
-    a.fail(&Policy::default(), budget, Duration::ZERO, reason, &mut rng()).map_err(|d| (d.reason, d.answer))
+    a.record_start();
+    a.record_failure(&Policy::default(), budget, Duration::ZERO, reason, &mut rng())
+        .map_err(|d| (d.reason, d.answer))
 }
 
 #[test]
@@ -36,7 +37,7 @@
         (Reason::EngineFailed, true, true),
     ];
     for (reason, idempotent, again) in table {
-        let decided = fail(&mut arrive(0, idempotent), &mut Budget::default(), reason);
+        let decided = fail(&mut begin(0, idempotent), &mut Budget::default(), reason);
 
         assert_eq!(decided.is_ok(), again, "{reason:?}, idempotent: {idempotent}");
     }
@@ -46,7 +47,7 @@
 /// "Not run" would make the caller book again.
 #[test]
 fn not_run_is_never_said_after_an_attempt_that_may_have_run() {
-    let mut a = arrive(0, true);
+    let mut a = begin(0, true);
     let mut budget = Budget::new(0.1, 1);
     assert!(fail(&mut a, &mut budget, Reason::EngineFailed).is_ok());
 
@@ -60,7 +61,7 @@
 /// proof that the second attempt did not run must not allow a third.
 #[test]
 fn a_later_proof_does_not_excuse_an_earlier_attempt() {
-    let mut a = arrive(0, false);
+    let mut a = begin(0, false);
     assert!(fail(&mut a, &mut Budget::default(), Reason::EngineFailed).is_err());
 
     assert!(fail(&mut a, &mut Budget::default(), Reason::ConnectFailed).is_err());
@@ -70,16 +71,15 @@
 /// cost three attempts a router; the count that it carries ends it after three in all.
 #[test]
 fn attempts_count_over_all_hops() {
-    let mut a = arrive(0, true);
+    let mut a = begin(0, true);
     let mut budget = Budget::default();
     assert!(fail(&mut a, &mut budget, Reason::ConnectFailed).is_ok());
     assert!(fail(&mut a, &mut budget, Reason::ConnectFailed).is_ok());
     assert_eq!(a.made(), 2);
 
-    let mut elsewhere = arrive(a.made(), true);
+    let mut elsewhere = begin(a.made(), true);
     let (reason, _) = fail(&mut elsewhere, &mut Budget::default(), Reason::ConnectFailed).unwrap_err();
-    let again =
-        Attempts::arrive(&Policy::default(), &mut Budget::default(), elsewhere.made(), true, DEADLINE);
+    let again = Attempts::begin(&Policy::default(), &mut Budget::default(), elsewhere.made(), true, DEADLINE);
 
     assert_eq!(reason, Kind::AttemptLimit);
     assert_eq!(again.err(), Some(Kind::AttemptLimit));
@@ -100,20 +100,25 @@
 fn a_callers_own_retry_takes_from_the_budget() {
     let mut budget = Budget::new(0.1, 1);
     let policy = Policy::default();
-    assert!(Attempts::arrive(&policy, &mut budget, 1, true, DEADLINE).is_ok());
+    assert!(Attempts::begin(&policy, &mut budget, 1, true, DEADLINE).is_ok());
 
-    let refused = Attempts::arrive(&policy, &mut budget, 1, true, DEADLINE);
+    let refused = Attempts::begin(&policy, &mut budget, 1, true, DEADLINE);
 
     assert_eq!(refused.err(), Some(Kind::RetryBudget));
 }
 
 #[test]
 fn a_retry_that_would_start_after_the_deadline_is_not_made() {
-    let mut a = arrive(0, true);
-    a.start();
+    let mut a = begin(0, true);
+    a.record_start();
 
-    let denied =
-        a.fail(&Policy::default(), &mut Budget::default(), DEADLINE, Reason::ConnectFailed, &mut rng());
+    let denied = a.record_failure(
+        &Policy::default(),
+        &mut Budget::default(),
+        DEADLINE,
+        Reason::ConnectFailed,
+        &mut rng(),
+    );
 
     assert_eq!(denied.unwrap_err().reason, Kind::DeadlinePassed);
 }
@@ -123,7 +128,7 @@
     let most = Duration::from_millis(100);
     let mut rng = rng();
 
-    let pauses: Vec<_> = (0..100).map(|_| spread(most, &mut rng)).collect();
+    let pauses: Vec<_> = (0..100).map(|_| jitter(most, &mut rng)).collect();
 
     assert!(pauses.iter().all(|p| *p >= most / 2 && *p <= most));
     assert!(pauses.windows(2).any(|w| w[0] != w[1]));
