--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -184,7 +184,7 @@
     });
     let mut table = Table::default();
     let contents: Vec<_> = (0..4096u32).map(|i| Fingerprint::call("/", &i.to_le_bytes())).collect();
-    table.accuse(Duration::ZERO, &contents, CrashId::new("engine", "1"));
+    table.mark_suspects(Duration::ZERO, &contents, CrashId::new("engine", "1"));
     let mut i = 0;
     report("standing, table of 4096", || {
         i = (i + 1) % contents.len();
--- a/benches/admission/crash.rs
+++ b/benches/admission/crash.rs
@@ -300,7 +300,7 @@
 
     fn steady(&self, router: usize, mut engines: Vec<usize>) -> Vec<usize> {
         if self.cfg.steady_only {
-            let unsteady = self.routers[router].table.unsteady(self.now);
+            let unsteady = self.routers[router].table.unstable_engines(self.now);
             engines.retain(|&e| !unsteady.contains(&EngineTag::new(&self.names[e])));
         }
         engines
@@ -405,15 +405,15 @@
             let contents = self.routers[router].running.at(&self.names[engine]);
             match alone {
                 Some(r) => {
-                    self.routers[router].table.judge(self.now, r.content, &contents, crash);
+                    self.routers[router].table.record_isolated_crash(self.now, r.content, &contents, crash);
                 }
                 None => {
-                    self.routers[router].table.accuse(self.now, &contents, crash);
+                    self.routers[router].table.mark_suspects(self.now, &contents, crash);
                 }
             }
             if matches!(self.cfg.guard, Guard::News | Guard::Full) {
                 let all = (0..self.cfg.routers).filter(|&r| r != router).collect::<Vec<_>>();
-                let news = self.routers[router].table.news(self.now, NEWS);
+                let news = self.routers[router].table.unsent(self.now, NEWS);
                 self.tell(news, &all);
             }
         }
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -76,7 +76,7 @@
 
     /// Engines on which a suspect should not run, since they broke lately.
     pub(crate) fn unsteady(&self, engines: impl IntoIterator<Item = (Id, Arc<str>)>) -> Vec<Id> {
-        let unsteady = lock(&self.table).unsteady(now());
+        let unsteady = lock(&self.table).unstable_engines(now());
         let listed = |name: &str| unsteady.contains(&EngineTag::new(name));
         engines.into_iter().filter(|(_, name)| listed(name)).map(|(id, _)| id).collect()
     }
@@ -202,7 +202,7 @@
     /// Tells the other routers of the region at once: the caller of a crashing request may send it to another
     /// router within milliseconds, and gossip takes a second.
     fn tell(self: &Arc<Self>) {
-        let digest = lock(&self.table).news(now(), NEWS);
+        let digest = lock(&self.table).unsent(now(), NEWS);
         if digest.entries.is_empty() {
             return;
         }
@@ -222,7 +222,7 @@
         let before = self.start_of(engine);
         let crash = crash_id(engine, before);
         let contents = lock(&self.running).at(&engine.name);
-        if lock(&self.table).accuse(now(), &contents, crash) {
+        if lock(&self.table).mark_suspects(now(), &contents, crash) {
             let (name, n) = (&engine.name, contents.len());
             spdlog::warn!("connection to {name} broke; {n} requests are suspects of a crash");
             tokio::spawn(self.clone().follow_up(engine.clone(), before, crash));
--- a/src/gateway/suspects/run.rs
+++ b/src/gateway/suspects/run.rs
@@ -71,7 +71,8 @@
             return;
         }
         let contents = lock(&self.suspects.running).at(&self.engine.name);
-        let standing = lock(&self.suspects.table).judge(now(), self.content, &contents, crash);
+        let standing =
+            lock(&self.suspects.table).record_isolated_crash(now(), self.content, &contents, crash);
         let (engine, Fingerprint(content)) = (&self.engine.name, self.content);
         let standing = standing.as_str_name();
         spdlog::warn!("{engine} crashed while it ran suspect {content:016x} alone: {standing}");
--- a/src/gateway/suspects/watch.rs
+++ b/src/gateway/suspects/watch.rs
@@ -75,7 +75,7 @@
         for _ in 0..FOLLOW_UPS {
             match self.probe(&engine, before).await {
                 Probe::SameStart => {
-                    lock(&self.table).withdraw(now(), crash);
+                    lock(&self.table).retract_crash(now(), crash);
                     return self.tell();
                 }
                 Probe::OtherStart | Probe::Unknown => return,
--- a/src/suspect/breaks.rs
+++ b/src/suspect/breaks.rs
@@ -37,7 +37,7 @@
     }
 
     /// Turns a crash into a mere cut of connections.
-    pub(super) fn withdraw(&mut self, now: Instant, crash: CrashId, keep: Duration) {
+    pub(super) fn retract_crash(&mut self, now: Instant, crash: CrashId, keep: Duration) {
         self.until.remove(&crash);
         self.cut.retain(|_, until| *until > now);
         self.cut.insert(crash.engine(), now + keep);
@@ -45,16 +45,16 @@
 
     /// Engines with a crash that no content is known to have caused, with several crashes or with cut
     /// connections; `except` does not count.
-    pub(super) fn unsteady(
+    pub(super) fn unstable_engines(
         &self,
         now: Instant,
-        explained: &Set<CrashId>,
+        attributed: &Set<CrashId>,
         except: Option<CrashId>,
     ) -> Set<EngineTag> {
         let mut crashes: Map<EngineTag, usize> = Map::default();
         let recent = self.until.iter().filter(|(c, until)| **until > now && Some(**c) != except);
         for (crash, _) in recent {
-            let weight = if explained.contains(crash) { 1 } else { FLAPPING };
+            let weight = if attributed.contains(crash) { 1 } else { FLAPPING };
             *crashes.entry(crash.engine()).or_default() += weight;
         }
         let cut = self.cut.iter().filter(|(_, until)| **until > now).map(|(engine, _)| *engine);
--- a/src/suspect/table.rs
+++ b/src/suspect/table.rs
@@ -47,7 +47,7 @@
     standing: Standing,
     until: Instant,
     crashes: Vec<CrashId>,
-    told: u32,
+    sends: u32,
 }
 
 /// Suspect, cleared and quarantined contents.
@@ -97,10 +97,10 @@
 
     /// Makes contents suspects of a crash, also when another content is blamed for it: the blame may be wrong, and
     /// an innocent only runs apart from other suspects until it completes. Returns whether the crash is news.
-    pub fn accuse(&mut self, now: Instant, contents: &[Fingerprint], crash: CrashId) -> bool {
+    pub fn mark_suspects(&mut self, now: Instant, contents: &[Fingerprint], crash: CrashId) -> bool {
         let new = self.breaks.note(now, crash, self.limits.suspect);
         for &content in contents {
-            self.accuse_one(now, content, crash);
+            self.mark_suspect(now, content, crash);
         }
         self.shrink(now);
         new
@@ -111,57 +111,57 @@
     ///
     /// A flapping engine breaks what it runs without any content's doing, and an innocent could meet two flaps
     /// in a row. So the crash is blamed on the content only where the engine was steady, or at its third crash.
-    pub fn judge(
+    pub fn record_isolated_crash(
         &mut self,
         now: Instant,
         content: Fingerprint,
         contents: &[Fingerprint],
         crash: CrashId,
     ) -> Standing {
-        let unsteady = self.breaks.unsteady(now, &self.explained(now), Some(crash));
-        self.accuse(now, contents, crash);
-        self.accuse_one(now, content, crash);
+        let unstable_engines = self.breaks.unstable_engines(now, &self.attributed(now), Some(crash));
+        self.mark_suspects(now, contents, crash);
+        self.mark_suspect(now, content, crash);
         let crashes = self.entries.get(&content).map_or(0, |e| e.crashes.len());
-        let twice = crashes >= 2 && !unsteady.contains(&crash.engine());
+        let twice = crashes >= 2 && !unstable_engines.contains(&crash.engine());
         if twice || crashes >= CRASHES {
-            self.convict(now, content);
+            self.quarantine(now, content);
         }
         self.shrink(now);
         self.standing(now, content)
     }
 
     /// Engines that crash lately without a known cause. Suspects should not run there.
-    pub fn unsteady(&self, now: Instant) -> Set<EngineTag> {
-        self.breaks.unsteady(now, &self.explained(now), None)
+    pub fn unstable_engines(&self, now: Instant) -> Set<EngineTag> {
+        self.breaks.unstable_engines(now, &self.attributed(now), None)
     }
 
     /// Crashes that are blamed on a quarantined content.
-    fn explained(&self, now: Instant) -> Set<CrashId> {
+    fn attributed(&self, now: Instant) -> Set<CrashId> {
         let guilty = |e: &&Entry| e.standing == Standing::Quarantined && e.until > now;
         self.entries.values().filter(guilty).flat_map(|e| e.crashes.iter().copied()).collect()
     }
 
     /// Quarantines a content. One that was blamed for the same crash before becomes a suspect again: only one of
     /// the two caused it, and the one that did will show itself.
-    fn convict(&mut self, now: Instant, content: Fingerprint) {
+    fn quarantine(&mut self, now: Instant, content: Fingerprint) {
         let until = now + self.limits.quarantine * 2;
         let Some(entry) = self.entries.get_mut(&content) else { return };
         if entry.standing == Standing::Quarantined {
             entry.epoch += 1;
         }
-        (entry.standing, entry.until, entry.told) = (Standing::Quarantined, until, 0);
+        (entry.standing, entry.until, entry.sends) = (Standing::Quarantined, until, 0);
         let crashes = entry.crashes.clone();
-        self.doubt_others(now, content, &crashes);
+        self.demote_others(now, content, &crashes);
     }
 
-    fn doubt_others(&mut self, now: Instant, content: Fingerprint, crashes: &[CrashId]) {
+    fn demote_others(&mut self, now: Instant, content: Fingerprint, crashes: &[CrashId]) {
         let until = now + self.limits.suspect;
         for (other, entry) in &mut self.entries {
             let shares = entry.crashes.iter().any(|c| crashes.contains(c));
             if *other != content && shares && entry.standing == Standing::Quarantined {
                 entry.epoch += 1;
                 entry.crashes.retain(|c| !crashes.contains(c));
-                (entry.standing, entry.until, entry.told) = (Standing::Suspect, until, 0);
+                (entry.standing, entry.until, entry.sends) = (Standing::Suspect, until, 0);
             }
         }
     }
@@ -175,13 +175,13 @@
         if entry.standing == Standing::Quarantined {
             entry.epoch += 1;
         }
-        (entry.standing, entry.told) = (Standing::Cleared, 0);
+        (entry.standing, entry.sends) = (Standing::Cleared, 0);
     }
 
     /// Takes an accusation back: the engine is still in the same start, so only the connection broke. A content
     /// that was quarantined for it is a suspect of what remains.
-    pub fn withdraw(&mut self, now: Instant, crash: CrashId) {
-        self.breaks.withdraw(now, crash, self.limits.suspect);
+    pub fn retract_crash(&mut self, now: Instant, crash: CrashId) {
+        self.breaks.retract_crash(now, crash, self.limits.suspect);
         for entry in self.entries.values_mut().filter(|e| e.crashes.contains(&crash)) {
             entry.crashes.retain(|c| *c != crash);
             if entry.standing == Standing::Quarantined {
@@ -190,25 +190,25 @@
             }
             let innocent = entry.crashes.is_empty() || entry.standing == Standing::Cleared;
             entry.standing = if innocent { Standing::Cleared } else { Standing::Suspect };
-            entry.told = 0;
+            entry.sends = 0;
         }
     }
 
     /// Part of the table for other routers, in at most `bytes` of postcard: what was told least goes first, and
     /// quarantined contents before suspects.
     pub fn digest(&mut self, now: Instant, bytes: usize) -> Digest {
-        self.pick(now, bytes, u32::MAX)
+        self.select(now, bytes, u32::MAX)
     }
 
     /// What has been told to nobody yet, in at most `bytes` of postcard.
-    pub fn news(&mut self, now: Instant, bytes: usize) -> Digest {
-        self.pick(now, bytes, 0)
+    pub fn unsent(&mut self, now: Instant, bytes: usize) -> Digest {
+        self.select(now, bytes, 0)
     }
 
-    fn pick(&mut self, now: Instant, bytes: usize, most_told: u32) -> Digest {
+    fn select(&mut self, now: Instant, bytes: usize, max_sends: u32) -> Digest {
         self.entries.retain(|_, e| e.until > now);
-        let mut order: Vec<_> = self.entries.iter().filter(|(_, e)| e.told <= most_told).collect();
-        order.sort_by_key(|(content, e)| (e.told, std::cmp::Reverse(e.standing), **content));
+        let mut order: Vec<_> = self.entries.iter().filter(|(_, e)| e.sends <= max_sends).collect();
+        order.sort_by_key(|(content, e)| (e.sends, std::cmp::Reverse(e.standing), **content));
         let mut digest = Digest { entries: Vec::new() };
         // The list's length takes at most two bytes for as many entries as a message holds.
         let mut size = 2;
@@ -222,7 +222,7 @@
         }
         for wire in &digest.entries {
             if let Some(entry) = self.entries.get_mut(&Fingerprint(wire.fingerprint)) {
-                entry.told = entry.told.saturating_add(1);
+                entry.sends = entry.sends.saturating_add(1);
             }
         }
         digest
@@ -249,18 +249,18 @@
         for &crash in &crashes {
             self.breaks.note(now, crash, self.limits.suspect);
         }
-        let entry = Entry { epoch: wire.epoch, standing, until, crashes, told: 0 };
+        let entry = Entry { epoch: wire.epoch, standing, until, crashes, sends: 0 };
         self.entries.insert(Fingerprint(wire.fingerprint), entry);
     }
 
-    fn accuse_one(&mut self, now: Instant, content: Fingerprint, crash: CrashId) {
+    fn mark_suspect(&mut self, now: Instant, content: Fingerprint, crash: CrashId) {
         let until = now + self.limits.suspect;
         let entry = self.entries.entry(content).or_insert_with(|| Entry {
             epoch: 0,
             standing: Standing::Cleared,
             until,
             crashes: Vec::new(),
-            told: 0,
+            sends: 0,
         });
         if entry.standing == Standing::Quarantined && entry.until > now {
             if !entry.crashes.contains(&crash) && entry.crashes.len() < CRASHES {
@@ -275,7 +275,7 @@
         if !entry.crashes.contains(&crash) && entry.crashes.len() < CRASHES {
             entry.crashes.push(crash);
         }
-        (entry.standing, entry.until, entry.told) = (Standing::Suspect, until, 0);
+        (entry.standing, entry.until, entry.sends) = (Standing::Suspect, until, 0);
     }
 
     /// Keeps the table within its bound: expired and cleared contents go first, quarantined ones last.
--- a/tests/suspect.rs
+++ b/tests/suspect.rs
@@ -49,10 +49,10 @@
 #[test]
 fn the_second_crash_alone_quarantines_and_no_neighbour_is() {
     let mut table = Table::default();
-    table.accuse(NOW, &contents(0..5), crash(1));
+    table.mark_suspects(NOW, &contents(0..5), crash(1));
     assert!(contents(0..5).iter().all(|c| table.standing(NOW, *c) == Standing::Suspect));
 
-    let standing = table.judge(NOW, content(0), &[content(0), content(7)], crash(2));
+    let standing = table.record_isolated_crash(NOW, content(0), &[content(0), content(7)], crash(2));
 
     assert_eq!(standing, Standing::Quarantined);
     for c in contents(1..5).into_iter().chain([content(7)]) {
@@ -69,10 +69,13 @@
 fn the_blame_moves_when_the_true_cause_shows() {
     let mut table = Table::default();
     let (innocent, cause) = (content(0), content(1));
-    table.accuse(NOW, &[innocent], crash(1));
-    assert_eq!(table.judge(NOW, innocent, &[innocent, cause], crash(2)), Standing::Quarantined);
+    table.mark_suspects(NOW, &[innocent], crash(1));
+    assert_eq!(
+        table.record_isolated_crash(NOW, innocent, &[innocent, cause], crash(2)),
+        Standing::Quarantined
+    );
 
-    assert_eq!(table.judge(NOW, cause, &[cause], crash(3)), Standing::Quarantined);
+    assert_eq!(table.record_isolated_crash(NOW, cause, &[cause], crash(3)), Standing::Quarantined);
 
     assert_eq!(table.standing(NOW, innocent), Standing::Suspect);
 }
@@ -83,32 +86,38 @@
 #[test]
 fn a_flapping_engine_convicts_nobody() {
     let mut table = Table::default();
-    table.accuse(NOW, &contents(1..5), crash(2));
-    table.accuse(NOW, &[content(0)], crash(1));
+    table.mark_suspects(NOW, &contents(1..5), crash(2));
+    table.mark_suspects(NOW, &[content(0)], crash(1));
     let flap = CrashId::new("engine-2", "2");
-    assert!(table.unsteady(NOW).contains(&flap.engine()));
+    assert!(table.unstable_engines(NOW).contains(&flap.engine()));
 
-    assert_eq!(table.judge(NOW, content(0), &[content(0), content(9)], flap), Standing::Suspect);
+    assert_eq!(
+        table.record_isolated_crash(NOW, content(0), &[content(0), content(9)], flap),
+        Standing::Suspect
+    );
 
     assert_eq!(table.standing(NOW, content(9)), Standing::Suspect, "all that was running there is suspect");
-    assert_eq!(table.judge(NOW, content(0), &[], CrashId::new("engine-1", "2")), Standing::Quarantined);
+    assert_eq!(
+        table.record_isolated_crash(NOW, content(0), &[], CrashId::new("engine-1", "2")),
+        Standing::Quarantined
+    );
 }
 
 #[test]
 fn an_engine_is_steady_again_when_its_crash_is_explained() {
     let mut table = Table::default();
-    table.accuse(NOW, &contents(0..5), crash(1));
-    assert!(table.unsteady(NOW).contains(&crash(1).engine()));
+    table.mark_suspects(NOW, &contents(0..5), crash(1));
+    assert!(table.unstable_engines(NOW).contains(&crash(1).engine()));
 
-    table.judge(NOW, content(0), &[], crash(2));
+    table.record_isolated_crash(NOW, content(0), &[], crash(2));
 
-    assert!(table.unsteady(NOW).is_empty());
+    assert!(table.unstable_engines(NOW).is_empty());
 }
 
 #[test]
 fn a_suspect_that_completes_is_cleared() {
     let mut table = Table::default();
-    table.accuse(NOW, &contents(0..2), crash(1));
+    table.mark_suspects(NOW, &contents(0..2), crash(1));
 
     table.clear(NOW, content(0));
 
@@ -121,9 +130,9 @@
 #[test]
 fn a_broken_connection_to_a_living_engine_accuses_nobody() {
     let mut table = Table::default();
-    table.accuse(NOW, &contents(0..5), crash(1));
+    table.mark_suspects(NOW, &contents(0..5), crash(1));
 
-    table.withdraw(NOW, crash(1));
+    table.retract_crash(NOW, crash(1));
 
     assert!(contents(0..5).iter().all(|c| table.standing(NOW, *c) == Standing::Cleared));
 }
@@ -134,16 +143,19 @@
 #[test]
 fn an_engine_that_never_crashed_is_no_evidence() {
     let (mut table, mut other) = (Table::default(), Table::default());
-    table.accuse(NOW, &[content(0)], crash(1));
-    assert_eq!(table.judge(NOW, content(0), &[], crash(2)), Standing::Quarantined);
+    table.mark_suspects(NOW, &[content(0)], crash(1));
+    assert_eq!(table.record_isolated_crash(NOW, content(0), &[], crash(2)), Standing::Quarantined);
     other.merge(NOW, &table.digest(NOW, 400));
 
-    table.withdraw(NOW, crash(1));
+    table.retract_crash(NOW, crash(1));
     other.merge(NOW, &table.digest(NOW, 400));
 
     assert_eq!(table.standing(NOW, content(0)), Standing::Suspect);
     assert_eq!(other.standing(NOW, content(0)), Standing::Suspect);
-    assert!(table.unsteady(NOW).contains(&crash(1).engine()), "a link that flaps is not for suspects");
+    assert!(
+        table.unstable_engines(NOW).contains(&crash(1).engine()),
+        "a link that flaps is not for suspects"
+    );
 }
 
 /// The verdict came while both engines were out of reach. Until they had time to come back, the caller is told
@@ -151,8 +163,8 @@
 #[test]
 fn a_fresh_quarantine_is_provisional() {
     let mut table = Table::default();
-    table.accuse(NOW, &[content(0)], crash(1));
-    table.judge(NOW, content(0), &[], crash(2));
+    table.mark_suspects(NOW, &[content(0)], crash(1));
+    table.record_isolated_crash(NOW, content(0), &[], crash(2));
 
     assert!(table.is_provisional(NOW + Duration::from_secs(9), content(0)));
     assert!(!table.is_provisional(NOW + Duration::from_secs(11), content(0)));
@@ -163,7 +175,7 @@
 fn one_crash_alone_is_not_enough() {
     let mut table = Table::default();
 
-    assert_eq!(table.judge(NOW, content(0), &[], crash(1)), Standing::Suspect);
+    assert_eq!(table.record_isolated_crash(NOW, content(0), &[], crash(1)), Standing::Suspect);
 }
 
 /// Two routers ran requests on the engine of the second crash. The one with the permit quarantines its content;
@@ -187,13 +199,13 @@
 fn after_its_quarantine_a_content_is_a_suspect() {
     let limits = TableLimits::default().with_times(HOLD, Duration::from_secs(600));
     let (mut table, mut other) = (Table::new(limits), Table::new(limits));
-    table.accuse(NOW, &[content(0)], crash(1));
-    table.judge(NOW, content(0), &[], crash(2));
+    table.mark_suspects(NOW, &[content(0)], crash(1));
+    table.record_isolated_crash(NOW, content(0), &[], crash(2));
     other.merge(NOW, &table.digest(NOW, 400));
     let later = NOW + Duration::from_secs(601);
     assert_eq!(table.standing(later, content(0)), Standing::Suspect);
 
-    table.judge(later, content(0), &[], crash(3));
+    table.record_isolated_crash(later, content(0), &[], crash(3));
     other.merge(later, &table.digest(later, 400));
 
     assert_eq!(other.standing(later, content(0)), Standing::Quarantined);
@@ -247,10 +259,10 @@
 #[test]
 fn the_table_is_bounded_and_keeps_quarantined_contents() {
     let mut table = Table::new(TableLimits::default().with_entries(100));
-    table.accuse(NOW, &[content(0)], crash(0));
-    table.judge(NOW, content(0), &[], crash(1));
+    table.mark_suspects(NOW, &[content(0)], crash(0));
+    table.record_isolated_crash(NOW, content(0), &[], crash(1));
 
-    table.accuse(NOW, &contents(1..5000), crash(2));
+    table.mark_suspects(NOW, &contents(1..5000), crash(2));
 
     assert!(table.len() <= 100);
     assert_eq!(table.standing(NOW, content(0)), Standing::Quarantined);
@@ -261,13 +273,13 @@
 #[test]
 fn news_tells_each_change_once() {
     let mut table = Table::default();
-    table.accuse(NOW, &contents(0..10), crash(1));
-    assert_eq!(table.news(NOW, 4096).entries.len(), 10);
-    assert!(table.news(NOW, 4096).entries.is_empty());
+    table.mark_suspects(NOW, &contents(0..10), crash(1));
+    assert_eq!(table.unsent(NOW, 4096).entries.len(), 10);
+    assert!(table.unsent(NOW, 4096).entries.is_empty());
 
-    table.judge(NOW, content(0), &[], crash(2));
+    table.record_isolated_crash(NOW, content(0), &[], crash(2));
 
-    assert_eq!(table.news(NOW, 4096).entries.len(), 1);
+    assert_eq!(table.unsent(NOW, 4096).entries.len(), 1);
     assert_eq!(table.digest(NOW, 4096).entries.len(), 10, "gossip repeats");
 }
 
@@ -299,7 +311,7 @@
     #[test]
     fn a_digest_stays_within_its_bytes(bytes in 0usize..600, count in 0u32..200) {
         let mut table = Table::default();
-        table.accuse(NOW, &contents(0..count), crash(1));
+        table.mark_suspects(NOW, &contents(0..count), crash(1));
 
         let digest = table.digest(NOW, bytes);
 
