--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -193,7 +193,8 @@
     let mut permits = Permits::default();
     let engine: Arc<str> = "engine".into();
     report("permit asked and given back", || {
-        let _ = black_box(permits.ask(Duration::ZERO, contents[0], engine.clone(), Duration::from_secs(1)));
+        let _ =
+            black_box(permits.acquire(Duration::ZERO, contents[0], engine.clone(), Duration::from_secs(1)));
         permits.release(contents[0], &engine);
     });
     for allowed in [256, 4096] {
--- a/benches/admission/crash.rs
+++ b/benches/admission/crash.rs
@@ -4,7 +4,7 @@
 
 use cranberrytally::{
     schema::suspect::Digest,
-    suspect::{CrashId, EngineTag, Fingerprint, Permits, Run, Running, Standing, Table, Verdict},
+    suspect::{CrashId, EngineHash, Fingerprint, Permits, Run, Running, Standing, Table, Verdict},
     util::Instant,
 };
 use rand::{Rng, SeedableRng};
@@ -301,7 +301,7 @@
     fn steady(&self, router: usize, mut engines: Vec<usize>) -> Vec<usize> {
         if self.cfg.steady_only {
             let unsteady = self.routers[router].table.unstable_engines(self.now);
-            engines.retain(|&e| !unsteady.contains(&EngineTag::new(&self.names[e])));
+            engines.retain(|&e| !unsteady.contains(&EngineHash::new(&self.names[e])));
         }
         engines
     }
@@ -330,7 +330,7 @@
     fn ask(&mut self, router: usize, content: Fingerprint, engine: usize) -> Verdict {
         let arbiter = self.arbiter(router);
         let name = self.names[engine].clone();
-        self.routers[arbiter].permits.ask(self.now, content, name, Duration::from_secs(30))
+        self.routers[arbiter].permits.acquire(self.now, content, name, Duration::from_secs(30))
     }
 
     fn start(&mut self, id: usize, engine: usize, permit: bool) {
@@ -402,7 +402,7 @@
         routers.dedup();
         for router in routers {
             let alone = victims.iter().map(|&v| &self.requests[v]).find(|r| r.router == router && r.permit);
-            let contents = self.routers[router].running.at(&self.names[engine]);
+            let contents = self.routers[router].running.contents_on(&self.names[engine]);
             match alone {
                 Some(r) => {
                     self.routers[router].table.record_isolated_crash(self.now, r.content, &contents, crash);
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -19,7 +19,7 @@
         link::frame::Body,
         suspect::{Digest, Permit as Wanted, PermitAnswer, Release},
     },
-    suspect::{self, EngineTag, Fingerprint, Permits, Running, Standing, Table, Verdict},
+    suspect::{self, EngineHash, Fingerprint, Permits, Running, Standing, Table, Verdict},
     util::{Map, now},
 };
 
@@ -77,7 +77,7 @@
     /// Engines on which a suspect should not run, since they broke lately.
     pub(crate) fn unsteady(&self, engines: impl IntoIterator<Item = (Id, Arc<str>)>) -> Vec<Id> {
         let unsteady = lock(&self.table).unstable_engines(now());
-        let listed = |name: &str| unsteady.contains(&EngineTag::new(name));
+        let listed = |name: &str| unsteady.contains(&EngineHash::new(name));
         engines.into_iter().filter(|(_, name)| listed(name)).map(|(id, _)| id).collect()
     }
 
@@ -147,14 +147,14 @@
         let mut peers: Vec<_> =
             list.filter(|m| m.region == self.region && m.id != me).cloned().map(Some).collect();
         peers.push(None);
-        suspect::order(&mut peers, |m| m.as_ref().map_or(me.0, |m| m.id.0));
+        suspect::sort_arbiters(&mut peers, |m| m.as_ref().map_or(me.0, |m| m.id.0));
         peers
     }
 
     fn decide(&self, content: Fingerprint, engine: &str, hold: Duration) -> Verdict {
         match self.standing(content) {
             Standing::Quarantined => Verdict::ContentQuarantined,
-            _ => lock(&self.permits).ask(now(), content, engine, hold),
+            _ => lock(&self.permits).acquire(now(), content, engine, hold),
         }
     }
 
@@ -221,7 +221,7 @@
     fn accuse(self: &Arc<Self>, engine: &Seen) {
         let before = self.start_of(engine);
         let crash = crash_id(engine, before);
-        let contents = lock(&self.running).at(&engine.name);
+        let contents = lock(&self.running).contents_on(&engine.name);
         if lock(&self.table).mark_suspects(now(), &contents, crash) {
             let (name, n) = (&engine.name, contents.len());
             spdlog::warn!("connection to {name} broke; {n} requests are suspects of a crash");
--- a/src/gateway/suspects/run.rs
+++ b/src/gateway/suspects/run.rs
@@ -70,7 +70,7 @@
         if matches!(probe, Probe::SameStart | Probe::Unknown) {
             return;
         }
-        let contents = lock(&self.suspects.running).at(&self.engine.name);
+        let contents = lock(&self.suspects.running).contents_on(&self.engine.name);
         let standing =
             lock(&self.suspects.table).record_isolated_crash(now(), self.content, &contents, crash);
         let (engine, Fingerprint(content)) = (&self.engine.name, self.content);
--- a/src/suspect.rs
+++ b/src/suspect.rs
@@ -5,14 +5,14 @@
 //! steady engine under its permit is quarantined; a suspect that completes is cleared. Routers tell
 //! each other by [`crate::schema::suspect::Digest`], at once after a crash and then by gossip.
 
-mod breaks;
+mod crashes;
 mod fingerprint;
 mod permit;
 mod running;
 mod table;
 
 pub use fingerprint::Fingerprint;
-pub use permit::{Permits, order};
+pub use permit::{Permits, sort_arbiters};
 pub use running::{Run, Running};
 pub use table::{Table, TableLimits};
 
@@ -22,9 +22,9 @@
 
 /// Names an engine inside a [`CrashId`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct EngineTag(u32);
+pub struct EngineHash(u32);
 
-impl EngineTag {
+impl EngineHash {
     /// Tag of the engine with this name.
     pub fn new(engine: &str) -> Self {
         Self(hash(engine) as u32)
@@ -38,12 +38,12 @@
 impl CrashId {
     /// The crash that ended the start `start` of an engine.
     pub fn new(engine: &str, start: &str) -> Self {
-        let EngineTag(tag) = EngineTag::new(engine);
+        let EngineHash(tag) = EngineHash::new(engine);
         Self(u64::from(tag) << 32 | u64::from(hash((engine, start)) as u32))
     }
 
     /// The engine that crashed.
-    pub fn engine(self) -> EngineTag {
-        EngineTag((self.0 >> 32) as u32)
+    pub fn engine(self) -> EngineHash {
+        EngineHash((self.0 >> 32) as u32)
     }
 }
--- a/src/suspect/breaks.rs
+++ b/src/suspect/crashes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{CrashId, EngineTag};
+use super::{CrashId, EngineHash};
 use crate::util::{Instant, Map, Set};
 
 /// Crashes remembered; beyond them the oldest is forgotten.
@@ -12,13 +12,13 @@
 
 /// Crashes of engines, each remembered for a while.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Breaks {
+pub(super) struct CrashHistory {
     until: Map<CrashId, Instant>,
     /// Engines whose connections broke while they went on.
-    cut: Map<EngineTag, Instant>,
+    cut: Map<EngineHash, Instant>,
 }
 
-impl Breaks {
+impl CrashHistory {
     /// Notes a crash; returns whether it is news.
     pub(super) fn note(&mut self, now: Instant, crash: CrashId, keep: Duration) -> bool {
         let new = self.until.insert(crash, now + keep).is_none();
@@ -50,8 +50,8 @@
         now: Instant,
         attributed: &Set<CrashId>,
         except: Option<CrashId>,
-    ) -> Set<EngineTag> {
-        let mut crashes: Map<EngineTag, usize> = Map::default();
+    ) -> Set<EngineHash> {
+        let mut crashes: Map<EngineHash, usize> = Map::default();
         let recent = self.until.iter().filter(|(c, until)| **until > now && Some(**c) != except);
         for (crash, _) in recent {
             let weight = if attributed.contains(crash) { 1 } else { FLAPPING };
--- a/src/suspect/permit.rs
+++ b/src/suspect/permit.rs
@@ -19,7 +19,7 @@
 /// Permits given out by this router.
 #[derive(Debug)]
 pub struct Permits {
-    most: usize,
+    max_permits: usize,
     contents: Map<Fingerprint, Held>,
     engines: Map<Arc<str>, Fingerprint>,
 }
@@ -31,13 +31,13 @@
 }
 
 impl Permits {
-    /// No permit is out; at most `most` ever are.
-    pub fn new(most: usize) -> Self {
-        Self { most, contents: Map::default(), engines: Map::default() }
+    /// No permit is out; at most `max_permits` ever are.
+    pub fn new(max_permits: usize) -> Self {
+        Self { max_permits, contents: Map::default(), engines: Map::default() }
     }
 
     /// Decides whether a suspect may run on an engine for at most `hold`.
-    pub fn ask(
+    pub fn acquire(
         &mut self,
         now: Instant,
         content: Fingerprint,
@@ -45,11 +45,11 @@
         hold: Duration,
     ) -> Verdict {
         let engine = engine.into();
-        self.lapse(now);
+        self.expire(now);
         if self.contents.contains_key(&content) {
             return Verdict::ContentRunning;
         }
-        if self.engines.contains_key(&engine) || self.contents.len() >= self.most {
+        if self.engines.contains_key(&engine) || self.contents.len() >= self.max_permits {
             return Verdict::EngineTaken;
         }
         self.engines.insert(engine.clone(), content);
@@ -75,7 +75,7 @@
         self.contents.is_empty()
     }
 
-    fn lapse(&mut self, now: Instant) {
+    fn expire(&mut self, now: Instant) {
         let engines = &mut self.engines;
         self.contents.retain(|_, held| {
             let keep = held.until > now;
@@ -91,6 +91,6 @@
 ///
 /// One router decides for the whole region: suspects are rare, and two locks, content and engine, can't be
 /// taken at two places without one of them waiting for the other.
-pub fn order<T>(routers: &mut [T], id: impl Fn(&T) -> u64) {
+pub fn sort_arbiters<T>(routers: &mut [T], id: impl Fn(&T) -> u64) {
     routers.sort_by_key(|r| std::cmp::Reverse(hash(("suspects", id(r)))));
 }
--- a/src/suspect/running.rs
+++ b/src/suspect/running.rs
@@ -34,7 +34,7 @@
     }
 
     /// The contents in progress at an engine.
-    pub fn at(&self, engine: &str) -> Vec<Fingerprint> {
+    pub fn contents_on(&self, engine: &str) -> Vec<Fingerprint> {
         self.engines.get(engine).map(|runs| runs.values().copied().collect()).unwrap_or_default()
     }
 }
--- a/tests/suspect.rs
+++ b/tests/suspect.rs
@@ -217,12 +217,12 @@
 #[test]
 fn an_engine_runs_one_suspect_and_a_suspect_runs_once() {
     let mut permits = Permits::default();
-    assert_eq!(permits.ask(NOW, content(0), "a", HOLD), Verdict::Granted);
+    assert_eq!(permits.acquire(NOW, content(0), "a", HOLD), Verdict::Granted);
 
-    assert_eq!(permits.ask(NOW, content(1), "a", HOLD), Verdict::EngineTaken);
-    assert_eq!(permits.ask(NOW, content(0), "b", HOLD), Verdict::ContentRunning);
+    assert_eq!(permits.acquire(NOW, content(1), "a", HOLD), Verdict::EngineTaken);
+    assert_eq!(permits.acquire(NOW, content(0), "b", HOLD), Verdict::ContentRunning);
     permits.release(content(0), "a");
-    assert_eq!(permits.ask(NOW, content(1), "a", HOLD), Verdict::Granted);
+    assert_eq!(permits.acquire(NOW, content(1), "a", HOLD), Verdict::Granted);
 }
 
 /// A router dies with a permit. Its engine must not be closed to suspects for ever; and when the router was
@@ -230,14 +230,14 @@
 #[test]
 fn a_permit_lapses_and_a_late_release_frees_no_other() {
     let mut permits = Permits::default();
-    permits.ask(NOW, content(0), "a", HOLD);
+    permits.acquire(NOW, content(0), "a", HOLD);
     let later = NOW + HOLD;
-    assert_eq!(permits.ask(later, content(0), "b", HOLD), Verdict::Granted);
+    assert_eq!(permits.acquire(later, content(0), "b", HOLD), Verdict::Granted);
 
     permits.release(content(0), "a");
 
-    assert_eq!(permits.ask(later, content(0), "c", HOLD), Verdict::ContentRunning);
-    assert_eq!(permits.ask(later, content(1), "b", HOLD), Verdict::EngineTaken);
+    assert_eq!(permits.acquire(later, content(0), "c", HOLD), Verdict::ContentRunning);
+    assert_eq!(permits.acquire(later, content(1), "b", HOLD), Verdict::EngineTaken);
 }
 
 #[test]
@@ -250,8 +250,8 @@
 
     running.finish(&a, run);
 
-    assert_eq!(running.at("a"), [content(1)]);
-    assert_eq!(running.at("c"), []);
+    assert_eq!(running.contents_on("a"), [content(1)]);
+    assert_eq!(running.contents_on("c"), []);
 }
 
 /// A whole data centre loses power with thousands of requests running. The table must not grow with it, and
