--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -74,7 +74,7 @@
 
 impl Engine {
     /// Whether an operator's label takes it out of use.
-    pub fn labelled_leaving(&self) -> bool {
+    pub fn has_leaving_label(&self) -> bool {
         self.labels.get(LEAVING_LABEL).is_some_and(|v| v == "true")
     }
 }
@@ -160,9 +160,9 @@
     services: Map<Arc<str>, Service>,
 }
 
-const DEFAULT_BOUND: f64 = 1.25;
+const DEFAULT_LOAD_BOUND: f64 = 1.25;
 /// A bound of one mean or less can't be kept: some engine always stands above the mean.
-pub(crate) const LEAST_BOUND_MILLI: u32 = 1050;
+pub(crate) const MIN_LOAD_BOUND_MILLI: u32 = 1050;
 
 impl Catalog {
     /// Compiles `objects`; returns the catalog and what is wrong with objects that were left out.
@@ -272,9 +272,9 @@
 
     fn pool_of(&self, name: Arc<str>, spec: raw::EnginePool) -> Result<Pool> {
         let load_bound = match spec.load_bound_milli {
-            0 => DEFAULT_BOUND,
-            milli if milli < LEAST_BOUND_MILLI => {
-                bail!("`loadBoundMilli` is {milli}, but must be 0 or at least {LEAST_BOUND_MILLI}")
+            0 => DEFAULT_LOAD_BOUND,
+            milli if milli < MIN_LOAD_BOUND_MILLI => {
+                bail!("`loadBoundMilli` is {milli}, but must be 0 or at least {MIN_LOAD_BOUND_MILLI}")
             }
             milli => f64::from(milli) / 1000.0,
         };
@@ -355,7 +355,7 @@
     }
 
     /// Key of the engine with this identifier.
-    pub fn key(&self, id: Id) -> Option<EngineKey> {
+    pub fn engine_key(&self, id: Id) -> Option<EngineKey> {
         self.by_id.get(&id).copied()
     }
 
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -154,7 +154,7 @@
     pub fn set_catalog(&self, cat: Catalog) {
         let mut current = self.catalog.write().unwrap_or_else(|e| e.into_inner());
         if cat.version >= current.version {
-            lock(&self.avoid).retain(|id| cat.key(id).is_some());
+            lock(&self.avoid).retain(|id| cat.engine_key(id).is_some());
             *current = Arc::new(cat);
         }
     }
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -274,7 +274,9 @@
         let mut held = lock(&self.held);
         let mut placer = self.placer();
         for held in held.values_mut() {
-            let Some((id, key)) = held.req.engine.and_then(|id| Some((id, cat.key(id)?))) else { continue };
+            let Some((id, key)) = held.req.engine.and_then(|id| Some((id, cat.engine_key(id)?))) else {
+                continue;
+            };
             let Some(owner) = placer.owner(id, &cat.engine(key).data_centre).cloned() else { continue };
             if owner.id == held.owner {
                 continue;
--- a/src/gossip/probes.rs
+++ b/src/gossip/probes.rs
@@ -40,7 +40,7 @@
             name: e.name.clone(),
             addr: e.addr,
             data_centre: e.data_centre.clone(),
-            leaving: e.labelled_leaving(),
+            leaving: e.has_leaving_label(),
         }
     }
 }
--- a/src/place/placer.rs
+++ b/src/place/placer.rs
@@ -300,8 +300,8 @@
     pub fn expire(&mut self, cat: &Catalog, now: Instant) {
         self.digests.expire(now);
         self.unreachable.retain(|_, until| now < *until);
-        self.health.retain(|id| cat.key(id).is_some());
-        self.ledger.expire(now, |id| cat.key(id).is_some());
+        self.health.retain(|id| cat.engine_key(id).is_some());
+        self.ledger.expire(now, |id| cat.engine_key(id).is_some());
     }
 
     /// Home data centre of a chat: the one in its hint if it is in this region, otherwise this router's.
--- a/src/revision/check.rs
+++ b/src/revision/check.rs
@@ -6,7 +6,7 @@
 use serde_json::{Map, Value};
 
 use crate::{
-    catalog::{AnyObject, LEAST_BOUND_MILLI},
+    catalog::{AnyObject, MIN_LOAD_BOUND_MILLI},
     objects::{CONFIGURATION_KINDS, MAX_VALUE},
     schema::object::{
         Engine, EnginePool, Meta, Requirement, RoutingPolicy, Selector, Service, Workspace, WorkspaceGroup,
@@ -178,8 +178,8 @@
     fn pool(&mut self, spec: &Value) {
         let pool: EnginePool = self.fields(spec, "spec", Some("engines"));
         let bound = pool.load_bound_milli;
-        if bound != 0 && !(LEAST_BOUND_MILLI..=MAX_LOAD_BOUND).contains(&bound) {
-            let message = format!("{bound} is not from {LEAST_BOUND_MILLI} to {MAX_LOAD_BOUND}");
+        if bound != 0 && !(MIN_LOAD_BOUND_MILLI..=MAX_LOAD_BOUND).contains(&bound) {
+            let message = format!("{bound} is not from {MIN_LOAD_BOUND_MILLI} to {MAX_LOAD_BOUND}");
             self.add("spec.loadBoundMilli", message);
         }
         self.distinct(&pool.models, "spec.models");
