--- a/src/suspect/table.rs
+++ b/src/suspect/table.rs
@@ -55,7 +55,7 @@
 pub struct Table {
     limits: TableLimits,
     entries: Map<Fingerprint, Entry>,
-    crashes: CrashHistory,
+    crash_history: CrashHistory,
 }
 
 impl Table {
@@ -98,7 +98,7 @@
     /// Makes contents suspects of a crash, also when another content is blamed for it: the blame may be wrong, and
     /// an innocent only runs apart from other suspects until it completes. Returns whether the crash is news.
     pub fn mark_suspects(&mut self, now: Instant, contents: &[Fingerprint], crash: CrashId) -> bool {
-        let new = self.crashes.note(now, crash, self.limits.suspect);
+        let new = self.crash_history.note(now, crash, self.limits.suspect);
         for &content in contents {
             self.mark_suspect(now, content, crash);
         }
@@ -118,7 +118,7 @@
         contents: &[Fingerprint],
         crash: CrashId,
     ) -> Standing {
-        let unstable_engines = self.crashes.unstable_engines(now, &self.attributed(now), Some(crash));
+        let unstable_engines = self.crash_history.unstable_engines(now, &self.attributed(now), Some(crash));
         self.mark_suspects(now, contents, crash);
         self.mark_suspect(now, content, crash);
         let crashes = self.entries.get(&content).map_or(0, |e| e.crashes.len());
@@ -132,7 +132,7 @@
 
     /// Engines that crash lately without a known cause. Suspects should not run there.
     pub fn unstable_engines(&self, now: Instant) -> Set<EngineHash> {
-        self.crashes.unstable_engines(now, &self.attributed(now), None)
+        self.crash_history.unstable_engines(now, &self.attributed(now), None)
     }
 
     /// Crashes that are blamed on a quarantined content.
@@ -181,7 +181,7 @@
     /// Takes an accusation back: the engine is still in the same start, so only the connection broke. A content
     /// that was quarantined for it is a suspect of what remains.
     pub fn retract_crash(&mut self, now: Instant, crash: CrashId) {
-        self.crashes.retract_crash(now, crash, self.limits.suspect);
+        self.crash_history.retract_crash(now, crash, self.limits.suspect);
         for entry in self.entries.values_mut().filter(|e| e.crashes.contains(&crash)) {
             entry.crashes.retain(|c| *c != crash);
             if entry.standing == Standing::Quarantined {
@@ -247,7 +247,7 @@
         let mut crashes: Vec<_> = wire.crashes.iter().copied().map(CrashId).collect();
         crashes.truncate(CRASHES);
         for &crash in &crashes {
-            self.crashes.note(now, crash, self.limits.suspect);
+            self.crash_history.note(now, crash, self.limits.suspect);
         }
         let entry = Entry { epoch: wire.epoch, standing, until, crashes, sends: 0 };
         self.entries.insert(Fingerprint(wire.fingerprint), entry);
--- a/tests/suspect.rs
+++ b/tests/suspect.rs
@@ -183,9 +183,9 @@
 #[test]
 fn another_router_takes_the_verdict_over() {
     let (mut one, mut other) = (Table::default(), Table::default());
-    one.accuse(NOW, &[content(0)], crash(1));
-    one.judge(NOW, content(0), &[], crash(2));
-    other.accuse(NOW, &contents(5..9), crash(2));
+    one.mark_suspects(NOW, &[content(0)], crash(1));
+    one.record_isolated_crash(NOW, content(0), &[], crash(2));
+    other.mark_suspects(NOW, &contents(5..9), crash(2));
 
     other.merge(NOW, &one.digest(NOW, 400));
 
@@ -290,11 +290,11 @@
     fn tables_agree_in_whatever_order_they_hear(order in Just((0..4usize).collect::<Vec<_>>()).prop_shuffle()) {
         let mut source = Table::default();
         let mut news = Vec::new();
-        source.accuse(NOW, &contents(0..5), crash(1));
+        source.mark_suspects(NOW, &contents(0..5), crash(1));
         news.push(source.digest(NOW, 400));
         source.clear(NOW, content(3));
         news.push(source.digest(NOW, 400));
-        source.judge(NOW, content(0), &[], crash(2));
+        source.record_isolated_crash(NOW, content(0), &[], crash(2));
         news.push(source.digest(NOW, 400));
         news.push(source.digest(NOW, 400));
         let mut table = Table::default();
