--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -5,7 +5,7 @@
 use std::{hint::black_box, sync::Arc, time::Duration, time::Instant};
 
 use cranberrytally::{
-    admit::{Cap, Demand, Lane, LaneLimits, Offer, Priority, Scope, Usage},
+    admit::{ConcurrencyLimit, Demand, EnqueueResult, FairQueue, InFlight, Priority, QueueLimits, Scope},
     retry::{Attempts, Budget, Policy, Reason},
     suspect::{CrashId, Fingerprint, Permits, Table},
 };
@@ -146,28 +146,34 @@
         report(&format!("offer, grant, settle; {waiting} wait"), || {
             now += Duration::from_micros(100);
             i = (i + 1) % demands.len();
-            black_box(lane.offer(now, demands[i].clone()));
-            if let Some(ticket) = lane.grant() {
-                lane.settle(now, ticket, true);
+            black_box(lane.enqueue(now, demands[i].clone()));
+            if let Some(ticket) = lane.start_turn() {
+                lane.end_turn(now, ticket, true);
             }
         });
     }
     let caps = [
-        Cap { scope: Scope::Workspace("workspace-1".into()), max: 100 },
-        Cap { scope: Scope::Group("group-1".into()), max: 400 },
+        ConcurrencyLimit { scope: Scope::Workspace("workspace-1".into()), max: 100 },
+        ConcurrencyLimit { scope: Scope::Group("group-1".into()), max: 400 },
     ];
-    let mut usage = Usage::default();
+    let mut usage = InFlight::default();
     report("limits of a workspace and a group", || {
-        let _ = black_box(usage.enter(&caps, 8));
-        usage.leave(&caps);
+        let _ = black_box(usage.acquire(&caps, 8));
+        usage.release(&caps);
     });
     let (policy, mut budget) = (Policy::default(), Budget::default());
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     report("attempt and retry", || {
         let deadline = Duration::from_secs(1);
-        if let Ok(mut a) = Attempts::arrive(&policy, &mut budget, 0, true, deadline) {
-            a.start();
-            let _ = black_box(a.fail(&policy, &mut budget, Duration::ZERO, Reason::ConnectFailed, &mut rng));
+        if let Ok(mut a) = Attempts::begin(&policy, &mut budget, 0, true, deadline) {
+            a.record_start();
+            let _ = black_box(a.record_failure(
+                &policy,
+                &mut budget,
+                Duration::ZERO,
+                Reason::ConnectFailed,
+                &mut rng,
+            ));
         }
     });
     let body =
@@ -178,7 +184,7 @@
     });
     let mut table = Table::default();
     let contents: Vec<_> = (0..4096u32).map(|i| Fingerprint::call("/", &i.to_le_bytes())).collect();
-    table.accuse(Duration::ZERO, &contents, CrashId::new("engine", "1"));
+    table.mark_suspects(Duration::ZERO, &contents, CrashId::new("engine", "1"));
     let mut i = 0;
     report("standing, table of 4096", || {
         i = (i + 1) % contents.len();
@@ -187,7 +193,8 @@
     let mut permits = Permits::default();
     let engine: Arc<str> = "engine".into();
     report("permit asked and given back", || {
-        let _ = black_box(permits.ask(Duration::ZERO, contents[0], engine.clone(), Duration::from_secs(1)));
+        let _ =
+            black_box(permits.acquire(Duration::ZERO, contents[0], engine.clone(), Duration::from_secs(1)));
         permits.release(contents[0], &engine);
     });
     for allowed in [256, 4096] {
@@ -197,8 +204,8 @@
     }
 }
 
-fn filled(waiting: usize) -> (Vec<Demand>, Lane) {
-    let mut lane = Lane::new(LaneLimits::default().with_total(waiting + 1));
+fn filled(waiting: usize) -> (Vec<Demand>, FairQueue) {
+    let mut lane = FairQueue::new(QueueLimits::default().with_total(waiting + 1));
     let demands: Vec<_> = (0..waiting)
         .map(|i| Demand {
             workspace: format!("workspace-{}", i % 10).into(),
@@ -208,7 +215,7 @@
         })
         .collect();
     for demand in &demands {
-        if let Offer::Refused(r) = lane.offer(Duration::ZERO, demand.clone()) {
+        if let EnqueueResult::Refused(r) = lane.enqueue(Duration::ZERO, demand.clone()) {
             println!("refused while filling: {r:?}");
         }
     }
--- a/benches/admission/crash.rs
+++ b/benches/admission/crash.rs
@@ -4,7 +4,7 @@
 
 use cranberrytally::{
     schema::suspect::Digest,
-    suspect::{CrashId, EngineTag, Fingerprint, Permits, Run, Running, Standing, Table, Verdict},
+    suspect::{CrashId, EngineHash, Fingerprint, Permits, Run, Running, Standing, Table, Verdict},
     util::Instant,
 };
 use rand::{Rng, SeedableRng};
@@ -300,8 +300,8 @@
 
     fn steady(&self, router: usize, mut engines: Vec<usize>) -> Vec<usize> {
         if self.cfg.steady_only {
-            let unsteady = self.routers[router].table.unsteady(self.now);
-            engines.retain(|&e| !unsteady.contains(&EngineTag::new(&self.names[e])));
+            let unsteady = self.routers[router].table.unstable_engines(self.now);
+            engines.retain(|&e| !unsteady.contains(&EngineHash::new(&self.names[e])));
         }
         engines
     }
@@ -330,7 +330,7 @@
     fn ask(&mut self, router: usize, content: Fingerprint, engine: usize) -> Verdict {
         let arbiter = self.arbiter(router);
         let name = self.names[engine].clone();
-        self.routers[arbiter].permits.ask(self.now, content, name, Duration::from_secs(30))
+        self.routers[arbiter].permits.acquire(self.now, content, name, Duration::from_secs(30))
     }
 
     fn start(&mut self, id: usize, engine: usize, permit: bool) {
@@ -402,18 +402,18 @@
         routers.dedup();
         for router in routers {
             let alone = victims.iter().map(|&v| &self.requests[v]).find(|r| r.router == router && r.permit);
-            let contents = self.routers[router].running.at(&self.names[engine]);
+            let contents = self.routers[router].running.contents_on(&self.names[engine]);
             match alone {
                 Some(r) => {
-                    self.routers[router].table.judge(self.now, r.content, &contents, crash);
+                    self.routers[router].table.record_isolated_crash(self.now, r.content, &contents, crash);
                 }
                 None => {
-                    self.routers[router].table.accuse(self.now, &contents, crash);
+                    self.routers[router].table.mark_suspects(self.now, &contents, crash);
                 }
             }
             if matches!(self.cfg.guard, Guard::News | Guard::Full) {
                 let all = (0..self.cfg.routers).filter(|&r| r != router).collect::<Vec<_>>();
-                let news = self.routers[router].table.news(self.now, NEWS);
+                let news = self.routers[router].table.unsent(self.now, NEWS);
                 self.tell(news, &all);
             }
         }
--- a/benches/routing/model.rs
+++ b/benches/routing/model.rs
@@ -12,12 +12,12 @@
     catalog::{AnyObject, Catalog, Id, Object},
     place::{
         Placer, Request,
-        cache::Event as CacheEvent,
+        cache::CacheEvent,
         hint::{CachedCopy, Hint},
-        ledger::HoldId,
+        ledger::ReservationId,
         members::Member,
         search::Search,
-        transfer::Costs,
+        transfer::TransferCosts,
     },
     schema::object::Meta,
     util::{Instant, Map, hash},
@@ -339,7 +339,7 @@
         let data_centre = format!("dc-{}", r % self.setup.data_centres);
         let mut placer = Placer::new(id, data_centre.as_str());
         for e in self.engines.iter().filter(|e| e.alive) {
-            placer.health.note_start(e.id, e.start);
+            placer.health.set_start(e.id, e.start);
         }
         Router {
             id,
@@ -383,11 +383,11 @@
             if owner == old {
                 continue;
             }
-            let hold = HoldId { router: self.routers[r].id, number };
+            let reservation = ReservationId { router: self.routers[r].id, number };
             let pool = self.pool_id();
-            let req = Request { hold, engine: Some(id), pool, work, above_mean: false };
+            let req = Request { reservation, engine: Some(id), pool, work, above_mean: false };
             self.routers[owner].placer.adopt(&req, now);
-            self.ended[r][old].push((hold.router, number));
+            self.ended[r][old].push((reservation.router, number));
             self.tally.messages += 2;
             if let Some(run) = self.running[slot].as_mut() {
                 run.owner = owner;
@@ -524,7 +524,7 @@
             Event::Evicted(engine, event, chat) => {
                 let owner = self.owner(0, engine);
                 let (id, chat) = (self.engines[engine].id, hash(chat.to_string().as_str()));
-                self.routers[owner].placer.cache.note(id, event, CacheEvent::Evicted(chat));
+                self.routers[owner].placer.cache.record(id, event, CacheEvent::Evicted(chat));
             }
         }
     }
@@ -553,12 +553,12 @@
         router.down[engine] = !matches!(news, News::Up(_));
         let health = &mut router.placer.health;
         match news {
-            News::Down => health.note_down(id, now),
+            News::Down => health.mark_down(id, now),
             News::Up(start) => {
-                health.note_start(id, start);
-                health.note_up(id, now);
+                health.set_start(id, start);
+                health.mark_up(id, now);
             }
-            News::Leaving => health.note_leaving(id),
+            News::Leaving => health.mark_leaving(id),
         }
     }
 
@@ -644,7 +644,7 @@
                 }
                 let owner = self.owner(engine % self.routers.len(), engine);
                 let (id, running, now) = (self.engines[engine].id, self.report[engine].0, self.instant());
-                self.routers[owner].placer.ledger.note_report(id, running, now);
+                self.routers[owner].placer.ledger.record_report(id, running, now);
             }
         }
     }
@@ -658,7 +658,7 @@
         let Some(pool) = cat.pool_by_id(self.pool_id()) else { return };
         let digest = self.routers[r].placer.digest(&cat, pool, now);
         for other in &mut self.routers {
-            other.placer.note_digest(id, pool.id, digest, now);
+            other.placer.record_digest(id, pool.id, digest, now);
         }
     }
 
@@ -689,7 +689,7 @@
             return true;
         }
         let owner = self.owner(0, engine);
-        self.routers[owner].placer.health.in_use(self.engines[engine].id, self.instant())
+        self.routers[owner].placer.health.is_available(self.engines[engine].id, self.instant())
     }
 
     /// Busiest over mean of the live engines that `count` takes in.
@@ -763,7 +763,7 @@
         self.note_sent(router, engine, work as i64);
         self.publish_evictions(engine, &evicted);
         let chat_hash = hash(key.to_string().as_str());
-        self.routers[router].placer.cache.note_start(self.engines[engine].id, chat_hash);
+        self.routers[router].placer.cache.mark_cached(self.engines[engine].id, chat_hash);
         let named = self.owner(router, engine);
         let home: Arc<str> = self.routers[router].data_centre.as_str().into();
         let c = &mut self.chats[chat as usize];
@@ -817,7 +817,7 @@
             .map(|&e| self.engines[e].cache.tokens(key).min(context))
             .max()
             .unwrap_or(0);
-        if Costs::default().worth_moving(tokens) { tokens } else { 0 }
+        if TransferCosts::default().is_transfer_faster(tokens) { tokens } else { 0 }
     }
 }
 
--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -8,7 +8,7 @@
 use slotmap::{SlotMap, new_key_type};
 
 use crate::{
-    admit::{Cap, Scope},
+    admit::{ConcurrencyLimit, Scope},
     place::rank::Ranking,
     schema::object as raw,
     util::{Map, hash},
@@ -74,7 +74,7 @@
 
 impl Engine {
     /// Whether an operator's label takes it out of use.
-    pub fn labelled_leaving(&self) -> bool {
+    pub fn has_leaving_label(&self) -> bool {
         self.labels.get(LEAVING_LABEL).is_some_and(|v| v == "true")
     }
 }
@@ -154,15 +154,15 @@
     pools_by_id: Map<Id, Arc<str>>,
     policies: Vec<Policy>,
     workspaces: Map<Arc<str>, Labels>,
-    caps: Map<Arc<str>, Arc<[Cap]>>,
+    concurrency_limits: Map<Arc<str>, Arc<[ConcurrencyLimit]>>,
     /// Policies that select the workspace, by position in `policies`, highest rank first.
     routes: Map<Arc<str>, Vec<usize>>,
     services: Map<Arc<str>, Service>,
 }
 
-const DEFAULT_BOUND: f64 = 1.25;
+const DEFAULT_LOAD_BOUND: f64 = 1.25;
 /// A bound of one mean or less can't be kept: some engine always stands above the mean.
-pub(crate) const LEAST_BOUND_MILLI: u32 = 1050;
+pub(crate) const MIN_LOAD_BOUND_MILLI: u32 = 1050;
 
 impl Catalog {
     /// Compiles `objects`; returns the catalog and what is wrong with objects that were left out.
@@ -186,8 +186,9 @@
     /// Adds a limit to a workspace; 0 means that there is none.
     fn limit(&mut self, workspace: &Arc<str>, scope: Scope, max: u32) {
         if max > 0 {
-            let caps = self.caps.entry(workspace.clone()).or_default();
-            *caps = caps.iter().cloned().chain([Cap { scope, max }]).collect();
+            let concurrency_limits = self.concurrency_limits.entry(workspace.clone()).or_default();
+            *concurrency_limits =
+                concurrency_limits.iter().cloned().chain([ConcurrencyLimit { scope, max }]).collect();
         }
     }
 
@@ -203,8 +204,8 @@
     }
 
     /// Limits on the requests that a workspace has in progress, its own and those of its groups.
-    pub fn caps(&self, workspace: &str) -> Arc<[Cap]> {
-        self.caps.get(workspace).cloned().unwrap_or_default()
+    pub fn concurrency_limits(&self, workspace: &str) -> Arc<[ConcurrencyLimit]> {
+        self.concurrency_limits.get(workspace).cloned().unwrap_or_default()
     }
 
     fn add_base(&mut self, obj: &AnyObject) -> Result<()> {
@@ -271,9 +272,9 @@
 
     fn pool_of(&self, name: Arc<str>, spec: raw::EnginePool) -> Result<Pool> {
         let load_bound = match spec.load_bound_milli {
-            0 => DEFAULT_BOUND,
-            milli if milli < LEAST_BOUND_MILLI => {
-                bail!("`loadBoundMilli` is {milli}, but must be 0 or at least {LEAST_BOUND_MILLI}")
+            0 => DEFAULT_LOAD_BOUND,
+            milli if milli < MIN_LOAD_BOUND_MILLI => {
+                bail!("`loadBoundMilli` is {milli}, but must be 0 or at least {MIN_LOAD_BOUND_MILLI}")
             }
             milli => f64::from(milli) / 1000.0,
         };
@@ -354,7 +355,7 @@
     }
 
     /// Key of the engine with this identifier.
-    pub fn key(&self, id: Id) -> Option<EngineKey> {
+    pub fn engine_key(&self, id: Id) -> Option<EngineKey> {
         self.by_id.get(&id).copied()
     }
 
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -26,7 +26,7 @@
     objects::Platform,
     place::hint::HintKey,
     probe::{EngineView, State},
-    retry::{Avoid, Budget, Policy},
+    retry::{Budget, Cooldowns, Policy},
     schema::{
         claim::{ClaimAnswer, ClaimCall},
         link::frame::Body,
@@ -80,7 +80,7 @@
     suspects: Arc<Suspects>,
     retry_policy: Policy,
     budget: Mutex<Budget>,
-    avoid: Mutex<Avoid>,
+    avoid: Mutex<Cooldowns>,
     /// Engines to which dispatches could not connect, until the probes are told.
     unreached: Mutex<Vec<Arc<str>>>,
     /// Asks engines that changed owner for their load.
@@ -140,13 +140,13 @@
         let id = Id::of(&view.name);
         let (mut placer, now) = (self.placement.placer(), now());
         if view.start != 0 {
-            placer.health.note_start(id, view.start);
+            placer.health.set_start(id, view.start);
         }
         placer.health.set_leaving(id, view.state == State::Leaving);
         if view.state == State::Down || !view.reachable {
-            placer.health.note_down(id, now);
+            placer.health.mark_down(id, now);
         } else {
-            placer.health.note_up(id, now);
+            placer.health.mark_up(id, now);
         }
     }
 
@@ -154,7 +154,7 @@
     pub fn set_catalog(&self, cat: Catalog) {
         let mut current = self.catalog.write().unwrap_or_else(|e| e.into_inner());
         if cat.version >= current.version {
-            lock(&self.avoid).retain(|id| cat.key(id).is_some());
+            lock(&self.avoid).retain(|id| cat.engine_key(id).is_some());
             *current = Arc::new(cat);
         }
     }
@@ -219,7 +219,7 @@
     /// Counts a request against the limits of its workspace, of which each router keeps its share.
     fn enter(&self, cat: &Catalog, ask: &Ask) -> Result<Entered, Fault> {
         let routers = u32::try_from(read(&self.routers).len()).unwrap_or(u32::MAX);
-        self.admission.enter(cat.caps(&ask.workspace), routers, ask)
+        self.admission.enter(cat.concurrency_limits(&ask.workspace), routers, ask)
     }
 
     /// A ticket under which a caller may make idempotency keys that stay usable while the platform is out.
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -10,9 +10,9 @@
 
 use super::{ask::Ask, lock, read};
 use crate::{
-    admit::{Cap, Lane, Offer, Refusal, Ticket, Usage, Work},
+    admit::{ConcurrencyLimit, EnqueueResult, FairQueue, InFlight, Refusal, Ticket, Work},
     error::Fault,
-    retry::spread,
+    retry::jitter,
     util::{Instant, Map, now},
 };
 
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     queues: RwLock<Map<Arc<str>, Arc<Queue>>>,
-    usage: Arc<Mutex<Usage>>,
+    usage: Arc<Mutex<InFlight>>,
 }
 
 impl Admission {
@@ -43,9 +43,14 @@
     ///
     /// # Errors
     /// When a limit is reached.
-    pub(crate) fn enter(&self, caps: Arc<[Cap]>, routers: u32, ask: &Ask) -> Result<Entered, Fault> {
+    pub(crate) fn enter(
+        &self,
+        caps: Arc<[ConcurrencyLimit]>,
+        routers: u32,
+        ask: &Ask,
+    ) -> Result<Entered, Fault> {
         if !caps.is_empty() {
-            let entered = lock(&self.usage).enter(&caps, routers);
+            let entered = lock(&self.usage).acquire(&caps, routers);
             entered.map_err(|kind| {
                 Fault::new(kind, format!("workspace {:?} has too many requests in progress", ask.workspace))
             })?;
@@ -57,14 +62,14 @@
 /// A request that counts against the limits of its workspace until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Entered {
-    caps: Arc<[Cap]>,
-    usage: Arc<Mutex<Usage>>,
+    caps: Arc<[ConcurrencyLimit]>,
+    usage: Arc<Mutex<InFlight>>,
 }
 
 impl Drop for Entered {
     fn drop(&mut self) {
         if !self.caps.is_empty() {
-            lock(&self.usage).leave(&self.caps);
+            lock(&self.usage).release(&self.caps);
         }
     }
 }
@@ -78,7 +83,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    lane: Lane,
+    lane: FairQueue,
     waiters: Map<Ticket, oneshot::Sender<Turn>>,
     pumped: bool,
     pause: Duration,
@@ -136,19 +141,19 @@
 
     /// Notes a run that has ended, so that its engine may have room.
     pub(crate) fn note_end(&self, ran: Duration, work: Work) {
-        lock(&self.state).lane.finish(ran, work);
+        lock(&self.state).lane.record_run(ran, work);
         self.freed.notify_one();
     }
 
     fn wait(self: &Arc<Self>, ask: &Ask) -> Result<Waiter, Fault> {
         let mut state = lock(&self.state);
-        let ticket = match state.lane.offer(now(), ask.demand()) {
-            Offer::Queued(ticket) => ticket,
-            Offer::Displaced(ticket, victim, refusal) => {
+        let ticket = match state.lane.enqueue(now(), ask.demand()) {
+            EnqueueResult::Queued(ticket) => ticket,
+            EnqueueResult::Displaced(ticket, victim, refusal) => {
                 state.refuse(victim, refusal);
                 ticket
             }
-            Offer::Refused(refusal) => return Err(fault(refusal)),
+            EnqueueResult::Refused(refusal) => return Err(fault(refusal)),
         };
         let (tx, turn) = oneshot::channel();
         state.waiters.insert(ticket, tx);
@@ -162,7 +167,7 @@
     fn settled(&self, ticket: Ticket) {
         let mut state = lock(&self.state);
         state.waiters.remove(&ticket);
-        state.lane.settle(now(), ticket, true);
+        state.lane.end_turn(now(), ticket, true);
         state.pause = TICK;
         state.grant();
     }
@@ -171,7 +176,7 @@
         let mut state = lock(&self.state);
         let (tx, turn) = oneshot::channel();
         state.waiters.insert(ticket, tx);
-        state.lane.settle(now(), ticket, false);
+        state.lane.end_turn(now(), ticket, false);
         state.pause = (state.pause * 2).min(MOST_PAUSE);
         state.next = now() + state.pause;
         turn
@@ -197,10 +202,10 @@
 
 impl State {
     fn grant(&mut self) {
-        let Some(ticket) = self.lane.grant() else { return };
+        let Some(ticket) = self.lane.start_turn() else { return };
         let sent = self.waiters.remove(&ticket).is_some_and(|tx| tx.send(Turn::Try).is_ok());
         if !sent {
-            self.lane.leave(ticket);
+            self.lane.cancel(ticket);
         }
     }
 
@@ -228,12 +233,12 @@
     fn drop(&mut self) {
         let mut state = lock(&self.queue.state);
         state.waiters.remove(&self.ticket);
-        state.lane.leave(self.ticket);
+        state.lane.cancel(self.ticket);
     }
 }
 
 /// Refused callers are told different times, so that they don't come back together.
 fn fault(refusal: Refusal) -> Fault {
-    let after = refusal.retry_after + spread(refusal.retry_after, &mut rand::rng());
+    let after = refusal.retry_after + jitter(refusal.retry_after, &mut rand::rng());
     Fault::new(refusal.kind, refusal.kind.answer().about).with_retry_after(after)
 }
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -21,10 +21,10 @@
         Placer, Refusal, Request,
         bound::Digest,
         hint::{CachedCopy, Hint, HintKey},
-        ledger::HoldId,
+        ledger::ReservationId,
         members::Member,
         search::{Candidate, Search},
-        transfer::Costs,
+        transfer::TransferCosts,
     },
     schema::{
         engine::{CacheEvents, Load},
@@ -129,7 +129,7 @@
             links,
             hints,
             metrics,
-            next: AtomicU64::new(HoldId::first_number(wall_ms())),
+            next: AtomicU64::new(ReservationId::first_number(wall_ms())),
             held: Mutex::default(),
             ended: Mutex::default(),
         }
@@ -153,7 +153,7 @@
     }
 
     fn hold(&self, owner: Id, req: Request) {
-        lock(&self.held).insert(req.hold.number, Held { owner, req });
+        lock(&self.held).insert(req.reservation.number, Held { owner, req });
     }
 
     /// Reserves at the owner, which is this router or another.
@@ -166,13 +166,13 @@
         let answer = self.ask(req, owner).await;
         if answer.is_none() {
             self.metrics.retry("owner_unreachable");
-            self.placer().note_unreachable(owner.id, now());
+            self.placer().mark_unreachable(owner.id, now());
         }
         answer?.ok()
     }
 
     async fn ask(&self, req: Request, owner: &Member) -> Option<Result<Id, Refusal>> {
-        let number = req.hold.number;
+        let number = req.reservation.number;
         self.hold(owner.id, req);
         let body = Body::Reserve(to_wire(&req, false));
         match self.links.call(owner.peer, body, RESERVE_TIMEOUT).await {
@@ -180,7 +180,7 @@
                 lock(&self.held).remove(&number);
                 Some(Err(match refusal {
                     REFUSED_AT_BOUND => Refusal::AtBound,
-                    REFUSED_NOT_IN_USE => Refusal::NotInUse,
+                    REFUSED_NOT_IN_USE => Refusal::Unavailable,
                     _ => Refusal::NotOwner,
                 }))
             }
@@ -210,7 +210,7 @@
                 engine: 0,
                 refusal: match refusal {
                     Refusal::AtBound => REFUSED_AT_BOUND,
-                    Refusal::NotInUse => REFUSED_NOT_IN_USE,
+                    Refusal::Unavailable => REFUSED_NOT_IN_USE,
                     Refusal::NotOwner => REFUSED_NOT_OWNER,
                 },
             },
@@ -246,7 +246,7 @@
         let mut answers = futures_util::stream::iter(asks).buffer_unordered(LOAD_ASKS);
         while let Some((id, load)) = answers.next().await {
             if let Ok(load) = load {
-                self.placer().note_load(id, &load, now());
+                self.placer().record_load(id, &load, now());
             }
         }
     }
@@ -274,12 +274,14 @@
         let mut held = lock(&self.held);
         let mut placer = self.placer();
         for held in held.values_mut() {
-            let Some((id, key)) = held.req.engine.and_then(|id| Some((id, cat.key(id)?))) else { continue };
+            let Some((id, key)) = held.req.engine.and_then(|id| Some((id, cat.engine_key(id)?))) else {
+                continue;
+            };
             let Some(owner) = placer.owner(id, &cat.engine(key).data_centre).cloned() else { continue };
             if owner.id == held.owner {
                 continue;
             }
-            let number = held.req.hold.number;
+            let number = held.req.reservation.number;
             if held.owner == self.me {
                 placer.release(self.me, [number], now());
             } else {
@@ -317,7 +319,7 @@
             let number = place.next.fetch_add(1, Ordering::Relaxed);
             let slot = Slot { placement: place.clone(), number, refused: false };
             let req = Request {
-                hold: HoldId { router: place.me, number },
+                reservation: ReservationId { router: place.me, number },
                 engine: step.engine.map(|c| c.id),
                 pool: pool.id,
                 work: ask.work,
@@ -335,13 +337,13 @@
             let Some(engine) = pool.member(granted).filter(|_| !search.excludes(granted)) else { continue };
             self.metrics.add(Counter::Placements, how(step.engine), 1);
             let placed = self.placed(cat, ask, &search, hint, engine, slot);
-            let source = search.source(&place.placer(), pool, engine);
+            let source = search.transfer_source(&place.placer(), pool, engine);
             if let Some((from, tokens)) = source {
                 self.move_context(cat, ask.chat_id(), from, engine, tokens).await;
             }
             return Ok(placed);
         }
-        if search.any_in_use() { Err(Unplaced::AtBound) } else { Err(Unplaced::NoneInUse) }
+        if search.any_available() { Err(Unplaced::AtBound) } else { Err(Unplaced::NoneInUse) }
     }
 
     fn placed(
@@ -355,7 +357,7 @@
     ) -> Placed {
         let mut placer = self.placement.placer();
         let engine = cat.engine(key);
-        placer.cache.note_start(engine.id, search.chat());
+        placer.cache.mark_cached(engine.id, search.chat());
         let copy = CachedCopy {
             engine: engine.name.clone(),
             start: placer.health.start(engine.id),
@@ -377,8 +379,8 @@
         to: EngineKey,
         tokens: u32,
     ) {
-        let costs = Costs::default();
-        if !costs.worth_moving(tokens) {
+        let costs = TransferCosts::default();
+        if !costs.is_transfer_faster(tokens) {
             return;
         }
         let client = |key| EngineClient::new(self.client.clone(), cat.engine(key).addr);
@@ -388,7 +390,7 @@
             anyhow::Ok(true)
         };
         // Beyond the time that computing takes, the transfer gains nothing; the request then goes on without.
-        let how = match tokio::time::timeout(costs.recompute(tokens), transfer).await {
+        let how = match tokio::time::timeout(costs.recompute_time(tokens), transfer).await {
             Ok(Ok(true)) => "kv_moved",
             Ok(Ok(false)) => "kv_gone",
             Ok(Err(_)) => "kv_failed",
@@ -399,27 +401,27 @@
 
     /// Notes that an engine can't be reached.
     pub fn note_engine_down(&self, engine: &str) {
-        self.placement.placer().health.note_down(Id::of(engine), now());
+        self.placement.placer().health.mark_down(Id::of(engine), now());
     }
 
     /// Notes that an engine is leaving, from whatever source; it gets no new work from now on.
     pub fn note_engine_leaving(&self, engine: &str) {
-        self.placement.placer().health.note_leaving(Id::of(engine));
+        self.placement.placer().health.mark_leaving(Id::of(engine));
     }
 
     /// Notes an engine's load report, which also says that it lives.
     pub fn note_engine_load(&self, engine: &str, load: &Load) {
-        self.placement.placer().note_load(Id::of(engine), load, now());
+        self.placement.placer().record_load(Id::of(engine), load, now());
     }
 
     /// Notes an engine's cache events.
     pub fn note_cache_events(&self, engine: &str, events: &CacheEvents) {
-        self.placement.placer().note_cache_events(Id::of(engine), events);
+        self.placement.placer().record_cache_events(Id::of(engine), events);
     }
 
     /// Notes what a router says of the load of its engines in a pool.
     pub fn note_digest(&self, source: Id, pool: Id, digest: Digest, at: Instant) {
-        self.placement.placer().note_digest(source, pool, digest, at);
+        self.placement.placer().record_digest(source, pool, digest, at);
     }
 
     /// Loads of this router's engines by pool, to be told to the other routers about once a second.
@@ -448,7 +450,7 @@
         let (placement, client, cat) = (self.placement.clone(), self.client.clone(), cat.clone());
         *asking = Some(tokio::spawn(async move {
             loop {
-                let keys = placement.placer().unsettled_loads(&cat, now());
+                let keys = placement.placer().engines_without_load(&cat, now());
                 if keys.is_empty() {
                     return;
                 }
@@ -470,8 +472,8 @@
 
 fn to_wire(req: &Request, running: bool) -> Reserve {
     Reserve {
-        router: req.hold.router.0,
-        number: req.hold.number,
+        router: req.reservation.router.0,
+        number: req.reservation.number,
         engine: req.engine.map_or(0, |id| id.0),
         pool: req.pool.0,
         work: req.work,
@@ -482,7 +484,7 @@
 
 fn from_wire(msg: &Reserve) -> Request {
     Request {
-        hold: HoldId { router: Id(msg.router), number: msg.number },
+        reservation: ReservationId { router: Id(msg.router), number: msg.number },
         engine: (msg.engine != 0).then_some(Id(msg.engine)),
         pool: Id(msg.pool),
         work: msg.work,
--- a/src/suspect/breaks.rs
+++ b/src/suspect/crashes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{CrashId, EngineTag};
+use super::{CrashId, EngineHash};
 use crate::util::{Instant, Map, Set};
 
 /// Crashes remembered; beyond them the oldest is forgotten.
@@ -12,13 +12,13 @@
 
 /// Crashes of engines, each remembered for a while.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Breaks {
+pub(super) struct CrashHistory {
     until: Map<CrashId, Instant>,
     /// Engines whose connections broke while they went on.
-    cut: Map<EngineTag, Instant>,
+    cut: Map<EngineHash, Instant>,
 }
 
-impl Breaks {
+impl CrashHistory {
     /// Notes a crash; returns whether it is news.
     pub(super) fn note(&mut self, now: Instant, crash: CrashId, keep: Duration) -> bool {
         let new = self.until.insert(crash, now + keep).is_none();
@@ -37,7 +37,7 @@
     }
 
     /// Turns a crash into a mere cut of connections.
-    pub(super) fn withdraw(&mut self, now: Instant, crash: CrashId, keep: Duration) {
+    pub(super) fn retract_crash(&mut self, now: Instant, crash: CrashId, keep: Duration) {
         self.until.remove(&crash);
         self.cut.retain(|_, until| *until > now);
         self.cut.insert(crash.engine(), now + keep);
@@ -45,16 +45,16 @@
 
     /// Engines with a crash that no content is known to have caused, with several crashes or with cut
     /// connections; `except` does not count.
-    pub(super) fn unsteady(
+    pub(super) fn unstable_engines(
         &self,
         now: Instant,
-        explained: &Set<CrashId>,
+        attributed: &Set<CrashId>,
         except: Option<CrashId>,
-    ) -> Set<EngineTag> {
-        let mut crashes: Map<EngineTag, usize> = Map::default();
+    ) -> Set<EngineHash> {
+        let mut crashes: Map<EngineHash, usize> = Map::default();
         let recent = self.until.iter().filter(|(c, until)| **until > now && Some(**c) != except);
         for (crash, _) in recent {
-            let weight = if explained.contains(crash) { 1 } else { FLAPPING };
+            let weight = if attributed.contains(crash) { 1 } else { FLAPPING };
             *crashes.entry(crash.engine()).or_default() += weight;
         }
         let cut = self.cut.iter().filter(|(_, until)| **until > now).map(|(engine, _)| *engine);
--- a/tests/admit.rs
+++ b/tests/admit.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use cranberrytally::{
-    admit::{Cap, Demand, Lane, LaneLimits, Offer, Priority, Scope, Ticket, Usage},
+    admit::{
+        ConcurrencyLimit, Demand, EnqueueResult, FairQueue, InFlight, Priority, QueueLimits, Scope, Ticket,
+    },
     error::Kind,
 };
 
@@ -17,36 +19,36 @@
     demand(workspace, Priority::Normal, LATE)
 }
 
-fn wait(lane: &mut Lane, now: Duration, demand: Demand) -> Ticket {
-    match lane.offer(now, demand) {
-        Offer::Queued(ticket) => ticket,
+fn wait(queue: &mut FairQueue, now: Duration, demand: Demand) -> Ticket {
+    match queue.enqueue(now, demand) {
+        EnqueueResult::Queued(ticket) => ticket,
         other => panic!("not queued: {other:?}"),
     }
 }
 
-fn refused(offer: Offer) -> Kind {
+fn refused(offer: EnqueueResult) -> Kind {
     match offer {
-        Offer::Refused(r) => r.kind,
+        EnqueueResult::Refused(r) => r.kind,
         other => panic!("not refused: {other:?}"),
     }
 }
 
-fn next(lane: &mut Lane, now: Duration) -> Option<Ticket> {
-    let ticket = lane.grant()?;
-    lane.settle(now, ticket, true);
+fn next(queue: &mut FairQueue, now: Duration) -> Option<Ticket> {
+    let ticket = queue.start_turn()?;
+    queue.end_turn(now, ticket, true);
     Some(ticket)
 }
 
 /// Lets the lane measure 400 units of work a second.
-fn measured(limits: LaneLimits) -> Lane {
-    let mut lane = Lane::new(limits);
+fn measured(limits: QueueLimits) -> FairQueue {
+    let mut queue = FairQueue::new(limits);
     for i in 0..20 {
-        wait(&mut lane, Duration::from_millis(i * 250), normal("a"));
+        wait(&mut queue, Duration::from_millis(i * 250), normal("a"));
     }
     for i in 0..8 {
-        next(&mut lane, Duration::from_millis(i * 250 + 250));
+        next(&mut queue, Duration::from_millis(i * 250 + 250));
     }
-    lane
+    queue
 }
 
 #[test]
@@ -56,32 +58,32 @@
         ("deadline", demand("a", Priority::Low, LATE), demand("a", Priority::Low, LATE / 2)),
     ];
     for (case, later, sooner) in table {
-        let mut lane = Lane::default();
-        wait(&mut lane, Duration::ZERO, later);
-        let sooner = wait(&mut lane, Duration::ZERO, sooner);
+        let mut queue = FairQueue::default();
+        wait(&mut queue, Duration::ZERO, later);
+        let sooner = wait(&mut queue, Duration::ZERO, sooner);
 
-        let first = next(&mut lane, Duration::ZERO);
+        let first = next(&mut queue, Duration::ZERO);
 
         assert_eq!(first, Some(sooner), "{case}");
     }
-    let mut lane = Lane::default();
-    let first = wait(&mut lane, Duration::ZERO, normal("a"));
-    wait(&mut lane, Duration::ZERO, normal("a"));
-    assert_eq!(next(&mut lane, Duration::ZERO), Some(first), "arrival");
+    let mut queue = FairQueue::default();
+    let first = wait(&mut queue, Duration::ZERO, normal("a"));
+    wait(&mut queue, Duration::ZERO, normal("a"));
+    assert_eq!(next(&mut queue, Duration::ZERO), Some(first), "arrival");
 }
 
 /// A large workspace has queued fifty chats when a small one sends its first.
 /// In order of arrival the traveller would wait for all fifty; it must be among the next two.
 #[test]
 fn a_small_workspace_does_not_wait_behind_anothers_queue() {
-    let mut lane = Lane::default();
+    let mut queue = FairQueue::default();
     for _ in 0..50 {
-        wait(&mut lane, Duration::ZERO, normal("large"));
+        wait(&mut queue, Duration::ZERO, normal("large"));
     }
-    next(&mut lane, Duration::ZERO);
-    let small = wait(&mut lane, Duration::ZERO, normal("small"));
+    next(&mut queue, Duration::ZERO);
+    let small = wait(&mut queue, Duration::ZERO, normal("small"));
 
-    let turns = [next(&mut lane, Duration::ZERO), next(&mut lane, Duration::ZERO)];
+    let turns = [next(&mut queue, Duration::ZERO), next(&mut queue, Duration::ZERO)];
 
     assert!(turns.contains(&Some(small)));
 }
@@ -90,94 +92,94 @@
 /// The last request of the longest queue gives way instead, and is told at once.
 #[test]
 fn a_full_queue_still_takes_a_small_workspace() {
-    let mut lane = Lane::new(LaneLimits::default().with_total(8));
+    let mut queue = FairQueue::new(QueueLimits::default().with_total(8));
     for name in ["a", "b", "b", "b", "c", "c", "d", "d"] {
-        wait(&mut lane, Duration::ZERO, normal(name));
+        wait(&mut queue, Duration::ZERO, normal(name));
     }
 
-    let offer = lane.offer(Duration::ZERO, normal("small"));
+    let offer = queue.enqueue(Duration::ZERO, normal("small"));
 
-    let Offer::Displaced(_, victim, refusal) = offer else { panic!("not displaced: {offer:?}") };
+    let EnqueueResult::Displaced(_, victim, refusal) = offer else { panic!("not displaced: {offer:?}") };
     assert_eq!(refusal.kind, Kind::QueueFull);
-    assert_eq!(lane.len(), 8);
-    lane.leave(victim);
-    assert_eq!(lane.len(), 8, "the victim was already out");
+    assert_eq!(queue.len(), 8);
+    queue.cancel(victim);
+    assert_eq!(queue.len(), 8, "the victim was already out");
 }
 
 #[test]
 fn queues_are_bounded() {
-    let limits = LaneLimits::default().with_total(4).with_workspace(2);
-    let mut lane = Lane::new(limits);
+    let limits = QueueLimits::default().with_total(4).with_workspace(2);
+    let mut queue = FairQueue::new(limits);
     for name in ["a", "a", "b", "b"] {
-        wait(&mut lane, Duration::ZERO, normal(name));
+        wait(&mut queue, Duration::ZERO, normal(name));
     }
 
-    assert_eq!(refused(lane.offer(Duration::ZERO, normal("a"))), Kind::QueueFull, "of the workspace");
-    let offer = lane.offer(Duration::ZERO, normal("c"));
-    assert!(matches!(offer, Offer::Displaced(..)));
-    assert_eq!(lane.len(), 4);
+    assert_eq!(refused(queue.enqueue(Duration::ZERO, normal("a"))), Kind::QueueFull, "of the workspace");
+    let offer = queue.enqueue(Duration::ZERO, normal("c"));
+    assert!(matches!(offer, EnqueueResult::Displaced(..)));
+    assert_eq!(queue.len(), 4);
 }
 
 /// Phrases shall be tagged within 500 ms while 12 chats wait before them and four start a second.
 /// Let in, they would be told after their deadline that they are late; told at once, they can come back.
 #[test]
 fn a_deadline_that_can_not_be_met_is_refused_at_once() {
-    let mut lane = measured(LaneLimits::default());
+    let mut queue = measured(QueueLimits::default());
     let now = Duration::from_millis(2250);
 
-    let tight = lane.offer(now, demand("a", Priority::Low, now + Duration::from_millis(500)));
-    let roomy = lane.offer(now, demand("a", Priority::Low, now + Duration::from_secs(60)));
+    let tight = queue.enqueue(now, demand("a", Priority::Low, now + Duration::from_millis(500)));
+    let roomy = queue.enqueue(now, demand("a", Priority::Low, now + Duration::from_secs(60)));
 
-    let Offer::Refused(refusal) = tight else { panic!("not refused: {tight:?}") };
+    let EnqueueResult::Refused(refusal) = tight else { panic!("not refused: {tight:?}") };
     assert_eq!(refusal.kind, Kind::DeadlineUnmeetable);
     assert!(refusal.retry_after >= Duration::from_secs(2), "{refusal:?}");
-    assert!(matches!(roomy, Offer::Queued(_)));
+    assert!(matches!(roomy, EnqueueResult::Queued(_)));
 }
 
 /// Every engine stalls for a while, so the measured rate falls to nothing; then they run again.
 /// A lane that refused on the old rate would keep all requests out for ever.
 #[test]
 fn an_empty_lane_lets_a_request_in_after_a_stall() {
-    let mut lane = Lane::default();
-    let ticket = wait(&mut lane, Duration::ZERO, normal("a"));
+    let mut queue = FairQueue::default();
+    let ticket = wait(&mut queue, Duration::ZERO, normal("a"));
     for i in 1..100 {
-        lane.expire(Duration::from_millis(i * 250));
+        queue.expire(Duration::from_millis(i * 250));
     }
-    lane.leave(ticket);
+    queue.cancel(ticket);
     let now = Duration::from_secs(30);
 
-    let offer = lane.offer(now, demand("a", Priority::Normal, now + Duration::from_secs(1)));
+    let offer = queue.enqueue(now, demand("a", Priority::Normal, now + Duration::from_secs(1)));
 
-    assert!(matches!(offer, Offer::Queued(_)));
+    assert!(matches!(offer, EnqueueResult::Queued(_)));
 }
 
 /// A flapping engine holds all turns up for a second just as the first requests begin to wait. Taken for the
 /// lane's speed, that would refuse everybody who comes with a minute to spare.
 #[test]
 fn a_second_without_a_start_refuses_nobody_with_a_minute() {
-    let mut lane = Lane::default();
-    wait(&mut lane, Duration::ZERO, normal("a"));
+    let mut queue = FairQueue::default();
+    wait(&mut queue, Duration::ZERO, normal("a"));
     for i in 1..5 {
-        lane.expire(Duration::from_millis(i * 250));
+        queue.expire(Duration::from_millis(i * 250));
     }
     let now = Duration::from_secs(1);
 
-    let offer = lane.offer(now, demand("b", Priority::Normal, now + Duration::from_secs(60)));
+    let offer = queue.enqueue(now, demand("b", Priority::Normal, now + Duration::from_secs(60)));
 
-    assert!(matches!(offer, Offer::Queued(_)), "{offer:?}");
+    assert!(matches!(offer, EnqueueResult::Queued(_)), "{offer:?}");
 }
 
 #[test]
 fn waiting_requests_leave_at_their_deadline() {
-    let mut lane = Lane::default();
-    let short = wait(&mut lane, Duration::ZERO, demand("a", Priority::High, Duration::from_secs(1)));
-    wait(&mut lane, Duration::ZERO, normal("a"));
+    let mut queue = FairQueue::default();
+    let short = wait(&mut queue, Duration::ZERO, demand("a", Priority::High, Duration::from_secs(1)));
+    wait(&mut queue, Duration::ZERO, normal("a"));
 
-    let gone = lane.expire(Duration::from_secs(1) + Duration::from_millis(1));
+    let gone = queue.expire(Duration::from_secs(1) + Duration::from_millis(1));
 
     assert_eq!(gone.iter().map(|(t, r)| (*t, r.kind)).collect::<Vec<_>>(), [(short, Kind::DeadlinePassed)]);
-    assert_eq!(lane.len(), 1);
-    let passed = lane.offer(Duration::from_secs(2), demand("a", Priority::High, Duration::from_secs(1)));
+    assert_eq!(queue.len(), 1);
+    let passed = queue.enqueue(Duration::from_secs(2), demand("a", Priority::High, Duration::from_secs(1)));
     assert_eq!(refused(passed), Kind::DeadlinePassed);
 }
 
@@ -185,56 +187,56 @@
 /// after a few such callers.
 #[test]
 fn a_caller_that_goes_away_frees_its_turn() {
-    let mut lane = Lane::new(LaneLimits::default().with_trying(1));
-    wait(&mut lane, Duration::ZERO, normal("a"));
-    let second = wait(&mut lane, Duration::ZERO, normal("a"));
-    let first = lane.grant().unwrap();
-    assert_eq!(lane.grant(), None, "one turn at a time");
+    let mut queue = FairQueue::new(QueueLimits::default().with_max_turns(1));
+    wait(&mut queue, Duration::ZERO, normal("a"));
+    let second = wait(&mut queue, Duration::ZERO, normal("a"));
+    let first = queue.start_turn().unwrap();
+    assert_eq!(queue.start_turn(), None, "one turn at a time");
 
-    lane.leave(first);
+    queue.cancel(first);
 
-    assert_eq!(lane.grant(), Some(second));
+    assert_eq!(queue.start_turn(), Some(second));
 }
 
 /// The engine that a turn was meant for was taken by another router in between.
 #[test]
 fn a_turn_without_an_engine_keeps_the_place() {
-    let mut lane = Lane::default();
-    let first = wait(&mut lane, Duration::ZERO, normal("a"));
-    wait(&mut lane, Duration::ZERO, normal("a"));
-    let ticket = lane.grant().unwrap();
+    let mut queue = FairQueue::default();
+    let first = wait(&mut queue, Duration::ZERO, normal("a"));
+    wait(&mut queue, Duration::ZERO, normal("a"));
+    let ticket = queue.start_turn().unwrap();
 
-    lane.settle(Duration::ZERO, ticket, false);
+    queue.end_turn(Duration::ZERO, ticket, false);
 
-    assert_eq!(lane.grant(), Some(first));
+    assert_eq!(queue.start_turn(), Some(first));
 }
 
 #[test]
 fn limits_count_requests_in_progress() {
-    let caps = [
-        Cap { scope: Scope::Workspace("a".into()), max: 2 },
-        Cap { scope: Scope::Group("g".into()), max: 3 },
+    let limits = [
+        ConcurrencyLimit { scope: Scope::Workspace("a".into()), max: 2 },
+        ConcurrencyLimit { scope: Scope::Group("g".into()), max: 3 },
     ];
-    let mut usage = Usage::default();
-    assert_eq!(usage.enter(&caps, 1), Ok(()));
-    assert_eq!(usage.enter(&caps, 1), Ok(()));
-
-    assert_eq!(usage.enter(&caps, 1), Err(Kind::WorkspaceLimit));
-    assert_eq!(usage.enter(&caps[1..], 1), Ok(()), "a refused request is not counted");
-    assert_eq!(usage.enter(&caps[1..], 1), Err(Kind::GroupLimit));
-    usage.leave(&caps);
-    usage.leave(&caps);
-    usage.leave(&caps[1..]);
-    assert!(usage.is_empty());
+    let mut in_flight = InFlight::default();
+    assert_eq!(in_flight.acquire(&limits, 1), Ok(()));
+    assert_eq!(in_flight.acquire(&limits, 1), Ok(()));
+
+    assert_eq!(in_flight.acquire(&limits, 1), Err(Kind::WorkspaceLimit));
+    assert_eq!(in_flight.acquire(&limits[1..], 1), Ok(()), "a refused request is not counted");
+    assert_eq!(in_flight.acquire(&limits[1..], 1), Err(Kind::GroupLimit));
+    in_flight.release(&limits);
+    in_flight.release(&limits);
+    in_flight.release(&limits[1..]);
+    assert!(in_flight.is_empty());
 }
 
 #[test]
 fn a_limit_is_shared_by_the_routers() {
-    let caps = [Cap { scope: Scope::Workspace("a".into()), max: 10 }];
+    let limits = [ConcurrencyLimit { scope: Scope::Workspace("a".into()), max: 10 }];
     for (routers, share) in [(1, 10), (3, 4), (20, 1)] {
-        let mut usage = Usage::default();
+        let mut in_flight = InFlight::default();
 
-        let entered = (0..100).take_while(|_| usage.enter(&caps, routers).is_ok()).count();
+        let entered = (0..100).take_while(|_| in_flight.acquire(&limits, routers).is_ok()).count();
 
         assert_eq!(entered, share, "{routers} routers");
     }
@@ -245,23 +247,23 @@
 /// seconds is.
 #[test]
 fn an_old_stall_refuses_no_long_deadline() {
-    let mut lane = Lane::default();
-    let tickets = [0, 1, 2, 3].map(|i| wait(&mut lane, Duration::ZERO, normal(&format!("w{i}"))));
-    next(&mut lane, Duration::from_millis(250));
+    let mut queue = FairQueue::default();
+    let tickets = [0, 1, 2, 3].map(|i| wait(&mut queue, Duration::ZERO, normal(&format!("w{i}"))));
+    next(&mut queue, Duration::from_millis(250));
     for i in 1..30 {
-        lane.expire(Duration::from_secs(2 * i) + Duration::from_millis(250));
+        queue.expire(Duration::from_secs(2 * i) + Duration::from_millis(250));
     }
-    tickets.into_iter().for_each(|t| lane.leave(t));
+    tickets.into_iter().for_each(|t| queue.cancel(t));
     let start = Duration::from_secs(100);
-    wait(&mut lane, start, normal("a"));
-    let offer = |lane: &mut Lane, now: Duration| {
+    wait(&mut queue, start, normal("a"));
+    let offer = |queue: &mut FairQueue, now: Duration| {
         let deadline = now + Duration::from_secs(60);
-        lane.offer(now, demand("late", Priority::Normal, deadline))
+        queue.enqueue(now, demand("late", Priority::Normal, deadline))
     };
 
-    let soon = offer(&mut lane, start + Duration::from_millis(200));
-    let later = offer(&mut lane, start + Duration::from_secs(10));
+    let soon = offer(&mut queue, start + Duration::from_millis(200));
+    let later = offer(&mut queue, start + Duration::from_secs(10));
 
-    assert!(matches!(soon, Offer::Queued(_)), "{soon:?}");
+    assert!(matches!(soon, EnqueueResult::Queued(_)), "{soon:?}");
     assert_eq!(refused(later), Kind::DeadlineUnmeetable);
 }
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -6,11 +6,11 @@
     catalog::{AnyObject, Catalog, Id, Object},
     engine::ChatId,
     place::{
-        bound::{Digest, Mean},
-        cache::{CacheEvents, Event},
+        bound::{Digest, MeanLoad},
+        cache::{CacheEvent, EvictionTracker},
         health::Health,
-        hint::{COPIES, CachedCopy, Hint, HintKey},
-        transfer::Costs,
+        hint::{CachedCopy, Hint, HintKey, MAX_COPIES},
+        transfer::TransferCosts,
     },
     schema::object::Meta,
 };
@@ -132,7 +132,7 @@
 
     let names: Vec<_> = hint.copies.iter().map(|c| &*c.engine).collect();
     assert_eq!(names, ["b", "c"]);
-    assert_eq!(hint.copies.len(), COPIES);
+    assert_eq!(hint.copies.len(), MAX_COPIES);
 }
 
 /// An engine's network comes and goes. After the first failure its chats return at once; from the second on it
@@ -145,10 +145,10 @@
 
     for flap in 0..6 {
         let at = s(100 * flap);
-        health.note_down(engine, at);
-        assert!(!health.in_use(engine, at));
-        health.note_up(engine, at + s(1));
-        held.push((0..100).find(|&t| health.in_use(engine, at + s(1 + t))).unwrap());
+        health.mark_down(engine, at);
+        assert!(!health.is_available(engine, at));
+        health.mark_up(engine, at + s(1));
+        held.push((0..100).find(|&t| health.is_available(engine, at + s(1 + t))).unwrap());
     }
 
     assert_eq!(held, [0, 5, 10, 20, 40, 40]);
@@ -158,15 +158,15 @@
 fn a_leaving_engine_stays_out_until_it_starts_anew() {
     let mut health = Health::default();
     let engine = Id::of("engine");
-    health.note_start(engine, 1);
+    health.set_start(engine, 1);
 
-    health.note_leaving(engine);
-    health.note_start(engine, 1);
-    health.note_up(engine, s(1));
-    assert!(!health.in_use(engine, s(60)));
+    health.mark_leaving(engine);
+    health.set_start(engine, 1);
+    health.mark_up(engine, s(1));
+    assert!(!health.is_available(engine, s(60)));
 
-    health.note_start(engine, 2);
-    assert!(health.in_use(engine, s(60)));
+    health.set_start(engine, 2);
+    assert!(health.is_available(engine, s(60)));
 }
 
 /// Events are lost: after a gap the chat may have been stored again unseen, so the eviction is forgotten and
@@ -174,25 +174,25 @@
 #[test]
 fn an_eviction_counts_until_a_gap() {
     let engine = Id::of("engine");
-    let mut cache = CacheEvents::default();
+    let mut cache = EvictionTracker::default();
 
-    cache.note(engine, 1, Event::Evicted(7));
+    cache.record(engine, 1, CacheEvent::Evicted(7));
     assert!(cache.evicted(engine, 7));
-    cache.note(engine, 1, Event::Stored(7));
+    cache.record(engine, 1, CacheEvent::Stored(7));
     assert!(cache.evicted(engine, 7), "an old event counts for nothing");
-    cache.note(engine, 5, Event::Evicted(8));
+    cache.record(engine, 5, CacheEvent::Evicted(8));
     assert!(!cache.evicted(engine, 7), "the gap may hide a store");
     assert!(cache.evicted(engine, 8));
-    cache.note_start(engine, 8);
+    cache.mark_cached(engine, 8);
     assert!(!cache.evicted(engine, 8), "a request stores it anew");
 }
 
 #[test]
 fn evictions_take_bounded_memory() {
     let engine = Id::of("engine");
-    let mut cache = CacheEvents::default();
+    let mut cache = EvictionTracker::default();
 
-    (1..=10_000).for_each(|n| cache.note(engine, n, Event::Evicted(n)));
+    (1..=10_000).for_each(|n| cache.record(engine, n, CacheEvent::Evicted(n)));
 
     assert!(!cache.evicted(engine, 1));
     assert!(cache.evicted(engine, 10_000));
@@ -200,12 +200,12 @@
 
 #[test]
 fn a_long_context_is_moved_and_a_short_one_computed_again() {
-    let costs = Costs::default();
+    let costs = TransferCosts::default();
 
     let cases = [(0, false), (100, false), (1_000, true), (30_000, true)];
 
     for (tokens, moved) in cases {
-        assert_eq!(costs.worth_moving(tokens), moved, "{tokens} tokens");
+        assert_eq!(costs.is_transfer_faster(tokens), moved, "{tokens} tokens");
     }
 }
 
@@ -213,7 +213,7 @@
 /// a strict bound would refuse them all while every engine stands idle.
 #[test]
 fn a_small_mean_lets_one_request_through() {
-    let pool = |work, running| Mean::of(Digest { work, running, capacity: 9 * 8 });
+    let pool = |work, running| MeanLoad::from_total(Digest { work, running, capacity: 9 * 8 });
 
     // Work in the pool, requests, work on the engine, what is asked, whether it fits.
     let cases = [
--- a/tests/place_owners.rs
+++ b/tests/place_owners.rs
@@ -8,7 +8,7 @@
         Placer, Refusal, Request,
         bound::Digest,
         hint::{CachedCopy, Hint},
-        ledger::HoldId,
+        ledger::ReservationId,
         members::Member,
         search::{Search, Step},
     },
@@ -55,8 +55,8 @@
 }
 
 fn request(placer: &Placer, number: u64, engine: Id) -> Request {
-    let hold = HoldId { router: placer.me(), number };
-    Request { hold, engine: Some(engine), pool: Id::of("pool"), work: WORK, above_mean: true }
+    let reservation = ReservationId { router: placer.me(), number };
+    Request { reservation, engine: Some(engine), pool: Id::of("pool"), work: WORK, above_mean: true }
 }
 
 fn owned_by(placer: &mut Placer, engine: Id) -> Id {
@@ -85,7 +85,7 @@
 /// A pool whose other owner carries `work` on `engines` engines.
 fn note_others(placer: &mut Placer, engines: u64, work: u64, now: Duration) {
     let digest = Digest { work, running: (work / WORK) as u32, capacity: engines * 8 };
-    placer.note_digest(Id::of("other"), Id::of("pool"), digest, now);
+    placer.record_digest(Id::of("other"), Id::of("pool"), digest, now);
 }
 
 #[test]
@@ -109,7 +109,7 @@
     let mut a = router("a", &["a"]);
     let mut b = router("b", &["b"]);
     let down = Id::of("engine-2");
-    a.health.note_down(down, s(1));
+    a.health.mark_down(down, s(1));
 
     for chat in 0..100 {
         let chat = format!("chat-{chat}");
@@ -126,7 +126,7 @@
     let cat = catalog(3);
     let mut a = router("a", &["a"]);
     let excluded = Id::of("engine-3");
-    (0..3).for_each(|at| a.health.note_down(Id::of(&format!("engine-{at}")), s(1)));
+    (0..3).for_each(|at| a.health.mark_down(Id::of(&format!("engine-{at}")), s(1)));
     let copies = vec![CachedCopy { engine: "engine-3".into(), start: 0, tokens: 500 }];
     let hint = Hint { home: "akl-a".into(), copies };
 
@@ -134,7 +134,7 @@
     let asked = a.reserve(&cat, &request(&a, 1, excluded), s(1));
 
     assert_eq!(walk, []);
-    assert_eq!(asked, Err(Refusal::NotInUse));
+    assert_eq!(asked, Err(Refusal::Unavailable));
 }
 
 /// A chat overflowed to its second engine and has its newest context there. Its hint names both; it returns to
@@ -163,7 +163,7 @@
     let copies = vec![CachedCopy { engine: far.clone(), start: 1, tokens: 500 }];
     let hint = Hint { home: "akl-a".into(), copies };
 
-    a.health.note_start(Id::of(&far), 2);
+    a.health.set_start(Id::of(&far), 2);
 
     assert_eq!(engines(&steps(&mut a, &cat, "chat", Some(&hint), s(1))), plain);
 }
@@ -198,8 +198,8 @@
     let mut a = router("a", &["a", "b"]);
     let mine = (0..2).map(|n| Id::of(&format!("engine-{n}")));
     let engine = mine.into_iter().find(|&e| owned_by(&mut a, e) == Id::of("a")).unwrap();
-    let hold = HoldId { router: Id::of("b"), number: 1 };
-    let req = Request { hold, ..request(&a, 1, engine) };
+    let reservation = ReservationId { router: Id::of("b"), number: 1 };
+    let req = Request { reservation, ..request(&a, 1, engine) };
     assert!(a.reserve(&cat, &req, s(1)).is_ok());
 
     a.set_members(vec![member("a")], s(2));
@@ -214,9 +214,11 @@
     let cat = catalog(2);
     let mut a = router("a", &["a"]);
     let engine = Id::of("engine-0");
-    let of_run =
-        |wall_ms: u64, n: u64| HoldId { router: Id::of("b"), number: HoldId::first_number(wall_ms) + n };
-    let req = |hold| Request { hold, ..request(&router("a", &["a"]), 1, engine) };
+    let of_run = |wall_ms: u64, n: u64| ReservationId {
+        router: Id::of("b"),
+        number: ReservationId::first_number(wall_ms) + n,
+    };
+    let req = |reservation| Request { reservation, ..request(&router("a", &["a"]), 1, engine) };
     assert!(a.reserve(&cat, &req(of_run(1_000_000, 1)), s(1)).is_ok());
     a.ledger.add(of_run(1_000_000, 2), engine, WORK, s(1));
 
@@ -258,10 +260,10 @@
     let engine = Id::of("engine-0");
     note_others(&mut new, 40, 40 * mean, s(10));
 
-    new.ledger.note_report(engine, 125, s(10));
+    new.ledger.record_report(engine, 125, s(10));
 
     assert_eq!(new.reserve(&cat, &request(&new, 1, engine), s(10)), Err(Refusal::AtBound));
-    new.ledger.note_report(engine, 60, s(11));
+    new.ledger.record_report(engine, 60, s(11));
     assert!(new.reserve(&cat, &request(&new, 2, engine), s(11)).is_ok());
 }
 
@@ -272,10 +274,10 @@
     let cat = catalog(1);
     let mut a = router("a", &["a"]);
     let engine = Id::of("engine-0");
-    (0..10).for_each(|n| a.ledger.add(HoldId { router: a.me(), number: n }, engine, WORK, s(5)));
+    (0..10).for_each(|n| a.ledger.add(ReservationId { router: a.me(), number: n }, engine, WORK, s(5)));
     a.release(a.me(), 0..9, s(8));
 
-    a.ledger.note_report(engine, 10, s(9));
+    a.ledger.record_report(engine, 10, s(9));
 
     assert_eq!(a.ledger.account(engine).unwrap().foreign, Some(0));
     assert!(a.reserve(&cat, &request(&a, 50, engine), s(9)).is_ok());
@@ -302,7 +304,7 @@
     let cat = catalog(12);
     let mut a = router("a", &["a", "b"]);
 
-    a.note_unreachable(Id::of("b"), s(1));
+    a.mark_unreachable(Id::of("b"), s(1));
     let during = steps(&mut a, &cat, "chat", None, s(2));
     let after = steps(&mut a, &cat, "chat", None, s(4));
 
@@ -320,7 +322,7 @@
     for (n, (_, engine)) in cat.engines().enumerate() {
         let busy = engines(&walk).contains(&engine.id);
         let work = if busy { 200 * WORK } else { 10 * WORK };
-        a.ledger.add(HoldId { router: a.me(), number: n as u64 }, engine.id, work, s(1));
+        a.ledger.add(ReservationId { router: a.me(), number: n as u64 }, engine.id, work, s(1));
     }
 
     let any = Request { engine: None, ..request(&a, 99, Id::default()) };
@@ -355,14 +357,15 @@
     a.set_members(vec![member("a"), member("b")], s(1));
     a.set_members(vec![member("a")], s(2));
     let engine = Id::of("engine-0");
-    let asked = |a: &mut Placer| a.unsettled_loads(&cat, s(2)).iter().any(|&k| cat.engine(k).id == engine);
+    let asked =
+        |a: &mut Placer| a.engines_without_load(&cat, s(2)).iter().any(|&k| cat.engine(k).id == engine);
 
     let unknown = asked(&mut a);
-    a.ledger.note_report(engine, 3, s(2));
+    a.ledger.record_report(engine, 3, s(2));
     let foreign = asked(&mut a);
-    a.ledger.note_report(engine, 0, s(2));
+    a.ledger.record_report(engine, 0, s(2));
     let settled = asked(&mut a);
 
     assert_eq!((unknown, foreign, settled), (true, true, false));
-    assert!(a.unsettled_loads(&cat, s(60)).is_empty());
+    assert!(a.engines_without_load(&cat, s(60)).is_empty());
 }
