--- a/benches/configuration/model.rs
+++ b/benches/configuration/model.rs
@@ -499,7 +499,7 @@
     fn serve(&mut self, i: usize, peer: usize, fetch: &Fetch) {
         let Some(follower) = &self.nodes[i].follower else { return };
         let clock = Clock::now();
-        if follower.serving() == 0 {
+        if follower.advertised_version() == 0 {
             return;
         }
         let delta = follower.store().delta(fetch.since, fetch.cursor, fetch.whole, PAGE);
@@ -510,7 +510,7 @@
 
     fn gossip(&mut self, i: usize) {
         self.send(i, self.setup.gossip_period, Input::Gossip);
-        let version = self.nodes[i].follower.as_ref().map_or(0, Follower::serving);
+        let version = self.nodes[i].follower.as_ref().map_or(0, Follower::advertised_version);
         for _ in 0..self.setup.fanout {
             let to = self.rng.random_range(0..self.nodes.len());
             let lost = self.rng.random_bool(self.setup.loss);
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -163,7 +163,7 @@
 
     /// Version that serves, for gossip; 0 before the router may serve.
     pub fn version(&self) -> Version {
-        self.state().follower.serving()
+        self.state().follower.advertised_version()
     }
 
     /// What `status` shows.
@@ -195,7 +195,7 @@
         // A page of a megabyte takes milliseconds to encode.
         let answer = move || {
             let state = shared.state();
-            if state.follower.serving() == 0 {
+            if state.follower.advertised_version() == 0 {
                 return Delta::default();
             }
             state.follower.store().delta(fetch.since, fetch.cursor, fetch.whole, PAGE)
--- a/src/revision/follower.rs
+++ b/src/revision/follower.rs
@@ -175,7 +175,7 @@
     /// Version that serves, for gossip; 0 before the router may serve.
     ///
     /// Routers that restart together while the platform answers with old data would otherwise confirm each other.
-    pub fn serving(&self) -> Version {
+    pub fn advertised_version(&self) -> Version {
         if self.ready { self.version() } else { 0 }
     }
 
