--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -212,7 +212,7 @@
     let items = (0..TARGET_OBJECTS).map(|n| engine(n, n + 1)).collect();
     let mut store = Store::default();
     let start = Instant::now();
-    store.take_list(List { version: TARGET_OBJECTS, items }).expect("it is new");
+    store.apply_list(List { version: TARGET_OBJECTS, items }).expect("it is new");
     println!("take a whole list            {:>10.1} ms", start.elapsed().as_secs_f64() * 1e3);
     println!("resident memory added        {:>10.1} MB", (resident().saturating_sub(before)) as f64 / 1e6);
     let bytes = |o: &std::sync::Arc<AnyObject>| serde_json::to_vec(o.as_ref()).map_or(0, |b| b.len());
--- a/src/revision/follower/platform.rs
+++ b/src/revision/follower/platform.rs
@@ -95,7 +95,7 @@
         };
         self.platform_behind = list.version < self.version().max(self.newest);
         self.newest = self.newest.max(list.version);
-        match self.store.take_list(list) {
+        match self.store.apply_list(list) {
             Ok(()) => {
                 self.must_list = false;
                 self.differs = false;
--- a/src/revision/store.rs
+++ b/src/revision/store.rs
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     /// [`Rejected::Old`] for a list that is older: the platform may answer with old data after an outage.
-    pub fn take_list(&mut self, list: List) -> Result<(), Rejected> {
+    pub fn apply_list(&mut self, list: List) -> Result<(), Rejected> {
         if list.version < self.version {
             return Err(Rejected::Old);
         }
