--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -221,13 +221,13 @@
     let event = time_each(10_000, |i| {
         let version = TARGET_OBJECTS + 1 + u64::from(i);
         let object = engine(u64::from(i), version);
-        store.take_event(Event { version, deleted: false, object })
+        store.apply_event(Event { version, deleted: false, object })
     });
     println!("take one change of a watch   {event:>10.1} us");
     let mut peer = store.clone();
     let since = store.version();
     let object = engine(7, since + 1);
-    store.take_event(Event { version: since + 1, deleted: false, object }).expect("it is new");
+    store.apply_event(Event { version: since + 1, deleted: false, object }).expect("it is new");
     let encode = time_each(10_000, |_| store.delta(since, since, false, 1 << 20));
     println!("make a delta of one change   {encode:>10.1} us");
     let delta = store.delta(since, since, false, 1 << 20);
--- a/src/revision/follower/platform.rs
+++ b/src/revision/follower/platform.rs
@@ -154,7 +154,7 @@
     pub fn event(&mut self, now: Instant, event: Event) -> Vec<Action> {
         self.watch_backoff.reset();
         self.newest = self.newest.max(event.version);
-        if self.store.take_event(event).is_err() {
+        if self.store.apply_event(event).is_err() {
             self.rejected_old += 1;
             return Vec::new();
         }
--- a/src/revision/store.rs
+++ b/src/revision/store.rs
@@ -136,7 +136,7 @@
     ///
     /// # Errors
     /// [`Rejected::Old`] for a change that is in force already.
-    pub fn take_event(&mut self, event: Event) -> Result<(), Rejected> {
+    pub fn apply_event(&mut self, event: Event) -> Result<(), Rejected> {
         if event.version <= self.version {
             return Err(Rejected::Old);
         }
