--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -232,7 +232,7 @@
     println!("make a delta of one change   {encode:>10.1} us");
     let delta = store.delta(since, since, false, 1 << 20);
     let start = Instant::now();
-    peer.take_delta(delta).expect("it fits");
+    peer.apply_delta(delta).expect("it fits");
     println!("take a delta of one change   {:>10.1} us", start.elapsed().as_secs_f64() * 1e6);
     let object = engine(7, 1);
     println!("validate one object          {:>10.1} us", time_each(10_000, |_| check::check(&object)));
--- a/src/revision/follower/peers.rs
+++ b/src/revision/follower/peers.rs
@@ -80,7 +80,7 @@
 
     fn take(&mut self, now: Instant, peer: &Arc<str>, delta: Delta, rng: &mut impl Rng) -> Vec<Action> {
         let before = self.version();
-        match self.store.take_delta(delta) {
+        match self.store.apply_delta(delta) {
             Ok(()) => {}
             Err(Rejected::Mismatch) => {
                 self.mismatches += 1;
--- a/src/revision/store.rs
+++ b/src/revision/store.rs
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     /// Why they were not taken; after [`Rejected::Mismatch`] they are in force all the same.
-    pub fn take_delta(&mut self, delta: Delta) -> Result<(), Rejected> {
+    pub fn apply_delta(&mut self, delta: Delta) -> Result<(), Rejected> {
         if delta.version < self.version {
             return Err(Rejected::Old);
         }
