--- a/src/lease.rs
+++ b/src/lease.rs
@@ -36,7 +36,7 @@
 
 /// What is leased, by whom and for how long.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct LeaseConfig {
     /// Name of the lease.
     pub name: Arc<str>,
     /// This process; different after each restart, so that nobody takes an earlier life's lease for its own.
@@ -45,7 +45,7 @@
     pub ttl: Duration,
 }
 
-impl Terms {
+impl LeaseConfig {
     /// Terms of the process `holder`.
     pub fn new(name: impl Into<Arc<str>>, holder: impl Into<Arc<str>>, ttl: Duration) -> Self {
         Self { name: name.into(), holder: holder.into(), ttl }
--- a/src/lease/acquiring.rs
+++ b/src/lease/acquiring.rs
@@ -1,12 +1,12 @@
 //! Takes a lease by one conditional write whose answer may be lost.
 
-use super::{Candidate, Held, Terms, version_of};
+use super::{Candidate, Held, LeaseConfig, version_of};
 use crate::{catalog::AnyObject, objects::Write, util::Instant};
 
 /// Has decided to take the lease; the write may be on its way.
 #[derive(Clone, Debug)]
 pub struct Acquiring {
-    terms: Terms,
+    terms: LeaseConfig,
     version: String,
     nonce: String,
     first_sent: Option<Instant>,
@@ -24,12 +24,12 @@
 }
 
 impl Acquiring {
-    pub(super) fn new(terms: Terms, version: &str, nonce: impl Into<String>) -> Self {
+    pub(super) fn new(terms: LeaseConfig, version: &str, nonce: impl Into<String>) -> Self {
         Self { terms, version: version.to_owned(), nonce: nonce.into(), first_sent: None }
     }
 
     /// Terms.
-    pub fn terms(&self) -> &Terms {
+    pub fn terms(&self) -> &LeaseConfig {
         &self.terms
     }
 
--- a/src/lease/candidate.rs
+++ b/src/lease/candidate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Acquiring, Terms, spec_of};
+use super::{Acquiring, LeaseConfig, spec_of};
 use crate::{catalog::AnyObject, util::Instant};
 
 /// Added to the lease's time, as the clocks of two hosts may run at slightly different speeds.
@@ -11,7 +11,7 @@
 /// Does not hold the lease.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    terms: Terms,
+    terms: LeaseConfig,
     seen: Option<Seen>,
 }
 
@@ -33,12 +33,12 @@
 
 impl Candidate {
     /// Has not looked yet.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(terms: LeaseConfig) -> Self {
         Self { terms, seen: None }
     }
 
     /// Terms.
-    pub fn terms(&self) -> &Terms {
+    pub fn terms(&self) -> &LeaseConfig {
         &self.terms
     }
 
--- a/src/lease/held.rs
+++ b/src/lease/held.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use super::{Candidate, Fencing, Terms};
+use super::{Candidate, Fencing, LeaseConfig};
 use crate::{catalog::AnyObject, objects::Write, util::Instant};
 
 /// Holds the lease, as long as [`Held::check`] says so.
 #[derive(Clone, Debug)]
 pub struct Held {
-    terms: Terms,
+    terms: LeaseConfig,
     version: String,
     fencing: Fencing,
     acquired: Instant,
@@ -33,14 +33,20 @@
 }
 
 impl Held {
-    pub(super) fn new(terms: Terms, obj: &AnyObject, fencing: Fencing, sent: Instant, now: Instant) -> Self {
+    pub(super) fn new(
+        terms: LeaseConfig,
+        obj: &AnyObject,
+        fencing: Fencing,
+        sent: Instant,
+        now: Instant,
+    ) -> Self {
         let valid_until = sent + terms.ttl;
         let version = obj.metadata.resource_version.clone();
         Self { terms, version, fencing, acquired: now, valid_until, last_seen: now, renewing: None }
     }
 
     /// Terms.
-    pub fn terms(&self) -> &Terms {
+    pub fn terms(&self) -> &LeaseConfig {
         &self.terms
     }
 
--- a/src/lease/keeper.rs
+++ b/src/lease/keeper.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 
-use super::{Acquired, Acquiring, Candidate, Fencing, Held, Observed, Renewed, Terms};
+use super::{Acquired, Acquiring, Candidate, Fencing, Held, LeaseConfig, Observed, Renewed};
 use crate::{catalog::AnyObject, objects::Write, util::Instant};
 
 /// What the shell shall do about a lease; one action is under way at a time.
@@ -35,7 +35,7 @@
 
 impl Keeper {
     /// Candidate that looks at once.
-    pub fn new(terms: Terms, now: Instant) -> Self {
+    pub fn new(terms: LeaseConfig, now: Instant) -> Self {
         let period = terms.period();
         let name = terms.name.clone();
         Self { name, state: State::Candidate(Candidate::new(terms)), period, next: now, busy: false }
--- a/src/order/run.rs
+++ b/src/order/run.rs
@@ -11,7 +11,7 @@
     client::Client,
     engine::{EngineClient, Ordered},
     follow,
-    lease::{Action, Keeper, Terms},
+    lease::{Action, Keeper, LeaseConfig},
     metrics::{Counter, Metrics},
     objects::{Platform, Write},
     util::{Instant, now},
@@ -124,7 +124,7 @@
 
 /// Runs one pool until it is told to end.
 async fn run_pool(cx: Arc<Context>, name: Arc<str>, mut rx: watch::Receiver<Option<Pool>>) {
-    let terms = Terms::new(format!("pool-{name}"), cx.holder.clone(), TTL);
+    let terms = LeaseConfig::new(format!("pool-{name}"), cx.holder.clone(), TTL);
     let mut work = Work {
         planner: Planner::new(cx.loads_per_minute),
         keeper: Keeper::new(terms, now()),
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranberrytally::{
-    lease::{Acquired, Acquiring, Candidate, Held, Observed, Renewed, Terms},
+    lease::{Acquired, Acquiring, Candidate, Held, LeaseConfig, Observed, Renewed},
     objects::Write,
     util::Instant,
 };
@@ -20,8 +20,8 @@
     Duration::from_secs_f64(1000.0 + seconds)
 }
 
-fn terms(holder: &str) -> Terms {
-    Terms::new("pool-a", holder, TTL)
+fn terms(holder: &str) -> LeaseConfig {
+    LeaseConfig::new("pool-a", holder, TTL)
 }
 
 fn acquiring(shelf: &Shelf, holder: &str, now: Instant) -> Acquiring {
--- a/tests/support/leases.rs
+++ b/tests/support/leases.rs
@@ -4,7 +4,7 @@
 
 use cranberrytally::{
     catalog::AnyObject,
-    lease::{Action, Fencing, Keeper, Terms},
+    lease::{Action, Fencing, Keeper, LeaseConfig},
     objects::Write,
     util::Instant,
 };
@@ -61,7 +61,7 @@
     pub fn new(name: &str, seed: u64, now: Instant) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let offset = Duration::from_secs(rng.random_range(0..100_000));
-        let keeper = Keeper::new(Terms::new("pool-a", name, TTL), now + offset);
+        let keeper = Keeper::new(LeaseConfig::new("pool-a", name, TTL), now + offset);
         Self { keeper, paused_until: Instant::ZERO, speed: 1.0, offset, call: None, rng }
     }
 
