--- a/src/lease.rs
+++ b/src/lease.rs
@@ -8,7 +8,7 @@
 //! from after it read the object, both on a clock that goes on while the host is suspended: the holder always believes
 //! itself lapsed before a candidate believes so.
 //!
-//! The life cycle is in the types: [`Candidate`] → [`Acquiring`] → [`Held`] → [`Candidate`]. [`Keeper`] drives it.
+//! The life cycle is in the types: [`Candidate`] → [`Acquiring`] → [`Held`] → [`Candidate`]. [`LeaseDriver`] drives it.
 
 mod acquiring;
 mod candidate;
@@ -20,7 +20,7 @@
 pub use acquiring::{Acquired, Acquiring};
 pub use candidate::{Candidate, Observed};
 pub use held::{Held, Renewed};
-pub use keeper::{Action, Keeper};
+pub use keeper::{Action, LeaseDriver};
 
 use crate::{
     catalog::{AnyObject, Object},
--- a/src/lease/keeper.rs
+++ b/src/lease/keeper.rs
@@ -10,9 +10,9 @@
 /// What the shell shall do about a lease; one action is under way at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Read the lease's object; answer with [`Keeper::read`].
+    /// Read the lease's object; answer with [`LeaseDriver::read`].
     Read,
-    /// Write this object once; answer with [`Keeper::written`].
+    /// Write this object once; answer with [`LeaseDriver::written`].
     Write(AnyObject),
 }
 
@@ -25,7 +25,7 @@
 
 /// One lease of one process.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct LeaseDriver {
     name: Arc<str>,
     state: State,
     period: Duration,
@@ -33,7 +33,7 @@
     busy: bool,
 }
 
-impl Keeper {
+impl LeaseDriver {
     /// Candidate that looks at once.
     pub fn new(terms: LeaseConfig, now: Instant) -> Self {
         let period = terms.period();
--- a/src/order/run.rs
+++ b/src/order/run.rs
@@ -11,7 +11,7 @@
     client::Client,
     engine::{EngineClient, Ordered},
     follow,
-    lease::{Action, Keeper, LeaseConfig},
+    lease::{Action, LeaseConfig, LeaseDriver},
     metrics::{Counter, Metrics},
     objects::{Platform, Write},
     util::{Instant, now},
@@ -116,7 +116,7 @@
 struct Work {
     cx: Arc<Context>,
     pool: Pool,
-    keeper: Keeper,
+    keeper: LeaseDriver,
     planner: Planner,
     rng: StdRng,
     report_at: Instant,
@@ -127,7 +127,7 @@
     let terms = LeaseConfig::new(format!("pool-{name}"), cx.holder.clone(), TTL);
     let mut work = Work {
         planner: Planner::new(cx.loads_per_minute),
-        keeper: Keeper::new(terms, now()),
+        keeper: LeaseDriver::new(terms, now()),
         pool: Pool::default(),
         rng: StdRng::from_os_rng(),
         report_at: now(),
--- a/tests/support/leases.rs
+++ b/tests/support/leases.rs
@@ -4,7 +4,7 @@
 
 use cranberrytally::{
     catalog::AnyObject,
-    lease::{Action, Fencing, Keeper, LeaseConfig},
+    lease::{Action, Fencing, LeaseConfig, LeaseDriver},
     objects::Write,
     util::Instant,
 };
@@ -48,7 +48,7 @@
 
 /// One process with its own clock.
 pub struct Process {
-    pub keeper: Keeper,
+    pub keeper: LeaseDriver,
     pub paused_until: Instant,
     /// Speed of its clock.
     pub speed: f64,
@@ -61,7 +61,7 @@
     pub fn new(name: &str, seed: u64, now: Instant) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let offset = Duration::from_secs(rng.random_range(0..100_000));
-        let keeper = Keeper::new(LeaseConfig::new("pool-a", name, TTL), now + offset);
+        let keeper = LeaseDriver::new(LeaseConfig::new("pool-a", name, TTL), now + offset);
         Self { keeper, paused_until: Instant::ZERO, speed: 1.0, offset, call: None, rng }
     }
 
