--- a/src/lease/acquiring.rs
+++ b/src/lease/acquiring.rs
@@ -18,7 +18,7 @@
     /// The lease is held, unless the answer took longer than the lease lasts.
     Held(Held),
     /// No answer; send the same write again.
-    Again(Acquiring),
+    Retry(Acquiring),
     /// Another process was first.
     Lost(Candidate),
 }
@@ -51,7 +51,7 @@
             Write::Conflict(Some(obj)) if obj.metadata.writer_nonce == self.nonce => {
                 Acquired::Held(Held::new(self.terms, &obj, version_of(&obj), sent, now))
             }
-            Write::Unknown if now < sent + self.terms.ttl => Acquired::Again(self),
+            Write::Unknown if now < sent + self.terms.ttl => Acquired::Retry(self),
             Write::Conflict(_) | Write::Unknown => Acquired::Lost(Candidate::new(self.terms)),
         }
     }
--- a/src/lease/keeper.rs
+++ b/src/lease/keeper.rs
@@ -88,7 +88,7 @@
             State::Acquiring(acquiring) => {
                 self.state = match acquiring.clone().answered(now, write) {
                     Acquired::Held(held) => State::Held(held),
-                    Acquired::Again(acquiring) => State::Acquiring(acquiring),
+                    Acquired::Retry(acquiring) => State::Acquiring(acquiring),
                     Acquired::Lost(candidate) => self.lost(now, candidate),
                 };
             }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -67,7 +67,7 @@
     let mut acquiring = acquiring(&shelf, "a", at(0.0));
     let _lost = shelf.put(acquiring.attempt(at(0.0)));
 
-    let Acquired::Again(mut acquiring) = acquiring.answered(at(1.0), Write::Unknown) else { panic!() };
+    let Acquired::Retry(mut acquiring) = acquiring.answered(at(1.0), Write::Unknown) else { panic!() };
     let write = shelf.put(acquiring.attempt(at(1.0)));
     let Acquired::Held(mut held) = acquiring.answered(at(2.0), write) else { panic!() };
 
