--- a/src/lease/candidate.rs
+++ b/src/lease/candidate.rs
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub enum Observed {
     /// Another process may hold it.
-    Taken(Candidate),
+    HeldByOther(Candidate),
     /// It is free; the next step is to write.
     Free(Acquiring),
 }
@@ -54,7 +54,7 @@
         if self.note(now, version) > ttl + ttl / DRIFT {
             return Observed::Free(Acquiring::new(self.terms, version, nonce));
         }
-        Observed::Taken(self)
+        Observed::HeldByOther(self)
     }
 
     /// Notes a version and returns for how long it has been the same.
--- a/src/lease/keeper.rs
+++ b/src/lease/keeper.rs
@@ -69,7 +69,7 @@
         let (State::Candidate(candidate), Some(obj)) = (&self.state, answer) else { return };
         let nonce = format!("{:016x}", rng.random::<u64>());
         self.state = match candidate.clone().observe(now, obj.as_ref(), nonce) {
-            Observed::Taken(candidate) => State::Candidate(candidate),
+            Observed::HeldByOther(candidate) => State::Candidate(candidate),
             Observed::Free(acquiring) => {
                 self.next = now;
                 State::Acquiring(acquiring)
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -27,7 +27,7 @@
 fn acquiring(shelf: &Shelf, holder: &str, now: Instant) -> Acquiring {
     match Candidate::new(terms(holder)).observe(now, shelf.get().as_ref(), "first") {
         Observed::Free(acquiring) => acquiring,
-        Observed::Taken(_) => panic!("it is taken"),
+        Observed::HeldByOther(_) => panic!("it is taken"),
     }
 }
 
@@ -46,7 +46,7 @@
     for i in 0..10 {
         let after = from + f64::from(i) * 3.0;
         match candidate.observe(at(after), shelf.get().as_ref(), "second") {
-            Observed::Taken(c) => candidate = c,
+            Observed::HeldByOther(c) => candidate = c,
             Observed::Free(mut acquiring) => {
                 let write = shelf.put(acquiring.attempt(at(after)));
                 match acquiring.answered(at(after), write) {
@@ -102,7 +102,7 @@
     let mut candidate = Candidate::new(terms("b"));
     for time in [0.0, 1.0, 3600.0] {
         match candidate.observe(at(time), shelf.get().as_ref(), "second") {
-            Observed::Taken(c) => candidate = c,
+            Observed::HeldByOther(c) => candidate = c,
             Observed::Free(_) => panic!("taken over after {time} s on a clock that jumped"),
         }
     }
