--- a/src/lease/held.rs
+++ b/src/lease/held.rs
@@ -106,7 +106,7 @@
     }
 
     /// Gives the lease back: the write that lets a candidate take it at once.
-    pub fn close(self, nonce: impl Into<String>) -> AnyObject {
+    pub fn release(self, nonce: impl Into<String>) -> AnyObject {
         self.terms.object(&self.version, &nonce.into(), "", self.fencing)
     }
 }
--- a/src/lease/keeper.rs
+++ b/src/lease/keeper.rs
@@ -120,9 +120,9 @@
     }
 
     /// Ends this process's part; the write that gives a held lease back.
-    pub fn close(self, rng: &mut impl Rng) -> Option<AnyObject> {
+    pub fn release(self, rng: &mut impl Rng) -> Option<AnyObject> {
         match self.state {
-            State::Held(held) => Some(held.close(format!("{:016x}", rng.random::<u64>()))),
+            State::Held(held) => Some(held.release(format!("{:016x}", rng.random::<u64>()))),
             _ => None,
         }
     }
--- a/src/order/run.rs
+++ b/src/order/run.rs
@@ -237,7 +237,7 @@
     }
 
     async fn close(mut self) {
-        if let Some(obj) = self.keeper.close(&mut self.rng) {
+        if let Some(obj) = self.keeper.release(&mut self.rng) {
             let _ = self.cx.platform.put(&obj).await;
         }
     }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -143,7 +143,7 @@
 fn a_lease_given_back_is_free_at_once() {
     let mut shelf = Shelf::default();
     let old = held(&mut shelf, "a", at(0.0));
-    shelf.put(old.close("second"));
+    shelf.put(old.release("second"));
 
     let (mut new, taken) = take_over(&mut shelf, "b", 1.0);
 
