--- a/src/lease.rs
+++ b/src/lease.rs
@@ -13,14 +13,14 @@
 mod acquiring;
 mod candidate;
 mod held;
-mod keeper;
+mod driver;
 
 use std::{sync::Arc, time::Duration};
 
 pub use acquiring::{Acquired, Acquiring};
 pub use candidate::{Candidate, Observed};
 pub use held::{Held, Renewed};
-pub use keeper::{Action, LeaseDriver};
+pub use driver::{Action, LeaseDriver};
 
 use crate::{
     catalog::{AnyObject, Object},
