--- a/src/lease.rs
+++ b/src/lease.rs
@@ -12,15 +12,15 @@
 
 mod acquiring;
 mod candidate;
-mod held;
 mod driver;
+mod held;
 
 use std::{sync::Arc, time::Duration};
 
 pub use acquiring::{Acquired, Acquiring};
 pub use candidate::{Candidate, Observed};
-pub use held::{Held, Renewed};
 pub use driver::{Action, LeaseDriver};
+pub use held::{Held, Renewed};
 
 use crate::{
     catalog::{AnyObject, Object},
--- a/src/revision.rs
+++ b/src/revision.rs
@@ -1,8 +1,8 @@
-//! Configuration in force: validated, distributed and never older than it was.
+//! Validates, distributes and stores the configuration; the version in force never goes backwards.
 //!
-//! A few routers of each data centre hold a watch on the platform ([`holder`]). The others hear versions by gossip and
-//! fetch the changes from a peer ([`Follower`]). [`Store`] keeps what is in force, with the last valid state of an
-//! object that is not valid, and gives peers the changes since a version.
+//! A few routers of each data centre hold a watch on the platform ([`holder`]). The others learn of new versions by
+//! gossip and fetch the changes from a peer ([`Follower`]). [`Store`] holds the objects in force, falls back to the
+//! last valid state of an object that is invalid, and serves peers the changes since a given version.
 
 pub mod check;
 mod follower;
--- a/src/revision/check.rs
+++ b/src/revision/check.rs
@@ -1,4 +1,4 @@
-//! Validation of objects before they are written and before they come into force; reports all errors at once.
+//! Validates configuration objects before they are written and before they are applied; reports all problems at once.
 
 use std::net::SocketAddr;
 
@@ -13,17 +13,17 @@
     },
 };
 
-const MAX_NAME: usize = 253;
+const MAX_NAME_BYTES: usize = 253;
 const MAX_CAPACITY: u32 = 100_000;
-const MAX_LOAD_BOUND: u32 = 10_000;
+const MAX_LOAD_BOUND_MILLI: u32 = 10_000;
 const OPERATORS: [&str; 4] = ["In", "NotIn", "Exists", "DoesNotExist"];
 
-/// One thing that is wrong with an object.
+/// One validation error of an object.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Problem {
-    /// Where, such as `spec.engines.matchExpressions[0].operator`.
+    /// Path of the invalid field, such as `spec.engines.matchExpressions[0].operator`.
     pub path: String,
-    /// What is wrong and what would be right.
+    /// What is invalid and what is expected instead.
     pub message: String,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Checks an object of a configuration kind.
+/// Validates an object of a configuration kind and returns its problems.
 pub fn check(obj: &AnyObject) -> Vec<Problem> {
     let mut found = Problems::default();
     found.meta(&obj.metadata);
@@ -48,19 +48,19 @@
     }
     let bytes = serde_json::to_vec(obj).map_or(0, |b| b.len());
     if bytes > MAX_VALUE {
-        found.add("", format!("the object has {bytes} bytes; the platform takes {MAX_VALUE}"));
+        found.add("", format!("the object has {bytes} bytes; the platform accepts at most {MAX_VALUE}"));
     }
     found.0
 }
 
-/// Reads an object from a document and checks it.
+/// Parses an object from a document and validates it.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// All problems found.
 pub fn parse(doc: &Value) -> Result<AnyObject, Vec<Problem>> {
     let mut found = Problems::default();
     let Some(map) = doc.as_object() else {
-        found.add("", "the document is no mapping with `kind`, `metadata` and `spec`");
+        found.add("", "the document must be a mapping with `kind`, `metadata` and `spec`");
         return Err(found.0);
     };
     for key in map.keys().filter(|k| !["kind", "metadata", "spec"].contains(&k.as_str())) {
@@ -84,7 +84,7 @@
         self.0.push(Problem { path: path.into(), message: message.into() });
     }
 
-    /// Reads `value` field by field, so that each wrong field is reported and the others are still checked.
+    /// Parses `value` field by field, so that every invalid field is reported and the others are still validated.
     fn fields<T: DeserializeOwned + Default>(
         &mut self,
         value: &Value,
@@ -92,7 +92,7 @@
         selector: Option<&str>,
     ) -> T {
         let Some(map) = value.as_object() else {
-            self.add(path, "is no mapping");
+            self.add(path, "must be a mapping");
             return T::default();
         };
         let mut good = Map::new();
@@ -129,8 +129,8 @@
     }
 
     fn requirement(&mut self, req: &Requirement, path: &str) {
-        if !is_name(&req.key) {
-            self.add(format!("{path}.key"), format!("`{}` is no label", req.key));
+        if !is_valid_name(&req.key) {
+            self.add(format!("{path}.key"), format!("`{}` is not a valid label key", req.key));
         }
         if !OPERATORS.contains(&req.operator.as_str()) {
             let message = format!("`{}` is not one of {}", req.operator, OPERATORS.join(", "));
@@ -146,9 +146,11 @@
     }
 
     fn meta(&mut self, meta: &Meta) {
-        if !is_name(&meta.name) {
-            let message =
-                format!("`{}` is no name: 1 to {MAX_NAME} letters, digits, `-`, `_` and `.`", meta.name);
+        if !is_valid_name(&meta.name) {
+            let message = format!(
+                "`{}` is not a valid name: 1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` and `.`",
+                meta.name
+            );
             self.add("metadata.name", message);
         }
         for (key, value) in &meta.labels {
@@ -157,59 +159,63 @@
     }
 
     fn label(&mut self, key: &str, value: &str, path: &str) {
-        if !is_name(key) {
-            self.add(path, format!("`{key}` is no label"));
+        if !is_valid_name(key) {
+            self.add(path, format!("`{key}` is not a valid label key"));
         }
-        if !value.is_empty() && !is_name(value) {
-            self.add(path, format!("`{value}` is no value of a label"));
+        if !value.is_empty() && !is_valid_name(value) {
+            self.add(path, format!("`{value}` is not a valid label value"));
         }
     }
 
     fn engine(&mut self, spec: &Value) {
         let engine: Engine = self.fields(spec, "spec", None);
         if engine.address.parse::<SocketAddr>().is_err() {
-            self.add("spec.address", format!("`{}` is no IP address and port", engine.address));
+            self.add("spec.address", format!("`{}` is not an IP address and port", engine.address));
         }
         if engine.capacity > MAX_CAPACITY {
-            self.add("spec.capacity", format!("{} is above {MAX_CAPACITY}", engine.capacity));
+            self.add("spec.capacity", format!("{} exceeds the maximum of {MAX_CAPACITY}", engine.capacity));
         }
     }
 
     fn pool(&mut self, spec: &Value) {
         let pool: EnginePool = self.fields(spec, "spec", Some("engines"));
         let bound = pool.load_bound_milli;
-        if bound != 0 && !(LEAST_BOUND_MILLI..=MAX_LOAD_BOUND).contains(&bound) {
-            let message = format!("{bound} is not from {LEAST_BOUND_MILLI} to {MAX_LOAD_BOUND}");
+        if bound != 0 && !(LEAST_BOUND_MILLI..=MAX_LOAD_BOUND_MILLI).contains(&bound) {
+            let message =
+                format!("{bound} is not in the range {LEAST_BOUND_MILLI} to {MAX_LOAD_BOUND_MILLI}");
             self.add("spec.loadBoundMilli", message);
         }
-        self.distinct(&pool.models, "spec.models");
-        self.distinct(&pool.adapters, "spec.adapters");
-        if !pool.role.is_empty() && !is_name(&pool.role) {
-            self.add("spec.role", format!("`{}` is no role", pool.role));
+        self.check_unique(&pool.models, "spec.models");
+        self.check_unique(&pool.adapters, "spec.adapters");
+        if !pool.role.is_empty() && !is_valid_name(&pool.role) {
+            self.add("spec.role", format!("`{}` is not a valid role", pool.role));
         }
     }
 
     fn policy(&mut self, spec: &Value) {
         let policy: RoutingPolicy = self.fields(spec, "spec", Some("workspaces"));
-        if !is_name(&policy.pool) {
-            self.add("spec.pool", format!("`{}` is no name of an engine pool", policy.pool));
+        if !is_valid_name(&policy.pool) {
+            self.add("spec.pool", format!("`{}` is not a valid engine pool name", policy.pool));
         }
     }
 
     fn service(&mut self, spec: &Value) {
         let service: Service = self.fields(spec, "spec", Some("engines"));
-        self.prefixes(&service.non_idempotent, "spec.nonIdempotent");
-        self.prefixes(&service.idempotent, "spec.idempotent");
+        self.check_prefixes(&service.non_idempotent, "spec.nonIdempotent");
+        self.check_prefixes(&service.idempotent, "spec.idempotent");
         let root = |prefix: &str| prefix.trim_end_matches('/').to_owned();
         let listed: Vec<_> = service.non_idempotent.iter().map(|prefix| root(prefix)).collect();
         for (i, prefix) in service.idempotent.iter().enumerate() {
             if listed.contains(&root(prefix)) {
-                self.add(format!("spec.idempotent[{i}]"), format!("`{prefix}` is in spec.nonIdempotent too"));
+                self.add(
+                    format!("spec.idempotent[{i}]"),
+                    format!("`{prefix}` is also listed in spec.nonIdempotent"),
+                );
             }
         }
     }
 
-    fn prefixes(&mut self, prefixes: &[String], path: &str) {
+    fn check_prefixes(&mut self, prefixes: &[String], path: &str) {
         for (i, prefix) in prefixes.iter().enumerate() {
             if !prefix.starts_with('/') {
                 self.add(format!("{path}[{i}]"), format!("`{prefix}` does not start with `/`"));
@@ -217,22 +223,22 @@
         }
     }
 
-    fn distinct(&mut self, names: &[String], path: &str) {
+    fn check_unique(&mut self, names: &[String], path: &str) {
         for (i, name) in names.iter().enumerate() {
             if name.is_empty() {
-                self.add(format!("{path}[{i}]"), "is empty");
+                self.add(format!("{path}[{i}]"), "must not be empty");
             }
             if names[..i].contains(name) {
-                self.add(format!("{path}[{i}]"), format!("`{name}` is there twice"));
+                self.add(format!("{path}[{i}]"), format!("`{name}` is listed twice"));
             }
         }
     }
 }
 
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     let inner = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     let edge = |c: Option<char>| c.is_some_and(|c| c.is_ascii_alphanumeric());
-    text.len() <= MAX_NAME
+    text.len() <= MAX_NAME_BYTES
         && text.chars().all(inner)
         && edge(text.chars().next())
         && edge(text.chars().last())
--- a/src/revision/follower.rs
+++ b/src/revision/follower.rs
@@ -1,4 +1,4 @@
-//! Decides how one router follows the configuration: by its own watch, or from peers that are ahead.
+//! Keeps the configuration of one router up to date, by its own watch on the platform or by fetches from peers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,52 +14,54 @@
 mod peers;
 mod platform;
 
-const RETRY: Duration = Duration::from_millis(500);
-const RETRY_MAX: Duration = Duration::from_secs(15);
-const FETCH_RETRY: Duration = Duration::from_millis(100);
-const FETCH_RETRY_MAX: Duration = Duration::from_secs(2);
-/// A holder gives peers this long to tell the fleet's version before it lists.
-const FIRST_LIST: Duration = Duration::from_millis(500);
-/// A router that hears no peer for so long serves what the platform gave.
-const ALONE: Duration = Duration::from_secs(5);
-/// With at least one peer heard, this long is enough to have heard of a newer version by gossip.
-const SETTLE: Duration = Duration::from_secs(2);
-/// As many informed peers are believed at once.
-const QUORUM: usize = 3;
-/// Mean time between comparisons with a random peer, against a change that a watch dropped unseen.
-const COMPARE: Duration = Duration::from_secs(90);
+const WATCH_BACKOFF_BASE: Duration = Duration::from_millis(500);
+const WATCH_BACKOFF_MAX: Duration = Duration::from_secs(15);
+const FETCH_BACKOFF_BASE: Duration = Duration::from_millis(100);
+const FETCH_BACKOFF_MAX: Duration = Duration::from_secs(2);
+/// Mean delay before the first list, in which peers can report the fleet's version.
+const INITIAL_LIST_DELAY: Duration = Duration::from_millis(500);
+/// Time since the start after which a router is ready without a report from any peer.
+const NO_PEER_READY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time since the start after which the report of a single peer is enough to be ready: gossip has spread the fleet's
+/// newest version by then.
+const GOSSIP_SETTLE_TIME: Duration = Duration::from_secs(2);
+/// Number of peers with a version that is enough to be ready without waiting.
+const READY_QUORUM: usize = 3;
+/// Mean time between comparisons with a random peer; they detect a change that the watch silently dropped.
+const COMPARE_INTERVAL: Duration = Duration::from_secs(90);
 
 /// A live router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Name.
     pub name: Arc<str>,
-    /// Data centre in which it stands.
+    /// Its data centre.
     pub data_centre: Arc<str>,
 }
 
-/// What the shell shall do.
+/// An I/O operation that the caller must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// List the configuration; answer with [`Follower::listed`].
+    /// List the configuration; report the result with [`Follower::listed`].
     List,
-    /// Open a watch; answer with [`Follower::watch_opened`], [`Follower::event`] and [`Follower::watch_ended`].
+    /// Open a watch; report its progress with [`Follower::watch_opened`], [`Follower::event`] and
+    /// [`Follower::watch_ended`].
     Watch {
-        /// Version after which changes are wanted.
+        /// Version after which the changes start.
         from: Version,
     },
     /// Close the watch.
     CloseWatch,
-    /// Fetch changes from a peer; answer with [`Follower::fetched`].
+    /// Fetch changes from a peer; report the result with [`Follower::fetched`].
     Fetch {
-        /// Peer to ask.
+        /// Name of the peer.
         peer: Arc<str>,
-        /// What to ask.
+        /// Request to send.
         fetch: Fetch,
     },
-    /// Put the store's objects in force.
+    /// Put the objects of the store in force.
     Install {
-        /// Their version.
+        /// Version of the objects.
         version: Version,
     },
 }
@@ -76,29 +78,29 @@
 struct Fetching {
     peer: Arc<str>,
     deadline: Instant,
-    parts: Delta,
+    received: Delta,
 }
 
-/// What a follower shows of itself.
+/// Status of a follower.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct State {
     /// Version in force.
     pub version: Version,
-    /// Newest version heard of.
+    /// Newest version known to exist in the fleet.
     pub newest: Version,
-    /// Whether it may serve.
+    /// Whether the router is ready to serve.
     pub ready: bool,
-    /// Whether it holds a watch.
+    /// Whether the router holds a watch on the platform.
     pub holds_watch: bool,
-    /// Whether the platform last answered with data older than what is in force.
+    /// Whether the last list of the platform was older than the newest known version.
     pub platform_behind: bool,
-    /// Lists and changes that were not taken since they were old.
+    /// Number of lists and changes rejected because they were out of date.
     pub rejected_old: u64,
-    /// Times that the objects differed from a peer's of the same version.
+    /// Number of times the objects differed from a peer's at the same version.
     pub mismatches: u64,
 }
 
-/// Configuration of one router.
+/// Follows the configuration for one router.
 #[derive(Clone, Debug)]
 pub struct Follower {
     me: Member,
@@ -106,22 +108,22 @@
     started: Instant,
     members: Vec<Member>,
     expects_peers: bool,
-    heard: Map<Arc<str>, Version>,
-    avoid: Map<Arc<str>, Instant>,
+    peer_versions: Map<Arc<str>, Version>,
+    avoided_until: Map<Arc<str>, Instant>,
     newest: Version,
     watch: Watch,
-    watch_at: Instant,
+    next_watch_at: Instant,
     watch_backoff: Backoff,
     watch_opened_at: Instant,
-    must_list: bool,
+    needs_list: bool,
     list_at: Option<Instant>,
-    compare_at: Instant,
-    differs: bool,
-    resolve_at: Instant,
-    holder_until: Instant,
+    next_compare_at: Instant,
+    has_mismatch: bool,
+    resolve_not_before: Instant,
+    hold_until: Instant,
     platform_behind: bool,
     fetching: Option<Fetching>,
-    fetch_at: Instant,
+    next_fetch_at: Instant,
     fetch_backoff: Backoff,
     behind_since: Option<Instant>,
     ready: bool,
@@ -130,7 +132,7 @@
 }
 
 impl Follower {
-    /// Follower of the router `me`, started now; `expects_peers` when its settings name other routers.
+    /// Creates the follower of the router `me` at its start; `expects_peers` if the settings name other routers.
     pub fn new(me: Member, expects_peers: bool, now: Instant, rng: &mut impl Rng) -> Self {
         Self {
             members: vec![me.clone()],
@@ -138,23 +140,27 @@
             store: Store::default(),
             started: now,
             expects_peers,
-            heard: Map::default(),
-            avoid: Map::default(),
+            peer_versions: Map::default(),
+            avoided_until: Map::default(),
             newest: 0,
             watch: Watch::Closed,
-            watch_at: if expects_peers { now + FIRST_LIST.mul_f64(0.5 + rng.random::<f64>()) } else { now },
-            watch_backoff: Backoff::new(RETRY, RETRY_MAX),
+            next_watch_at: if expects_peers {
+                now + INITIAL_LIST_DELAY.mul_f64(0.5 + rng.random::<f64>())
+            } else {
+                now
+            },
+            watch_backoff: Backoff::new(WATCH_BACKOFF_BASE, WATCH_BACKOFF_MAX),
             watch_opened_at: now,
-            must_list: false,
+            needs_list: false,
             list_at: None,
-            compare_at: now + COMPARE,
-            differs: false,
-            resolve_at: now,
-            holder_until: now,
+            next_compare_at: now + COMPARE_INTERVAL,
+            has_mismatch: false,
+            resolve_not_before: now,
+            hold_until: now,
             platform_behind: false,
             fetching: None,
-            fetch_at: now,
-            fetch_backoff: Backoff::new(FETCH_RETRY, FETCH_RETRY_MAX),
+            next_fetch_at: now,
+            fetch_backoff: Backoff::new(FETCH_BACKOFF_BASE, FETCH_BACKOFF_MAX),
             behind_since: None,
             ready: false,
             rejected_old: 0,
@@ -172,19 +178,20 @@
         self.store.version()
     }
 
-    /// Version that serves, for gossip; 0 before the router may serve.
+    /// Version to advertise by gossip; 0 until the router is ready.
     ///
-    /// Routers that restart together while the platform answers with old data would otherwise confirm each other.
+    /// If routers advertised versions earlier, routers that restart together while the platform returns stale data
+    /// would confirm the stale version to each other.
     pub fn advertised_version(&self) -> Version {
         if self.ready { self.version() } else { 0 }
     }
 
-    /// Whether the router may serve: it has at least the fleet's version.
+    /// Whether the router is ready to serve: it has at least the newest version that its peers reported.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// What `status` shows.
+    /// Status as the `status` command shows it.
     pub fn state(&self) -> State {
         State {
             version: self.version(),
@@ -201,19 +208,19 @@
     pub fn set_members(&mut self, members: Vec<Member>) {
         self.members = members;
         let live: crate::util::Set<_> = self.members.iter().map(|m| m.name.clone()).collect();
-        self.heard.retain(|name, _| live.contains(name));
+        self.peer_versions.retain(|name, _| live.contains(name));
     }
 
-    /// Notes the version that a peer has in force; 0 when it has none yet.
+    /// Records the version that a peer has in force; 0 if it has none yet.
     pub fn note_version(&mut self, now: Instant, peer: &Arc<str>, version: Version) {
         if *peer == self.me.name {
             return;
         }
-        self.heard.insert(peer.clone(), version);
+        self.peer_versions.insert(peer.clone(), version);
         self.note_newest(now, version);
     }
 
-    /// Notes a version that some router is known to have, as told by a third one.
+    /// Records a version that some router of the fleet has, learned from another peer.
     pub fn note_newest(&mut self, now: Instant, version: Version) {
         self.newest = self.newest.max(version);
         if self.newest > self.version() {
@@ -221,16 +228,17 @@
         }
     }
 
-    /// Does what time and the inputs so far call for.
+    /// Advances timers and returns the operations that are due.
     pub fn tick(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.follow_platform(now, rng, &mut actions);
-        self.follow_peers(now, rng, &mut actions);
+        self.tick_platform(now, rng, &mut actions);
+        self.tick_peers(now, rng, &mut actions);
         self.check_ready(now);
         actions
     }
 
-    fn installed(&mut self, now: Instant) -> Vec<Action> {
+    /// Returns the action that puts the current version in force.
+    fn install(&mut self, now: Instant) -> Vec<Action> {
         if self.version() >= self.newest {
             self.behind_since = None;
         }
@@ -238,20 +246,20 @@
         vec![Action::Install { version: self.version() }]
     }
 
-    /// Guards against a restarted router that serves an older version than it served before: it waits until enough
-    /// peers have told their versions and it has the newest of them.
+    /// Becomes ready once enough peers have reported their versions and this router has the newest of them, so that a
+    /// restarted router never serves an older version than before.
     fn check_ready(&mut self, now: Instant) {
         if self.ready || self.version() == 0 || self.version() < self.newest {
             return;
         }
-        let informed = self.heard.values().filter(|v| **v > 0).count();
+        let reporting = self.peer_versions.values().filter(|v| **v > 0).count();
         let others = self.members.len() - 1;
-        let all_heard = others > 0 && self.heard.len() >= others;
+        let all_reported = others > 0 && self.peer_versions.len() >= others;
         let waited = now.saturating_sub(self.started);
-        self.ready = informed >= QUORUM
-            || all_heard
-            || (informed > 0 && waited >= SETTLE)
+        self.ready = reporting >= READY_QUORUM
+            || all_reported
+            || (reporting > 0 && waited >= GOSSIP_SETTLE_TIME)
             || (!self.expects_peers && others == 0)
-            || waited >= ALONE;
+            || waited >= NO_PEER_READY_TIMEOUT;
     }
 }
--- a/src/revision/follower/platform.rs
+++ b/src/revision/follower/platform.rs
@@ -1,48 +1,49 @@
-//! The part of a follower that lists and watches the platform.
+//! Lists and watches the configuration on the platform.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-use super::{Action, Follower, RETRY_MAX, Watch};
+use super::{Action, Follower, WATCH_BACKOFF_MAX, Watch};
 use crate::{
     objects::{Event, List},
     revision::holder,
     util::Instant,
 };
 
-/// A router without a watch lists on its own after this time without any configuration, plus as much jitter.
-const FALLBACK: Duration = Duration::from_secs(6);
-/// A router that knows of a newer version, but gets it from no peer for so long, lists on its own.
-const STUCK: Duration = Duration::from_secs(6);
-/// A watch stays this long after its router is no longer among the holders, so that a flapping member moves nothing.
-const LINGER: Duration = Duration::from_secs(10);
-/// Shortest time between two lists that a difference from a peer calls for.
-const RESOLVE: Duration = Duration::from_secs(60);
+/// Time without any configuration after which a router without a watch lists by itself, plus up to as much jitter.
+const FALLBACK_LIST_DELAY: Duration = Duration::from_secs(6);
+/// Time after which a router lists by itself if it could not fetch a known newer version from any peer.
+const STALLED_FETCH_TIMEOUT: Duration = Duration::from_secs(6);
+/// How long a router keeps its watch after it is no longer a holder, so that a flapping member does not move watches.
+const WATCH_LINGER_TIME: Duration = Duration::from_secs(10);
+/// Minimum time between two lists caused by a mismatch with a peer.
+const MISMATCH_LIST_INTERVAL: Duration = Duration::from_secs(60);
 
 impl Follower {
-    pub(super) fn follow_platform(&mut self, now: Instant, rng: &mut impl Rng, actions: &mut Vec<Action>) {
-        let holds = self.holds(now);
-        let resolves = self.differs && now >= self.resolve_at;
-        if (!holds || resolves) && self.watch == Watch::Open {
+    /// Opens or closes the watch, or starts a list, as needed.
+    pub(super) fn tick_platform(&mut self, now: Instant, rng: &mut impl Rng, actions: &mut Vec<Action>) {
+        let should_watch = self.should_watch(now);
+        let resolve_mismatch = self.has_mismatch && now >= self.resolve_not_before;
+        if (!should_watch || resolve_mismatch) && self.watch == Watch::Open {
             self.watch = Watch::Closed;
             actions.push(Action::CloseWatch);
         }
         if self.watch != Watch::Closed {
             return;
         }
-        if resolves {
-            self.resolve_at = now + RESOLVE.mul_f64(1.0 + rng.random::<f64>());
+        if resolve_mismatch {
+            self.resolve_not_before = now + MISMATCH_LIST_INTERVAL.mul_f64(1.0 + rng.random::<f64>());
             return self.list(actions);
         }
-        if holds && now >= self.watch_at && !self.waits_for_peers(now) {
-            if self.version() == 0 || self.must_list {
+        if should_watch && now >= self.next_watch_at && !self.should_wait_for_peers(now) {
+            if self.version() == 0 || self.needs_list {
                 return self.list(actions);
             }
             self.watch = Watch::Opening;
             return actions.push(Action::Watch { from: self.version() });
         }
-        if !holds && self.is_stranded(now, rng) {
+        if !should_watch && self.is_fallback_list_due(now, rng) {
             self.list(actions);
         }
     }
@@ -52,105 +53,108 @@
         actions.push(Action::List);
     }
 
-    /// Whether this router shall hold a watch now.
-    fn holds(&mut self, now: Instant) -> bool {
-        // Right after the start no member is known yet, and every router would take itself for the only one.
-        if self.expects_peers && self.members.len() == 1 && now < self.started + FALLBACK {
+    /// Whether this router should hold a watch now.
+    fn should_watch(&mut self, now: Instant) -> bool {
+        // Right after the start no other member is known, so every router would choose itself as a holder.
+        if self.expects_peers && self.members.len() == 1 && now < self.started + FALLBACK_LIST_DELAY {
             return false;
         }
         let names = self.members.iter().filter(|m| m.data_centre == self.me.data_centre).map(|m| &*m.name);
         if holder::holds(&self.me.name, names) {
-            self.holder_until = now + LINGER;
+            self.hold_until = now + WATCH_LINGER_TIME;
             return true;
         }
-        self.watch == Watch::Open && now < self.holder_until
+        self.watch == Watch::Open && now < self.hold_until
     }
 
-    /// A peer that has the configuration is cheaper to ask than the platform.
-    fn waits_for_peers(&self, now: Instant) -> bool {
-        self.version() == 0 && self.newest > 0 && !self.is_stuck(now)
+    /// Whether to wait for a fetch from a peer, which is cheaper than a list of the platform.
+    fn should_wait_for_peers(&self, now: Instant) -> bool {
+        self.version() == 0 && self.newest > 0 && !self.is_fetch_stalled(now)
     }
 
-    fn is_stuck(&self, now: Instant) -> bool {
-        self.behind_since.is_some_and(|since| now >= since + STUCK)
+    fn is_fetch_stalled(&self, now: Instant) -> bool {
+        self.behind_since.is_some_and(|since| now >= since + STALLED_FETCH_TIMEOUT)
     }
 
-    /// Whether a router without a watch must ask the platform itself; all that are stranded together spread out.
-    fn is_stranded(&mut self, now: Instant, rng: &mut impl Rng) -> bool {
-        let empty = self.version() == 0 && self.newest == 0 && now >= self.started + FALLBACK;
-        if !empty && !self.is_stuck(now) {
+    /// Whether a router without a watch must list now because peers do not supply the configuration. A random delay
+    /// spreads the lists of routers in the same situation.
+    fn is_fallback_list_due(&mut self, now: Instant, rng: &mut impl Rng) -> bool {
+        let empty = self.version() == 0 && self.newest == 0 && now >= self.started + FALLBACK_LIST_DELAY;
+        if !empty && !self.is_fetch_stalled(now) {
             self.list_at = None;
             return false;
         }
-        let at = *self.list_at.get_or_insert_with(|| now + FALLBACK.mul_f64(rng.random::<f64>()));
+        let at = *self.list_at.get_or_insert_with(|| now + FALLBACK_LIST_DELAY.mul_f64(rng.random::<f64>()));
         now >= at
     }
 
-    /// Takes the answer to [`Action::List`]; `None` when none came.
+    /// Handles the result of [`Action::List`]; `None` if it failed.
     pub fn listed(&mut self, now: Instant, list: Option<List>, rng: &mut impl Rng) -> Vec<Action> {
         self.watch = Watch::Closed;
         let Some(list) = list else {
-            self.retry_platform(now, rng);
+            self.back_off_platform(now, rng);
             return Vec::new();
         };
         self.platform_behind = list.version < self.version().max(self.newest);
         self.newest = self.newest.max(list.version);
         match self.store.apply_list(list) {
             Ok(()) => {
-                self.must_list = false;
-                self.differs = false;
+                self.needs_list = false;
+                self.has_mismatch = false;
             }
-            // The platform answered with old data. Taking it would take back changes that are in force.
+            // The platform returned stale data; applying it would revert changes that are in force.
             Err(_) => {
                 self.rejected_old += 1;
-                self.retry_platform(now, rng);
+                self.back_off_platform(now, rng);
                 return Vec::new();
             }
         }
         self.watch_backoff.reset();
-        self.watch_at = now;
+        self.next_watch_at = now;
         self.list_at = None;
-        self.installed(now)
+        self.install(now)
     }
 
-    fn retry_platform(&mut self, now: Instant, rng: &mut impl Rng) {
-        self.watch_at = now + self.watch_backoff.wait(rng);
-        self.list_at = Some(self.watch_at);
+    fn back_off_platform(&mut self, now: Instant, rng: &mut impl Rng) {
+        self.next_watch_at = now + self.watch_backoff.wait(rng);
+        self.list_at = Some(self.next_watch_at);
     }
 
-    /// Notes that the watch is open.
+    /// Records that the watch is open.
     pub fn watch_opened(&mut self, now: Instant) {
         self.watch = Watch::Open;
         self.watch_opened_at = now;
     }
 
-    /// Notes that the platform no longer has the changes since the version asked for.
+    /// Handles a watch that failed because the platform no longer has the changes since the requested version; lists
+    /// again.
     pub fn watch_too_old(&mut self, now: Instant) {
         self.watch = Watch::Closed;
-        self.must_list = true;
-        self.watch_at = now;
+        self.needs_list = true;
+        self.next_watch_at = now;
     }
 
-    /// Notes that the watch ended or could not be opened.
+    /// Handles a watch that ended or could not be opened; retries after a backoff.
     pub fn watch_ended(&mut self, now: Instant, rng: &mut impl Rng) {
         if self.watch != Watch::Listing {
-            // A watch that lasted for a while is no failure.
-            if self.watch == Watch::Open && now >= self.watch_opened_at + RETRY_MAX {
+            // A watch that stayed open for a while does not count as a failure.
+            if self.watch == Watch::Open && now >= self.watch_opened_at + WATCH_BACKOFF_MAX {
                 self.watch_backoff.reset();
             }
             self.watch = Watch::Closed;
-            self.watch_at = now + self.watch_backoff.wait(rng);
+            self.next_watch_at = now + self.watch_backoff.wait(rng);
         }
     }
 
-    /// Notes that the watch was closed since nothing came for long; that is no failure, and it is opened anew at once.
+    /// Handles a watch that was closed after a long time without events. This is not a failure, so it is reopened at
+    /// once.
     pub fn watch_silent(&mut self, now: Instant) {
         self.watch_backoff.reset();
         self.watch = Watch::Closed;
-        self.watch_at = now;
+        self.next_watch_at = now;
     }
 
-    /// Takes a change seen by the watch.
+    /// Handles a change received by the watch.
     pub fn event(&mut self, now: Instant, event: Event) -> Vec<Action> {
         self.watch_backoff.reset();
         self.newest = self.newest.max(event.version);
@@ -159,12 +163,13 @@
             return Vec::new();
         }
         if !std::mem::take(&mut self.platform_behind) {
-            return self.installed(now);
+            return self.install(now);
         }
-        // What was written under the versions that it gave out again before this one is in no event to come.
+        // The platform has reused version numbers. Changes it made under reused numbers up to this one will not be
+        // delivered as events, so a new list is needed.
         self.watch_too_old(now);
         let mut actions = vec![Action::CloseWatch];
-        actions.extend(self.installed(now));
+        actions.extend(self.install(now));
         actions
     }
 }
--- a/tests/validation.rs
+++ b/tests/validation.rs
@@ -33,27 +33,27 @@
         ("{kind: Enginepool, metadata: {name: p}}", "kind: `Enginepool` is not one of"),
         ("{kind: Workspace, metadata: {name: p}, status: {}}", "status: unknown field"),
         ("{kind: Workspace, metadata: {name: p, lables: {}}}", "metadata.lables: unknown field `lables`"),
-        ("{kind: Workspace, metadata: {}}", "metadata.name: `` is no name"),
-        ("{kind: Workspace, metadata: {name: a/b}}", "metadata.name: `a/b` is no name"),
+        ("{kind: Workspace, metadata: {}}", "metadata.name: `` is not a valid name"),
+        ("{kind: Workspace, metadata: {name: a/b}}", "metadata.name: `a/b` is not a valid name"),
         (
             "{kind: Workspace, metadata: {name: a, labels: {'x y': b}}}",
-            "metadata.labels.x y: `x y` is no label",
+            "metadata.labels.x y: `x y` is not a valid label key",
         ),
         ("{kind: Workspace, metadata: {name: a}, spec: {maxRunning: -1}}", "spec.maxRunning: invalid value"),
-        ("{kind: Workspace, metadata: {name: a}, spec: [1]}", "spec: is no mapping"),
+        ("{kind: Workspace, metadata: {name: a}, spec: [1]}", "spec: must be a mapping"),
         (
             "{kind: Engine, metadata: {name: a}, spec: {address: host:80}}",
-            "spec.address: `host:80` is no IP address",
+            "spec.address: `host:80` is not an IP address",
         ),
         (
             "{kind: EnginePool, metadata: {name: a}, spec: {loadBoundMilli: 900}}",
-            "spec.loadBoundMilli: 900 is not from",
+            "spec.loadBoundMilli: 900 is not in the range",
         ),
         (
             "{kind: EnginePool, metadata: {name: a}, spec: {models: [m, m]}}",
-            "spec.models[1]: `m` is there twice",
+            "spec.models[1]: `m` is listed twice",
         ),
-        ("{kind: RoutingPolicy, metadata: {name: a}}", "spec.pool: `` is no name"),
+        ("{kind: RoutingPolicy, metadata: {name: a}}", "spec.pool: `` is not a valid engine pool name"),
         (
             "{kind: Service, metadata: {name: a}, spec: {nonIdempotent: [x]}}",
             "spec.nonIdempotent[0]: `x` does not start",
@@ -78,7 +78,7 @@
             "{kind: Service, metadata: {name: a}, spec: {engines: {matchlabels: {}}}}",
             "spec.engines.matchlabels: unknown",
         ),
-        ("[1]", "the document is no mapping"),
+        ("[1]", "the document must be a mapping"),
     ];
 
     for (doc, want) in table {
