--- a/src/lease.rs
+++ b/src/lease.rs
@@ -1,14 +1,14 @@
-//! Leases in the platform, with fencing numbers.
+//! Leases stored on the platform, with fencing tokens.
 //!
 //! A lease is one object. Its holder renews it by conditional writes; a candidate takes it over after it has seen the
-//! same version for longer than the lease lasts. The fencing number is the version of the write by which the holder
-//! took over, so it rises strictly with each change of holder.
+//! same version for longer than the lease's TTL. The fencing token is the version of the write that acquired the
+//! lease, so it strictly increases with each change of holder.
 //!
-//! No clock is ever compared with one of another host. The holder counts from before it sent its write, a candidate
-//! from after it read the object, both on a clock that goes on while the host is suspended: the holder always believes
-//! itself lapsed before a candidate believes so.
+//! Clocks of different hosts are never compared. The holder measures its TTL from before it sent its write, a
+//! candidate from after it read the object, both on a clock that keeps running while the host is suspended. The holder
+//! therefore always considers the lease expired before any candidate does.
 //!
-//! The life cycle is in the types: [`Candidate`] → [`Acquiring`] → [`Held`] → [`Candidate`]. [`LeaseDriver`] drives it.
+//! The types encode the life cycle: [`Candidate`] → [`Acquiring`] → [`Held`] → [`Candidate`]. [`LeaseDriver`] runs it.
 
 mod acquiring;
 mod candidate;
@@ -28,30 +28,31 @@
     schema::{lease::LeaseSpec, object::Meta},
 };
 
-/// Kind of the objects.
+/// Kind of the lease objects.
 pub const KIND: &str = "Lease";
 
-/// Number that rises with each change of holder.
+/// Fencing token, which increases with each change of holder.
 pub type Fencing = Version;
 
-/// What is leased, by whom and for how long.
+/// Name, holder and TTL of a lease.
 #[derive(Clone, Debug)]
 pub struct LeaseConfig {
     /// Name of the lease.
     pub name: Arc<str>,
-    /// This process; different after each restart, so that nobody takes an earlier life's lease for its own.
+    /// Identity of this process; different after each restart, so that a process never mistakes the lease of its
+    /// predecessor for its own.
     pub holder: Arc<str>,
-    /// Time for which a write holds.
+    /// Time for which an acquiring or renewing write is valid.
     pub ttl: Duration,
 }
 
 impl LeaseConfig {
-    /// Terms of the process `holder`.
+    /// Configuration of the lease `name` for the process `holder`.
     pub fn new(name: impl Into<Arc<str>>, holder: impl Into<Arc<str>>, ttl: Duration) -> Self {
         Self { name: name.into(), holder: holder.into(), ttl }
     }
 
-    /// Time between reads of a candidate and between renewals of a holder.
+    /// Interval between reads of a candidate and between renewals of a holder.
     pub fn period(&self) -> Duration {
         self.ttl / 3
     }
--- a/src/lease/acquiring.rs
+++ b/src/lease/acquiring.rs
@@ -1,58 +1,58 @@
-//! Takes a lease by one conditional write whose answer may be lost.
+//! Acquires a lease by one conditional write whose response may be lost.
 
 use super::{Candidate, Held, LeaseConfig, version_of};
 use crate::{catalog::AnyObject, objects::Write, util::Instant};
 
-/// Has decided to take the lease; the write may be on its way.
+/// An attempt to acquire a lease; the write may be in flight.
 #[derive(Clone, Debug)]
 pub struct Acquiring {
-    terms: LeaseConfig,
+    config: LeaseConfig,
     version: String,
     nonce: String,
     first_sent: Option<Instant>,
 }
 
-/// What became of the write.
+/// Outcome of the acquiring write.
 #[derive(Debug)]
 pub enum Acquired {
-    /// The lease is held, unless the answer took longer than the lease lasts.
+    /// The lease is held, unless the response took longer than the TTL.
     Held(Held),
-    /// No answer; send the same write again.
+    /// The outcome is unknown; send the same write again.
     Retry(Acquiring),
-    /// Another process was first.
+    /// Another process acquired the lease first, or the attempt took longer than the TTL.
     Lost(Candidate),
 }
 
 impl Acquiring {
-    pub(super) fn new(terms: LeaseConfig, version: &str, nonce: impl Into<String>) -> Self {
-        Self { terms, version: version.to_owned(), nonce: nonce.into(), first_sent: None }
+    pub(super) fn new(config: LeaseConfig, version: &str, nonce: impl Into<String>) -> Self {
+        Self { config, version: version.to_owned(), nonce: nonce.into(), first_sent: None }
     }
 
-    /// Terms.
-    pub fn terms(&self) -> &LeaseConfig {
-        &self.terms
+    /// Configuration of the lease.
+    pub fn config(&self) -> &LeaseConfig {
+        &self.config
     }
 
-    /// The write to send now.
+    /// Returns the object to write now; it is the same for each retry.
     pub fn attempt(&mut self, now: Instant) -> AnyObject {
         self.first_sent.get_or_insert(now);
-        self.terms.object(&self.version, &self.nonce, &self.terms.holder, 0)
+        self.config.object(&self.version, &self.nonce, &self.config.holder, 0)
     }
 
-    /// Takes the answer to the write.
+    /// Handles the response to the write.
     ///
-    /// Guards against an answer lost after the write took effect. The same conditional write is sent again: it meets
-    /// its own object, known by the nonce. The lease is counted from the first send, as any of the sends may have been
-    /// the one that took effect; if it ran out meanwhile, the old write is given up.
+    /// If a response is lost after the write took effect, the retry of the same conditional write conflicts with its
+    /// own object, which the nonce identifies. The TTL is measured from the first send, as any of the sends may have
+    /// taken effect; if it has expired in the meantime, the attempt is abandoned.
     pub fn answered(self, now: Instant, write: Write) -> Acquired {
         let sent = self.first_sent.unwrap_or(now);
         match write {
-            Write::Done(obj) => Acquired::Held(Held::new(self.terms, &obj, version_of(&obj), sent, now)),
+            Write::Done(obj) => Acquired::Held(Held::new(self.config, &obj, version_of(&obj), sent, now)),
             Write::Conflict(Some(obj)) if obj.metadata.writer_nonce == self.nonce => {
-                Acquired::Held(Held::new(self.terms, &obj, version_of(&obj), sent, now))
+                Acquired::Held(Held::new(self.config, &obj, version_of(&obj), sent, now))
             }
-            Write::Unknown if now < sent + self.terms.ttl => Acquired::Retry(self),
-            Write::Conflict(_) | Write::Unknown => Acquired::Lost(Candidate::new(self.terms)),
+            Write::Unknown if now < sent + self.config.ttl => Acquired::Retry(self),
+            Write::Conflict(_) | Write::Unknown => Acquired::Lost(Candidate::new(self.config)),
         }
     }
 }
--- a/src/lease/held.rs
+++ b/src/lease/held.rs
@@ -1,112 +1,112 @@
-//! A lease that this process took.
+//! A lease that this process has acquired.
 
 use std::time::Duration;
 
 use super::{Candidate, Fencing, LeaseConfig};
 use crate::{catalog::AnyObject, objects::Write, util::Instant};
 
-/// Holds the lease, as long as [`Held::check`] says so.
+/// An acquired lease, valid as long as [`Held::check`] returns its fencing token.
 #[derive(Clone, Debug)]
 pub struct Held {
-    terms: LeaseConfig,
+    config: LeaseConfig,
     version: String,
     fencing: Fencing,
     acquired: Instant,
     valid_until: Instant,
-    last_seen: Instant,
-    renewing: Option<Renewing>,
+    last_checked: Instant,
+    pending: Option<PendingRenewal>,
 }
 
 #[derive(Clone, Debug)]
-struct Renewing {
+struct PendingRenewal {
     nonce: String,
     sent: Instant,
 }
 
-/// What became of a renewal.
+/// Outcome of a renewal.
 #[derive(Debug)]
 pub enum Renewed {
-    /// The lease is still this process's.
+    /// This process still holds the lease, or the outcome is unknown.
     Held(Held),
-    /// Another process took it.
+    /// Another process has acquired the lease.
     Lost(Candidate),
 }
 
 impl Held {
     pub(super) fn new(
-        terms: LeaseConfig,
+        config: LeaseConfig,
         obj: &AnyObject,
         fencing: Fencing,
         sent: Instant,
         now: Instant,
     ) -> Self {
-        let valid_until = sent + terms.ttl;
+        let valid_until = sent + config.ttl;
         let version = obj.metadata.resource_version.clone();
-        Self { terms, version, fencing, acquired: now, valid_until, last_seen: now, renewing: None }
+        Self { config, version, fencing, acquired: now, valid_until, last_checked: now, pending: None }
     }
 
-    /// Terms.
-    pub fn terms(&self) -> &LeaseConfig {
-        &self.terms
+    /// Configuration of the lease.
+    pub fn config(&self) -> &LeaseConfig {
+        &self.config
     }
 
-    /// When the lease was taken.
+    /// When the lease was acquired.
     pub fn acquired(&self) -> Instant {
         self.acquired
     }
 
-    /// The fencing number, if the lease certainly holds for `margin` longer.
+    /// Returns the fencing token if the lease is certain to be valid for at least `margin` longer.
     ///
-    /// Guards against a pause past the lease: the clock goes on while the host is suspended, so a holder that wakes up
-    /// finds itself lapsed. A clock that went back proves nothing any more; the lease then counts as lapsed until the
-    /// next renewal.
+    /// The clock keeps running while the host is suspended, so a holder that was paused beyond its TTL finds the lease
+    /// expired when it resumes. After a clock went backwards its time can't be trusted; the lease then counts as
+    /// expired until the next renewal.
     pub fn check(&mut self, now: Instant, margin: Duration) -> Option<Fencing> {
-        if now < self.last_seen {
+        if now < self.last_checked {
             self.valid_until = Instant::ZERO;
         }
-        self.last_seen = now;
+        self.last_checked = now;
         (now + margin < self.valid_until).then_some(self.fencing)
     }
 
-    /// The renewal to send now, if one is due.
+    /// Returns the renewal to write now, if one is due.
     ///
-    /// A lapsed lease may be renewed too: the write takes effect only if nobody took the lease meanwhile.
+    /// An expired lease may be renewed too: the write takes effect only if no other process has acquired the lease.
     pub fn renewal(&mut self, now: Instant, nonce: impl Into<String>) -> Option<AnyObject> {
         let _ = self.check(now, Duration::ZERO);
-        let due = self.valid_until.saturating_sub(self.terms.period() * 2);
+        let due = self.valid_until.saturating_sub(self.config.period() * 2);
         if now < due {
             return None;
         }
-        // A renewal without an answer is sent again as it was, so that it takes effect at most once.
-        let renewing = self.renewing.get_or_insert_with(|| Renewing { nonce: nonce.into(), sent: now });
-        Some(self.terms.object(&self.version, &renewing.nonce, &self.terms.holder, self.fencing))
+        // A renewal with an unknown outcome is sent again unchanged, so that it takes effect at most once.
+        let pending = self.pending.get_or_insert_with(|| PendingRenewal { nonce: nonce.into(), sent: now });
+        Some(self.config.object(&self.version, &pending.nonce, &self.config.holder, self.fencing))
     }
 
-    /// Takes the answer to a renewal.
+    /// Handles the response to a renewal.
     pub fn renewed(mut self, now: Instant, write: Write) -> Renewed {
         let _ = self.check(now, Duration::ZERO);
-        let Some(renewing) = self.renewing.take() else { return Renewed::Held(self) };
+        let Some(pending) = self.pending.take() else { return Renewed::Held(self) };
         match write {
-            Write::Done(obj) => self.extend(&obj, &renewing),
-            Write::Conflict(Some(obj)) if obj.metadata.writer_nonce == renewing.nonce => {
-                self.extend(&obj, &renewing);
+            Write::Done(obj) => self.extend(&obj, &pending),
+            Write::Conflict(Some(obj)) if obj.metadata.writer_nonce == pending.nonce => {
+                self.extend(&obj, &pending);
             }
-            Write::Conflict(_) => return Renewed::Lost(Candidate::new(self.terms)),
-            Write::Unknown => self.renewing = Some(renewing),
+            Write::Conflict(_) => return Renewed::Lost(Candidate::new(self.config)),
+            Write::Unknown => self.pending = Some(pending),
         }
         Renewed::Held(self)
     }
 
-    fn extend(&mut self, obj: &AnyObject, renewing: &Renewing) {
+    fn extend(&mut self, obj: &AnyObject, pending: &PendingRenewal) {
         self.version.clone_from(&obj.metadata.resource_version);
-        // A clock that went back since the send makes this time too late to count from.
-        if renewing.sent <= self.last_seen {
-            self.valid_until = renewing.sent + self.terms.ttl;
+        // If the clock went backwards since the send, the send time is too late to measure the TTL from.
+        if pending.sent <= self.last_checked {
+            self.valid_until = pending.sent + self.config.ttl;
         }
     }
 
-    /// Gives the lease back: the write that lets a candidate take it at once.
+    /// Releases the lease; returns the object to write, which lets a candidate acquire the lease at once.
     pub fn release(self, nonce: impl Into<String>) -> AnyObject {
-        self.terms.object(&self.version, &nonce.into(), "", self.fencing)
+        self.config.object(&self.version, &nonce.into(), "", self.fencing)
     }
 }
