--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -82,7 +82,7 @@
     ///
     /// Callers that keep their connections and ask on would otherwise keep it busy until the deadline, where their
     /// last requests were cut.
-    pub fn takes_requests(&self, now: Instant) -> bool {
+    pub fn accepts_requests(&self, now: Instant) -> bool {
         now < self.state.answers_until
     }
 
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -160,7 +160,7 @@
         if let Ok(serving) = lifecycle::Router::default().serve(self.gateway.catalog().version) {
             let mut leaving = serving.leave(now(), self.drain);
             cut = loop {
-                if !leaving.takes_requests(now()) {
+                if !leaving.accepts_requests(now()) {
                     self.gateway.refuse_new();
                 }
                 match leaving.stop(now(), self.server.running()) {
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -34,7 +34,7 @@
     for (after, running, want) in cases {
         let leaving = Router::default().serve(1).unwrap().leave(s(100), CFG);
 
-        assert_eq!(leaving.takes_requests(s(100) + after), after < s(35), "after {after:?}");
+        assert_eq!(leaving.accepts_requests(s(100) + after), after < s(35), "after {after:?}");
         let stopped = leaving.stop(s(100) + after, running);
 
         assert_eq!(stopped.ok().map(Router::close), want, "after {after:?} with {running} running");
