--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -40,7 +40,7 @@
     /// How long callers keep an entry answer.
     pub answer_keep: Duration,
     /// How long other routers may hand this one out after it has begun to leave, until they have heard of it.
-    pub spread: Duration,
+    pub propagation_time: Duration,
     /// Longest time from the expiry of the last answer to the end, for requests in progress.
     pub longest: Duration,
 }
@@ -72,7 +72,7 @@
 impl Router<Serving> {
     /// Begins to leave.
     pub fn leave(self, now: Instant, cfg: DrainConfig) -> Router<Leaving> {
-        let answers_until = now + cfg.spread + cfg.answer_keep;
+        let answers_until = now + cfg.propagation_time + cfg.answer_keep;
         Router { state: Leaving { answers_until, deadline: answers_until + cfg.longest } }
     }
 }
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -92,8 +92,11 @@
         let link_server = LinkServer::start(peer_listener, key, Arc::new(calls));
         let (following, answering) = (follow.shared().clone(), gateway.clone());
         let gossip = Gossip::start(cfg, &me, peer_addr, socket, following, answering, metrics.clone())?;
-        let drain =
-            DrainConfig { answer_keep: cfg.answer_keep, spread: LEAVE_SPREAD, longest: cfg.drain_longest };
+        let drain = DrainConfig {
+            answer_keep: cfg.answer_keep,
+            propagation_time: LEAVE_SPREAD,
+            longest: cfg.drain_longest,
+        };
         let told = gateway.clone();
         let releases = tokio::spawn(async move { told.tell_ended().await });
         let operate = Operate::new(me, &cfg.shared_key, follow.shared().clone(), gateway.clone());
