--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -42,7 +42,7 @@
     /// How long other routers may hand this one out after it has begun to leave, until they have heard of it.
     pub propagation_time: Duration,
     /// Longest time from the expiry of the last answer to the end, for requests in progress.
-    pub longest: Duration,
+    pub timeout: Duration,
 }
 
 impl Default for Router<Starting> {
@@ -73,7 +73,7 @@
     /// Begins to leave.
     pub fn leave(self, now: Instant, cfg: DrainConfig) -> Router<Leaving> {
         let answers_until = now + cfg.propagation_time + cfg.answer_keep;
-        Router { state: Leaving { answers_until, deadline: answers_until + cfg.longest } }
+        Router { state: Leaving { answers_until, deadline: answers_until + cfg.timeout } }
     }
 }
 
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -95,7 +95,7 @@
         let drain = DrainConfig {
             answer_keep: cfg.answer_keep,
             propagation_time: LEAVE_SPREAD,
-            longest: cfg.drain_longest,
+            timeout: cfg.drain_longest,
         };
         let told = gateway.clone();
         let releases = tokio::spawn(async move { told.tell_ended().await });
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -8,7 +8,7 @@
     Duration::from_secs(n)
 }
 
-const CFG: DrainConfig = DrainConfig { answer_keep: s(30), propagation_time: s(5), longest: s(600) };
+const CFG: DrainConfig = DrainConfig { answer_keep: s(30), propagation_time: s(5), timeout: s(600) };
 
 #[test]
 fn a_router_without_a_configuration_does_not_serve() {
