--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -148,7 +148,7 @@
     }
 
     /// It does not answer.
-    pub fn lose(self) -> Backend<Gone> {
+    pub fn go_down(self) -> Backend<Gone> {
         Backend { state: Gone(()) }
     }
 }
@@ -160,7 +160,7 @@
     }
 
     /// It does not answer any more.
-    pub fn lose(self) -> Backend<Gone> {
+    pub fn go_down(self) -> Backend<Gone> {
         Backend { state: Gone(()) }
     }
 }
@@ -183,7 +183,7 @@
     }
 
     /// It does not answer any more.
-    pub fn lose(self) -> Backend<Gone> {
+    pub fn go_down(self) -> Backend<Gone> {
         Backend { state: Gone(()) }
     }
 }
@@ -234,11 +234,11 @@
     }
 
     /// It does not answer.
-    pub fn lose(self) -> Self {
+    pub fn go_down(self) -> Self {
         AnyBackend::Gone(match self {
-            AnyBackend::Joining(b) => b.lose(),
-            AnyBackend::Live(b) => b.lose(),
-            AnyBackend::Draining(b) => b.lose(),
+            AnyBackend::Joining(b) => b.go_down(),
+            AnyBackend::Live(b) => b.go_down(),
+            AnyBackend::Draining(b) => b.go_down(),
             AnyBackend::Gone(b) => b,
         })
     }
--- a/src/probe/entry.rs
+++ b/src/probe/entry.rs
@@ -113,7 +113,7 @@
             State::Up if self.findings.is_empty() && matches!(self.life, AnyBackend::Joining(_)) => return,
             State::Up => self.life.answer(self.start()),
             State::Leaving => self.life.leave(self.start()),
-            State::Down => self.life.lose(),
+            State::Down => self.life.go_down(),
         };
     }
 
