--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -143,7 +143,7 @@
 
 impl Backend<Joining> {
     /// It has answered.
-    pub fn answer(self, start: u64) -> Backend<Live> {
+    pub fn go_live(self, start: u64) -> Backend<Live> {
         Backend { state: Live { start } }
     }
 
@@ -190,7 +190,7 @@
 
 impl Backend<Gone> {
     /// It answers again.
-    pub fn answer(self, start: u64) -> Backend<Live> {
+    pub fn go_live(self, start: u64) -> Backend<Live> {
         Backend { state: Live { start } }
     }
 }
@@ -216,18 +216,18 @@
 
 impl AnyBackend {
     /// It answers, from this start.
-    pub fn answer(self, start: u64) -> Self {
+    pub fn go_live(self, start: u64) -> Self {
         AnyBackend::Live(match self {
-            AnyBackend::Joining(b) => b.answer(start),
+            AnyBackend::Joining(b) => b.go_live(start),
             AnyBackend::Live(_) => Backend { state: Live { start } },
             AnyBackend::Draining(b) => b.restart(start).unwrap_or_else(Backend::stay),
-            AnyBackend::Gone(b) => b.answer(start),
+            AnyBackend::Gone(b) => b.go_live(start),
         })
     }
 
     /// It takes no new work.
     pub fn leave(self, start: u64) -> Self {
-        match self.answer(start) {
+        match self.go_live(start) {
             AnyBackend::Live(b) => AnyBackend::Draining(b.leave()),
             other => other,
         }
--- a/src/probe/entry.rs
+++ b/src/probe/entry.rs
@@ -111,7 +111,7 @@
     pub(super) fn settle(&mut self, now: Instant, me: &str, data_centre: &str) {
         self.life = match self.judge(now, me, data_centre) {
             State::Up if self.findings.is_empty() && matches!(self.life, AnyBackend::Joining(_)) => return,
-            State::Up => self.life.answer(self.start()),
+            State::Up => self.life.go_live(self.start()),
             State::Leaving => self.life.leave(self.start()),
             State::Down => self.life.go_down(),
         };
