--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -155,7 +155,7 @@
 
 impl Backend<Live> {
     /// It has begun to leave.
-    pub fn leave(self) -> Backend<Draining> {
+    pub fn drain(self) -> Backend<Draining> {
         Backend { state: Draining { start: self.state.start } }
     }
 
@@ -228,7 +228,7 @@
     /// It takes no new work.
     pub fn leave(self, start: u64) -> Self {
         match self.go_live(start) {
-            AnyBackend::Live(b) => AnyBackend::Draining(b.leave()),
+            AnyBackend::Live(b) => AnyBackend::Draining(b.drain()),
             other => other,
         }
     }
--- a/src/probe/entry.rs
+++ b/src/probe/entry.rs
@@ -112,7 +112,7 @@
         self.life = match self.judge(now, me, data_centre) {
             State::Up if self.findings.is_empty() && matches!(self.life, AnyBackend::Joining(_)) => return,
             State::Up => self.life.go_live(self.start()),
-            State::Leaving => self.life.leave(self.start()),
+            State::Leaving => self.life.drain(self.start()),
             State::Down => self.life.go_down(),
         };
     }
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -44,7 +44,7 @@
 /// A backend server leaves, and an answer of the same start arrives late. It must not get work again; a new start may.
 #[test]
 fn a_late_answer_does_not_bring_a_leaving_backend_server_back() {
-    let draining = Backend::default().go_live(7).leave();
+    let draining = Backend::default().go_live(7).drain();
 
     let late = draining.restart(7);
 
