--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -127,7 +127,7 @@
 
 /// A backend server that has ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Gone(());
+pub struct Down(());
 
 /// A backend server in one state of its life.
 #[derive(Clone, Copy, Debug)]
@@ -148,8 +148,8 @@
     }
 
     /// It does not answer.
-    pub fn go_down(self) -> Backend<Gone> {
-        Backend { state: Gone(()) }
+    pub fn go_down(self) -> Backend<Down> {
+        Backend { state: Down(()) }
     }
 }
 
@@ -160,8 +160,8 @@
     }
 
     /// It does not answer any more.
-    pub fn go_down(self) -> Backend<Gone> {
-        Backend { state: Gone(()) }
+    pub fn go_down(self) -> Backend<Down> {
+        Backend { state: Down(()) }
     }
 }
 
@@ -183,12 +183,12 @@
     }
 
     /// It does not answer any more.
-    pub fn go_down(self) -> Backend<Gone> {
-        Backend { state: Gone(()) }
+    pub fn go_down(self) -> Backend<Down> {
+        Backend { state: Down(()) }
     }
 }
 
-impl Backend<Gone> {
+impl Backend<Down> {
     /// It answers again.
     pub fn go_live(self, start: u64) -> Backend<Live> {
         Backend { state: Live { start } }
@@ -205,7 +205,7 @@
     /// Takes no new work.
     Draining(Backend<Draining>),
     /// Does not answer.
-    Gone(Backend<Gone>),
+    Down(Backend<Down>),
 }
 
 impl Default for AnyBackend {
@@ -221,7 +221,7 @@
             AnyBackend::Joining(b) => b.go_live(start),
             AnyBackend::Live(_) => Backend { state: Live { start } },
             AnyBackend::Draining(b) => b.restart(start).unwrap_or_else(Backend::stay),
-            AnyBackend::Gone(b) => b.go_live(start),
+            AnyBackend::Down(b) => b.go_live(start),
         })
     }
 
@@ -235,11 +235,11 @@
 
     /// It does not answer.
     pub fn go_down(self) -> Self {
-        AnyBackend::Gone(match self {
+        AnyBackend::Down(match self {
             AnyBackend::Joining(b) => b.go_down(),
             AnyBackend::Live(b) => b.go_down(),
             AnyBackend::Draining(b) => b.go_down(),
-            AnyBackend::Gone(b) => b,
+            AnyBackend::Down(b) => b,
         })
     }
 }
--- a/src/probe/entry.rs
+++ b/src/probe/entry.rs
@@ -123,7 +123,7 @@
         match self.life {
             AnyBackend::Joining(_) | AnyBackend::Live(_) => State::Up,
             AnyBackend::Draining(_) => State::Leaving,
-            AnyBackend::Gone(_) => State::Down,
+            AnyBackend::Down(_) => State::Down,
         }
     }
 
