--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -226,7 +226,7 @@
     }
 
     /// It takes no new work.
-    pub fn leave(self, start: u64) -> Self {
+    pub fn drain(self, start: u64) -> Self {
         match self.go_live(start) {
             AnyBackend::Live(b) => AnyBackend::Draining(b.drain()),
             other => other,
