--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,47 +1,48 @@
-//! Life cycles of routers and of backend servers as types: a step that is not allowed does not compile.
+//! Life cycles of routers and backend servers as types: an invalid transition does not compile.
 
 use std::time::Duration;
 
 use crate::util::Instant;
 
-/// A router that has no configuration yet and is not handed out.
+/// State of a router that has no configuration yet; it is not advertised to callers.
 #[derive(Clone, Copy, Debug)]
 pub struct Starting(());
 
-/// A router that is handed out and serves.
+/// State of a router that is advertised to callers and serves requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Serving(());
 
-/// A router that is no longer handed out. It serves whoever comes until the last answer that names it has expired.
+/// State of a router that is no longer advertised. It accepts requests until the last entry answer that names it has
+/// expired.
 #[derive(Clone, Copy, Debug)]
 pub struct Leaving {
-    /// When the last answer that names it has expired.
+    /// Expiry of the last entry answer that names this router.
     answers_until: Instant,
-    /// When it stops even though requests are in progress.
+    /// Time at which the router stops even if requests are in progress.
     deadline: Instant,
 }
 
-/// A router that may close its sockets.
+/// State of a router that may close its sockets.
 #[derive(Clone, Copy, Debug)]
 pub struct Stopped {
     /// Requests that were still in progress at the deadline.
     pub cut: usize,
 }
 
-/// A router in one state of its life.
+/// A router in one state of its life cycle.
 #[derive(Clone, Copy, Debug)]
 pub struct Router<S> {
     state: S,
 }
 
-/// How long a router that leaves goes on.
+/// Time limits for the shutdown of a router.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainConfig {
-    /// How long callers keep an entry answer.
+    /// How long callers cache an entry answer.
     pub answer_keep: Duration,
-    /// How long other routers may hand this one out after it has begun to leave, until they have heard of it.
+    /// How long other routers may still advertise this router after it started to leave.
     pub propagation_time: Duration,
-    /// Longest time from the expiry of the last answer to the end, for requests in progress.
+    /// Time limit for requests in progress after the last entry answer has expired.
     pub timeout: Duration,
 }
 
@@ -52,10 +53,10 @@
 }
 
 impl Router<Starting> {
-    /// Begins to serve once a configuration is in force.
+    /// Starts to serve once a configuration is in force.
     ///
     /// # Errors
-    /// The router as it was, while there is none.
+    /// The unchanged router if there is no configuration yet.
     pub fn serve(self, version: u64) -> Result<Router<Serving>, Self> {
         if version == 0 {
             return Err(self);
@@ -63,14 +64,14 @@
         Ok(Router { state: Serving(()) })
     }
 
-    /// Stops a router that was never handed out.
+    /// Stops a router that was never advertised.
     pub fn stop(self) -> Router<Stopped> {
         Router { state: Stopped { cut: 0 } }
     }
 }
 
 impl Router<Serving> {
-    /// Begins to leave.
+    /// Starts to leave: the router is no longer advertised.
     pub fn leave(self, now: Instant, cfg: DrainConfig) -> Router<Leaving> {
         let answers_until = now + cfg.propagation_time + cfg.answer_keep;
         Router { state: Leaving { answers_until, deadline: answers_until + cfg.timeout } }
@@ -78,21 +79,21 @@
 }
 
 impl Router<Leaving> {
-    /// Whether it still takes new requests.
+    /// Whether the router still accepts new requests.
     ///
-    /// Callers that keep their connections and ask on would otherwise keep it busy until the deadline, where their
-    /// last requests were cut.
+    /// Without this limit, callers that reuse their connections would keep the router busy until the deadline, which
+    /// would cut their last requests.
     pub fn accepts_requests(&self, now: Instant) -> bool {
         now < self.state.answers_until
     }
 
-    /// Stops when no caller may come any more and none is being served, or at the deadline.
+    /// Stops once all entry answers that name this router have expired and no request is running, or at the deadline.
     ///
-    /// A router that only waited for its requests to end would stop between two of them, and the callers that still
-    /// hold its address would be refused.
+    /// A router that only waited for its running requests could stop between two of them and would refuse callers
+    /// that still have its address.
     ///
     /// # Errors
-    /// The router as it is, while it must go on.
+    /// The unchanged router while it must keep running.
     pub fn stop(self, now: Instant, running: usize) -> Result<Router<Stopped>, Self> {
         let done = now >= self.state.answers_until && running == 0;
         if done || now >= self.state.deadline {
@@ -103,33 +104,33 @@
 }
 
 impl Router<Stopped> {
-    /// Ends the life; tells how many requests were cut.
+    /// Ends the life cycle; returns the number of requests that were cut.
     pub fn close(self) -> usize {
         self.state.cut
     }
 }
 
-/// A backend server that is configured and has not answered yet.
+/// State of a backend server that is configured but has not responded yet.
 #[derive(Clone, Copy, Debug)]
 pub struct Joining(());
 
-/// A backend server that takes work.
+/// State of a backend server that accepts work.
 #[derive(Clone, Copy, Debug)]
 pub struct Live {
     start: u64,
 }
 
-/// A backend server that takes no new work and finishes what it has.
+/// State of a backend server that accepts no new work and finishes its running work.
 #[derive(Clone, Copy, Debug)]
 pub struct Draining {
     start: u64,
 }
 
-/// A backend server that has ended.
+/// State of a backend server that does not respond.
 #[derive(Clone, Copy, Debug)]
 pub struct Down(());
 
-/// A backend server in one state of its life.
+/// A backend server in one state of its life cycle.
 #[derive(Clone, Copy, Debug)]
 pub struct Backend<S> {
     state: S,
@@ -142,34 +143,34 @@
 }
 
 impl Backend<Joining> {
-    /// It has answered.
+    /// The server responded; `start` identifies its process.
     pub fn go_live(self, start: u64) -> Backend<Live> {
         Backend { state: Live { start } }
     }
 
-    /// It does not answer.
+    /// The server does not respond.
     pub fn go_down(self) -> Backend<Down> {
         Backend { state: Down(()) }
     }
 }
 
 impl Backend<Live> {
-    /// It has begun to leave.
+    /// The server started to leave.
     pub fn drain(self) -> Backend<Draining> {
         Backend { state: Draining { start: self.state.start } }
     }
 
-    /// It does not answer any more.
+    /// The server no longer responds.
     pub fn go_down(self) -> Backend<Down> {
         Backend { state: Down(()) }
     }
 }
 
 impl Backend<Draining> {
-    /// It answers from another start: it was replaced or restarted and takes work again.
+    /// The server responded with a different start, so it was replaced or restarted and accepts work again.
     ///
     /// # Errors
-    /// The server as it is, when the start is the one that leaves; a late answer must not bring it back.
+    /// The unchanged server if the start is that of the draining process: a late response must not make it live again.
     pub fn restart(self, start: u64) -> Result<Backend<Live>, Self> {
         if start == self.state.start {
             return Err(self);
@@ -177,34 +178,34 @@
         Ok(Backend { state: Live { start } })
     }
 
-    /// Nobody says any more that it leaves, as when an operator takes a label away.
-    pub fn stay(self) -> Backend<Live> {
+    /// The server is no longer reported as leaving, for example because an operator removed a label.
+    pub fn cancel_drain(self) -> Backend<Live> {
         Backend { state: Live { start: self.state.start } }
     }
 
-    /// It does not answer any more.
+    /// The server no longer responds.
     pub fn go_down(self) -> Backend<Down> {
         Backend { state: Down(()) }
     }
 }
 
 impl Backend<Down> {
-    /// It answers again.
+    /// The server responds again.
     pub fn go_live(self, start: u64) -> Backend<Live> {
         Backend { state: Live { start } }
     }
 }
 
-/// A backend server in whatever state, for tables that hold many.
+/// A backend server in any state, for collections of servers.
 #[derive(Clone, Copy, Debug)]
 pub enum AnyBackend {
-    /// Has not answered yet.
+    /// Has not responded yet.
     Joining(Backend<Joining>),
-    /// Takes work.
+    /// Accepts work.
     Live(Backend<Live>),
-    /// Takes no new work.
+    /// Accepts no new work.
     Draining(Backend<Draining>),
-    /// Does not answer.
+    /// Does not respond.
     Down(Backend<Down>),
 }
 
@@ -215,17 +216,17 @@
 }
 
 impl AnyBackend {
-    /// It answers, from this start.
+    /// The server responded with this start.
     pub fn go_live(self, start: u64) -> Self {
         AnyBackend::Live(match self {
             AnyBackend::Joining(b) => b.go_live(start),
             AnyBackend::Live(_) => Backend { state: Live { start } },
-            AnyBackend::Draining(b) => b.restart(start).unwrap_or_else(Backend::stay),
+            AnyBackend::Draining(b) => b.restart(start).unwrap_or_else(Backend::cancel_drain),
             AnyBackend::Down(b) => b.go_live(start),
         })
     }
 
-    /// It takes no new work.
+    /// The server with this start accepts no new work.
     pub fn drain(self, start: u64) -> Self {
         match self.go_live(start) {
             AnyBackend::Live(b) => AnyBackend::Draining(b.drain()),
@@ -233,7 +234,7 @@
         }
     }
 
-    /// It does not answer.
+    /// The server does not respond.
     pub fn go_down(self) -> Self {
         AnyBackend::Down(match self {
             AnyBackend::Joining(b) => b.go_down(),
--- a/src/link.rs
+++ b/src/link.rs
@@ -1,8 +1,8 @@
-//! Calls between routers over TCP: authenticated frames, each answer bound to its call by number.
+//! Remote calls between routers over TCP, with authenticated frames and responses matched to calls by number.
 //!
-//! A connection starts with a nonce of each side. Every frame then carries a keyed MAC over both nonces, the
-//! direction, its position and its bytes, so that a frame of another connection, of a stranger, or one that
-//! was duplicated or reordered ends the connection instead of being taken for an answer.
+//! Each side starts a connection by sending a nonce. Every frame then carries a keyed MAC over both nonces, the
+//! direction, the frame's position and its bytes. A frame that is unauthenticated, from another connection, duplicated
+//! or reordered therefore ends the connection instead of being accepted as a response.
 
 use std::{
     future::Future,
@@ -31,14 +31,14 @@
     util::{Map, lock},
 };
 
-const MAX_FRAME: usize = 4 << 20;
-const NONCE: usize = 16;
-const MAC: usize = 16;
-const QUEUE: usize = 256;
+const MAX_FRAME_BYTES: usize = 4 << 20;
+const NONCE_BYTES: usize = 16;
+const MAC_BYTES: usize = 16;
+const SEND_QUEUE_FRAMES: usize = 256;
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 const KEY_CONTEXT: &str = "cranberrytally link 1";
 
-/// Key of the links, derived from the fleet's shared key.
+/// MAC key of the links, derived from the fleet's shared key.
 #[derive(Clone)]
 pub struct LinkKey([u8; 32]);
 
@@ -49,26 +49,26 @@
 }
 
 impl LinkKey {
-    /// Derives the key.
+    /// Derives the key from the fleet's shared key.
     pub fn new(shared_key: &str) -> Self {
         Self(blake3::derive_key(KEY_CONTEXT, shared_key.as_bytes()))
     }
 }
 
-/// What answers calls of other routers.
+/// Handler for the calls of other routers.
 pub trait Serve: Send + Sync + 'static {
-    /// Answers one call.
+    /// Handles one call and returns the response.
     fn serve(&self, body: Body) -> impl Future<Output = Body> + Send;
 }
 
-/// Accepts links until closed.
+/// Accepts links from other routers and serves their calls until closed.
 #[derive(Debug)]
 pub struct LinkServer {
     task: JoinHandle<()>,
 }
 
 impl LinkServer {
-    /// Serves calls on `listener`.
+    /// Starts to accept links on `listener`.
     pub fn start(listener: TcpListener, key: LinkKey, serve: Arc<impl Serve>) -> Self {
         let task = tokio::spawn(async move {
             loop {
@@ -76,7 +76,7 @@
                 let (key, serve) = (key.clone(), serve.clone());
                 tokio::spawn(async move {
                     if let Err(e) = accept(stream, key, serve).await {
-                        spdlog::debug!("link ended: {e:#}");
+                        spdlog::debug!("incoming link closed: {e:#}");
                     }
                 });
             }
@@ -92,8 +92,8 @@
 
 async fn accept(stream: TcpStream, key: LinkKey, serve: Arc<impl Serve>) -> Result<()> {
     let (mut rx, tx) = handshake(stream, &key, Side::Acceptor).await?;
-    let (out, queue) = mpsc::channel(QUEUE);
-    tokio::spawn(write_all(tx, queue));
+    let (out, queue) = mpsc::channel(SEND_QUEUE_FRAMES);
+    tokio::spawn(write_frames(tx, queue));
     while let Some(frame) = rx.next().await? {
         let (out, serve) = (out.clone(), serve.clone());
         tokio::spawn(async move {
@@ -107,7 +107,7 @@
     Ok(())
 }
 
-/// Links to other routers, opened when first used.
+/// Pool of links to other routers, each opened on first use.
 #[derive(Debug)]
 pub struct Links {
     key: LinkKey,
@@ -115,27 +115,27 @@
 }
 
 impl Links {
-    /// No link is open yet.
+    /// Creates an empty pool.
     pub fn new(key: LinkKey) -> Self {
         Self { key, open: Default::default() }
     }
 
-    /// Calls the router at `peer` and waits for its answer.
+    /// Calls the router at `peer` and waits for its response.
     ///
     /// # Errors
-    /// When no answer came in `timeout`; whether the call took effect is then unknown.
+    /// When the call failed or no response arrived within `timeout`; the call may have taken effect nevertheless.
     pub async fn call(&self, peer: SocketAddr, body: Body, timeout: Duration) -> Result<Body> {
-        let work = async {
+        let attempt = async {
             let link = self.link(peer).await?;
             let answer = link.call(body).await;
             if answer.is_err() {
-                self.drop_link(peer, &link).await;
+                self.remove_link(peer, &link).await;
             }
             answer
         };
-        match tokio::time::timeout(timeout, work).await {
+        match tokio::time::timeout(timeout, attempt).await {
             Ok(answer) => answer,
-            Err(_) => bail!("no answer from {peer} in time"),
+            Err(_) => bail!("no response from {peer} in time"),
         }
     }
 
@@ -148,7 +148,7 @@
         Ok(link)
     }
 
-    async fn drop_link(&self, peer: SocketAddr, link: &Arc<Link>) {
+    async fn remove_link(&self, peer: SocketAddr, link: &Arc<Link>) {
         let mut open = self.open.lock().await;
         if open.get(&peer).is_some_and(|l| Arc::ptr_eq(l, link)) {
             open.remove(&peer);
@@ -156,13 +156,13 @@
     }
 }
 
-type Waiting = Arc<Mutex<Option<Map<u64, oneshot::Sender<Body>>>>>;
+type PendingCalls = Arc<Mutex<Option<Map<u64, oneshot::Sender<Body>>>>>;
 
 #[derive(Debug)]
 struct Link {
     out: mpsc::Sender<Frame>,
-    next: AtomicU64,
-    waiting: Waiting,
+    next_call: AtomicU64,
+    pending: PendingCalls,
 }
 
 impl Link {
@@ -170,27 +170,27 @@
         let stream =
             TcpStream::connect(peer).await.with_context(|| format!("could not connect to {peer}"))?;
         let (mut rx, tx) = handshake(stream, key, Side::Opener).await?;
-        let (out, queue) = mpsc::channel(QUEUE);
-        tokio::spawn(write_all(tx, queue));
-        let waiting: Waiting = Arc::new(Mutex::new(Some(Map::default())));
-        let answers = waiting.clone();
+        let (out, queue) = mpsc::channel(SEND_QUEUE_FRAMES);
+        tokio::spawn(write_frames(tx, queue));
+        let pending: PendingCalls = Arc::new(Mutex::new(Some(Map::default())));
+        let answers = pending.clone();
         tokio::spawn(async move {
             while let Ok(Some(frame)) = rx.next().await {
                 deliver(&answers, frame);
             }
-            // Dropping the senders wakes every caller that still waits; `None` refuses later calls.
+            // Dropping the senders wakes all callers that still wait; `None` makes later calls fail.
             lock(&answers).take();
         });
-        Ok(Self { out, next: AtomicU64::new(0), waiting })
+        Ok(Self { out, next_call: AtomicU64::new(0), pending })
     }
 
     async fn call(&self, body: Body) -> Result<Body> {
-        let call = self.next.fetch_add(1, Ordering::Relaxed);
+        let call = self.next_call.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = oneshot::channel();
-        lock(&self.waiting).as_mut().context("the link is closed")?.insert(call, tx);
-        let guard = Waiter { call, waiting: self.waiting.clone() };
+        lock(&self.pending).as_mut().context("the link is closed")?.insert(call, tx);
+        let guard = PendingCallGuard { call, pending: self.pending.clone() };
         self.out.send(Frame { call, body: Some(body) }).await.context("the link is closed")?;
-        let answer = rx.await.context("the link broke")?;
+        let answer = rx.await.context("the link closed before the response arrived")?;
         drop(guard);
         match answer {
             Body::Refused(r) => bail!("the peer refused the call: {}", r.reason),
@@ -199,25 +199,25 @@
     }
 }
 
-/// Forgets a call whose caller gave up, so that its late answer is dropped.
-struct Waiter {
+/// Removes a pending call when its caller stops waiting, so that a late response is dropped.
+struct PendingCallGuard {
     call: u64,
-    waiting: Waiting,
+    pending: PendingCalls,
 }
 
-impl Drop for Waiter {
+impl Drop for PendingCallGuard {
     fn drop(&mut self) {
-        if let Some(map) = lock(&self.waiting).as_mut() {
+        if let Some(map) = lock(&self.pending).as_mut() {
             map.remove(&self.call);
         }
     }
 }
 
-fn deliver(waiting: &Waiting, frame: Frame) {
-    let tx = lock(waiting).as_mut().and_then(|map| map.remove(&frame.call));
+fn deliver(pending: &PendingCalls, frame: Frame) {
+    let tx = lock(pending).as_mut().and_then(|map| map.remove(&frame.call));
     match (tx, frame.body) {
         (Some(tx), Some(body)) => drop(tx.send(body)),
-        _ => spdlog::debug!("a late answer to call {} was dropped", frame.call),
+        _ => spdlog::debug!("dropped a late response to call {}", frame.call),
     }
 }
 
@@ -242,16 +242,17 @@
 }
 
 async fn handshake(stream: TcpStream, key: &LinkKey, side: Side) -> Result<(FrameReader, FrameWriter)> {
-    stream.set_nodelay(true).context("could not set the socket up")?;
+    stream.set_nodelay(true).context("could not set TCP_NODELAY")?;
     let (mut rx, mut tx) = stream.into_split();
-    let mine: [u8; NONCE] = rand::random();
-    let mut theirs = [0; NONCE];
+    let own_nonce: [u8; NONCE_BYTES] = rand::random();
+    let mut peer_nonce = [0; NONCE_BYTES];
     let exchange = async {
-        tx.write_all(&mine).await?;
-        rx.read_exact(&mut theirs).await
+        tx.write_all(&own_nonce).await?;
+        rx.read_exact(&mut peer_nonce).await
     };
-    tokio::time::timeout(HANDSHAKE_TIMEOUT, exchange).await.context("no handshake in time")??;
-    let (opener, acceptor) = if side == Side::Opener { (mine, theirs) } else { (theirs, mine) };
+    tokio::time::timeout(HANDSHAKE_TIMEOUT, exchange).await.context("handshake timed out")??;
+    let (opener, acceptor) =
+        if side == Side::Opener { (own_nonce, peer_nonce) } else { (peer_nonce, own_nonce) };
     let session = |direction: u8| {
         let mut hasher = blake3::Hasher::new_keyed(&key.0);
         hasher.update(&opener).update(&acceptor).update(&[direction]);
@@ -263,10 +264,10 @@
     Ok((FrameReader { io: rx, key: read, position: 0 }, FrameWriter { io: tx, key: write, position: 0 }))
 }
 
-fn mac(key: &[u8; 32], position: u64, bytes: &[u8]) -> [u8; MAC] {
+fn mac(key: &[u8; 32], position: u64, bytes: &[u8]) -> [u8; MAC_BYTES] {
     let mut hasher = blake3::Hasher::new_keyed(key);
     hasher.update(&position.to_le_bytes()).update(bytes);
-    let mut out = [0; MAC];
+    let mut out = [0; MAC_BYTES];
     hasher.finalize_xof().fill(&mut out);
     out
 }
@@ -278,17 +279,17 @@
             Err(e) if e.kind() == io::ErrorKind::UnexpectedEof => return Ok(None),
             Err(e) => return Err(e.into()),
         };
-        if len > MAX_FRAME {
-            bail!("a frame of {len} bytes is too long");
+        if len > MAX_FRAME_BYTES {
+            bail!("received a frame of {len} bytes, which is too long");
         }
-        let mut tag = [0; MAC];
+        let mut tag = [0; MAC_BYTES];
         self.io.read_exact(&mut tag).await?;
         let mut buf = vec![0; len];
         self.io.read_exact(&mut buf).await?;
-        let want = mac(&self.key, self.position, &buf);
-        // `blake3::Hash` compares in constant time; a plain comparison would leak the tag byte by byte.
-        if blake3::hash(&want) != blake3::hash(&tag) {
-            bail!("a frame is not authentic");
+        let expected = mac(&self.key, self.position, &buf);
+        // `blake3::Hash` compares in constant time; a plain comparison would leak the expected tag byte by byte.
+        if blake3::hash(&expected) != blake3::hash(&tag) {
+            bail!("received a frame with an invalid MAC");
         }
         self.position += 1;
         Ok(Some(postcard::from_bytes(&buf).context("could not decode a frame")?))
@@ -298,12 +299,12 @@
 impl FrameWriter {
     async fn send(&mut self, frame: &Frame) -> Result<()> {
         let bytes = postcard::to_stdvec(frame).context("could not encode a frame")?;
-        if bytes.len() > MAX_FRAME {
-            bail!("a frame of {} bytes is too long", bytes.len());
+        if bytes.len() > MAX_FRAME_BYTES {
+            bail!("could not send a frame of {} bytes, which is too long", bytes.len());
         }
         let tag = mac(&self.key, self.position, &bytes);
         self.position += 1;
-        let mut buf = Vec::with_capacity(bytes.len() + MAC + 4);
+        let mut buf = Vec::with_capacity(bytes.len() + MAC_BYTES + 4);
         buf.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
         buf.extend_from_slice(&tag);
         buf.extend_from_slice(&bytes);
@@ -311,10 +312,10 @@
     }
 }
 
-async fn write_all(mut tx: FrameWriter, mut queue: mpsc::Receiver<Frame>) {
+async fn write_frames(mut tx: FrameWriter, mut queue: mpsc::Receiver<Frame>) {
     while let Some(frame) = queue.recv().await {
         if let Err(e) = tx.send(&frame).await {
-            spdlog::debug!("link ended: {e:#}");
+            spdlog::debug!("could not write to a link: {e:#}");
             return;
         }
     }
