--- a/benches/membership/fleet.rs
+++ b/benches/membership/fleet.rs
@@ -13,7 +13,7 @@
 };
 
 use cranberrytally::{
-    member::{Event, GossipKey, HEAD_BYTES, MemberConfig, Membership, Output, Record, Status},
+    member::{Event, GossipKey, IP_UDP_HEADER_BYTES, MemberConfig, Membership, Output, Record, Status},
     probe::{EngineSpec, Probe, ProbeConfig, Seen, State},
     util::Instant,
 };
@@ -259,7 +259,7 @@
             self.events.push((now, from, event));
         }
         for o in out.send {
-            self.account(from, o.bytes.len() + HEAD_BYTES);
+            self.account(from, o.bytes.len() + IP_UDP_HEADER_BYTES);
             let Some(&to) = self.by_addr.get(&o.to) else { continue };
             if !(self.path)(from, to) || self.rng.random_bool(self.shape.loss) {
                 continue;
@@ -406,7 +406,7 @@
         let Some(result) = self.timed(to, |m| m.receive(now, from, bytes)) else { return };
         let n = &mut self.nodes[to];
         n.received += 1;
-        n.received_bytes += (bytes.len() + HEAD_BYTES) as u64;
+        n.received_bytes += (bytes.len() + IP_UDP_HEADER_BYTES) as u64;
         match result {
             Ok(out) => self.send_all(to, out),
             Err(e) => *n.rejected.entry(e.as_str()).or_default() += 1,
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -15,7 +15,9 @@
     entry::{Directory, Router},
     follow,
     gateway::Gateway,
-    member::{Event, GossipKey, HEAD_BYTES, MAX_BYTES, MemberConfig, Membership, Output, Record, Status},
+    member::{
+        Event, GossipKey, IP_UDP_HEADER_BYTES, MAX_BYTES, MemberConfig, Membership, Output, Record, Status,
+    },
     metrics::{Counter, Metrics},
     probe::{EngineSpec, PROBE_BYTES, Probe, ProbeConfig, Seen},
     util::{lock, now, wall_ms},
@@ -119,7 +121,7 @@
     loop {
         // An error here is a refusal that a peer's host sent for an earlier datagram; it says nothing of this socket.
         let Ok((len, from)) = shared.socket.recv_from(&mut buf).await else { continue };
-        shared.metrics.add(Counter::ControlBytes, "received", (len + HEAD_BYTES) as u64);
+        shared.metrics.add(Counter::ControlBytes, "received", (len + IP_UDP_HEADER_BYTES) as u64);
         match shared.with(|m| m.receive(now(), from, &buf[..len])) {
             Some(Ok(out)) => shared.carry_out(out),
             Some(Err(reject)) => shared.metrics.add(Counter::DatagramsDropped, reject.as_str(), 1),
@@ -169,7 +171,7 @@
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
         // A datagram that the host's queue has no room for is lost like any other.
         if self.socket.try_send_to(bytes, to).is_ok() {
-            self.metrics.add(Counter::ControlBytes, "sent", (bytes.len() + HEAD_BYTES) as u64);
+            self.metrics.add(Counter::ControlBytes, "sent", (bytes.len() + IP_UDP_HEADER_BYTES) as u64);
         }
     }
 
--- a/src/member/compose.rs
+++ b/src/member/compose.rs
@@ -6,7 +6,8 @@
 use serde::Serialize;
 
 use super::{
-    Body, HEAD_BYTES, MAX_BYTES, Membership, Outgoing, Priority, Reach, Record, Status, Topic, Usage,
+    Body, IP_UDP_HEADER_BYTES, MAX_BYTES, Membership, Outgoing, Priority, Reach, Record, Status, Topic,
+    Usage,
     packet::{MAC, size},
 };
 use crate::{
@@ -46,7 +47,7 @@
 
 impl Filling<'_> {
     fn room(&mut self, class: Priority) -> usize {
-        let size = (MAX_BYTES + HEAD_BYTES).saturating_sub(self.used.iter().sum());
+        let size = (MAX_BYTES + IP_UDP_HEADER_BYTES).saturating_sub(self.used.iter().sum());
         size.min(self.budget.room(self.now, class, &self.used))
     }
 
@@ -83,7 +84,7 @@
         };
         let class = if d.body.is_some() { Priority::Liveness } else { Priority::Config };
         let mut used = Usage::default();
-        used[class as usize] = size(&d) + MAC + HEAD_BYTES + SLACK;
+        used[class as usize] = size(&d) + MAC + IP_UDP_HEADER_BYTES + SLACK;
         if used[class as usize] > self.budget.room(now, class, &Usage::default()) {
             self.counts.withheld += 1;
             return None;
@@ -105,7 +106,7 @@
         budget.spend(now, usage);
         self.budget = budget;
         self.counts.sent += 1;
-        self.counts.sent_bytes += (bytes.len() + HEAD_BYTES) as u64;
+        self.counts.sent_bytes += (bytes.len() + IP_UDP_HEADER_BYTES) as u64;
         self.out.send.push(Outgoing { to: addr, bytes });
         Some(upto)
     }
--- a/src/member/packet.rs
+++ b/src/member/packet.rs
@@ -7,7 +7,7 @@
 /// Largest datagram, in bytes; passes every path unfragmented.
 pub const MAX_BYTES: usize = 1200;
 /// Bytes that IP and UDP add to a datagram; counted in the budget.
-pub const HEAD_BYTES: usize = 28;
+pub const IP_UDP_HEADER_BYTES: usize = 28;
 pub(super) const MAC: usize = 16;
 const KEY_CONTEXT: &str = "cranberrytally gossip 1";
 
