--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -16,7 +16,8 @@
     follow,
     gateway::Gateway,
     member::{
-        Event, GossipKey, IP_UDP_HEADER_BYTES, MAX_BYTES, MemberConfig, Membership, Output, Record, Status,
+        Event, GossipKey, IP_UDP_HEADER_BYTES, MAX_DATAGRAM_BYTES, MemberConfig, Membership, Output, Record,
+        Status,
     },
     metrics::{Counter, Metrics},
     probe::{EngineSpec, PROBE_BYTES, Probe, ProbeConfig, Seen},
@@ -117,7 +118,7 @@
 
 async fn listen(shared: Arc<Shared>) {
     // One byte more than the largest, so that a longer datagram is seen as too long and not as cut to size.
-    let mut buf = [0; MAX_BYTES + 1];
+    let mut buf = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         // An error here is a refusal that a peer's host sent for an earlier datagram; it says nothing of this socket.
         let Ok((len, from)) = shared.socket.recv_from(&mut buf).await else { continue };
--- a/src/member.rs
+++ b/src/member.rs
@@ -27,7 +27,7 @@
 
 pub use budget::{Budget, Priority, Usage};
 use detect::{Relay, Trial};
-pub use packet::{GossipKey, IP_UDP_HEADER_BYTES, MAX_BYTES, Reject};
+pub use packet::{GossipKey, IP_UDP_HEADER_BYTES, MAX_DATAGRAM_BYTES, Reject};
 pub use record::{Member, NAME_BYTES, Record, Status};
 pub use summary::Centre;
 use summary::Summaries;
--- a/src/member/compose.rs
+++ b/src/member/compose.rs
@@ -6,8 +6,8 @@
 use serde::Serialize;
 
 use super::{
-    Body, IP_UDP_HEADER_BYTES, MAX_BYTES, Membership, Outgoing, Priority, Reach, Record, Status, Topic,
-    Usage,
+    Body, IP_UDP_HEADER_BYTES, MAX_DATAGRAM_BYTES, Membership, Outgoing, Priority, Reach, Record, Status,
+    Topic, Usage,
     packet::{MAC, size},
 };
 use crate::{
@@ -47,7 +47,7 @@
 
 impl Filling<'_> {
     fn room(&mut self, class: Priority) -> usize {
-        let size = (MAX_BYTES + IP_UDP_HEADER_BYTES).saturating_sub(self.used.iter().sum());
+        let size = (MAX_DATAGRAM_BYTES + IP_UDP_HEADER_BYTES).saturating_sub(self.used.iter().sum());
         size.min(self.budget.room(self.now, class, &self.used))
     }
 
@@ -101,7 +101,7 @@
         self.fill_notes(&mut filling, &mut d, Topic::Suspects);
         self.counts.deferred += filling.deferred;
         let bytes = self.key.seal(&d);
-        debug_assert!(bytes.len() <= MAX_BYTES);
+        debug_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         let usage = filling.used;
         budget.spend(now, usage);
         self.budget = budget;
--- a/src/member/packet.rs
+++ b/src/member/packet.rs
@@ -5,7 +5,7 @@
 use crate::schema::membership::Datagram;
 
 /// Largest datagram, in bytes; passes every path unfragmented.
-pub const MAX_BYTES: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// Bytes that IP and UDP add to a datagram; counted in the budget.
 pub const IP_UDP_HEADER_BYTES: usize = 28;
 pub(super) const MAC: usize = 16;
@@ -66,7 +66,7 @@
     /// # Errors
     /// Why it must be dropped.
     pub fn open(&self, bytes: &[u8]) -> Result<Datagram, Reject> {
-        if bytes.len() <= MAC || bytes.len() > MAX_BYTES {
+        if bytes.len() <= MAC || bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(Reject::Size);
         }
         let (tag, body) = bytes.split_at(MAC);
@@ -87,5 +87,6 @@
 
 /// Encoded size of a part.
 pub(super) fn size(part: &impl Serialize) -> usize {
-    postcard::serialize_with_flavor(part, postcard::ser_flavors::Size::default()).unwrap_or(MAX_BYTES)
+    postcard::serialize_with_flavor(part, postcard::ser_flavors::Size::default())
+        .unwrap_or(MAX_DATAGRAM_BYTES)
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use cranberrytally::{
-    member::{Event, GossipKey, MAX_BYTES, Record, Status, Topic},
+    member::{Event, GossipKey, MAX_DATAGRAM_BYTES, Record, Status, Topic},
     schema::membership::{Datagram, Record as RawRecord},
 };
 
@@ -221,7 +221,7 @@
 
     f.inject(0, from, forged);
     f.inject(0, from, torn);
-    f.inject(0, from, vec![7; MAX_BYTES + 1]);
+    f.inject(0, from, vec![7; MAX_DATAGRAM_BYTES + 1]);
     f.inject(0, from, Vec::new());
     f.inject(0, from, GossipKey::new(KEY).seal(&bad_address));
     f.run(s(1));
