--- a/benches/membership/fleet.rs
+++ b/benches/membership/fleet.rs
@@ -252,7 +252,7 @@
     pub fn send_all(&mut self, from: usize, out: Output) {
         let now = self.now;
         for event in out.events {
-            if let (Event::Newest(v), true) = (&event, self.auto_fetch) {
+            if let (Event::NewerVersion(v), true) = (&event, self.auto_fetch) {
                 let way = self.delay(from, (from + self.shape.centres) % self.nodes.len());
                 self.push(now + way * 3 + FETCH, Act::InForce(from, *v));
             }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -184,7 +184,7 @@
         for event in out.events {
             match event {
                 Event::Routers => routers = true,
-                Event::Newest(version) => {
+                Event::NewerVersion(version) => {
                     self.note_versions();
                     self.follow.note_newest(version);
                 }
--- a/src/member.rs
+++ b/src/member.rs
@@ -89,7 +89,7 @@
     /// The routers that may be handed out have changed.
     Routers,
     /// A configuration version newer than any before was heard of.
-    Newest(u64),
+    NewerVersion(u64),
     /// A note came.
     Note {
         /// Topic.
--- a/src/member/merge.rs
+++ b/src/member/merge.rs
@@ -26,7 +26,7 @@
         self.check_order(now, from, &d)?;
         if d.newest > self.newest {
             self.newest = d.newest;
-            self.out.events.push(Event::Newest(d.newest));
+            self.out.events.push(Event::NewerVersion(d.newest));
         }
         let stranger = self.table.get(&d.from).is_none();
         let trusted = self.table.get(&d.from).is_none_or(|m| m.record.status <= Status::Leaving);
