--- a/benches/membership/fleet.rs
+++ b/benches/membership/fleet.rs
@@ -201,7 +201,7 @@
         });
         self.by_addr.insert(record.peer, i);
         self.start(i);
-        let phase = self.rng.random_range(0..self.shape.member.period.as_micros() as u64);
+        let phase = self.rng.random_range(0..self.shape.member.tick_interval.as_micros() as u64);
         self.push(self.now + Duration::from_micros(phase), Act::Tick(i));
         i
     }
@@ -346,7 +346,7 @@
         let now = self.now;
         match act {
             Act::Tick(i) => {
-                self.push(now + self.shape.member.period, Act::Tick(i));
+                self.push(now + self.shape.member.tick_interval, Act::Tick(i));
                 self.tick(i);
             }
             Act::Deliver(to, from, bytes) => self.deliver(to, from, &bytes),
--- a/src/member.rs
+++ b/src/member.rs
@@ -41,7 +41,7 @@
     /// Bytes that may be sent in any one second, headers of UDP and IP included.
     pub bytes_per_second: usize,
     /// Time between two pings of this router.
-    pub period: Duration,
+    pub tick_interval: Duration,
     /// Time for an ack before other members are asked to ping, and again before suspicion.
     pub ack_time: Duration,
     /// Time that a suspect has to refute.
@@ -54,7 +54,7 @@
     fn default() -> Self {
         Self {
             bytes_per_second: 5_000,
-            period: Duration::from_millis(250),
+            tick_interval: Duration::from_millis(250),
             ack_time: Duration::from_millis(500),
             suspicion: Duration::from_secs(4),
             seeds: Vec::new(),
@@ -242,7 +242,7 @@
         this
     }
 
-    /// One step of time; to be called every [`MemberConfig::period`].
+    /// One step of time; to be called every [`MemberConfig::tick_interval`].
     pub fn tick(&mut self, now: Instant) -> Output {
         self.notice_pause(now);
         self.last_tick = now;
