--- a/src/member/budget.rs
+++ b/src/member/budget.rs
@@ -55,7 +55,7 @@
     }
 
     /// Bytes that a class may still add now, on top of `pending` ones that are not yet spent.
-    pub fn room(&mut self, now: Instant, class: Priority, pending: &Usage) -> usize {
+    pub fn available(&mut self, now: Instant, class: Priority, pending: &Usage) -> usize {
         self.slide(now);
         let used: Usage = std::array::from_fn(|c| self.spent[c] + pending[c]);
         let kept = (0..class as usize).map(|c| (self.rate * KEPT[c] / 100).saturating_sub(used[c]));
--- a/src/member/compose.rs
+++ b/src/member/compose.rs
@@ -46,14 +46,14 @@
 }
 
 impl Filling<'_> {
-    fn room(&mut self, class: Priority) -> usize {
+    fn available(&mut self, class: Priority) -> usize {
         let size = (MAX_DATAGRAM_BYTES + IP_UDP_HEADER_BYTES).saturating_sub(self.used.iter().sum());
-        size.min(self.budget.room(self.now, class, &self.used))
+        size.min(self.budget.available(self.now, class, &self.used))
     }
 
     fn add<T: Serialize>(&mut self, class: Priority, list: &mut Vec<T>, part: T) -> bool {
         let bytes = size(&part);
-        if bytes > self.room(class) {
+        if bytes > self.available(class) {
             self.deferred += 1;
             return false;
         }
@@ -85,7 +85,7 @@
         let class = if d.body.is_some() { Priority::Liveness } else { Priority::Config };
         let mut used = Usage::default();
         used[class as usize] = size(&d) + MAC + IP_UDP_HEADER_BYTES + SLACK;
-        if used[class as usize] > self.budget.room(now, class, &Usage::default()) {
+        if used[class as usize] > self.budget.available(now, class, &Usage::default()) {
             self.counts.withheld += 1;
             return None;
         }
@@ -174,9 +174,9 @@
             self.events.retain(|(_, left)| *left > 0);
         }
         self.fill_notes(filling, d, Topic::Engines);
-        let room = filling.room(Priority::Engines);
-        if let Some(acked) = extras.report.filter(|_| room > LEAST_REPORT)
-            && let Some(report) = self.engines.report(acked, room)
+        let available = filling.available(Priority::Engines);
+        if let Some(acked) = extras.report.filter(|_| available > LEAST_REPORT)
+            && let Some(report) = self.engines.report(acked, available)
         {
             filling.used[Priority::Engines as usize] += size(&report);
             upto = Some(report.upto);
--- a/src/probe/schedule.rs
+++ b/src/probe/schedule.rs
@@ -20,7 +20,7 @@
         due.sort_unstable();
         let mut probes = Vec::new();
         for (_, id, _) in due {
-            if self.budget.room(now, Priority::Liveness, &Usage::default()) < PROBE_BYTES {
+            if self.budget.available(now, Priority::Liveness, &Usage::default()) < PROBE_BYTES {
                 break;
             }
             let Some(e) = self.entries.get_mut(&id) else { continue };
