--- a/benches/membership/fleet.rs
+++ b/benches/membership/fleet.rs
@@ -424,7 +424,7 @@
     pub fn agrees(&self) -> bool {
         let live = self.running().count();
         let alive = |m: &Membership| m.table().iter().filter(|x| x.record.status <= Status::Leaving).count();
-        self.running().all(|(_, m)| alive(m) == live && m.table().live() == live)
+        self.running().all(|(_, m)| alive(m) == live && m.table().live_count() == live)
     }
 
     /// What keeps the nodes from agreeing, for the message of a failed test.
@@ -432,7 +432,7 @@
         let mut list = Vec::new();
         for (_, m) in self.running() {
             let in_force = m.table().get(&m.me().name).map(|x| x.in_force);
-            list.push(format!("{} has {in_force:?} in force, {} live", m.me().name, m.table().live()));
+            list.push(format!("{} has {in_force:?} in force, {} live", m.me().name, m.table().live_count()));
             for (_, other) in self.running() {
                 let held = m.table().get(&other.me().name).map(|x| &x.record);
                 if held.is_none_or(|r| {
--- a/src/member.rs
+++ b/src/member.rs
@@ -398,7 +398,7 @@
 
     /// Times that a piece of news is sent on by each router: enough to reach all with high probability.
     fn sends(&self) -> u32 {
-        (self.table.live() as u32 + 1).ilog2() + 4
+        (self.table.live_count() as u32 + 1).ilog2() + 4
     }
 
     /// Digests come anew every few seconds, so that a lost one does little harm; fewer sends do.
--- a/src/member/detect.rs
+++ b/src/member/detect.rs
@@ -107,7 +107,7 @@
     fn cross_target(&mut self) -> Option<(Arc<str>, SocketAddr)> {
         let mine = self.me.data_centre.clone();
         let revive = self.rng.random_ratio(1, REVIVE);
-        let alone = self.table.live() < 2;
+        let alone = self.table.live_count() < 2;
         // Asked less and less often: seeds that a whole starting fleet asks could answer nobody in time.
         let patience = (self.ticks / ALONE_TICKS).min(ALONE_DOUBLINGS) as u32;
         if alone && !self.rng.random_ratio(1, ALONE << patience) {
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -59,7 +59,7 @@
     }
 
     /// Members that are not gone.
-    pub fn live(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.iter().filter(|m| !m.record.status.gone()).count()
     }
 
