--- a/benches/membership/fleet.rs
+++ b/benches/membership/fleet.rs
@@ -436,7 +436,7 @@
             for (_, other) in self.running() {
                 let held = m.table().get(&other.me().name).map(|x| &x.record);
                 if held.is_none_or(|r| {
-                    r != other.me() && !(r.status <= Status::Leaving && r.refuted_by(other.me()))
+                    r != other.me() && !(r.status <= Status::Leaving && r.same_for_remote(other.me()))
                 }) {
                     let held = held.map(|r| (r.incarnation, r.status, r.ready));
                     list.push(format!("{} holds {held:?} of {:?}", m.me().name, other.me()));
--- a/src/member/merge.rs
+++ b/src/member/merge.rs
@@ -138,7 +138,7 @@
         }
         let (name, status) = (record.name.clone(), record.status);
         let reach = match self.table.get(&name) {
-            Some(m) if m.record.refuted_by(&record) => Reach::Near,
+            Some(m) if m.record.same_for_remote(&record) => Reach::Near,
             _ if status == Status::Suspect => Reach::Near,
             _ => Reach::All,
         };
--- a/src/member/record.rs
+++ b/src/member/record.rs
@@ -117,7 +117,7 @@
 
     /// Whether a newer record tells other data centres nothing that they don't know from this one, as when a suspect
     /// has refuted.
-    pub fn refuted_by(&self, new: &Record) -> bool {
+    pub fn same_for_remote(&self, new: &Record) -> bool {
         !self.status.gone() && !new.status.gone() && self.digest() == new.digest()
     }
 }
