--- a/src/probe/report.rs
+++ b/src/probe/report.rs
@@ -15,7 +15,7 @@
 const HEAD_BYTES: usize = 10 + 2 + 2;
 
 impl Engines {
-    /// Changes after `acked` that fit `available` bytes, oldest first; `None` when there is none.
+    /// Changes after `acked` that fit `room` bytes, oldest first; `None` when there is none.
     pub fn report(&self, acked: u64, room: usize) -> Option<Report> {
         let mut changes: Vec<(u64, u32, bool)> = Vec::new();
         for id in &self.mine {
