--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,4 +1,5 @@
-//! Carries out what the membership decides: datagrams, probes of engines, and what follows for the other modules.
+//! Runs the membership protocol: sends and receives its datagrams, probes engines, and passes its results to other
+//! modules.
 
 use std::{
     net::{SocketAddr, UdpSocket as StdSocket},
@@ -28,8 +29,9 @@
 mod probes;
 mod views;
 
-/// Ticks between two looks at what changes with time alone, such as data centres that can't be heard any more.
-const REFRESH_TICKS: u64 = 4;
+/// Ticks between updates of the views of other modules. Without an event they change with time, for example when a data
+/// centre becomes unreachable.
+const VIEW_REFRESH_INTERVAL_TICKS: u64 = 4;
 
 /// The gossip of a running router.
 #[derive(Debug)]
@@ -38,13 +40,13 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// What the tasks of one router's gossip share.
+/// State shared by the gossip tasks of one router.
 #[derive(Debug)]
 struct Shared {
-    /// `None` once the router has said that it stops.
+    /// `None` once the router has announced that it stops.
     membership: Mutex<Option<Membership>>,
     directory: Mutex<Directory>,
-    met_others: AtomicBool,
+    has_met_peers: AtomicBool,
     socket: UdpSocket,
     client: Client,
     period: Duration,
@@ -54,10 +56,10 @@
 }
 
 impl Gossip {
-    /// Starts to gossip on `socket`, which has the address that `peer_addr` names.
+    /// Starts the gossip on `socket`, which is bound to `peer_addr`.
     ///
     /// # Errors
-    /// When the socket can't be used.
+    /// When the socket can't be set up.
     pub fn start(
         cfg: &Settings,
         me: &Router,
@@ -67,7 +69,7 @@
         gateway: Arc<Gateway>,
         metrics: Arc<Metrics>,
     ) -> Result<Self> {
-        socket.set_nonblocking(true).context("could not set the socket up")?;
+        socket.set_nonblocking(true).context("could not set the gossip socket to non-blocking mode")?;
         let record = Record {
             name: me.name.clone(),
             data_centre: me.data_centre.clone(),
@@ -88,8 +90,8 @@
         let shared = Arc::new(Shared {
             membership: Mutex::new(Some(membership)),
             directory: Mutex::default(),
-            met_others: AtomicBool::new(false),
-            socket: UdpSocket::from_std(socket).context("could not use the socket")?,
+            has_met_peers: AtomicBool::new(false),
+            socket: UdpSocket::from_std(socket).context("could not register the gossip socket")?,
             client: Client::default(),
             period,
             follow,
@@ -100,13 +102,13 @@
         Ok(Self { shared, tasks })
     }
 
-    /// Tells the other routers that this one takes no new callers.
+    /// Announces that this router accepts no new callers.
     pub fn leave(&self) {
         self.shared.with(|m| m.leave(now()));
-        self.shared.refresh();
+        self.shared.refresh_views();
     }
 
-    /// Says goodbye and stops.
+    /// Announces that this router stops, and ends the gossip.
     pub fn close(self) {
         let membership = lock(&self.shared.membership).take();
         for o in membership.map(|m| m.close(now())).unwrap_or_default() {
@@ -117,14 +119,14 @@
 }
 
 async fn listen(shared: Arc<Shared>) {
-    // One byte more than the largest, so that a longer datagram is seen as too long and not as cut to size.
+    // One byte more than the maximum, so that a longer datagram is detected instead of being truncated.
     let mut buf = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
-        // An error here is a refusal that a peer's host sent for an earlier datagram; it says nothing of this socket.
+        // An error here is an ICMP rejection of an earlier datagram by a peer's host; the socket is still usable.
         let Ok((len, from)) = shared.socket.recv_from(&mut buf).await else { continue };
         shared.metrics.add(Counter::ControlBytes, "received", (len + IP_UDP_HEADER_BYTES) as u64);
         match shared.with(|m| m.receive(now(), from, &buf[..len])) {
-            Some(Ok(out)) => shared.carry_out(out),
+            Some(Ok(out)) => shared.handle_output(out),
             Some(Err(reject)) => shared.metrics.add(Counter::DatagramsDropped, reject.as_str(), 1),
             None => return,
         }
@@ -134,11 +136,11 @@
 async fn tick(shared: Arc<Shared>) {
     let mut timer = tokio::time::interval(shared.period);
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let (mut ticks, mut configured) = (0u64, 0);
+    let (mut ticks, mut engines_version) = (0u64, 0);
     loop {
         timer.tick().await;
         ticks += 1;
-        shared.configure(&mut configured);
+        shared.update_engines(&mut engines_version);
         let version = shared.follow.version();
         let unreached = shared.gateway.take_unreached();
         let step = shared.with(|m| {
@@ -151,15 +153,15 @@
             (m.tick(now()), m.engines.due(now()))
         });
         let Some((out, due)) = step else { return };
-        shared.carry_out(out);
+        shared.handle_output(out);
         for probe in due {
             shared.metrics.add(Counter::ControlBytes, "probes", PROBE_BYTES as u64);
             tokio::spawn(probes::probe(shared.clone(), probe));
         }
-        if ticks.is_multiple_of(REFRESH_TICKS) {
-            shared.refresh();
+        if ticks.is_multiple_of(VIEW_REFRESH_INTERVAL_TICKS) {
+            shared.refresh_views();
             shared.publish_notes(ticks);
-            shared.tell_placement().await;
+            shared.update_placement().await;
         }
     }
 }
@@ -170,46 +172,48 @@
     }
 
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
-        // A datagram that the host's queue has no room for is lost like any other.
+        // A datagram that does not fit the socket's send buffer is dropped, as if lost on the network.
         if self.socket.try_send_to(bytes, to).is_ok() {
             self.metrics.add(Counter::ControlBytes, "sent", (bytes.len() + IP_UDP_HEADER_BYTES) as u64);
         }
     }
 
-    fn carry_out(&self, out: Output) {
+    /// Sends the datagrams and handles the events of a call of the membership.
+    fn handle_output(&self, out: Output) {
         for o in &out.send {
             self.send(o.to, &o.bytes);
         }
         let mut routers = false;
         for event in out.events {
             match event {
-                Event::Routers => routers = true,
+                Event::RoutersChanged => routers = true,
                 Event::NewerVersion(version) => {
-                    self.note_versions();
+                    self.report_peer_versions();
                     self.follow.note_newest(version);
                 }
-                Event::Note { topic, origin, payload } => self.take_note(topic, &origin, &payload),
+                Event::Note { topic, origin, payload } => self.handle_note(topic, &origin, &payload),
                 Event::Paused(gap) => {
                     spdlog::warn!("this process was paused for {:.1} s", gap.as_secs_f64());
                 }
             }
         }
         if routers {
-            self.refresh();
+            self.refresh_views();
         }
     }
 
-    /// Takes over the engines of a new configuration.
-    fn configure(&self, configured: &mut u64) {
+    /// Sets the engines to probe after a change of the configuration.
+    fn update_engines(&self, engines_version: &mut u64) {
         let cat = self.gateway.catalog();
-        if cat.version == *configured {
+        if cat.version == *engines_version {
             return;
         }
-        *configured = cat.version;
+        *engines_version = cat.version;
         let specs: Vec<_> = cat.engines().map(|(_, e)| EngineSpec::from(e)).collect();
         self.with(|m| m.engines.set_engines(now(), specs));
     }
 
+    /// Records the result of a probe.
     fn probed(&self, probe: &Probe, seen: Seen) {
         self.with(|m| m.engines.probed(now(), &probe.engine, seen));
     }
--- a/src/gossip/notes.rs
+++ b/src/gossip/notes.rs
@@ -1,22 +1,23 @@
-//! Bytes that other modules have carried to the other routers.
+//! Publishes and handles the notes that gossip carries for other modules.
 
 use std::sync::Arc;
 
 use super::Shared;
 use crate::{catalog::Id, member::Topic, place::bound::Digest, schema::suspect, util::now};
 
-/// Ticks between two notes of known suspects.
-const SUSPECT_TICKS: u64 = 20;
+/// Ticks between notes of suspect content.
+const SUSPECT_NOTE_INTERVAL_TICKS: u64 = 20;
 
 impl Shared {
+    /// Publishes the load of this router's engines and, less often, its suspect content.
     pub(super) fn publish_notes(&self, ticks: u64) {
         let loads: Vec<_> =
             self.gateway.digests().into_iter().map(|(p, d)| (p.0, d.work, d.running, d.capacity)).collect();
         if !loads.is_empty() {
-            self.publish(Topic::Load, fitting(&loads, Topic::Load.bound()));
+            self.publish(Topic::Load, encode_fitting(&loads, Topic::Load.max_payload_bytes()));
         }
-        if ticks.is_multiple_of(SUSPECT_TICKS) {
-            let digest = self.gateway.suspects(Topic::Suspects.bound());
+        if ticks.is_multiple_of(SUSPECT_NOTE_INTERVAL_TICKS) {
+            let digest = self.gateway.suspects(Topic::Suspects.max_payload_bytes());
             if !digest.entries.is_empty() {
                 self.publish(Topic::Suspects, postcard::to_stdvec(&digest).unwrap_or_default());
             }
@@ -25,11 +26,12 @@
 
     fn publish(&self, topic: Topic, payload: Vec<u8>) {
         if let Some(Err(e)) = self.with(|m| m.publish(now(), topic, payload)) {
-            spdlog::warn!("a note of more than {} bytes was not published", e.bound);
+            spdlog::warn!("did not publish a note larger than {} bytes", e.max_payload_bytes);
         }
     }
 
-    pub(super) fn take_note(&self, topic: Topic, origin: &Arc<str>, payload: &[u8]) {
+    /// Passes a received note to the module of its topic.
+    pub(super) fn handle_note(&self, topic: Topic, origin: &Arc<str>, payload: &[u8]) {
         match topic {
             Topic::Load => {
                 let loads: Vec<(u64, u64, u32, u64)> = postcard::from_bytes(payload).unwrap_or_default();
@@ -48,14 +50,14 @@
     }
 }
 
-/// The first pools that fit the bound.
-fn fitting(loads: &[(u64, u64, u32, u64)], bound: usize) -> Vec<u8> {
-    let mut most = loads.len();
+/// Encodes as many of the first pools as fit `max_payload_bytes`.
+fn encode_fitting(loads: &[(u64, u64, u32, u64)], max_payload_bytes: usize) -> Vec<u8> {
+    let mut count = loads.len();
     loop {
-        let bytes = postcard::to_stdvec(&loads[..most]).unwrap_or_default();
-        if bytes.len() <= bound || most == 0 {
+        let bytes = postcard::to_stdvec(&loads[..count]).unwrap_or_default();
+        if bytes.len() <= max_payload_bytes || count == 0 {
             return bytes;
         }
-        most -= 1;
+        count -= 1;
     }
 }
--- a/src/gossip/probes.rs
+++ b/src/gossip/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of engines over HTTP.
+//! Probes engines over HTTP.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,28 +11,28 @@
     schema::engine::Load,
 };
 
-const TIMEOUT: Duration = Duration::from_secs(1);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Asks an engine for its load.
+/// Probes one engine for its load and records the result.
 pub(super) async fn probe(shared: Arc<Shared>, probe: Probe) {
     let url = format!("http://{}/load", probe.addr);
-    let seen = match shared.client.json(Method::GET, &url, None, TIMEOUT).await {
+    let seen = match shared.client.json(Method::GET, &url, None, PROBE_TIMEOUT).await {
         Ok((status, _)) if status >= 500 => Seen::Unreachable,
         Ok((200, body)) => match serde_json::from_value::<Load>(body) {
             Ok(load) => {
                 shared.gateway.note_engine_load(&probe.engine, &load);
                 Seen::Answer { start: load.start, running: load.running, leaving: load.leaving }
             }
-            Err(_) => UNREPORTED,
+            Err(_) => ANSWER_WITHOUT_LOAD,
         },
-        Ok(_) => UNREPORTED,
+        Ok(_) => ANSWER_WITHOUT_LOAD,
         Err(_) => Seen::Unreachable,
     };
     shared.probed(&probe, seen);
 }
 
-/// A backend server of a plain service answers, but knows no load report.
-const UNREPORTED: Seen = Seen::Answer { start: 0, running: 0, leaving: false };
+/// Result for a backend server that responds without a load report, as those of plain services do.
+const ANSWER_WITHOUT_LOAD: Seen = Seen::Answer { start: 0, running: 0, leaving: false };
 
 impl From<&Engine> for EngineSpec {
     fn from(e: &Engine) -> Self {
--- a/src/gossip/views.rs
+++ b/src/gossip/views.rs
@@ -1,4 +1,4 @@
-//! Tells the other modules which routers and engines there are.
+//! Passes the current routers and engines to other modules.
 
 use std::sync::atomic::Ordering;
 
@@ -8,16 +8,16 @@
     entry::{Candidate, Router},
     follow::Peer,
     member::{Member, Membership, Status},
-    place::members::Member as Placing,
+    place::members::Member as PlacementMember,
     util::now,
 };
 
 impl Shared {
-    /// Tells the modules that answer at once: entry answers, configuration, engines in use.
-    pub(super) fn refresh(&self) {
+    /// Updates the entry directory, the gateway's routers and engines, and the peers of the configuration follower.
+    pub(super) fn refresh_views(&self) {
         let Some((candidates, peers, engines)) = self.with(|m| {
             let now = now();
-            let candidates: Vec<_> = m.table().iter().map(|x| candidate(m, x)).collect();
+            let candidates: Vec<_> = m.table().iter().map(|member| candidate(m, member)).collect();
             let peers = if m.settled(now) { peers(m) } else { Vec::new() };
             (candidates, peers, m.engines.take_changed(now))
         }) else {
@@ -32,72 +32,76 @@
         if !peers.is_empty() {
             self.follow.set_peers(peers);
         }
-        self.note_versions();
+        self.report_peer_versions();
         for view in engines {
             self.gateway.note_engine(&view);
         }
     }
 
-    /// Tells the configuration which versions its peers have.
-    pub(super) fn note_versions(&self) {
+    /// Reports the versions in force at other routers to the configuration follower.
+    pub(super) fn report_peer_versions(&self) {
         let versions = self.with(|m| {
-            let others = m.table().iter().filter(|x| x.record.name != m.me().name && x.in_force > 0);
-            others.map(|x| (x.record.name.clone(), x.in_force)).collect::<Vec<_>>()
+            let others =
+                m.table().iter().filter(|member| member.record.name != m.me().name && member.in_force > 0);
+            others.map(|member| (member.record.name.clone(), member.in_force)).collect::<Vec<_>>()
         });
         for (name, version) in versions.unwrap_or_default() {
             self.follow.note_version(&name, version);
         }
     }
 
-    /// Tells placement among which routers the engines are shared out.
-    pub(super) async fn tell_placement(&self) {
+    /// Updates the routers among which placement distributes the engines.
+    pub(super) async fn update_placement(&self) {
         let Some(list) = self.with(|m| {
             let now = now();
-            let owns = |x: &&Member| {
-                let r = &x.record;
-                r.ready && r.status != Status::Leaving && m.reachable(now, x)
+            let is_owner = |member: &&Member| {
+                let r = &member.record;
+                r.ready && r.status != Status::Leaving && m.reachable(now, member)
             };
-            m.table().iter().filter(owns).map(placing).collect::<Vec<_>>()
+            m.table().iter().filter(is_owner).map(placement_member).collect::<Vec<_>>()
         }) else {
             return;
         };
-        // A router that has met no other owns every engine anyway; its list says nothing about the fleet yet.
-        if list.len() < 2 && !self.met_others.load(Ordering::Relaxed) {
+        // A router that has not met any peer owns every engine anyway; its list does not describe the fleet yet.
+        if list.len() < 2 && !self.has_met_peers.load(Ordering::Relaxed) {
             return;
         }
-        self.met_others.store(true, Ordering::Relaxed);
+        self.has_met_peers.store(true, Ordering::Relaxed);
         self.gateway.set_members(list).await;
     }
 }
 
-fn candidate(m: &Membership, x: &Member) -> Candidate {
-    let r = &x.record;
+fn candidate(m: &Membership, member: &Member) -> Candidate {
+    let r = &member.record;
     let router = Router {
         name: r.name.clone(),
         addr: r.http,
         data_centre: r.data_centre.clone(),
         region: r.region.clone(),
     };
-    let serves = r.ready && r.status == Status::Alive && m.reachable(now(), x);
+    let serves = r.ready && r.status == Status::Alive && m.reachable(now(), member);
     Candidate { router, serves, leaving: matches!(r.status, Status::Leaving | Status::Left) }
 }
 
 fn peers(m: &Membership) -> Vec<Peer> {
-    let others = m.table().iter().filter(|x| !x.record.status.gone() && x.record.name != m.me().name);
+    let others = m
+        .table()
+        .iter()
+        .filter(|member| !member.record.status.is_dead_or_left() && member.record.name != m.me().name);
     others
-        .map(|x| Peer {
-            name: x.record.name.clone(),
-            data_centre: x.record.data_centre.clone(),
-            addr: Some(x.record.http),
-            peer_addr: x.record.peer,
-            leaving: x.record.status == Status::Leaving,
+        .map(|member| Peer {
+            name: member.record.name.clone(),
+            data_centre: member.record.data_centre.clone(),
+            addr: Some(member.record.http),
+            peer_addr: member.record.peer,
+            leaving: member.record.status == Status::Leaving,
         })
         .collect()
 }
 
-fn placing(x: &Member) -> Placing {
-    let r = &x.record;
-    Placing {
+fn placement_member(member: &Member) -> PlacementMember {
+    let r = &member.record;
+    PlacementMember {
         id: Id::of(&r.name),
         data_centre: r.data_centre.clone(),
         region: r.region.clone(),
--- a/src/member.rs
+++ b/src/member.rs
@@ -1,7 +1,8 @@
-//! Membership of routers by gossip: who lives, who serves, which configuration versions are in force.
+//! Gossip membership of routers: liveness, readiness and the configuration versions in force.
 //!
-//! Members of one data centre probe each other and know each other in full detail. Across data centres only
-//! changes of members and digests travel. Sans-IO: datagrams and time come in, datagrams and events go out.
+//! Members of one data centre ping each other and share their full state. Between data centres only membership changes
+//! and summaries are exchanged. The module does no I/O: it takes datagrams and the time, and returns datagrams and
+//! events.
 
 use std::{collections::VecDeque, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -26,27 +27,28 @@
 mod topic;
 
 pub use budget::{Budget, Priority, Usage};
-use detect::{Relay, Trial};
+use detect::{PendingPing, RelayedPing};
 pub use packet::{GossipKey, IP_UDP_HEADER_BYTES, MAX_DATAGRAM_BYTES, Reject};
-pub use record::{Member, NAME_BYTES, Record, Status};
+pub use record::{MAX_NAME_BYTES, Member, Record, Status};
 pub use summary::Centre;
 use summary::Summaries;
 pub use table::{MemberKey, Table};
 use topic::Notes;
 pub use topic::{TooLong, Topic};
 
-/// Timing and budget of the gossip.
+/// Timing and bandwidth of the gossip protocol.
 #[derive(Clone, Debug)]
 pub struct MemberConfig {
-    /// Bytes that may be sent in any one second, headers of UDP and IP included.
+    /// Maximum bytes sent in any one second, including UDP and IP headers.
     pub bytes_per_second: usize,
-    /// Time between two pings of this router.
+    /// Interval between calls of [`Membership::tick`], each of which sends at most one new ping.
     pub tick_interval: Duration,
-    /// Time for an ack before other members are asked to ping, and again before suspicion.
-    pub ack_time: Duration,
-    /// Time that a suspect has to refute.
-    pub suspicion: Duration,
-    /// Peer addresses that are tried while no other member is known, and now and then later.
+    /// Ack timeout of a direct ping, after which other members are asked to ping. Indirect pings time out after twice
+    /// this time, which raises a suspicion.
+    pub ack_timeout: Duration,
+    /// Time that a suspect has to refute the suspicion before it is declared dead.
+    pub suspicion_timeout: Duration,
+    /// Peer addresses to contact while no other member is known, and occasionally later.
     pub seeds: Vec<SocketAddr>,
 }
 
@@ -55,42 +57,42 @@
         Self {
             bytes_per_second: 5_000,
             tick_interval: Duration::from_millis(250),
-            ack_time: Duration::from_millis(500),
-            suspicion: Duration::from_secs(4),
+            ack_timeout: Duration::from_millis(500),
+            suspicion_timeout: Duration::from_secs(4),
             seeds: Vec::new(),
         }
     }
 }
 
 impl MemberConfig {
-    /// Sets the byte budget.
+    /// Sets the byte budget per second.
     pub fn with_bytes_per_second(self, bytes_per_second: usize) -> Self {
         Self { bytes_per_second, ..self }
     }
 
-    /// Sets the seeds.
+    /// Sets the seed addresses.
     pub fn with_seeds(self, seeds: Vec<SocketAddr>) -> Self {
         Self { seeds, ..self }
     }
 }
 
-/// A datagram to be sent.
+/// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Receiver.
+    /// Destination address.
     pub to: SocketAddr,
-    /// Authenticated bytes.
+    /// Authenticated datagram.
     pub bytes: Vec<u8>,
 }
 
-/// What other modules may want to know.
+/// An event for other modules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The routers that may be handed out have changed.
-    Routers,
-    /// A configuration version newer than any before was heard of.
+    /// The set of known routers or the state of one of them has changed.
+    RoutersChanged,
+    /// A configuration version newer than any known before was reported.
     NewerVersion(u64),
-    /// A note came.
+    /// A note was received.
     Note {
         /// Topic.
         topic: Topic,
@@ -99,37 +101,37 @@
         /// Payload.
         payload: Vec<u8>,
     },
-    /// This process was paused for so long that others may hold it for dead.
+    /// This process was paused for this time, long enough for others to consider it dead.
     Paused(Duration),
 }
 
-/// What a step brought about.
+/// Datagrams and events that result from a call.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Datagrams to be sent.
+    /// Datagrams to send.
     pub send: Vec<Outgoing>,
-    /// Events.
+    /// Events for other modules.
     pub events: Vec<Event>,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Bytes sent, headers of UDP and IP included.
+    /// Bytes sent, including UDP and IP headers.
     pub sent_bytes: u64,
-    /// Datagrams that the budget did not allow.
+    /// Datagrams not sent because the byte budget was exhausted.
     pub withheld: u64,
-    /// Parts that the budget or the datagram's size left for later.
+    /// Items deferred to a later datagram for lack of budget or space.
     pub deferred: u64,
-    /// Members that this router suspected first.
+    /// Suspicions raised by this router itself.
     pub suspicions: u64,
-    /// Members that this router declared dead.
+    /// Members declared dead by this router itself.
     pub deaths: u64,
 }
 
-/// A router's view of the fleet.
+/// One router's view of the fleet.
 #[derive(Debug)]
 pub struct Membership {
     cfg: MemberConfig,
@@ -141,61 +143,61 @@
     table: Table,
     budget: Budget,
     rng: ChaCha8Rng,
-    /// Engines' liveness and load.
+    /// Liveness and load of engines.
     pub engines: Engines,
     summaries: Summaries,
     notes: Notes,
-    news: VecDeque<News>,
-    events: Vec<(EngineEvent, u32)>,
-    ring: Vec<Arc<str>>,
-    trials: Vec<Trial>,
-    relays: Map<u32, Relay>,
+    broadcasts: VecDeque<Broadcast>,
+    engine_events: Vec<(EngineEvent, u32)>,
+    ping_queue: Vec<Arc<str>>,
+    pending_pings: Vec<PendingPing>,
+    relayed_pings: Map<u32, RelayedPing>,
     unanswered: Set<Arc<str>>,
     last_ack: Instant,
     last_tick: Instant,
     last_refutation: Instant,
     last_summary: (Instant, u64, u32),
-    last_listed: (Instant, Vec<(u32, u32)>),
-    tell_reporter: bool,
-    differs: bool,
-    /// Address of a router that called and is not in the table.
-    caller: Option<SocketAddr>,
-    joined: Instant,
+    last_engine_list: (Instant, Vec<(u32, u32)>),
+    notify_reporter: bool,
+    out_of_sync: bool,
+    /// Address of a router that sent a datagram and is not in the table.
+    unknown_sender: Option<SocketAddr>,
+    joined_at: Instant,
     ticks: u64,
     out: Output,
     counts: Counts,
 }
 
-/// Whom a piece of news is for.
+/// Which members a broadcast must reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reach {
-    /// The members of this data centre.
-    Near,
-    /// Everybody.
-    All,
+enum Scope {
+    /// Members of the local data centre.
+    DataCentre,
+    /// All members.
+    Fleet,
 }
 
-/// A member whose record is to be sent on.
+/// A member whose record is piggybacked on outgoing datagrams, `sends` more times.
 #[derive(Clone, Debug)]
-struct News {
+struct Broadcast {
     name: Arc<str>,
     sends: u32,
-    reach: Reach,
+    scope: Scope,
 }
 
-/// Ticks between two comparisons of tables.
-const SYNC_TICKS: u64 = 20;
-/// A gap between ticks that shows that the process was paused.
-const PAUSE: Duration = Duration::from_secs(2);
-/// Times that a router sends a digest on.
+/// Ticks between comparisons of tables with local, and with remote, members; also between purges of expired state.
+const SYNC_INTERVAL_TICKS: u64 = 20;
+/// Time between two ticks from which the process is considered to have been paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
+/// Number of times that a router forwards a summary.
 const SUMMARY_SENDS: u32 = 5;
-/// How long a router that has just started compares tables with every ping.
-const JOIN_TIME: Duration = Duration::from_secs(5);
+/// Time after a start or a pause in which a router compares tables more often, on every third tick.
+const JOIN_PERIOD: Duration = Duration::from_secs(5);
 
 impl Membership {
-    /// View of the router `me` that has just started.
+    /// Creates the view of the router `me` at its start.
     ///
-    /// `me.incarnation` must rise from one start to the next; the wall clock in milliseconds does.
+    /// `me.incarnation` must increase from one start to the next, as the wall clock in milliseconds does.
     pub fn new(
         cfg: MemberConfig,
         probe: ProbeConfig,
@@ -217,50 +219,50 @@
             engines,
             summaries: Summaries::default(),
             notes: Notes::default(),
-            news: VecDeque::new(),
-            events: Vec::new(),
-            ring: Vec::new(),
-            trials: Vec::new(),
-            relays: Map::default(),
+            broadcasts: VecDeque::new(),
+            engine_events: Vec::new(),
+            ping_queue: Vec::new(),
+            pending_pings: Vec::new(),
+            relayed_pings: Map::default(),
             unanswered: Set::default(),
             last_ack: now,
             last_tick: now,
             last_refutation: Instant::ZERO,
             last_summary: (Instant::ZERO, 0, 0),
-            last_listed: (Instant::ZERO, Vec::new()),
-            tell_reporter: false,
-            differs: false,
-            caller: None,
-            joined: now,
+            last_engine_list: (Instant::ZERO, Vec::new()),
+            notify_reporter: false,
+            out_of_sync: false,
+            unknown_sender: None,
+            joined_at: now,
             ticks: 0,
             out: Output::default(),
             counts: Counts::default(),
             me: me.clone(),
         };
         this.table.merge(now, me.clone());
-        this.spread(me.name, this.sends(), Reach::All);
+        this.queue_broadcast(me.name, this.broadcast_sends(), Scope::Fleet);
         this
     }
 
-    /// One step of time; to be called every [`MemberConfig::tick_interval`].
+    /// Advances timers and sends the next ping; to be called every [`MemberConfig::tick_interval`].
     pub fn tick(&mut self, now: Instant) -> Output {
-        self.notice_pause(now);
+        self.handle_pause(now);
         self.last_tick = now;
         self.ticks += 1;
-        self.expire_trials(now);
+        self.expire_pings(now);
         self.expire_suspects(now);
-        self.report_centre(now);
-        self.gather_events();
+        self.report_data_centre(now);
+        self.queue_engine_events();
         self.ping_next(now);
-        if self.ticks.is_multiple_of(SYNC_TICKS) {
-            self.table.forget(now);
-            self.notes.forget(now.saturating_sub(topic::KEEP));
-            self.relays.retain(|_, r| r.at + self.cfg.ack_time * 4 > now);
+        if self.ticks.is_multiple_of(SYNC_INTERVAL_TICKS) {
+            self.table.purge_expired(now);
+            self.notes.purge_expired(now.saturating_sub(topic::NOTE_TTL));
+            self.relayed_pings.retain(|_, r| r.at + self.cfg.ack_timeout * 4 > now);
         }
         std::mem::take(&mut self.out)
     }
 
-    /// Takes in one datagram.
+    /// Processes one received datagram.
     ///
     /// # Errors
     /// Why it was dropped.
@@ -270,35 +272,35 @@
         Ok(std::mem::take(&mut self.out))
     }
 
-    /// Sets the configuration version that this router has in force; the first makes it ready.
+    /// Sets the configuration version that this router has in force; the first one makes it ready.
     pub fn set_in_force(&mut self, now: Instant, version: u64) {
         if version <= self.in_force {
             return;
         }
         self.in_force = version;
         self.newest = self.newest.max(version);
-        self.tell_reporter = true;
+        self.notify_reporter = true;
         let name = self.me.name.clone();
         if let Some(m) = self.table.get_mut(&name) {
             m.in_force = version;
         }
         if !self.me.ready && self.me.status == Status::Alive {
-            self.announce(now, Reach::All, |me| me.ready = true);
+            self.announce(now, Scope::Fleet, |me| me.ready = true);
         }
     }
 
-    /// Tells the others that this router takes no new callers.
+    /// Announces that this router accepts no new callers.
     pub fn leave(&mut self, now: Instant) {
         if self.me.status == Status::Alive {
-            self.announce(now, Reach::All, |me| me.status = Status::Leaving);
+            self.announce(now, Scope::Fleet, |me| me.status = Status::Leaving);
         }
     }
 
-    /// Tells the others that this router stops; the last datagrams.
+    /// Announces that this router stops; returns its last datagrams.
     pub fn close(mut self, now: Instant) -> Vec<Outgoing> {
-        self.announce(now, Reach::All, |me| me.status = Status::Left);
+        self.announce(now, Scope::Fleet, |me| me.status = Status::Left);
         let centre = self.me.data_centre.clone();
-        let live = |m: &&Member| !m.record.status.gone() && m.record.name != self.me.name;
+        let live = |m: &&Member| !m.record.status.is_dead_or_left() && m.record.name != self.me.name;
         let peers: Vec<_> =
             self.table.centre(&centre).filter(live).map(|m| (m.record.name.clone(), m.record.peer)).collect();
         for (name, peer) in peers {
@@ -307,7 +309,8 @@
         self.out.send
     }
 
-    /// Adds addresses at which routers may stand, as the platform's list gives them; it proves nothing more.
+    /// Adds addresses at which routers may run, from the platform's list. The list does not prove that any router is
+    /// alive.
     pub fn add_seeds(&mut self, seeds: impl IntoIterator<Item = SocketAddr>) {
         for seed in seeds {
             if seed != self.me.peer && !self.cfg.seeds.contains(&seed) {
@@ -316,13 +319,13 @@
         }
     }
 
-    /// Publishes bytes of another module; they replace this router's last note of the topic.
+    /// Publishes a note of another module; it replaces this router's previous note of the topic.
     ///
     /// # Errors
-    /// When the payload exceeds the topic's bound.
+    /// When the payload exceeds the topic's maximum.
     pub fn publish(&mut self, now: Instant, topic: Topic, payload: Vec<u8>) -> Result<(), TooLong> {
-        if payload.len() > topic.bound() {
-            return Err(TooLong { bound: topic.bound() });
+        if payload.len() > topic.max_payload_bytes() {
+            return Err(TooLong { max_payload_bytes: topic.max_payload_bytes() });
         }
         self.seq += 1;
         let note = Note {
@@ -332,7 +335,7 @@
             seq: self.seq,
             payload,
         };
-        let sends = self.sends();
+        let sends = self.broadcast_sends();
         self.notes.merge(now, &note, sends);
         Ok(())
     }
@@ -342,52 +345,54 @@
         &self.me
     }
 
-    /// The members.
+    /// Table of all members.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// Newest configuration version that any router is known to have.
+    /// Newest configuration version known to be in force at any router.
     pub fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Digests of all data centres.
+    /// Summaries of all data centres.
     pub fn centres(&self) -> impl Iterator<Item = &Centre> {
         self.summaries.centres.values()
     }
 
-    /// Whether a member lives and its data centre can be heard.
+    /// Whether a member is live and its data centre is reachable.
     pub fn reachable(&self, now: Instant, member: &Member) -> bool {
         let r = &member.record;
-        let near = r.data_centre == self.me.data_centre;
-        !r.status.gone() && (near || self.summaries.fresh(now, &r.data_centre))
+        let local = r.data_centre == self.me.data_centre;
+        !r.status.is_dead_or_left() && (local || self.summaries.is_fresh(now, &r.data_centre))
     }
 
-    /// Whether this router has had time to learn of the others since it started or woke up. Before that its table holds
-    /// some of them, and whoever took it for the fleet would leave out the rest.
+    /// Whether this router has had time to learn of the other members since it started or resumed from a pause. Until
+    /// then its table may be incomplete and must not be taken for the whole fleet.
     pub fn settled(&self, now: Instant) -> bool {
-        self.joined + JOIN_TIME <= now
+        self.joined_at + JOIN_PERIOD <= now
     }
 
-    /// Live routers of this data centre that are not leaving, by name.
-    pub fn near(&self) -> Vec<Arc<str>> {
-        let stays = |m: &&Member| !m.record.status.gone() && m.record.status != Status::Leaving;
+    /// Names of the live routers of the local data centre that are not leaving, sorted.
+    pub fn local_routers(&self) -> Vec<Arc<str>> {
+        let stays = |m: &&Member| !m.record.status.is_dead_or_left() && m.record.status != Status::Leaving;
         let mut names: Vec<_> =
             self.table.centre(&self.me.data_centre).filter(stays).map(|m| m.record.name.clone()).collect();
         names.sort();
         names
     }
 
-    /// A router that is known to have at least `version` in force, a near one if possible.
+    /// Returns a router known to have at least `version` in force, in the local data centre if possible.
     pub fn peer_with(&mut self, version: u64) -> Option<SocketAddr> {
         let me = &self.me;
-        let has = |m: &&Member| m.in_force >= version && !m.record.status.gone() && m.record.name != me.name;
+        let has = |m: &&Member| {
+            m.in_force >= version && !m.record.status.is_dead_or_left() && m.record.name != me.name
+        };
         let mut list: Vec<_> =
             self.table.centre(&me.data_centre).filter(has).map(|m| m.record.peer).collect();
         if list.is_empty() {
@@ -396,58 +401,62 @@
         list.choose(&mut self.rng).copied()
     }
 
-    /// Times that a piece of news is sent on by each router: enough to reach all with high probability.
-    fn sends(&self) -> u32 {
+    /// Number of times that each router sends a broadcast: enough to reach all members with high probability.
+    fn broadcast_sends(&self) -> u32 {
         (self.table.live_count() as u32 + 1).ilog2() + 4
     }
 
-    /// Digests come anew every few seconds, so that a lost one does little harm; fewer sends do.
+    /// Number of times that each router sends a summary. Fewer sends than for a broadcast are enough, since summaries
+    /// are renewed every few seconds.
     fn summary_sends(&self) -> u32 {
         SUMMARY_SENDS
     }
 
-    fn spread(&mut self, name: Arc<str>, sends: u32, reach: Reach) {
-        // What other data centres have not been told yet must still reach them.
-        let owed = self.news.iter().any(|n| n.name == name && n.reach == Reach::All);
-        let reach = if owed { Reach::All } else { reach };
-        self.news.retain(|n| n.name != name);
-        self.news.push_back(News { name, sends, reach });
+    fn queue_broadcast(&mut self, name: Arc<str>, sends: u32, scope: Scope) {
+        // A pending broadcast to the whole fleet must still reach the other data centres.
+        let pending_for_fleet = self.broadcasts.iter().any(|b| b.name == name && b.scope == Scope::Fleet);
+        let scope = if pending_for_fleet { Scope::Fleet } else { scope };
+        self.broadcasts.retain(|b| b.name != name);
+        self.broadcasts.push_back(Broadcast { name, sends, scope });
     }
 
-    fn announce(&mut self, now: Instant, reach: Reach, change: impl FnOnce(&mut Record)) {
+    fn announce(&mut self, now: Instant, scope: Scope, change: impl FnOnce(&mut Record)) {
         change(&mut self.me);
         self.me.incarnation += 1;
         self.table.merge(now, self.me.clone());
-        self.spread(self.me.name.clone(), self.sends(), reach);
-        self.out.events.push(Event::Routers);
+        self.queue_broadcast(self.me.name.clone(), self.broadcast_sends(), scope);
+        self.out.events.push(Event::RoutersChanged);
     }
 
-    /// A paused process has missed acks and refutations: what it concludes from its old state would be wrong.
-    /// The gap shows on the boot-time clock, which goes on while the host is suspended. It drops its open pings,
-    /// gives every suspect its time again, raises its incarnation and compares tables before it judges anyone.
-    fn notice_pause(&mut self, now: Instant) {
+    /// Detects that this process was paused and resets the failure detector.
+    ///
+    /// A paused process has missed acks and refutations, so it must not draw conclusions from its old state. The pause
+    /// shows on the boot-time clock, which keeps running while the host is suspended. The process drops its pending
+    /// pings, extends every suspicion timeout by the pause, raises its incarnation and compares tables before it
+    /// suspects anyone.
+    fn handle_pause(&mut self, now: Instant) {
         let gap = now.saturating_sub(self.last_tick);
-        if gap < PAUSE {
+        if gap < PAUSE_THRESHOLD {
             return;
         }
-        self.trials.clear();
-        self.relays.clear();
+        self.pending_pings.clear();
+        self.relayed_pings.clear();
         self.unanswered.clear();
         self.last_ack = now;
-        self.joined = now;
+        self.joined_at = now;
         for m in self.table.iter_mut() {
             if let Some(until) = &mut m.suspect_until {
                 *until += gap;
             }
         }
-        self.announce(now, Reach::All, |_| {});
+        self.announce(now, Scope::Fleet, |_| {});
         self.out.events.push(Event::Paused(gap));
     }
 
-    fn gather_events(&mut self) {
-        let sends = self.sends();
+    fn queue_engine_events(&mut self) {
+        let sends = self.broadcast_sends();
         for event in self.engines.take_events() {
-            self.events.push((event, sends));
+            self.engine_events.push((event, sends));
         }
     }
 
@@ -456,7 +465,7 @@
         list.map(|m| (m.record.name.clone(), m.record.peer)).collect()
     }
 
-    fn number(&mut self) -> u32 {
+    fn random_nonce(&mut self) -> u32 {
         self.rng.random()
     }
 }
--- a/src/member/budget.rs
+++ b/src/member/budget.rs
@@ -1,4 +1,4 @@
-//! Bytes that may be sent in any one second, the least important left out first.
+//! Limits the bytes sent in any one second; the least important data is left out first.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -6,41 +6,41 @@
 
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Importance of what a datagram carries, most important first.
+/// Priority class of the data in a datagram, most important first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Pings and acks, by which members see that this router lives.
+    /// Pings and acks, which show other members that this router is alive.
     Liveness,
-    /// Members that are suspect, dead, leaving or back.
+    /// Membership changes: members that are suspect, dead, leaving or alive again.
     Members,
-    /// Configuration versions, digests of data centres and comparison of tables, by which a router that missed news
-    /// gets it after all.
+    /// Configuration versions, summaries of data centres and the comparison of tables, by which a router catches up on
+    /// broadcasts that it missed.
     Config,
     /// States and loads of engines.
     Engines,
-    /// Whatever else is carried.
+    /// Everything else.
     Other,
 }
 
-/// Number of classes.
-const CLASSES: usize = 5;
+/// Number of priority classes.
+const PRIORITY_COUNT: usize = 5;
 
-/// Part of the budget, in hundredths, that is kept for each class until it has used it.
+/// Share of the budget, in percent, that is reserved for each class.
 ///
-/// What is kept for pings and acks exceeds what they need. Where news may crowd them out, members look dead, each
-/// false suspicion makes more news, and the fleet never settles. What a class leaves unused over its part, and all
-/// of the rest, goes to whoever asks.
-const KEPT: [usize; CLASSES] = [40, 18, 15, 7, 0];
+/// The share of pings and acks exceeds their need. If broadcasts could crowd them out, members would look dead, each
+/// false suspicion would cause more broadcasts, and the fleet would never converge. A class may use the unreserved
+/// rest, and the shares of less important classes, in addition to its own.
+const RESERVED_PERCENT: [usize; PRIORITY_COUNT] = [40, 18, 15, 7, 0];
 
-/// Part of the budget, in hundredths, up to which a router starts pings of its own; acks may go on to the whole.
-const PINGS: usize = 25;
+/// Liveness usage, in percent of the budget, above which a router starts no pings of its own; acks may use all of it.
+const MAX_PING_PERCENT: usize = 25;
 
-/// Bytes by class.
-pub type Usage = [usize; CLASSES];
+/// Bytes per priority class.
+pub type Usage = [usize; PRIORITY_COUNT];
 
-/// Sliding window over the bytes sent.
+/// Rate limiter with a sliding window over the bytes sent.
 ///
-/// A bucket with a burst would let two budgets pass within one second; the window holds in every second.
+/// A token bucket with a burst would allow two budgets within one second; the window limits every second.
 #[derive(Clone, Debug)]
 pub struct Budget {
     rate: usize,
@@ -49,28 +49,29 @@
 }
 
 impl Budget {
-    /// Budget of `rate` bytes a second.
+    /// Creates a budget of `rate` bytes per second.
     pub fn new(rate: usize) -> Self {
         Self { rate, sent: VecDeque::new(), spent: Usage::default() }
     }
 
-    /// Bytes that a class may still add now, on top of `pending` ones that are not yet spent.
+    /// Bytes that a class may still send now, in addition to `pending` bytes that are not recorded yet.
     pub fn available(&mut self, now: Instant, class: Priority, pending: &Usage) -> usize {
-        self.slide(now);
+        self.expire(now);
         let used: Usage = std::array::from_fn(|c| self.spent[c] + pending[c]);
-        let kept = (0..class as usize).map(|c| (self.rate * KEPT[c] / 100).saturating_sub(used[c]));
-        let taken = used.iter().sum::<usize>() + kept.sum::<usize>();
-        self.rate.saturating_sub(taken)
+        let reserved =
+            (0..class as usize).map(|c| (self.rate * RESERVED_PERCENT[c] / 100).saturating_sub(used[c]));
+        let unavailable = used.iter().sum::<usize>() + reserved.sum::<usize>();
+        self.rate.saturating_sub(unavailable)
     }
 
-    /// Whether pings may go on at their usual rate. With a small budget the time between pings grows instead of
-    /// acks going missing, which others would take for death.
+    /// Whether this router may send a ping now. With a small budget it pings less often, rather than omitting acks,
+    /// which would make it look dead to others.
     pub(super) fn may_ping(&mut self, now: Instant) -> bool {
-        self.slide(now);
-        self.spent[Priority::Liveness as usize] < self.rate * PINGS / 100
+        self.expire(now);
+        self.spent[Priority::Liveness as usize] < self.rate * MAX_PING_PERCENT / 100
     }
 
-    /// Notes bytes sent.
+    /// Records bytes sent.
     pub fn spend(&mut self, now: Instant, usage: Usage) {
         for (spent, bytes) in self.spent.iter_mut().zip(usage) {
             *spent += bytes;
@@ -78,7 +79,7 @@
         self.sent.push_back((now, usage));
     }
 
-    fn slide(&mut self, now: Instant) {
+    fn expire(&mut self, now: Instant) {
         while let Some((at, usage)) = self.sent.front().copied() {
             if at + WINDOW > now {
                 return;
--- a/src/member/compose.rs
+++ b/src/member/compose.rs
@@ -1,4 +1,4 @@
-//! Fills datagrams: what must go first, then news by importance while size and budget allow.
+//! Composes datagrams: the required body first, then further items by priority while size and budget allow.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -6,53 +6,53 @@
 use serde::Serialize;
 
 use super::{
-    Body, IP_UDP_HEADER_BYTES, MAX_DATAGRAM_BYTES, Membership, Outgoing, Priority, Reach, Record, Status,
+    Body, IP_UDP_HEADER_BYTES, MAX_DATAGRAM_BYTES, Membership, Outgoing, Priority, Record, Scope, Status,
     Topic, Usage,
-    packet::{MAC, size},
+    packet::{MAC_BYTES, encoded_size},
 };
 use crate::{
     schema::membership::{Bucket, Datagram, Detail},
     util::{Instant, Set},
 };
 
-/// Bytes kept free for the length prefixes of lists, which grow with them.
-const SLACK: usize = 16;
-/// Longer lists of hashes give way to the records themselves.
-const MAX_DETAIL: usize = 700;
-/// Less room than this is not worth a report.
-const LEAST_REPORT: usize = 64;
+/// Bytes reserved for the length prefixes of lists, which grow with the lists.
+const LENGTH_PREFIX_RESERVE_BYTES: usize = 16;
+/// Maximum size of a list of record hashes; instead of a longer one the records themselves are sent.
+const MAX_DETAIL_BYTES: usize = 700;
+/// Minimum space for which a report is included.
+const MIN_REPORT_BYTES: usize = 64;
 
-/// What else a datagram shall carry if it can.
+/// Optional contents of a datagram.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Extras {
-    /// Hashes of the member table.
+    /// Whether to include the hashes of the member table.
     pub(super) sync: bool,
-    /// Report of engines since this change.
+    /// Include a report of the engine changes after this one.
     pub(super) report: Option<u64>,
-    /// Members that the receiver knows wrongly.
+    /// Members of which the receiver has an outdated record.
     pub(super) corrections: Vec<Arc<str>>,
-    /// Data centres whose members the two know differently.
+    /// Data centres whose members differ between the tables of sender and receiver.
     pub(super) differing: Vec<Arc<str>>,
-    /// What the receiver has of some data centres; it is sent what it lacks.
-    pub(super) theirs: Vec<Detail>,
+    /// Record hashes that the receiver has for some data centres; it is sent the records it lacks.
+    pub(super) peer_details: Vec<Detail>,
 }
 
-/// Room left in one datagram, by class.
-struct Filling<'a> {
+/// Space left in one datagram under its size limit and the byte budget.
+struct DatagramSpace<'a> {
     used: Usage,
     budget: &'a mut super::Budget,
     now: Instant,
     deferred: u64,
 }
 
-impl Filling<'_> {
+impl DatagramSpace<'_> {
     fn available(&mut self, class: Priority) -> usize {
         let size = (MAX_DATAGRAM_BYTES + IP_UDP_HEADER_BYTES).saturating_sub(self.used.iter().sum());
         size.min(self.budget.available(self.now, class, &self.used))
     }
 
     fn add<T: Serialize>(&mut self, class: Priority, list: &mut Vec<T>, part: T) -> bool {
-        let bytes = size(&part);
+        let bytes = encoded_size(&part);
         if bytes > self.available(class) {
             self.deferred += 1;
             return false;
@@ -64,7 +64,8 @@
 }
 
 impl Membership {
-    /// Sends a datagram. Returns `None` when the budget does not allow it, else the last change of a report in it.
+    /// Sends a datagram. Returns `None` if the budget does not allow it, otherwise the last change of the report it
+    /// carries, if any.
     pub(super) fn send(
         &mut self,
         now: Instant,
@@ -84,25 +85,26 @@
         };
         let class = if d.body.is_some() { Priority::Liveness } else { Priority::Config };
         let mut used = Usage::default();
-        used[class as usize] = size(&d) + MAC + IP_UDP_HEADER_BYTES + SLACK;
+        used[class as usize] =
+            encoded_size(&d) + MAC_BYTES + IP_UDP_HEADER_BYTES + LENGTH_PREFIX_RESERVE_BYTES;
         if used[class as usize] > self.budget.available(now, class, &Usage::default()) {
             self.counts.withheld += 1;
             return None;
         }
         self.seq += 1;
-        let near =
+        let local =
             to.and_then(|n| self.table.get(n)).is_some_and(|m| m.record.data_centre == self.me.data_centre);
         let mut budget = std::mem::replace(&mut self.budget, super::Budget::new(0));
-        let mut filling = Filling { used, budget: &mut budget, now, deferred: 0 };
-        self.fill_members(&mut filling, &mut d, to, near, &extras);
-        self.fill_config(&mut filling, &mut d);
-        self.fill_comparison(&mut filling, &mut d, near, &extras);
-        let upto = self.fill_engines(&mut filling, &mut d, near, &extras);
-        self.fill_notes(&mut filling, &mut d, Topic::Suspects);
-        self.counts.deferred += filling.deferred;
+        let mut space = DatagramSpace { used, budget: &mut budget, now, deferred: 0 };
+        self.fill_members(&mut space, &mut d, to, local, &extras);
+        self.fill_summaries(&mut space, &mut d);
+        self.fill_sync(&mut space, &mut d, local, &extras);
+        let upto = self.fill_engines(&mut space, &mut d, local, &extras);
+        self.fill_notes(&mut space, &mut d, Topic::Suspects);
+        self.counts.deferred += space.deferred;
         let bytes = self.key.seal(&d);
         debug_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-        let usage = filling.used;
+        let usage = space.used;
         budget.spend(now, usage);
         self.budget = budget;
         self.counts.sent += 1;
@@ -113,42 +115,44 @@
 
     fn fill_members(
         &mut self,
-        filling: &mut Filling,
+        space: &mut DatagramSpace,
         d: &mut Datagram,
         to: Option<&str>,
-        near: bool,
+        local: bool,
         extras: &Extras,
     ) {
-        // A member that others hold for suspect or dead must learn it to be able to refute.
-        let accused = to.and_then(|n| self.table.get(n)).filter(|m| m.record.status >= Status::Suspect);
-        let first = accused.map(|m| m.record.clone()).into_iter();
-        let wrong = extras.corrections.iter().filter_map(|n| self.table.get(n)).map(|m| m.record.clone());
-        for record in first.chain(wrong).collect::<Vec<_>>() {
-            filling.add(Priority::Members, &mut d.lacking, record.to_raw());
+        // A member that is considered suspect or dead must be told so that it can refute.
+        let suspected = to.and_then(|n| self.table.get(n)).filter(|m| m.record.status >= Status::Suspect);
+        let first = suspected.map(|m| m.record.clone()).into_iter();
+        let outdated = extras.corrections.iter().filter_map(|n| self.table.get(n)).map(|m| m.record.clone());
+        for record in first.chain(outdated).collect::<Vec<_>>() {
+            space.add(Priority::Members, &mut d.lacking, record.to_raw());
         }
-        self.news.make_contiguous().sort_by_key(|n| (n.reach == Reach::All, std::cmp::Reverse(n.sends)));
-        for n in &mut self.news {
-            let Some(m) = self.table.get(&n.name) else {
-                n.sends = 0;
+        self.broadcasts
+            .make_contiguous()
+            .sort_by_key(|b| (b.scope == Scope::Fleet, std::cmp::Reverse(b.sends)));
+        for b in &mut self.broadcasts {
+            let Some(m) = self.table.get(&b.name) else {
+                b.sends = 0;
                 continue;
             };
-            if n.reach == Reach::Near && !near {
+            if b.scope == Scope::DataCentre && !local {
                 continue;
             }
-            let Some(record) = for_receiver(&m.record, near) else { continue };
-            if !filling.add(Priority::Members, &mut d.records, record.to_raw()) {
+            let Some(record) = for_receiver(&m.record, local) else { continue };
+            if !space.add(Priority::Members, &mut d.records, record.to_raw()) {
                 break;
             }
-            n.sends -= 1;
+            b.sends -= 1;
         }
-        self.news.retain(|n| n.sends > 0);
+        self.broadcasts.retain(|b| b.sends > 0);
     }
 
-    fn fill_config(&mut self, filling: &mut Filling, d: &mut Datagram) {
+    fn fill_summaries(&mut self, space: &mut DatagramSpace, d: &mut Datagram) {
         let mut pending: Vec<_> = self.summaries.centres.values_mut().filter(|c| c.sends > 0).collect();
         pending.sort_by(|a, b| (b.sends, &a.summary.data_centre).cmp(&(a.sends, &b.summary.data_centre)));
         for c in pending {
-            if !filling.add(Priority::Config, &mut d.summaries, c.summary.clone()) {
+            if !space.add(Priority::Config, &mut d.summaries, c.summary.clone()) {
                 break;
             }
             c.sends -= 1;
@@ -157,90 +161,96 @@
 
     fn fill_engines(
         &mut self,
-        filling: &mut Filling,
+        space: &mut DatagramSpace,
         d: &mut Datagram,
-        near: bool,
+        local: bool,
         extras: &Extras,
     ) -> Option<u64> {
         let mut upto = None;
-        if near {
-            self.events.sort_by_key(|(_, left)| std::cmp::Reverse(*left));
-            for (event, left) in &mut self.events {
-                if !filling.add(Priority::Engines, &mut d.events, event.clone()) {
+        if local {
+            self.engine_events.sort_by_key(|(_, left)| std::cmp::Reverse(*left));
+            for (event, left) in &mut self.engine_events {
+                if !space.add(Priority::Engines, &mut d.events, event.clone()) {
                     break;
                 }
                 *left -= 1;
             }
-            self.events.retain(|(_, left)| *left > 0);
+            self.engine_events.retain(|(_, left)| *left > 0);
         }
-        self.fill_notes(filling, d, Topic::Engines);
-        let available = filling.available(Priority::Engines);
-        if let Some(acked) = extras.report.filter(|_| available > LEAST_REPORT)
+        self.fill_notes(space, d, Topic::Engines);
+        let available = space.available(Priority::Engines);
+        if let Some(acked) = extras.report.filter(|_| available > MIN_REPORT_BYTES)
             && let Some(report) = self.engines.report(acked, available)
         {
-            filling.used[Priority::Engines as usize] += size(&report);
+            space.used[Priority::Engines as usize] += encoded_size(&report);
             upto = Some(report.upto);
             d.report = Some(report);
         }
         if extras.report.is_some()
             && let Some(note) = self.notes.get(Topic::Load, &self.me.name)
         {
-            filling.add(Priority::Engines, &mut d.notes, note.clone());
+            space.add(Priority::Engines, &mut d.notes, note.clone());
         }
         upto
     }
 
-    fn fill_notes(&mut self, filling: &mut Filling, d: &mut Datagram, topic: Topic) {
-        for held in self.notes.pending(topic) {
-            if !filling.add(topic.priority(), &mut d.notes, held.note.clone()) {
+    fn fill_notes(&mut self, space: &mut DatagramSpace, d: &mut Datagram, topic: Topic) {
+        for stored in self.notes.pending(topic) {
+            if !space.add(topic.priority(), &mut d.notes, stored.note.clone()) {
                 break;
             }
-            held.sends -= 1;
+            stored.sends -= 1;
         }
     }
 
-    fn fill_comparison(&mut self, filling: &mut Filling, d: &mut Datagram, near: bool, extras: &Extras) {
+    fn fill_sync(&mut self, space: &mut DatagramSpace, d: &mut Datagram, local: bool, extras: &Extras) {
         if extras.sync {
             for bucket in self.buckets() {
-                filling.add(Priority::Config, &mut d.buckets, bucket);
+                space.add(Priority::Config, &mut d.buckets, bucket);
             }
         }
-        for theirs in &extras.theirs {
-            self.fill_lacking(filling, d, near, theirs);
+        for peer_detail in &extras.peer_details {
+            self.fill_missing_records(space, d, local, peer_detail);
         }
         for centre in &extras.differing {
             let detail = self.detail(centre);
-            if size(&detail) > MAX_DETAIL {
-                let nothing = Detail { data_centre: centre.to_string(), records: Vec::new() };
-                self.fill_lacking(filling, d, near, &nothing);
+            if encoded_size(&detail) > MAX_DETAIL_BYTES {
+                let empty = Detail { data_centre: centre.to_string(), records: Vec::new() };
+                self.fill_missing_records(space, d, local, &empty);
             } else {
-                filling.add(Priority::Config, &mut d.details, detail);
+                space.add(Priority::Config, &mut d.details, detail);
             }
         }
     }
 
-    fn fill_lacking(&mut self, filling: &mut Filling, d: &mut Datagram, near: bool, theirs: &Detail) {
-        let has: Set<u32> = theirs.records.iter().copied().collect();
-        let lacking = |r: &Record| !r.status.gone() && !has.contains(&r.digest());
-        let members = self.table.centre(&theirs.data_centre).filter(|m| lacking(&m.record));
-        let mut records: Vec<_> = members.filter_map(|m| for_receiver(&m.record, near)).collect();
+    fn fill_missing_records(
+        &mut self,
+        space: &mut DatagramSpace,
+        d: &mut Datagram,
+        local: bool,
+        peer_detail: &Detail,
+    ) {
+        let has: Set<u32> = peer_detail.records.iter().copied().collect();
+        let lacking = |r: &Record| !r.status.is_dead_or_left() && !has.contains(&r.digest());
+        let members = self.table.centre(&peer_detail.data_centre).filter(|m| lacking(&m.record));
+        let mut records: Vec<_> = members.filter_map(|m| for_receiver(&m.record, local)).collect();
         if records.is_empty() {
             return;
         }
         records.sort_by(|a, b| a.name.cmp(&b.name));
-        // Another start each time: what did not fit this datagram comes with a later one.
+        // A random start each time, so that records that do not fit now are sent with a later datagram.
         let start = self.rng.random_range(0..records.len());
         records.rotate_left(start);
         for record in records {
-            if !filling.add(Priority::Config, &mut d.lacking, record.to_raw()) {
+            if !space.add(Priority::Config, &mut d.lacking, record.to_raw()) {
                 return;
             }
         }
     }
 
-    /// The live members of a data centre as hashes.
+    /// Hashes of the records of a data centre's live members.
     pub(super) fn detail(&self, centre: &str) -> Detail {
-        let live = self.table.centre(centre).filter(|m| !m.record.status.gone());
+        let live = self.table.centre(centre).filter(|m| !m.record.status.is_dead_or_left());
         Detail { data_centre: centre.into(), records: live.map(|m| m.record.digest()).collect() }
     }
 
@@ -252,9 +262,9 @@
     }
 }
 
-/// The record as a receiver near or far shall have it: suspicion is a matter of one data centre.
-fn for_receiver(record: &Record, near: bool) -> Option<Record> {
-    if record.status == Status::Suspect && !near {
+/// Returns the record to send to a receiver; suspicions are sent only within the local data centre.
+fn for_receiver(record: &Record, local: bool) -> Option<Record> {
+    if record.status == Status::Suspect && !local {
         return None;
     }
     Some(record.clone())
--- a/src/member/record.rs
+++ b/src/member/record.rs
@@ -1,4 +1,4 @@
-//! State of one member and which of two states is newer.
+//! Record of one member, and which of two records is newer.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -7,34 +7,34 @@
     util::{Instant, hash},
 };
 
-/// Longest name of a router, data centre or region, in bytes; keeps every record well within a datagram.
-pub const NAME_BYTES: usize = 64;
+/// Maximum length of the name of a router, data centre or region, so that every record fits into a datagram.
+pub const MAX_NAME_BYTES: usize = 64;
 
-/// Bits of an incarnation that tell refutations apart but hardly starts: about a second's worth of milliseconds.
+/// Low bits of an incarnation that digests ignore. They distinguish refutations but rarely starts, since they cover
+/// about one second of milliseconds.
 ///
-/// Suspicion and refutation stay within a data centre. If each refutation changed what the tables' hashes are made
-/// of, a burst of false suspicions would set the whole fleet to compare tables and the news of it would crowd out the
-/// refutations themselves.
-const START_BITS: u32 = 10;
+/// Suspicions and refutations stay within a data centre. If each refutation changed the digests, a burst of false
+/// suspicions would make the whole fleet compare tables, and that traffic would crowd out the refutations themselves.
+const DIGEST_INCARNATION_SHIFT_BITS: u32 = 10;
 
-/// What is known of a member, from weak to strong within one incarnation.
+/// Status of a member; within one incarnation a later variant overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Status {
-    /// It answers.
+    /// The member responds.
     Alive,
-    /// It is shutting down and takes no new callers.
+    /// The member is shutting down and accepts no new callers.
     Leaving,
-    /// It has not answered and may refute.
+    /// The member did not respond and may still refute.
     Suspect,
-    /// It did not refute in time.
+    /// The member did not refute in time.
     Dead,
-    /// It said that it stops.
+    /// The member announced that it stops.
     Left,
 }
 
 impl Status {
-    /// Whether the member is gone.
-    pub fn gone(self) -> bool {
+    /// Whether the member is dead or has left.
+    pub fn is_dead_or_left(self) -> bool {
         self >= Status::Dead
     }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// A router as the others know it.
+/// Record of a router as gossip carries it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
     /// Name, unique in the fleet.
@@ -59,23 +59,23 @@
     pub data_centre: Arc<str>,
     /// Region of the data centre.
     pub region: Arc<str>,
-    /// Where callers reach it.
+    /// Address for callers.
     pub http: SocketAddr,
-    /// Where routers reach it.
+    /// Address for other routers.
     pub peer: SocketAddr,
-    /// Rises with each change that the member itself makes; starts at its start time, in milliseconds.
+    /// Incarnation, which only the member itself increases; initially its start time in milliseconds.
     pub incarnation: u64,
     /// Status.
     pub status: Status,
-    /// Whether it has a configuration in force and serves.
+    /// Whether it has a configuration in force and is ready to serve.
     pub ready: bool,
 }
 
 impl Record {
-    /// Reads a record from a datagram; `None` when a field can't be meant.
+    /// Decodes a record of a datagram; `None` if a field is invalid.
     pub fn from_raw(raw: &raw::Record) -> Option<Self> {
         let names = [&raw.name, &raw.data_centre, &raw.region];
-        if raw.name.is_empty() || names.iter().any(|n| n.len() > NAME_BYTES) {
+        if raw.name.is_empty() || names.iter().any(|n| n.len() > MAX_NAME_BYTES) {
             return None;
         }
         Some(Self {
@@ -90,7 +90,7 @@
         })
     }
 
-    /// The record as a datagram carries it.
+    /// Encodes the record for a datagram.
     pub fn to_raw(&self) -> raw::Record {
         raw::Record {
             name: self.name.to_string(),
@@ -104,43 +104,49 @@
         }
     }
 
-    /// Whether this tells more than `old` of the same name.
-    pub fn beats(&self, old: &Record) -> bool {
+    /// Whether this record is newer than `old`, a record of the same member.
+    pub fn is_newer_than(&self, old: &Record) -> bool {
         (self.incarnation, self.status) > (old.incarnation, old.status)
     }
 
-    /// Part of the table's hash: what other data centres need to know.
+    /// Hash of what other data centres need to know, for comparisons of tables.
     pub fn digest(&self) -> u32 {
         let status = if self.status == Status::Leaving { 1u8 } else { 0 };
-        hash((&*self.name, self.incarnation >> START_BITS, status, self.ready)) as u32
+        hash((&*self.name, self.incarnation >> DIGEST_INCARNATION_SHIFT_BITS, status, self.ready)) as u32
     }
 
-    /// Whether a newer record tells other data centres nothing that they don't know from this one, as when a suspect
-    /// has refuted.
+    /// Whether a newer record contains nothing new for remote data centres, for example after a suspect has refuted.
     pub fn same_for_remote(&self, new: &Record) -> bool {
-        !self.status.gone() && !new.status.gone() && self.digest() == new.digest()
+        !self.status.is_dead_or_left() && !new.status.is_dead_or_left() && self.digest() == new.digest()
     }
 }
 
-/// A member of the table.
+/// A member in the table.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its record.
+    /// Newest record.
     pub record: Record,
-    /// Configuration version it had in force when it was last heard.
+    /// Configuration version in force according to its last datagram.
     pub in_force: u64,
-    /// Number of its last datagram in this incarnation.
-    pub(super) seq: (u64, u64),
-    /// When suspicion turns into death.
+    /// Incarnation and sequence number of its last datagram.
+    pub(super) last_seq: (u64, u64),
+    /// When the suspicion expires and the member is declared dead.
     pub(super) suspect_until: Option<Instant>,
-    /// When it was found gone.
-    pub(super) gone_at: Option<Instant>,
-    /// Changes of this router's reports that it has acknowledged.
-    pub(super) acked: u64,
+    /// When the member was recorded as dead or left.
+    pub(super) dead_or_left_at: Option<Instant>,
+    /// Last change of this router's reports that the member has acknowledged.
+    pub(super) acked_change: u64,
 }
 
 impl Member {
     pub(super) fn new(record: Record) -> Self {
-        Self { record, in_force: 0, seq: (0, 0), suspect_until: None, gone_at: None, acked: 0 }
+        Self {
+            record,
+            in_force: 0,
+            last_seq: (0, 0),
+            suspect_until: None,
+            dead_or_left_at: None,
+            acked_change: 0,
+        }
     }
 }
--- a/src/member/summary.rs
+++ b/src/member/summary.rs
@@ -1,65 +1,66 @@
-//! Digests of data centres: the oldest version in force, and whether the data centre can be heard.
+//! Summaries of data centres: the oldest version in force, and whether the data centre is reachable.
 
 use std::{sync::Arc, time::Duration};
 
-use super::record::NAME_BYTES;
+use super::record::MAX_NAME_BYTES;
 use crate::{
     schema::membership as raw,
     util::{Instant, Map},
 };
 
-/// A data centre from which no new digest came for this long can't be heard.
-pub(super) const STALE: Duration = Duration::from_secs(20);
-/// A digest of a reporter further back is preferred only when the first reporter's has not been renewed.
-const RENEW: Duration = Duration::from_secs(10);
+/// A data centre without a new summary for this long is considered unreachable.
+pub(super) const SUMMARY_TTL: Duration = Duration::from_secs(20);
+/// A summary of a reporter that is later by name is accepted only if the current one has not been renewed for this
+/// long.
+const REPORTER_TAKEOVER_DELAY: Duration = Duration::from_secs(10);
 
-/// What is known of a data centre.
+/// Newest summary of a data centre and its state.
 #[derive(Clone, Debug)]
 pub struct Centre {
-    /// Newest digest.
+    /// Newest summary.
     pub summary: raw::Summary,
-    /// When it came.
-    pub heard: Instant,
+    /// When it was received.
+    pub received_at: Instant,
     pub(super) sends: u32,
-    seen: Map<String, (u64, u64)>,
+    newest_by_reporter: Map<String, (u64, u64)>,
 }
 
-/// Newest digest of each data centre.
+/// Newest summary of each data centre.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Summaries {
     pub(super) centres: Map<Arc<str>, Centre>,
 }
 
 impl Summaries {
-    /// Takes a digest in if it is newer; returns whether it was.
+    /// Merges a summary; returns whether it was accepted.
     pub(super) fn merge(&mut self, now: Instant, new: &raw::Summary, sends: u32) -> bool {
-        if new.data_centre.len() > NAME_BYTES || new.reporter.len() > NAME_BYTES {
+        if new.data_centre.len() > MAX_NAME_BYTES || new.reporter.len() > MAX_NAME_BYTES {
             return false;
         }
         let number = (new.incarnation, new.seq);
         let Some(c) = self.centres.get_mut(new.data_centre.as_str()) else {
-            let seen = Map::from_iter([(new.reporter.clone(), number)]);
-            let centre = Centre { summary: new.clone(), heard: now, sends, seen };
+            let newest_by_reporter = Map::from_iter([(new.reporter.clone(), number)]);
+            let centre = Centre { summary: new.clone(), received_at: now, sends, newest_by_reporter };
             self.centres.insert(new.data_centre.as_str().into(), centre);
             return true;
         };
-        // Two members may both hold themselves for the reporter while they disagree on who lives. Each reporter's
-        // digests only rise, so a digest that still circulates can't come back after its reporter has died.
-        if c.seen.get(&new.reporter).is_some_and(|&n| n >= number) {
+        // Two members may both consider themselves the reporter while they disagree on liveness. The sequence of each
+        // reporter only increases, so a summary that still circulates can't be accepted again after its reporter died.
+        if c.newest_by_reporter.get(&new.reporter).is_some_and(|&n| n >= number) {
             return false;
         }
-        c.seen.insert(new.reporter.clone(), number);
-        if new.reporter > c.summary.reporter && c.heard + RENEW > now {
+        c.newest_by_reporter.insert(new.reporter.clone(), number);
+        if new.reporter > c.summary.reporter && c.received_at + REPORTER_TAKEOVER_DELAY > now {
             return false;
         }
         c.summary = new.clone();
-        c.heard = now;
+        c.received_at = now;
         c.sends = sends;
         true
     }
 
-    /// Whether the data centre has been heard lately.
-    pub(super) fn fresh(&self, now: Instant, data_centre: &str) -> bool {
-        self.centres.get(data_centre).is_some_and(|c| c.heard + STALE > now)
+    /// Whether the summary of the data centre has not expired.
+    pub(super) fn is_fresh(&self, now: Instant, data_centre: &str) -> bool {
+        self.centres.get(data_centre).is_some_and(|c| c.received_at + SUMMARY_TTL > now)
     }
 }
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -1,4 +1,4 @@
-//! The members by name, and hashes by which two routers find what one of them lacks.
+//! Table of the members by name, with hashes by which two routers find their differences.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,10 +12,10 @@
     pub struct MemberKey;
 }
 
-/// How long a gone member is remembered, so that an old record can't bring it back.
-const TOMBSTONE: Duration = Duration::from_secs(24 * 3600);
+/// How long a dead or left member is kept, so that an old record can't restore it.
+const TOMBSTONE_TTL: Duration = Duration::from_secs(24 * 3600);
 
-/// Members by name.
+/// Table of members, by name and by data centre.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     members: SlotMap<MemberKey, Member>,
@@ -24,7 +24,7 @@
 }
 
 impl Table {
-    /// The member of this name.
+    /// Returns the member with this name.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.by_name.get(name).map(|&k| &self.members[k])
     }
@@ -34,7 +34,7 @@
         self.members.get_mut(key)
     }
 
-    /// All members, gone ones too.
+    /// All members, including dead and left ones.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
@@ -43,7 +43,7 @@
         self.members.values_mut()
     }
 
-    /// Members of one data centre, gone ones too.
+    /// Members of one data centre, including dead and left ones.
     pub fn centre(&self, data_centre: &str) -> impl Iterator<Item = &Member> {
         self.centres.get(data_centre).into_iter().flatten().map(|&k| &self.members[k])
     }
@@ -58,19 +58,19 @@
         self.centres.contains_key(data_centre)
     }
 
-    /// Members that are not gone.
+    /// Number of members that are neither dead nor left.
     pub fn live_count(&self) -> usize {
-        self.iter().filter(|m| !m.record.status.gone()).count()
+        self.iter().filter(|m| !m.record.status.is_dead_or_left()).count()
     }
 
-    /// Takes a record in if it is newer; returns whether it was.
+    /// Merges a record if it is newer; returns whether it was.
     pub(super) fn merge(&mut self, now: Instant, record: Record) -> bool {
         let Some(&key) = self.by_name.get(&record.name) else {
             self.insert(now, record);
             return true;
         };
         let old = &self.members[key].record;
-        if !record.beats(old) {
+        if !record.is_newer_than(old) {
             return false;
         }
         if old.data_centre != record.data_centre || old.peer != record.peer {
@@ -80,10 +80,10 @@
         }
         let m = &mut self.members[key];
         if m.record.incarnation != record.incarnation {
-            // It may be a new process, which knows none of the reports that the old one acknowledged.
-            m.acked = 0;
+            // It may be a new process, which has none of the reports that the old process acknowledged.
+            m.acked_change = 0;
         }
-        m.gone_at = record.status.gone().then_some(now);
+        m.dead_or_left_at = record.status.is_dead_or_left().then_some(now);
         m.suspect_until = None;
         m.record = record;
         true
@@ -91,9 +91,9 @@
 
     fn insert(&mut self, now: Instant, record: Record) {
         let (name, centre) = (record.name.clone(), record.data_centre.clone());
-        let gone = record.status.gone();
+        let is_dead_or_left = record.status.is_dead_or_left();
         let mut member = Member::new(record);
-        member.gone_at = gone.then_some(now);
+        member.dead_or_left_at = is_dead_or_left.then_some(now);
         let key = self.members.insert(member);
         self.by_name.insert(name, key);
         self.centres.entry(centre).or_default().push(key);
@@ -108,35 +108,35 @@
         self.centres.retain(|_, list| !list.is_empty());
     }
 
-    /// Of two live members with the address of `name`, the one that started earlier.
+    /// If two live members have the address of `name`, returns the one that started earlier, as dead.
     ///
-    /// Only one process can hold an address, so the earlier one is gone even though it never said so. If clocks were
-    /// wrong and it lives, it hears of its death and takes a higher incarnation; the other can't.
+    /// Only one process can use an address, so the earlier one has died without an announcement. If clocks were wrong
+    /// and it is alive, it learns of its death and refutes by a higher incarnation; the other can't.
     pub(super) fn superseded(&self, name: &str) -> Option<Record> {
         let new = &self.get(name)?.record;
-        if new.status.gone() {
+        if new.status.is_dead_or_left() {
             return None;
         }
-        let rival = self
+        let duplicate = self
             .iter()
             .map(|m| &m.record)
-            .find(|r| r.peer == new.peer && r.name != new.name && !r.status.gone())?;
-        let loser = if rival.incarnation < new.incarnation { rival } else { new };
-        Some(Record { status: Status::Dead, ..loser.clone() })
+            .find(|r| r.peer == new.peer && r.name != new.name && !r.status.is_dead_or_left())?;
+        let older = if duplicate.incarnation < new.incarnation { duplicate } else { new };
+        Some(Record { status: Status::Dead, ..older.clone() })
     }
 
-    /// Hash over the live members of a data centre.
+    /// Hash of the records of a data centre's live members.
     pub(super) fn hash(&self, data_centre: &str) -> u32 {
-        let live = self.centre(data_centre).filter(|m| !m.record.status.gone());
+        let live = self.centre(data_centre).filter(|m| !m.record.status.is_dead_or_left());
         live.fold(0, |sum, m| sum.wrapping_add(m.record.digest()))
     }
 
-    /// Forgets members that have been gone for long.
-    pub(super) fn forget(&mut self, now: Instant) {
+    /// Removes members whose tombstones have expired.
+    pub(super) fn purge_expired(&mut self, now: Instant) {
         let old: Vec<_> = self
             .members
             .iter()
-            .filter(|(_, m)| m.gone_at.is_some_and(|at| at + TOMBSTONE < now))
+            .filter(|(_, m)| m.dead_or_left_at.is_some_and(|at| at + TOMBSTONE_TTL < now))
             .map(|(k, _)| k)
             .collect();
         for key in old {
--- a/src/member/topic.rs
+++ b/src/member/topic.rs
@@ -1,24 +1,24 @@
-//! Bounded bytes carried for other modules.
+//! Notes: payloads of limited size that gossip carries for other modules.
 
 use std::{sync::Arc, time::Duration};
 
-use super::{budget::Priority, record::NAME_BYTES};
+use super::{budget::Priority, record::MAX_NAME_BYTES};
 use crate::{
     schema::membership as raw,
     util::{Instant, Map},
 };
 
-/// How long a note that is not renewed is kept.
-pub(super) const KEEP: Duration = Duration::from_secs(300);
+/// How long a note is kept without being renewed.
+pub(super) const NOTE_TTL: Duration = Duration::from_secs(300);
 
-/// What a note is about; each topic has a priority and a size bound.
+/// Topic of a note; each topic has a priority and a maximum payload size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Topic {
-    /// Engines of a data centre that are not up, by its reporter.
+    /// Engines of a data centre that are not up, published by its reporter.
     Engines,
-    /// Load of a router's engines by pool, for placement; told to each router of the data centre, not sent on.
+    /// Load of a router's engines by pool, for placement; sent to each router of the data centre, not forwarded.
     Load,
-    /// Content that crashed backend servers, for quarantine.
+    /// Fingerprints of content that crashed backend servers, for quarantine.
     Suspects,
 }
 
@@ -26,15 +26,15 @@
     /// All topics, most important first.
     pub const ALL: [Topic; 3] = [Topic::Engines, Topic::Load, Topic::Suspects];
 
-    /// Largest payload, in bytes.
-    pub fn bound(self) -> usize {
+    /// Maximum size of a payload.
+    pub fn max_payload_bytes(self) -> usize {
         match self {
             Topic::Engines => 480,
             Topic::Load | Topic::Suspects => 256,
         }
     }
 
-    /// Class in the byte budget.
+    /// Priority class in the byte budget.
     pub fn priority(self) -> Priority {
         match self {
             Topic::Engines | Topic::Load => Priority::Engines,
@@ -42,9 +42,9 @@
         }
     }
 
-    /// Whether a note goes from its origin to each router of the data centre instead of from one to the next. A
-    /// load is old by the time it has made the round, and every copy would cost its bytes again.
-    pub(super) fn direct(self) -> bool {
+    /// Whether the origin sends a note to each router of the data centre itself, instead of routers forwarding it. A
+    /// forwarded load would be outdated on arrival, and each copy would cost its bytes again.
+    pub(super) fn is_direct(self) -> bool {
         self == Topic::Load
     }
 
@@ -53,58 +53,58 @@
     }
 }
 
-/// A payload exceeds its topic's bound.
+/// Error: a payload exceeds the maximum of its topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLong {
-    /// Largest payload of the topic, in bytes.
-    pub bound: usize,
+    /// Maximum payload of the topic.
+    pub max_payload_bytes: usize,
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct StoredNote {
     pub(super) note: raw::Note,
     pub(super) sends: u32,
-    seen: Instant,
+    received_at: Instant,
 }
 
 /// Newest note of each origin and topic.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Notes {
-    held: Map<(Topic, Arc<str>), Held>,
+    notes: Map<(Topic, Arc<str>), StoredNote>,
 }
 
 impl Notes {
-    /// Takes a note in if it is the origin's newest; returns its topic.
+    /// Merges a note if it is the origin's newest of its topic; returns the topic.
     pub(super) fn merge(&mut self, now: Instant, note: &raw::Note, sends: u32) -> Option<Topic> {
         let topic = Topic::from_raw(note.topic)?;
-        if note.payload.len() > topic.bound() || note.origin.len() > NAME_BYTES {
+        if note.payload.len() > topic.max_payload_bytes() || note.origin.len() > MAX_NAME_BYTES {
             return None;
         }
         let key = (topic, note.origin.as_str().into());
-        let newer = |h: &Held| (note.incarnation, note.seq) > (h.note.incarnation, h.note.seq);
-        if !self.held.get(&key).is_none_or(newer) {
+        let newer = |h: &StoredNote| (note.incarnation, note.seq) > (h.note.incarnation, h.note.seq);
+        if !self.notes.get(&key).is_none_or(newer) {
             return None;
         }
-        let sends = if topic.direct() { 0 } else { sends };
-        self.held.insert(key, Held { note: note.clone(), sends, seen: now });
+        let sends = if topic.is_direct() { 0 } else { sends };
+        self.notes.insert(key, StoredNote { note: note.clone(), sends, received_at: now });
         Some(topic)
     }
 
-    /// Notes of a topic that are to be sent on, the least often sent first.
-    pub(super) fn pending(&mut self, topic: Topic) -> Vec<&mut Held> {
+    /// Notes of a topic that are still to be sent, those with the most sends left first.
+    pub(super) fn pending(&mut self, topic: Topic) -> Vec<&mut StoredNote> {
         let mut list: Vec<_> =
-            self.held.iter_mut().filter(|(k, h)| k.0 == topic && h.sends > 0).map(|(_, h)| h).collect();
+            self.notes.iter_mut().filter(|(k, h)| k.0 == topic && h.sends > 0).map(|(_, h)| h).collect();
         list.sort_by_key(|h| (std::cmp::Reverse(h.sends), h.note.origin.clone()));
         list
     }
 
-    /// The newest note of one origin.
+    /// Returns the newest note of one origin.
     pub(super) fn get(&self, topic: Topic, origin: &Arc<str>) -> Option<&raw::Note> {
-        self.held.get(&(topic, origin.clone())).map(|h| &h.note)
+        self.notes.get(&(topic, origin.clone())).map(|h| &h.note)
     }
 
-    /// Drops notes that have not been renewed since `oldest`.
-    pub(super) fn forget(&mut self, oldest: Instant) {
-        self.held.retain(|_, h| h.seen >= oldest);
+    /// Removes notes that have not been renewed since `oldest`.
+    pub(super) fn purge_expired(&mut self, oldest: Instant) {
+        self.notes.retain(|_, h| h.received_at >= oldest);
     }
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -163,7 +163,7 @@
     f.run(s(60));
 
     assert!(died.is_some(), "the deaf router must be found out");
-    let harmed = f.running().filter(|(i, _)| *i != 3).any(|(_, m)| m.table().live() != 9);
+    let harmed = f.running().filter(|(i, _)| *i != 3).any(|(_, m)| m.table().live_count() != 9);
     assert!(!harmed, "a healthy router was declared dead");
     assert_eq!(f.m(3).counts().deaths, 0);
 }
@@ -297,7 +297,7 @@
     let mut f = settled(12, 3, 1);
     let now = f.now;
 
-    let long = f.m(0).publish(now, Topic::Suspects, vec![0; Topic::Suspects.bound() + 1]);
+    let long = f.m(0).publish(now, Topic::Suspects, vec![0; Topic::Suspects.max_payload_bytes() + 1]);
     f.m(0).publish(now, Topic::Suspects, b"fingerprint".to_vec()).unwrap();
     f.run(s(10));
 
