--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -212,7 +212,7 @@
     let items = (0..TARGET_OBJECTS).map(|n| engine(n, n + 1)).collect();
     let mut store = Store::default();
     let start = Instant::now();
-    store.take_list(List { version: TARGET_OBJECTS, items }).expect("it is new");
+    store.apply_list(List { version: TARGET_OBJECTS, items }).expect("it is new");
     println!("take a whole list            {:>10.1} ms", start.elapsed().as_secs_f64() * 1e3);
     println!("resident memory added        {:>10.1} MB", (resident().saturating_sub(before)) as f64 / 1e6);
     let bytes = |o: &std::sync::Arc<AnyObject>| serde_json::to_vec(o.as_ref()).map_or(0, |b| b.len());
@@ -221,18 +221,18 @@
     let event = time_each(10_000, |i| {
         let version = TARGET_OBJECTS + 1 + u64::from(i);
         let object = engine(u64::from(i), version);
-        store.take_event(Event { version, deleted: false, object })
+        store.apply_event(Event { version, deleted: false, object })
     });
     println!("take one change of a watch   {event:>10.1} us");
     let mut peer = store.clone();
     let since = store.version();
     let object = engine(7, since + 1);
-    store.take_event(Event { version: since + 1, deleted: false, object }).expect("it is new");
+    store.apply_event(Event { version: since + 1, deleted: false, object }).expect("it is new");
     let encode = time_each(10_000, |_| store.delta(since, since, false, 1 << 20));
     println!("make a delta of one change   {encode:>10.1} us");
     let delta = store.delta(since, since, false, 1 << 20);
     let start = Instant::now();
-    peer.take_delta(delta).expect("it fits");
+    peer.apply_delta(delta).expect("it fits");
     println!("take a delta of one change   {:>10.1} us", start.elapsed().as_secs_f64() * 1e6);
     let object = engine(7, 1);
     println!("validate one object          {:>10.1} us", time_each(10_000, |_| check::check(&object)));
--- a/benches/membership/fleet.rs
+++ b/benches/membership/fleet.rs
@@ -13,7 +13,7 @@
 };
 
 use cranberrytally::{
-    member::{Event, GossipKey, HEAD_BYTES, MemberConfig, Membership, Output, Record, Status},
+    member::{Event, GossipKey, IP_UDP_HEADER_BYTES, MemberConfig, Membership, Output, Record, Status},
     probe::{EngineSpec, Probe, ProbeConfig, Seen, State},
     util::Instant,
 };
@@ -201,7 +201,7 @@
         });
         self.by_addr.insert(record.peer, i);
         self.start(i);
-        let phase = self.rng.random_range(0..self.shape.member.period.as_micros() as u64);
+        let phase = self.rng.random_range(0..self.shape.member.tick_interval.as_micros() as u64);
         self.push(self.now + Duration::from_micros(phase), Act::Tick(i));
         i
     }
@@ -252,14 +252,14 @@
     pub fn send_all(&mut self, from: usize, out: Output) {
         let now = self.now;
         for event in out.events {
-            if let (Event::Newest(v), true) = (&event, self.auto_fetch) {
+            if let (Event::NewerVersion(v), true) = (&event, self.auto_fetch) {
                 let way = self.delay(from, (from + self.shape.centres) % self.nodes.len());
                 self.push(now + way * 3 + FETCH, Act::InForce(from, *v));
             }
             self.events.push((now, from, event));
         }
         for o in out.send {
-            self.account(from, o.bytes.len() + HEAD_BYTES);
+            self.account(from, o.bytes.len() + IP_UDP_HEADER_BYTES);
             let Some(&to) = self.by_addr.get(&o.to) else { continue };
             if !(self.path)(from, to) || self.rng.random_bool(self.shape.loss) {
                 continue;
@@ -346,7 +346,7 @@
         let now = self.now;
         match act {
             Act::Tick(i) => {
-                self.push(now + self.shape.member.period, Act::Tick(i));
+                self.push(now + self.shape.member.tick_interval, Act::Tick(i));
                 self.tick(i);
             }
             Act::Deliver(to, from, bytes) => self.deliver(to, from, &bytes),
@@ -406,7 +406,7 @@
         let Some(result) = self.timed(to, |m| m.receive(now, from, bytes)) else { return };
         let n = &mut self.nodes[to];
         n.received += 1;
-        n.received_bytes += (bytes.len() + HEAD_BYTES) as u64;
+        n.received_bytes += (bytes.len() + IP_UDP_HEADER_BYTES) as u64;
         match result {
             Ok(out) => self.send_all(to, out),
             Err(e) => *n.rejected.entry(e.as_str()).or_default() += 1,
@@ -424,7 +424,7 @@
     pub fn agrees(&self) -> bool {
         let live = self.running().count();
         let alive = |m: &Membership| m.table().iter().filter(|x| x.record.status <= Status::Leaving).count();
-        self.running().all(|(_, m)| alive(m) == live && m.table().live() == live)
+        self.running().all(|(_, m)| alive(m) == live && m.table().live_count() == live)
     }
 
     /// What keeps the nodes from agreeing, for the message of a failed test.
@@ -432,11 +432,11 @@
         let mut list = Vec::new();
         for (_, m) in self.running() {
             let in_force = m.table().get(&m.me().name).map(|x| x.in_force);
-            list.push(format!("{} has {in_force:?} in force, {} live", m.me().name, m.table().live()));
+            list.push(format!("{} has {in_force:?} in force, {} live", m.me().name, m.table().live_count()));
             for (_, other) in self.running() {
                 let held = m.table().get(&other.me().name).map(|x| &x.record);
                 if held.is_none_or(|r| {
-                    r != other.me() && !(r.status <= Status::Leaving && r.refuted_by(other.me()))
+                    r != other.me() && !(r.status <= Status::Leaving && r.same_for_remote(other.me()))
                 }) {
                     let held = held.map(|r| (r.incarnation, r.status, r.ready));
                     list.push(format!("{} holds {held:?} of {:?}", m.me().name, other.me()));
--- a/src/probe/entry.rs
+++ b/src/probe/entry.rs
@@ -111,9 +111,9 @@
     pub(super) fn settle(&mut self, now: Instant, me: &str, data_centre: &str) {
         self.life = match self.judge(now, me, data_centre) {
             State::Up if self.findings.is_empty() && matches!(self.life, AnyBackend::Joining(_)) => return,
-            State::Up => self.life.answer(self.start()),
-            State::Leaving => self.life.leave(self.start()),
-            State::Down => self.life.lose(),
+            State::Up => self.life.go_live(self.start()),
+            State::Leaving => self.life.drain(self.start()),
+            State::Down => self.life.go_down(),
         };
     }
 
@@ -123,7 +123,7 @@
         match self.life {
             AnyBackend::Joining(_) | AnyBackend::Live(_) => State::Up,
             AnyBackend::Draining(_) => State::Leaving,
-            AnyBackend::Gone(_) => State::Down,
+            AnyBackend::Down(_) => State::Down,
         }
     }
 
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranberrytally::{
-    lease::{Acquired, Acquiring, Candidate, Held, Observed, Renewed, Terms},
+    lease::{Acquired, Acquiring, Candidate, Held, LeaseConfig, Observed, Renewed},
     objects::Write,
     util::Instant,
 };
@@ -20,14 +20,14 @@
     Duration::from_secs_f64(1000.0 + seconds)
 }
 
-fn terms(holder: &str) -> Terms {
-    Terms::new("pool-a", holder, TTL)
+fn terms(holder: &str) -> LeaseConfig {
+    LeaseConfig::new("pool-a", holder, TTL)
 }
 
 fn acquiring(shelf: &Shelf, holder: &str, now: Instant) -> Acquiring {
     match Candidate::new(terms(holder)).observe(now, shelf.get().as_ref(), "first") {
         Observed::Free(acquiring) => acquiring,
-        Observed::Taken(_) => panic!("it is taken"),
+        Observed::HeldByOther(_) => panic!("it is taken"),
     }
 }
 
@@ -46,7 +46,7 @@
     for i in 0..10 {
         let after = from + f64::from(i) * 3.0;
         match candidate.observe(at(after), shelf.get().as_ref(), "second") {
-            Observed::Taken(c) => candidate = c,
+            Observed::HeldByOther(c) => candidate = c,
             Observed::Free(mut acquiring) => {
                 let write = shelf.put(acquiring.attempt(at(after)));
                 match acquiring.answered(at(after), write) {
@@ -67,7 +67,7 @@
     let mut acquiring = acquiring(&shelf, "a", at(0.0));
     let _lost = shelf.put(acquiring.attempt(at(0.0)));
 
-    let Acquired::Again(mut acquiring) = acquiring.answered(at(1.0), Write::Unknown) else { panic!() };
+    let Acquired::Retry(mut acquiring) = acquiring.answered(at(1.0), Write::Unknown) else { panic!() };
     let write = shelf.put(acquiring.attempt(at(1.0)));
     let Acquired::Held(mut held) = acquiring.answered(at(2.0), write) else { panic!() };
 
@@ -102,7 +102,7 @@
     let mut candidate = Candidate::new(terms("b"));
     for time in [0.0, 1.0, 3600.0] {
         match candidate.observe(at(time), shelf.get().as_ref(), "second") {
-            Observed::Taken(c) => candidate = c,
+            Observed::HeldByOther(c) => candidate = c,
             Observed::Free(_) => panic!("taken over after {time} s on a clock that jumped"),
         }
     }
@@ -143,7 +143,7 @@
 fn a_lease_given_back_is_free_at_once() {
     let mut shelf = Shelf::default();
     let old = held(&mut shelf, "a", at(0.0));
-    shelf.put(old.close("second"));
+    shelf.put(old.release("second"));
 
     let (mut new, taken) = take_over(&mut shelf, "b", 1.0);
 
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -8,7 +8,7 @@
     Duration::from_secs(n)
 }
 
-const CFG: DrainConfig = DrainConfig { answer_keep: s(30), spread: s(5), longest: s(600) };
+const CFG: DrainConfig = DrainConfig { answer_keep: s(30), propagation_time: s(5), timeout: s(600) };
 
 #[test]
 fn a_router_without_a_configuration_does_not_serve() {
@@ -34,7 +34,7 @@
     for (after, running, want) in cases {
         let leaving = Router::default().serve(1).unwrap().leave(s(100), CFG);
 
-        assert_eq!(leaving.takes_requests(s(100) + after), after < s(35), "after {after:?}");
+        assert_eq!(leaving.accepts_requests(s(100) + after), after < s(35), "after {after:?}");
         let stopped = leaving.stop(s(100) + after, running);
 
         assert_eq!(stopped.ok().map(Router::close), want, "after {after:?} with {running} running");
@@ -44,7 +44,7 @@
 /// A backend server leaves, and an answer of the same start arrives late. It must not get work again; a new start may.
 #[test]
 fn a_late_answer_does_not_bring_a_leaving_backend_server_back() {
-    let draining = Backend::default().answer(7).leave();
+    let draining = Backend::default().go_live(7).drain();
 
     let late = draining.restart(7);
 
