--- a/src/claim.rs
+++ b/src/claim.rs
@@ -22,7 +22,7 @@
 const KEY_CONTEXT: &str = "cranberrytally idempotency key 1";
 const CONTENT_CONTEXT: &str = "cranberrytally request content 1";
 /// Shards of the claims of the whole fleet; fixed, since it decides where a key is looked for.
-pub const SHARDS: u16 = 16;
+pub const SHARD_COUNT: u16 = 16;
 /// Largest body that is kept with a record, in bytes.
 pub const KEPT_BODY: usize = 1024;
 
@@ -52,7 +52,7 @@
 
     /// Shard in which the key is kept.
     pub fn shard(&self) -> u16 {
-        u16::from_le_bytes([self.0[0], self.0[1]]) % SHARDS
+        u16::from_le_bytes([self.0[0], self.0[1]]) % SHARD_COUNT
     }
 }
 
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -16,7 +16,7 @@
 use super::{lock, place::Placement};
 use crate::{
     claim::{
-        Ask, AttemptId, Clock, KeyDigest, Record, SHARDS, Verdict,
+        Ask, AttemptId, Clock, KeyDigest, Record, SHARD_COUNT, Verdict,
         attempt::{Finish, Release},
         local::{Local, Step},
         messages::{Malformed, bytes16},
@@ -85,7 +85,7 @@
     ) -> Self {
         let start = rand::random();
         let writer = format!("{name}-{start:016x}");
-        let desks = (0..SHARDS).map(|shard| Desk::new(shard, &writer, platform.clone())).collect();
+        let desks = (0..SHARD_COUNT).map(|shard| Desk::new(shard, &writer, platform.clone())).collect();
         let tickets = TicketKey::new(shared_key);
         let closed = Closed::new(platform.clone());
         let (local, telling) = (Mutex::default(), AtomicUsize::new(0));
--- a/src/objects/calls.rs
+++ b/src/objects/calls.rs
@@ -8,7 +8,7 @@
 
 use super::bucket::Bucket;
 use crate::{
-    claim::SHARDS,
+    claim::SHARD_COUNT,
     metrics::{Counter, Metrics},
     util::{Instant, lock},
 };
@@ -98,7 +98,7 @@
     pub fn share(members: usize) -> Self {
         let n = members.max(1) as f64;
         let rate = |total: f64| Rate { rate: total / n, burst: (total / n).clamp(1.0, MAX_BURST) };
-        let shards = (f64::from(SHARDS) / n).ceil() + 1.0;
+        let shards = (f64::from(SHARD_COUNT) / n).ceil() + 1.0;
         let claim = Rate { rate: SHARD_WRITES * shards, burst: SHARD_WRITES * shards };
         Self { read: rate(FLEET_READS), write: rate(FLEET_WRITES), claim, watch: rate(FLEET_WATCHES) }
     }
