--- a/src/claim.rs
+++ b/src/claim.rs
@@ -24,7 +24,7 @@
 /// Shards of the claims of the whole fleet; fixed, since it decides where a key is looked for.
 pub const SHARD_COUNT: u16 = 16;
 /// Largest body that is kept with a record, in bytes.
-pub const KEPT_BODY: usize = 1024;
+pub const MAX_KEPT_BODY_BYTES: usize = 1024;
 
 /// Length of digests and attempt numbers, in bytes.
 pub const DIGEST: usize = 16;
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -7,7 +7,7 @@
 use super::Claims;
 use crate::{
     claim::{
-        Answered, Ask, KEPT_BODY, Record, Verdict,
+        Answered, Ask, MAX_KEPT_BODY_BYTES, Record, Verdict,
         attempt::{Asking, Held, Refused, Running, refusal},
     },
     error::{Fault, Kind},
@@ -153,7 +153,7 @@
 fn keep(answered: &mut Answered, data: &[u8]) {
     if let Some(body) = &mut answered.body {
         body.extend_from_slice(data);
-        if body.len() > KEPT_BODY {
+        if body.len() > MAX_KEPT_BODY_BYTES {
             answered.body = None;
         }
     }
