--- a/benches/claims/holder.rs
+++ b/benches/claims/holder.rs
@@ -15,7 +15,7 @@
             }
         }
         let (key, content) = (self.callers[caller].key, self.callers[caller].content);
-        let ask = Ask { key, content, attempt: self.attempt_id(), look: false };
+        let ask = ClaimRequest { key, content, attempt: self.attempt_id(), look: false };
         let req = self.id();
         let since = self.now;
         let stage = Some(Stage::Asking(Asking::new(ask, Undispatched::new())));
@@ -56,7 +56,7 @@
         self.again(caller);
     }
 
-    pub(super) fn ask(&mut self, router: usize, req: ReqId, ask: Ask) {
+    pub(super) fn ask(&mut self, router: usize, req: ReqId, ask: ClaimRequest) {
         let caller = self.routers[router].reqs[&req].caller;
         let ticket = self.callers[caller].ticket;
         let start = self.routers[router].start;
@@ -233,7 +233,7 @@
         &mut self,
         from: usize,
         asked: &[usize],
-        ask: Ask,
+        ask: ClaimRequest,
         record: Record,
         ticket: Option<(usize, Start)>,
     ) {
--- a/benches/claims/keeper.rs
+++ b/benches/claims/keeper.rs
@@ -31,7 +31,7 @@
                         self.ask_local(to, ask, from, start, req);
                     }
                     Some(named) if self.weak != Weak::TicketAnywhere && !self.closed.contains(&named) => {
-                        let ask = Ask { look: true, ..ask };
+                        let ask = ClaimRequest { look: true, ..ask };
                         self.ask_book(to, ask, Asker::Look { from, start, req });
                     }
                     _ => self.ask_book(to, ask, Asker::Remote { router: from, start, req }),
@@ -57,7 +57,7 @@
         }
     }
 
-    pub(super) fn keep(&mut self, router: usize, ask: Ask, record: Record, authority: bool) {
+    pub(super) fn keep(&mut self, router: usize, ask: ClaimRequest, record: Record, authority: bool) {
         let clock = self.clock();
         let id = self.book_id(router, ask.key);
         self.book(router, id).finish(clock, &ask, record, authority);
@@ -71,7 +71,14 @@
         self.drive(router, id);
     }
 
-    pub(super) fn ask_local(&mut self, router: usize, ask: Ask, from: usize, start: Start, req: ReqId) {
+    pub(super) fn ask_local(
+        &mut self,
+        router: usize,
+        ask: ClaimRequest,
+        from: usize,
+        start: Start,
+        req: ReqId,
+    ) {
         let clock = self.clock();
         let step = self.routers[router].local.ask(clock, &ask, true);
         match step {
@@ -90,7 +97,7 @@
         }
     }
 
-    pub(super) fn ask_book(&mut self, router: usize, ask: Ask, asker: Asker) {
+    pub(super) fn ask_book(&mut self, router: usize, ask: ClaimRequest, asker: Asker) {
         let clock = self.clock();
         let id = self.book_id(router, ask.key);
         let waiter = self.id();
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -10,7 +10,7 @@
 use cranberrytally::{
     catalog::AnyObject,
     claim::{
-        Answered, Ask, AttemptId, Clock, ContentDigest, KeyDigest, Record, Verdict,
+        Answered, AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, Verdict,
         attempt::{Asking, Held, Running},
         book::{Book, BookConfig, Done, Op},
         local::{Local, Step},
@@ -41,7 +41,7 @@
         from: usize,
         start: Start,
         req: ReqId,
-        ask: Ask,
+        ask: ClaimRequest,
         ticket: Option<(usize, Start)>,
     },
     Verdict {
@@ -50,7 +50,7 @@
         verdict: Verdict,
     },
     Finish {
-        ask: Ask,
+        ask: ClaimRequest,
         record: Record,
         ticket: Option<(usize, Start)>,
     },
@@ -61,7 +61,7 @@
     },
     /// The authority of a ticket hands a record on to the key's shard.
     Keep {
-        ask: Ask,
+        ask: ClaimRequest,
         record: Record,
     },
     /// The authority of a ticket hands a release on to the key's shard.
@@ -129,7 +129,7 @@
     },
     /// The authority of a ticket, which asked for durability; it answers the asker behind it.
     Authority {
-        ask: Ask,
+        ask: ClaimRequest,
         from: usize,
         start: Start,
         req: ReqId,
--- a/src/claim.rs
+++ b/src/claim.rs
@@ -109,7 +109,7 @@
 
 /// What an attempt asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct ClaimRequest {
     /// Key.
     pub key: KeyDigest,
     /// Content.
--- a/src/claim/attempt.rs
+++ b/src/claim/attempt.rs
@@ -3,7 +3,7 @@
 //! The types follow its life: [`Asking`] → [`Held`] → [`Running`] → a record. Only a [`Held`] claim can be
 //! dispatched, each of them once, and a claim can be given back only while it has not been dispatched.
 
-use super::{Ask, AttemptId, KeyDigest, Record, Verdict};
+use super::{AttemptId, ClaimRequest, KeyDigest, Record, Verdict};
 use crate::{
     error::Kind,
     outcome::{Dispatched, Undispatched, Unsent},
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 #[must_use]
 pub struct Asking {
-    ask: Ask,
+    ask: ClaimRequest,
     token: Undispatched,
 }
 
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 #[must_use]
 pub struct Held {
-    ask: Ask,
+    ask: ClaimRequest,
     token: Undispatched,
 }
 
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 #[must_use]
 pub struct Running {
-    ask: Ask,
+    ask: ClaimRequest,
     token: Dispatched,
 }
 
@@ -48,7 +48,7 @@
 #[must_use]
 pub struct Finish {
     /// What was asked.
-    pub ask: Ask,
+    pub ask: ClaimRequest,
     /// What became of it.
     pub record: Record,
 }
@@ -66,12 +66,12 @@
 
 impl Asking {
     /// Starts an attempt.
-    pub fn new(ask: Ask, token: Undispatched) -> Self {
+    pub fn new(ask: ClaimRequest, token: Undispatched) -> Self {
         Self { ask, token }
     }
 
     /// What is asked.
-    pub fn ask(&self) -> &Ask {
+    pub fn ask(&self) -> &ClaimRequest {
         &self.ask
     }
 
@@ -104,7 +104,7 @@
 
 impl Running {
     /// What was asked.
-    pub fn ask(&self) -> &Ask {
+    pub fn ask(&self) -> &ClaimRequest {
         &self.ask
     }
 
--- a/src/claim/book.rs
+++ b/src/claim/book.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::{
-    Ask, AttemptId, Clock, Entry, KeyDigest, Record, Verdict, WallMs,
+    AttemptId, ClaimRequest, Clock, Entry, KeyDigest, Record, Verdict, WallMs,
     shard::{self, Shard},
 };
 use crate::{catalog::AnyObject, objects::Write, schema::claim::ClaimArchiveRef, util::Instant, util::Map};
@@ -100,7 +100,7 @@
 #[derive(Clone, Debug)]
 struct Waiting {
     id: WaiterId,
-    ask: Ask,
+    ask: ClaimRequest,
     since: Instant,
 }
 
@@ -184,7 +184,7 @@
     }
 
     /// Asks for a claim; `None` when the verdict comes from [`Book::done`] or [`Book::expire`].
-    pub fn ask(&mut self, clock: Clock, ask: Ask, id: WaiterId) -> Option<Verdict> {
+    pub fn ask(&mut self, clock: Clock, ask: ClaimRequest, id: WaiterId) -> Option<Verdict> {
         if self.waiting.len() >= self.cfg.max_waiting {
             return Some(Verdict::Unavailable);
         }
@@ -197,7 +197,7 @@
 
     /// Records what became of a granted attempt. With `authority`, the sender alone may run the key, so that its
     /// word replaces whatever is there.
-    pub fn finish(&mut self, clock: Clock, ask: &Ask, record: Record, authority: bool) {
+    pub fn finish(&mut self, clock: Clock, ask: &ClaimRequest, record: Record, authority: bool) {
         let known = self.slots.get(&ask.key).is_some_and(|s| s.entry.attempt == ask.attempt);
         if !known && !authority {
             self.keep_record(ask.attempt, record);
@@ -253,7 +253,7 @@
         self.slots.is_empty()
     }
 
-    fn decide(&mut self, clock: Clock, ask: &Ask) -> Option<Verdict> {
+    fn decide(&mut self, clock: Clock, ask: &ClaimRequest) -> Option<Verdict> {
         if self.refused.contains_key(&ask.attempt) {
             return Some(Verdict::Unavailable);
         }
@@ -288,7 +288,7 @@
     /// Verdict on an ask that waited too long. Its claim may be on its way into the object and stays there: only
     /// the attempt's own router knows that it will not run, and says so by a release. Freeing it here would let
     /// this router take out a claim that the attempt has meanwhile been granted by way of another router.
-    fn give_up(&self, clock: Clock, ask: &Ask) -> Verdict {
+    fn give_up(&self, clock: Clock, ask: &ClaimRequest) -> Verdict {
         match self.slots.get(&ask.key) {
             Some(slot) if !slot.free && slot.entry.attempt != ask.attempt => {
                 slot.entry.verdict(ask.content, clock.wall_ms)
--- a/src/claim/local.rs
+++ b/src/claim/local.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::{Ask, AttemptId, Clock, Entry, KeyDigest, Record, Verdict};
+use super::{AttemptId, ClaimRequest, Clock, Entry, KeyDigest, Record, Verdict};
 use crate::util::{Instant, Map};
 
 /// Claims that are kept at most.
@@ -43,7 +43,7 @@
 
 impl Local {
     /// Asks for a claim; `fresh` tells whether its ticket may still start new keys.
-    pub fn ask(&mut self, clock: Clock, ask: &Ask, fresh: bool) -> Step {
+    pub fn ask(&mut self, clock: Clock, ask: &ClaimRequest, fresh: bool) -> Step {
         if self.refused.contains_key(&ask.attempt) {
             return Step::Answer(Verdict::Unavailable);
         }
@@ -65,7 +65,7 @@
 
     /// Verdict after the shard was asked to record the claim and said `shard`: a claim that could not be recorded is
     /// granted from memory, because no other router can have granted the key or ever will.
-    pub fn recorded(&mut self, ask: &Ask, shard: Verdict) -> Verdict {
+    pub fn recorded(&mut self, ask: &ClaimRequest, shard: Verdict) -> Verdict {
         let Some(slot) = self.slots.get_mut(&ask.key) else { return Verdict::Unavailable };
         if slot.entry.attempt != ask.attempt || slot.entry.record.is_some() {
             return Verdict::Unavailable;
--- a/src/claim/messages.rs
+++ b/src/claim/messages.rs
@@ -1,6 +1,6 @@
 //! Claims in the messages between routers.
 
-use super::{Answered, Ask, AttemptId, ContentDigest, DIGEST, KeyDigest, Record, Verdict};
+use super::{Answered, AttemptId, ClaimRequest, ContentDigest, DIGEST, KeyDigest, Record, Verdict};
 use crate::schema::claim::{self as wire, ClaimAnswer, ClaimAsk, Decision};
 
 /// A message does not have the form that it must have.
@@ -76,7 +76,7 @@
     }
 }
 
-impl Ask {
+impl ClaimRequest {
     /// The message that asks; `ticket` is empty for a key of the caller's own.
     pub fn message(&self, ticket: String) -> ClaimAsk {
         ClaimAsk {
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -16,7 +16,7 @@
 use super::{lock, place::Placement};
 use crate::{
     claim::{
-        Ask, AttemptId, Clock, KeyDigest, Record, SHARD_COUNT, Verdict,
+        AttemptId, ClaimRequest, Clock, KeyDigest, Record, SHARD_COUNT, Verdict,
         attempt::{Finish, Release},
         local::{Local, Step},
         messages::{Malformed, bytes16},
@@ -126,7 +126,7 @@
     }
 
     /// Asks for the right to run.
-    pub(crate) async fn ask(self: &Arc<Self>, ask: Ask, key: &str) -> Verdict {
+    pub(crate) async fn ask(self: &Arc<Self>, ask: ClaimRequest, key: &str) -> Verdict {
         let verdict = match self.keeper(key) {
             Keeper::Me(ticket) => self.decide(ask, &ticket).await,
             Keeper::Other(ticket) => self.ask_authority(ask, key, &ticket).await,
@@ -178,7 +178,7 @@
         let noted = ClaimAnswer { decision: Decision::Noted.into(), record: None };
         match call.call.ok_or(Malformed)? {
             Call::Ask(msg) => {
-                let ask = Ask::read(&msg.key, &msg.content, &msg.attempt, msg.look)?;
+                let ask = ClaimRequest::read(&msg.key, &msg.content, &msg.attempt, msg.look)?;
                 let verdict = match self.keeper(&msg.ticket) {
                     Keeper::Me(ticket) => self.decide(ask, &ticket).await,
                     Keeper::Other(ticket) => self.decide_for_gone(ask, &ticket).await,
@@ -187,7 +187,7 @@
                 Ok((&verdict).into())
             }
             Call::Finish(msg) => {
-                let ask = Ask::read(&msg.key, &msg.content, &msg.attempt, false)?;
+                let ask = ClaimRequest::read(&msg.key, &msg.content, &msg.attempt, false)?;
                 let record: Record = msg.record.ok_or(Malformed)?.try_into()?;
                 let mine = matches!(self.keeper(&msg.ticket), Keeper::Me(_));
                 if mine {
@@ -222,7 +222,7 @@
     ///
     /// No other router grants such a key, so that the platform need not be there: when the claim can't be recorded
     /// in time, as in an outage, it is granted from memory.
-    async fn decide(&self, ask: Ask, ticket: &KeyTicket) -> Verdict {
+    async fn decide(&self, ask: ClaimRequest, ticket: &KeyTicket) -> Verdict {
         let step = {
             let mut local = lock(&self.local);
             local.sweep(Clock::read());
@@ -230,7 +230,7 @@
         };
         match step {
             Step::Answer(verdict) => verdict,
-            Step::Look => self.ask_owner(Ask { look: true, ..ask }).await,
+            Step::Look => self.ask_owner(ClaimRequest { look: true, ..ask }).await,
             Step::Record => {
                 let recorded = tokio::time::timeout(RECORD_TIMEOUT, self.ask_owner(ask)).await;
                 let recorded = recorded.unwrap_or(Verdict::Unavailable);
@@ -245,7 +245,7 @@
 
     /// Asks the router that a ticket names. Nobody else may grant the key; when that router is gone, all that can
     /// be told is what the key's shard has recorded.
-    async fn ask_authority(self: &Arc<Self>, ask: Ask, key: &str, ticket: &KeyTicket) -> Verdict {
+    async fn ask_authority(self: &Arc<Self>, ask: ClaimRequest, key: &str, ticket: &KeyTicket) -> Verdict {
         // The members don't list a router that is leaving, but its tickets' keys are still its own.
         if let Ok(peer) = ticket.peer.parse() {
             let call = Call::Ask(ask.message(key.to_owned()));
@@ -262,7 +262,7 @@
     }
 
     /// Decides on a key whose authority can't be asked. One that has handed its keys over is not needed any more.
-    async fn decide_for_gone(&self, ask: Ask, ticket: &KeyTicket) -> Verdict {
+    async fn decide_for_gone(&self, ask: ClaimRequest, ticket: &KeyTicket) -> Verdict {
         if self.closed.takes_keys(&ticket.router, ticket.start).await {
             return self.ask_owner(ask).await;
         }
@@ -270,8 +270,8 @@
     }
 
     /// Looks a key up whose authority is gone: one that was not recorded may have run.
-    async fn look(&self, ask: Ask) -> Verdict {
-        match self.ask_owner(Ask { look: true, ..ask }).await {
+    async fn look(&self, ask: ClaimRequest) -> Verdict {
+        match self.ask_owner(ClaimRequest { look: true, ..ask }).await {
             Verdict::Expired | Verdict::Unavailable | Verdict::Granted => Verdict::Unknown,
             verdict => verdict,
         }
@@ -279,7 +279,7 @@
 
     /// Asks the owner of the key's shard, and the next in line when it does not answer. Both may be asked for the
     /// same attempt: the attempt's number in the shard's object grants it, whoever wrote it there.
-    async fn ask_owner(&self, ask: Ask) -> Verdict {
+    async fn ask_owner(&self, ask: ClaimRequest) -> Verdict {
         for owner in self.owners(ask.key).into_iter().take(MOST_OWNERS) {
             let Some(peer) = owner else { return self.desk(ask.key).ask(ask).await };
             let call = Call::Ask(ask.message(String::new()));
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -7,7 +7,7 @@
 use super::Claims;
 use crate::{
     claim::{
-        Answered, Ask, MAX_KEPT_BODY_BYTES, Record, Verdict,
+        Answered, ClaimRequest, MAX_KEPT_BODY_BYTES, Record, Verdict,
         attempt::{Asking, Held, Refused, Running, refusal},
     },
     error::{Fault, Kind},
@@ -49,7 +49,7 @@
     pub(in crate::gateway) async fn ask(
         claims: &Arc<Claims>,
         key: &Arc<str>,
-        ask: Ask,
+        ask: ClaimRequest,
         patience: std::time::Duration,
     ) -> Result<Answer, Fault> {
         let asking = Asking::new(ask, Undispatched::new());
--- a/src/gateway/claim/desk.rs
+++ b/src/gateway/claim/desk.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     claim::{
-        Ask, AttemptId, Clock, KeyDigest, Record, Verdict,
+        AttemptId, ClaimRequest, Clock, KeyDigest, Record, Verdict,
         book::{Book, BookConfig, Done, Op, WaiterId},
         shard::{ARCHIVE_KIND, SHARD_KIND},
     },
@@ -50,7 +50,7 @@
     }
 
     /// Asks for a claim and waits for the verdict.
-    pub(super) async fn ask(self: &Arc<Self>, ask: Ask) -> Verdict {
+    pub(super) async fn ask(self: &Arc<Self>, ask: ClaimRequest) -> Verdict {
         let rx = {
             let mut state = lock(&self.state);
             state.next += 1;
@@ -66,7 +66,7 @@
         rx.await.unwrap_or(Verdict::Unavailable)
     }
 
-    pub(super) fn finish(self: &Arc<Self>, ask: &Ask, record: Record, authority: bool) {
+    pub(super) fn finish(self: &Arc<Self>, ask: &ClaimRequest, record: Record, authority: bool) {
         lock(&self.state).book.finish(Clock::read(), ask, record, authority);
         self.drive();
     }
--- a/src/gateway/service.rs
+++ b/src/gateway/service.rs
@@ -56,7 +56,7 @@
             let started = self.attempt(&cat, &ask, &queue, &servers).await?;
             return Ok(relay(started, entered));
         };
-        let wanted = claim::Ask {
+        let wanted = claim::ClaimRequest {
             key: KeyDigest::new(&ask.workspace, name, key),
             content: ContentDigest::new(req.method().as_str(), &path, req.body()),
             attempt: AttemptId(rand::random()),
--- a/tests/claim_book.rs
+++ b/tests/claim_book.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     catalog::AnyObject,
     claim::{
-        Answered, Ask, AttemptId, Clock, ContentDigest, KeyDigest, Record, Verdict,
+        Answered, AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, Verdict,
         book::{Book, BookConfig, Done, Op},
         local::{Local, Step},
         shard::{ARCHIVE_KIND, SHARD_KIND},
@@ -99,22 +99,22 @@
         panic!("the book never comes to rest");
     }
 
-    fn ask(&mut self, ask: Ask) -> Verdict {
+    fn ask(&mut self, ask: ClaimRequest) -> Verdict {
         self.next += 1;
         let id = self.next;
         let at_once = self.book.ask(self.clock(), ask, id);
         at_once.unwrap_or_else(|| self.settle().remove(&id).unwrap())
     }
 
-    fn run(&mut self, ask: Ask) {
+    fn run(&mut self, ask: ClaimRequest) {
         assert_eq!(self.ask(ask), Verdict::Granted);
         self.book.finish(self.clock(), &ask, Record::Ran(answered(10)), false);
     }
 }
 
-fn ask(key: u64, attempt: u64) -> Ask {
+fn ask(key: u64, attempt: u64) -> ClaimRequest {
     let attempt = KeyDigest::new("", "", &attempt.to_string()).0;
-    Ask {
+    ClaimRequest {
         key: KeyDigest::new("w", "s", &key.to_string()),
         content: ContentDigest::new("POST", "/hold", b"tour"),
         attempt: AttemptId(attempt),
