--- a/benches/claims/holder.rs
+++ b/benches/claims/holder.rs
@@ -15,7 +15,7 @@
             }
         }
         let (key, content) = (self.callers[caller].key, self.callers[caller].content);
-        let ask = ClaimRequest { key, content, attempt: self.attempt_id(), look: false };
+        let ask = ClaimRequest { key, content, attempt: self.attempt_id(), lookup_only: false };
         let req = self.id();
         let since = self.now;
         let stage = Some(Stage::Asking(Asking::new(ask, Undispatched::new())));
--- a/benches/claims/keeper.rs
+++ b/benches/claims/keeper.rs
@@ -31,7 +31,7 @@
                         self.ask_local(to, ask, from, start, req);
                     }
                     Some(named) if self.weak != Weak::TicketAnywhere && !self.closed.contains(&named) => {
-                        let ask = ClaimRequest { look: true, ..ask };
+                        let ask = ClaimRequest { lookup_only: true, ..ask };
                         self.ask_book(to, ask, Asker::Look { from, start, req });
                     }
                     _ => self.ask_book(to, ask, Asker::Remote { router: from, start, req }),
@@ -103,7 +103,7 @@
         let waiter = self.id();
         let verdict = self.book(router, id).ask(clock, ask, waiter);
         let verdict = match verdict {
-            None if self.weak == Weak::GrantAtOnce && !ask.look => Some(Verdict::Granted),
+            None if self.weak == Weak::GrantAtOnce && !ask.lookup_only => Some(Verdict::Granted),
             verdict => verdict,
         };
         match verdict {
--- a/src/claim.rs
+++ b/src/claim.rs
@@ -117,7 +117,7 @@
     /// This attempt.
     pub attempt: AttemptId,
     /// Only look: never grants.
-    pub look: bool,
+    pub lookup_only: bool,
 }
 
 /// Decision on an ask.
--- a/src/claim/book.rs
+++ b/src/claim/book.rs
@@ -260,7 +260,7 @@
         if let Some(slot) = self.slots.get(&ask.key)
             && !slot.free
         {
-            let mine = slot.entry.attempt == ask.attempt && slot.entry.record.is_none() && !ask.look;
+            let mine = slot.entry.attempt == ask.attempt && slot.entry.record.is_none() && !ask.lookup_only;
             if mine {
                 return (slot.durable && self.is_loaded()).then_some(Verdict::Granted);
             }
@@ -273,11 +273,11 @@
         if !self.is_loaded() {
             return None;
         }
-        if ask.look && self.is_stale(clock) {
+        if ask.lookup_only && self.is_stale(clock) {
             self.want_read = true;
             return None;
         }
-        if ask.look {
+        if ask.lookup_only {
             return Some(Verdict::Expired);
         }
         let entry = Entry { content: ask.content, attempt: ask.attempt, at_ms: clock.wall_ms, record: None };
@@ -293,7 +293,7 @@
             Some(slot) if !slot.free && slot.entry.attempt != ask.attempt => {
                 slot.entry.verdict(ask.content, clock.wall_ms)
             }
-            _ if ask.look => Verdict::Unknown,
+            _ if ask.lookup_only => Verdict::Unknown,
             _ => Verdict::Unavailable,
         }
     }
--- a/src/claim/messages.rs
+++ b/src/claim/messages.rs
@@ -83,7 +83,7 @@
             key: self.key.0.to_vec(),
             content: self.content.0.to_vec(),
             attempt: self.attempt.0.to_vec(),
-            look: self.look,
+            look: self.lookup_only,
             ticket,
         }
     }
@@ -92,12 +92,12 @@
     ///
     /// # Errors
     /// When one of them does not have the length that it must have.
-    pub fn read(key: &[u8], content: &[u8], attempt: &[u8], look: bool) -> Result<Self, Malformed> {
+    pub fn read(key: &[u8], content: &[u8], attempt: &[u8], lookup_only: bool) -> Result<Self, Malformed> {
         Ok(Self {
             key: KeyDigest(bytes16(key)?),
             content: ContentDigest(bytes16(content)?),
             attempt: AttemptId(bytes16(attempt)?),
-            look,
+            lookup_only,
         })
     }
 }
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -230,7 +230,7 @@
         };
         match step {
             Step::Answer(verdict) => verdict,
-            Step::Look => self.ask_owner(ClaimRequest { look: true, ..ask }).await,
+            Step::Look => self.ask_owner(ClaimRequest { lookup_only: true, ..ask }).await,
             Step::Record => {
                 let recorded = tokio::time::timeout(RECORD_TIMEOUT, self.ask_owner(ask)).await;
                 let recorded = recorded.unwrap_or(Verdict::Unavailable);
@@ -271,7 +271,7 @@
 
     /// Looks a key up whose authority is gone: one that was not recorded may have run.
     async fn look(&self, ask: ClaimRequest) -> Verdict {
-        match self.ask_owner(ClaimRequest { look: true, ..ask }).await {
+        match self.ask_owner(ClaimRequest { lookup_only: true, ..ask }).await {
             Verdict::Expired | Verdict::Unavailable | Verdict::Granted => Verdict::Unknown,
             verdict => verdict,
         }
--- a/src/gateway/service.rs
+++ b/src/gateway/service.rs
@@ -60,7 +60,7 @@
             key: KeyDigest::new(&ask.workspace, name, key),
             content: ContentDigest::new(req.method().as_str(), &path, req.body()),
             attempt: AttemptId(rand::random()),
-            look: false,
+            lookup_only: false,
         };
         let claim = match Claim::ask(&self.claims, key, wanted, ask.deadline.saturating_sub(now())).await? {
             Answer::Replay(reply) => return Ok(reply),
--- a/tests/claim_book.rs
+++ b/tests/claim_book.rs
@@ -118,7 +118,7 @@
         key: KeyDigest::new("w", "s", &key.to_string()),
         content: ContentDigest::new("POST", "/hold", b"tour"),
         attempt: AttemptId(attempt),
-        look: false,
+        lookup_only: false,
     }
 }
 
