--- a/src/claim/messages.rs
+++ b/src/claim/messages.rs
@@ -78,7 +78,7 @@
 
 impl ClaimRequest {
     /// The message that asks; `ticket` is empty for a key of the caller's own.
-    pub fn message(&self, ticket: String) -> ClaimAsk {
+    pub fn to_message(&self, ticket: String) -> ClaimAsk {
         ClaimAsk {
             key: self.key.0.to_vec(),
             content: self.content.0.to_vec(),
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -248,7 +248,7 @@
     async fn ask_authority(self: &Arc<Self>, ask: ClaimRequest, key: &str, ticket: &KeyTicket) -> Verdict {
         // The members don't list a router that is leaving, but its tickets' keys are still its own.
         if let Ok(peer) = ticket.peer.parse() {
-            let call = Call::Ask(ask.message(key.to_owned()));
+            let call = Call::Ask(ask.to_message(key.to_owned()));
             if let Ok(verdict) = self.call(peer, call).await {
                 return verdict;
             }
@@ -282,7 +282,7 @@
     async fn ask_owner(&self, ask: ClaimRequest) -> Verdict {
         for owner in self.owners(ask.key).into_iter().take(MOST_OWNERS) {
             let Some(peer) = owner else { return self.desk(ask.key).ask(ask).await };
-            let call = Call::Ask(ask.message(String::new()));
+            let call = Call::Ask(ask.to_message(String::new()));
             if let Ok(verdict) = self.call(peer, call).await {
                 return verdict;
             }
