--- a/src/claim/messages.rs
+++ b/src/claim/messages.rs
@@ -92,7 +92,12 @@
     ///
     /// # Errors
     /// When one of them does not have the length that it must have.
-    pub fn read(key: &[u8], content: &[u8], attempt: &[u8], lookup_only: bool) -> Result<Self, Malformed> {
+    pub fn from_bytes(
+        key: &[u8],
+        content: &[u8],
+        attempt: &[u8],
+        lookup_only: bool,
+    ) -> Result<Self, Malformed> {
         Ok(Self {
             key: KeyDigest(bytes16(key)?),
             content: ContentDigest(bytes16(content)?),
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -178,7 +178,7 @@
         let noted = ClaimAnswer { decision: Decision::Noted.into(), record: None };
         match call.call.ok_or(Malformed)? {
             Call::Ask(msg) => {
-                let ask = ClaimRequest::read(&msg.key, &msg.content, &msg.attempt, msg.look)?;
+                let ask = ClaimRequest::from_bytes(&msg.key, &msg.content, &msg.attempt, msg.look)?;
                 let verdict = match self.keeper(&msg.ticket) {
                     Keeper::Me(ticket) => self.decide(ask, &ticket).await,
                     Keeper::Other(ticket) => self.decide_for_gone(ask, &ticket).await,
@@ -187,7 +187,7 @@
                 Ok((&verdict).into())
             }
             Call::Finish(msg) => {
-                let ask = ClaimRequest::read(&msg.key, &msg.content, &msg.attempt, false)?;
+                let ask = ClaimRequest::from_bytes(&msg.key, &msg.content, &msg.attempt, false)?;
                 let record: Record = msg.record.ok_or(Malformed)?.try_into()?;
                 let mine = matches!(self.keeper(&msg.ticket), Keeper::Me(_));
                 if mine {
