--- a/benches/claims/holder.rs
+++ b/benches/claims/holder.rs
@@ -199,7 +199,7 @@
         match run {
             Some(run) => {
                 let body = Some(run.to_le_bytes().to_vec());
-                let answered = Answered { status: 200, content_type: "application/json".into(), body };
+                let answered = StoredResponse { status: 200, content_type: "application/json".into(), body };
                 let (_, finish) = running.finish(Record::Ran(answered));
                 self.finish(router, &r.asked, finish.ask, finish.record, ticket);
                 self.told_ran(r.caller, run, false);
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -10,7 +10,7 @@
 use cranberrytally::{
     catalog::AnyObject,
     claim::{
-        Answered, AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, Verdict,
+        AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
         attempt::{Asking, Held, Running},
         book::{Book, BookConfig, Done, Op},
         local::{Local, Step},
--- a/src/claim.rs
+++ b/src/claim.rs
@@ -78,14 +78,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
     /// It answered.
-    Ran(Answered),
+    Ran(StoredResponse),
     /// Nobody knows.
     Unknown,
 }
 
 /// The answer of a run, as far as it is kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answered {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type.
@@ -126,7 +126,7 @@
     /// This attempt, and no other, may run.
     Granted,
     /// An earlier attempt ran.
-    Recorded(Answered),
+    Recorded(StoredResponse),
     /// Another attempt holds the claim and may be running.
     Pending,
     /// Another attempt may have run.
--- a/src/claim/messages.rs
+++ b/src/claim/messages.rs
@@ -1,6 +1,6 @@
 //! Claims in the messages between routers.
 
-use super::{Answered, AttemptId, ClaimRequest, ContentDigest, DIGEST, KeyDigest, Record, Verdict};
+use super::{AttemptId, ClaimRequest, ContentDigest, DIGEST, KeyDigest, Record, StoredResponse, Verdict};
 use crate::schema::claim::{self as wire, ClaimAnswer, ClaimAsk, Decision};
 
 /// A message does not have the form that it must have.
@@ -33,7 +33,7 @@
             return Ok(Record::Unknown);
         }
         let status = raw.status.try_into().map_err(|_| Malformed)?;
-        Ok(Record::Ran(Answered { status, content_type: raw.content_type, body: raw.body }))
+        Ok(Record::Ran(StoredResponse { status, content_type: raw.content_type, body: raw.body }))
     }
 }
 
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -7,7 +7,7 @@
 use super::Claims;
 use crate::{
     claim::{
-        Answered, ClaimRequest, MAX_KEPT_BODY_BYTES, Record, Verdict,
+        ClaimRequest, MAX_KEPT_BODY_BYTES, Record, StoredResponse, Verdict,
         attempt::{Asking, Held, Refused, Running, refusal},
     },
     error::{Fault, Kind},
@@ -79,7 +79,7 @@
 }
 
 /// The recorded answer of the run.
-fn replay(answered: Answered) -> Result<Reply, Fault> {
+fn replay(answered: StoredResponse) -> Result<Reply, Fault> {
     let Some(body) = answered.body else {
         return Err(Fault::new(Kind::KeyAnswered, Kind::KeyAnswered.answer().about));
     };
@@ -115,7 +115,8 @@
         let status = res.status().as_u16();
         let content_type =
             header(res.headers(), "content-type").unwrap_or("application/octet-stream").to_owned();
-        let mut answered = Answered { status, content_type: content_type.clone(), body: Some(Vec::new()) };
+        let mut answered =
+            StoredResponse { status, content_type: content_type.clone(), body: Some(Vec::new()) };
         tokio::spawn(async move {
             let _held = (found, entered);
             let mut body = res.into_body();
@@ -150,7 +151,7 @@
 }
 
 /// Keeps the body as long as it is small enough.
-fn keep(answered: &mut Answered, data: &[u8]) {
+fn keep(answered: &mut StoredResponse, data: &[u8]) {
     if let Some(body) = &mut answered.body {
         body.extend_from_slice(data);
         if body.len() > MAX_KEPT_BODY_BYTES {
--- a/tests/claim_book.rs
+++ b/tests/claim_book.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     catalog::AnyObject,
     claim::{
-        Answered, AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, Verdict,
+        AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
         book::{Book, BookConfig, Done, Op},
         local::{Local, Step},
         shard::{ARCHIVE_KIND, SHARD_KIND},
@@ -122,8 +122,8 @@
     }
 }
 
-fn answered(size: usize) -> Answered {
-    Answered { status: 200, content_type: "text/plain".into(), body: Some(vec![b'-'; size]) }
+fn answered(size: usize) -> StoredResponse {
+    StoredResponse { status: 200, content_type: "text/plain".into(), body: Some(vec![b'-'; size]) }
 }
 
 /// A tablet comes back from a day without network and sends its old booking again. Within the horizon it reads the
