--- a/benches/claims/holder.rs
+++ b/benches/claims/holder.rs
@@ -200,7 +200,7 @@
             Some(run) => {
                 let body = Some(run.to_le_bytes().to_vec());
                 let answered = StoredResponse { status: 200, content_type: "application/json".into(), body };
-                let (_, finish) = running.finish(Record::Ran(answered));
+                let (_, finish) = running.finish(Record::Completed(answered));
                 self.finish(router, &r.asked, finish.ask, finish.record, ticket);
                 self.told_ran(r.caller, run, false);
             }
--- a/src/claim.rs
+++ b/src/claim.rs
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
     /// It answered.
-    Ran(StoredResponse),
+    Completed(StoredResponse),
     /// Nobody knows.
     Unknown,
 }
@@ -165,7 +165,7 @@
             return Verdict::Conflict;
         }
         match &self.record {
-            Some(Record::Ran(answered)) => Verdict::Recorded(answered.clone()),
+            Some(Record::Completed(answered)) => Verdict::Recorded(answered.clone()),
             Some(Record::Unknown) => Verdict::Unknown,
             None if wall_ms.saturating_sub(self.at_ms) < PENDING.as_millis() as u64 => Verdict::Pending,
             None => Verdict::Unknown,
--- a/src/claim/book/plan.rs
+++ b/src/claim/book/plan.rs
@@ -121,7 +121,7 @@
 
 fn size(entry: &Entry) -> usize {
     let body = match &entry.record {
-        Some(Record::Ran(answered)) => {
+        Some(Record::Completed(answered)) => {
             answered.content_type.len() + answered.body.as_ref().map_or(0, Vec::len)
         }
         _ => 0,
--- a/src/claim/messages.rs
+++ b/src/claim/messages.rs
@@ -15,7 +15,7 @@
     fn from(record: &Record) -> Self {
         match record {
             Record::Unknown => Self::default(),
-            Record::Ran(a) => Self {
+            Record::Completed(a) => Self {
                 known: true,
                 status: a.status.into(),
                 content_type: a.content_type.clone(),
@@ -33,7 +33,7 @@
             return Ok(Record::Unknown);
         }
         let status = raw.status.try_into().map_err(|_| Malformed)?;
-        Ok(Record::Ran(StoredResponse { status, content_type: raw.content_type, body: raw.body }))
+        Ok(Record::Completed(StoredResponse { status, content_type: raw.content_type, body: raw.body }))
     }
 }
 
@@ -49,7 +49,7 @@
             Verdict::Unavailable => Decision::Unavailable,
         };
         let record = match verdict {
-            Verdict::Recorded(answered) => Some((&Record::Ran(answered.clone())).into()),
+            Verdict::Recorded(answered) => Some((&Record::Completed(answered.clone())).into()),
             _ => None,
         };
         Self { decision: decision.into(), record }
@@ -69,7 +69,7 @@
             Decision::Unavailable => Ok(Verdict::Unavailable),
             Decision::Noted => Err(Malformed),
             Decision::Recorded => match raw.record.ok_or(Malformed)?.try_into()? {
-                Record::Ran(answered) => Ok(Verdict::Recorded(answered)),
+                Record::Completed(answered) => Ok(Verdict::Recorded(answered)),
                 Record::Unknown => Err(Malformed),
             },
         }
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -134,7 +134,7 @@
                 keep(&mut answered, &data);
                 let _ = tx.send(data).await;
             }
-            self.record(Record::Ran(answered));
+            self.record(Record::Completed(answered));
             run.complete();
             tx.finish().await;
         });
--- a/tests/claim_book.rs
+++ b/tests/claim_book.rs
@@ -108,7 +108,7 @@
 
     fn run(&mut self, ask: ClaimRequest) {
         assert_eq!(self.ask(ask), Verdict::Granted);
-        self.book.finish(self.clock(), &ask, Record::Ran(answered(10)), false);
+        self.book.finish(self.clock(), &ask, Record::Completed(answered(10)), false);
     }
 }
 
@@ -157,7 +157,7 @@
         if key % 100 == 99 {
             desk.settle();
             for key in key - 99..=key {
-                let record = Record::Ran(answered(1024));
+                let record = Record::Completed(answered(1024));
                 desk.book.finish(desk.clock(), &ask(key, key), record, false);
             }
         }
@@ -215,7 +215,7 @@
     assert_eq!(desk.ask(one), Verdict::Granted);
 
     desk.change_owner();
-    desk.book.finish(desk.clock(), &one, Record::Ran(answered(3)), false);
+    desk.book.finish(desk.clock(), &one, Record::Completed(answered(3)), false);
     desk.settle();
     desk.change_owner();
     let repeat = desk.ask(ask(1, 2));
@@ -231,7 +231,7 @@
     let clock = Desk::new().clock();
     assert_eq!(local.ask(clock, &ask(1, 1), true), Step::Record);
     assert_eq!(local.recorded(&ask(1, 1), Verdict::Granted), Verdict::Granted);
-    local.finish(ask(1, 1).key, ask(1, 1).attempt, Record::Ran(answered(1)));
+    local.finish(ask(1, 1).key, ask(1, 1).attempt, Record::Completed(answered(1)));
 
     let known = local.ask(clock, &ask(1, 2), false);
     let new = local.ask(clock, &ask(2, 3), false);
