--- a/benches/claims/holder.rs
+++ b/benches/claims/holder.rs
@@ -18,7 +18,7 @@
         let ask = ClaimRequest { key, content, attempt: self.attempt_id(), lookup_only: false };
         let req = self.id();
         let since = self.now;
-        let stage = Some(Stage::Asking(Asking::new(ask, Undispatched::new())));
+        let stage = Some(Stage::Asking(RequestedClaim::new(ask, Undispatched::new())));
         let asked = Vec::new();
         self.routers[router].reqs.insert(req, Req { caller, since, asked, stage });
         self.ask(router, req, ask);
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -11,7 +11,7 @@
     catalog::AnyObject,
     claim::{
         AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
-        attempt::{Asking, Held, Running},
+        attempt::{Held, RequestedClaim, Running},
         book::{Book, BookConfig, Done, Op},
         local::{Local, Step},
         shard::{SHARD_KIND, Shard, read_archive},
@@ -107,7 +107,7 @@
 }
 
 enum Stage {
-    Asking(Asking),
+    Asking(RequestedClaim),
     Held(Held),
     Running(Running),
 }
--- a/src/claim/attempt.rs
+++ b/src/claim/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a request with an idempotency key, as the router that holds the request sees it.
 //!
-//! The types follow its life: [`Asking`] → [`Held`] → [`Running`] → a record. Only a [`Held`] claim can be
+//! The types follow its life: [`RequestedClaim`] → [`Held`] → [`Running`] → a record. Only a [`Held`] claim can be
 //! dispatched, each of them once, and a claim can be given back only while it has not been dispatched.
 
 use super::{AttemptId, ClaimRequest, KeyDigest, Record, Verdict};
@@ -12,7 +12,7 @@
 /// The attempt has asked and waits for the verdict.
 #[derive(Debug)]
 #[must_use]
-pub struct Asking {
+pub struct RequestedClaim {
     ask: ClaimRequest,
     token: Undispatched,
 }
@@ -64,7 +64,7 @@
     pub release: Option<Release>,
 }
 
-impl Asking {
+impl RequestedClaim {
     /// Starts an attempt.
     pub fn new(ask: ClaimRequest, token: Undispatched) -> Self {
         Self { ask, token }
@@ -78,7 +78,7 @@
     /// Takes the verdict in; no verdict in time counts as [`Verdict::Unavailable`].
     ///
     /// # Errors
-    /// When the attempt may not run. A verdict that comes later finds no [`Asking`] and can start no run.
+    /// When the attempt may not run. A verdict that comes later finds no [`RequestedClaim`] and can start no run.
     pub fn decide(self, verdict: Verdict) -> Result<Held, Box<Refused>> {
         let Self { ask, token } = self;
         if verdict == Verdict::Granted {
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -8,7 +8,7 @@
 use crate::{
     claim::{
         ClaimRequest, MAX_KEPT_BODY_BYTES, Record, StoredResponse, Verdict,
-        attempt::{Asking, Held, Refused, Running, refusal},
+        attempt::{Held, Refused, RequestedClaim, Running, refusal},
     },
     error::{Fault, Kind},
     gateway::{admit::Entered, ask::header, attempt::Started, relay::STALL},
@@ -52,7 +52,7 @@
         ask: ClaimRequest,
         patience: std::time::Duration,
     ) -> Result<Answer, Fault> {
-        let asking = Asking::new(ask, Undispatched::new());
+        let asking = RequestedClaim::new(ask, Undispatched::new());
         let verdict = tokio::time::timeout(patience, claims.ask(ask, key)).await;
         match asking.decide(verdict.unwrap_or(Verdict::Unavailable)) {
             Ok(held) => Ok(Answer::Run(Self { claims: claims.clone(), key: key.clone(), held })),
