--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -11,7 +11,7 @@
     catalog::AnyObject,
     claim::{
         AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
-        attempt::{Held, RequestedClaim, Running},
+        attempt::{GrantedClaim, RequestedClaim, Running},
         book::{Book, BookConfig, Done, Op},
         local::{Local, Step},
         shard::{SHARD_KIND, Shard, read_archive},
@@ -108,7 +108,7 @@
 
 enum Stage {
     Asking(RequestedClaim),
-    Held(Held),
+    Held(GrantedClaim),
     Running(Running),
 }
 
--- a/src/claim/attempt.rs
+++ b/src/claim/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a request with an idempotency key, as the router that holds the request sees it.
 //!
-//! The types follow its life: [`RequestedClaim`] → [`Held`] → [`Running`] → a record. Only a [`Held`] claim can be
+//! The types follow its life: [`RequestedClaim`] → [`GrantedClaim`] → [`Running`] → a record. Only a [`GrantedClaim`] claim can be
 //! dispatched, each of them once, and a claim can be given back only while it has not been dispatched.
 
 use super::{AttemptId, ClaimRequest, KeyDigest, Record, Verdict};
@@ -20,7 +20,7 @@
 /// The attempt, and no other, may run.
 #[derive(Debug)]
 #[must_use]
-pub struct Held {
+pub struct GrantedClaim {
     ask: ClaimRequest,
     token: Undispatched,
 }
@@ -79,10 +79,10 @@
     ///
     /// # Errors
     /// When the attempt may not run. A verdict that comes later finds no [`RequestedClaim`] and can start no run.
-    pub fn decide(self, verdict: Verdict) -> Result<Held, Box<Refused>> {
+    pub fn decide(self, verdict: Verdict) -> Result<GrantedClaim, Box<Refused>> {
         let Self { ask, token } = self;
         if verdict == Verdict::Granted {
-            return Ok(Held { ask, token });
+            return Ok(GrantedClaim { ask, token });
         }
         let release =
             (verdict == Verdict::Unavailable).then_some(Release { key: ask.key, attempt: ask.attempt });
@@ -90,7 +90,7 @@
     }
 }
 
-impl Held {
+impl GrantedClaim {
     /// The request is handed to a connection.
     pub fn dispatch(self) -> Running {
         Running { ask: self.ask, token: self.token.dispatch() }
@@ -109,8 +109,8 @@
     }
 
     /// Takes the request back against a proof that it did not run; it may be dispatched again.
-    pub fn take_back(self, proof: Unsent) -> Held {
-        Held { ask: self.ask, token: self.token.take_back(proof) }
+    pub fn take_back(self, proof: Unsent) -> GrantedClaim {
+        GrantedClaim { ask: self.ask, token: self.token.take_back(proof) }
     }
 
     /// Ends the run.
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -8,7 +8,7 @@
 use crate::{
     claim::{
         ClaimRequest, MAX_KEPT_BODY_BYTES, Record, StoredResponse, Verdict,
-        attempt::{Held, Refused, RequestedClaim, Running, refusal},
+        attempt::{GrantedClaim, Refused, RequestedClaim, Running, refusal},
     },
     error::{Fault, Kind},
     gateway::{admit::Entered, ask::header, attempt::Started, relay::STALL},
@@ -23,7 +23,7 @@
 pub(in crate::gateway) struct Claim {
     claims: Arc<Claims>,
     key: Arc<str>,
-    held: Held,
+    held: GrantedClaim,
 }
 
 /// A claim whose request may have run.
