--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -11,7 +11,7 @@
     catalog::AnyObject,
     claim::{
         AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
-        attempt::{GrantedClaim, RequestedClaim, Running},
+        attempt::{DispatchedClaim, GrantedClaim, RequestedClaim},
         book::{Book, BookConfig, Done, Op},
         local::{Local, Step},
         shard::{SHARD_KIND, Shard, read_archive},
@@ -109,7 +109,7 @@
 enum Stage {
     Asking(RequestedClaim),
     Held(GrantedClaim),
-    Running(Running),
+    Running(DispatchedClaim),
 }
 
 struct Req {
--- a/src/claim/attempt.rs
+++ b/src/claim/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a request with an idempotency key, as the router that holds the request sees it.
 //!
-//! The types follow its life: [`RequestedClaim`] → [`GrantedClaim`] → [`Running`] → a record. Only a [`GrantedClaim`] claim can be
+//! The types follow its life: [`RequestedClaim`] → [`GrantedClaim`] → [`DispatchedClaim`] → a record. Only a [`GrantedClaim`] claim can be
 //! dispatched, each of them once, and a claim can be given back only while it has not been dispatched.
 
 use super::{AttemptId, ClaimRequest, KeyDigest, Record, Verdict};
@@ -28,7 +28,7 @@
 /// The attempt may have run.
 #[derive(Debug)]
 #[must_use]
-pub struct Running {
+pub struct DispatchedClaim {
     ask: ClaimRequest,
     token: Dispatched,
 }
@@ -92,8 +92,8 @@
 
 impl GrantedClaim {
     /// The request is handed to a connection.
-    pub fn dispatch(self) -> Running {
-        Running { ask: self.ask, token: self.token.dispatch() }
+    pub fn dispatch(self) -> DispatchedClaim {
+        DispatchedClaim { ask: self.ask, token: self.token.dispatch() }
     }
 
     /// Gives the claim back.
@@ -102,7 +102,7 @@
     }
 }
 
-impl Running {
+impl DispatchedClaim {
     /// What was asked.
     pub fn ask(&self) -> &ClaimRequest {
         &self.ask
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -8,7 +8,7 @@
 use crate::{
     claim::{
         ClaimRequest, MAX_KEPT_BODY_BYTES, Record, StoredResponse, Verdict,
-        attempt::{GrantedClaim, Refused, RequestedClaim, Running, refusal},
+        attempt::{DispatchedClaim, GrantedClaim, Refused, RequestedClaim, refusal},
     },
     error::{Fault, Kind},
     gateway::{admit::Entered, ask::header, attempt::Started, relay::STALL},
@@ -30,7 +30,7 @@
 pub(in crate::gateway) struct Claimed {
     claims: Arc<Claims>,
     key: Arc<str>,
-    running: Running,
+    running: DispatchedClaim,
 }
 
 /// What a key's claim comes to.
