--- a/src/claim/attempt.rs
+++ b/src/claim/attempt.rs
@@ -120,7 +120,7 @@
 }
 
 /// Kind under which a caller is told of a verdict; `None` for those that are no refusal.
-pub fn refusal(verdict: &Verdict) -> Option<Kind> {
+pub fn error_kind(verdict: &Verdict) -> Option<Kind> {
     match verdict {
         Verdict::Granted | Verdict::Recorded(_) => None,
         Verdict::Pending => Some(Kind::KeyPending),
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -8,7 +8,7 @@
 use crate::{
     claim::{
         ClaimRequest, MAX_KEPT_BODY_BYTES, Record, StoredResponse, Verdict,
-        attempt::{DispatchedClaim, GrantedClaim, Refused, RequestedClaim, refusal},
+        attempt::{DispatchedClaim, GrantedClaim, Refused, RequestedClaim, error_kind},
     },
     error::{Fault, Kind},
     gateway::{admit::Entered, ask::header, attempt::Started, relay::STALL},
@@ -74,7 +74,7 @@
     if let Verdict::Recorded(answered) = verdict {
         return replay(answered).map(Answer::Replay);
     }
-    let kind = refusal(&verdict).unwrap_or(Kind::Internal);
+    let kind = error_kind(&verdict).unwrap_or(Kind::Internal);
     token.refuse(kind, kind.answer().about).into_result()
 }
 
