--- a/benches/claims/cases.rs
+++ b/benches/claims/cases.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranberrytally::claim::book::BookConfig;
+use cranberrytally::claim::book::ShardClaimsConfig;
 
 use super::world::{Faults, Ms, Way, Weak, World};
 
@@ -20,7 +20,7 @@
 
 /// Saves at `rate` a second for `seconds`, spread over `routers`.
 pub fn cost(way: Way, routers: usize, rate: u64, seconds: u64, interval: Ms) -> Cost {
-    let cfg = BookConfig { interval: Duration::from_millis(interval), ..BookConfig::default() };
+    let cfg = ShardClaimsConfig { interval: Duration::from_millis(interval), ..ShardClaimsConfig::default() };
     let mut world = World::new(7, routers, way, Faults::none(), Weak::Nothing).with_config(cfg);
     let calls = rate * seconds;
     for i in 0..calls {
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -12,7 +12,7 @@
     claim::{
         AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
         attempt::{DispatchedClaim, GrantedClaim, RequestedClaim},
-        book::{Book, BookConfig, Done, Op},
+        book::{Book, Done, Op, ShardClaimsConfig},
         local::{Local, Step},
         shard::{SHARD_KIND, Shard, read_archive},
     },
@@ -214,7 +214,7 @@
     weak: Weak,
     way: Way,
     faults: Faults,
-    cfg: BookConfig,
+    cfg: ShardClaimsConfig,
     outage: bool,
     closed: BTreeSet<(usize, Start)>,
     objects: BTreeMap<(String, String), AnyObject>,
@@ -246,7 +246,7 @@
             weak,
             way,
             faults,
-            cfg: BookConfig::default(),
+            cfg: ShardClaimsConfig::default(),
             outage: false,
             closed: BTreeSet::new(),
             objects: BTreeMap::new(),
@@ -266,7 +266,7 @@
         world
     }
 
-    pub fn with_config(mut self, cfg: BookConfig) -> Self {
+    pub fn with_config(mut self, cfg: ShardClaimsConfig) -> Self {
         self.cfg = cfg;
         self
     }
@@ -502,12 +502,13 @@
 
 /// One seeded schedule of all faults over three routers and one shard.
 pub fn schedule(seed: u64, weak: Weak) -> World {
-    let mut world = World::new(seed, 3, Way::Shards(1), Faults::many(), weak).with_config(BookConfig {
-        hot_bytes: 2048,
-        record_delay: Duration::from_millis(300),
-        interval: Duration::from_millis(40),
-        ..BookConfig::default()
-    });
+    let mut world =
+        World::new(seed, 3, Way::Shards(1), Faults::many(), weak).with_config(ShardClaimsConfig {
+            hot_bytes: 2048,
+            record_delay: Duration::from_millis(300),
+            interval: Duration::from_millis(40),
+            ..ShardClaimsConfig::default()
+        });
     const SPAN: Ms = 6_000;
     for _ in 0..24 {
         let at = world.rng.random_range(0..SPAN);
--- a/src/claim/book.rs
+++ b/src/claim/book.rs
@@ -20,7 +20,7 @@
 
 /// How a book works.
 #[derive(Clone, Copy, Debug)]
-pub struct BookConfig {
+pub struct ShardClaimsConfig {
     /// Least time between the starts of two writes.
     pub interval: Duration,
     /// Longest time that a record waits for a write of its own.
@@ -37,7 +37,7 @@
     pub max_waiting: usize,
 }
 
-impl Default for BookConfig {
+impl Default for ShardClaimsConfig {
     fn default() -> Self {
         Self {
             interval: Duration::from_millis(100),
@@ -123,7 +123,7 @@
 /// Claims of one shard.
 #[derive(Debug)]
 pub struct Book {
-    cfg: BookConfig,
+    cfg: ShardClaimsConfig,
     name: String,
     writer: String,
     slots: Map<KeyDigest, Slot>,
@@ -157,7 +157,7 @@
 
 impl Book {
     /// Book of the shard's object `name`; `writer` is this router's name and start.
-    pub fn new(name: impl Into<String>, writer: impl Into<String>, cfg: BookConfig) -> Self {
+    pub fn new(name: impl Into<String>, writer: impl Into<String>, cfg: ShardClaimsConfig) -> Self {
         Self {
             cfg,
             name: name.into(),
--- a/src/gateway/claim/desk.rs
+++ b/src/gateway/claim/desk.rs
@@ -10,7 +10,7 @@
 use crate::{
     claim::{
         AttemptId, ClaimRequest, Clock, KeyDigest, Record, Verdict,
-        book::{Book, BookConfig, Done, Op, WaiterId},
+        book::{Book, Done, Op, ShardClaimsConfig, WaiterId},
         shard::{ARCHIVE_KIND, SHARD_KIND},
     },
     gateway::lock,
@@ -44,7 +44,7 @@
 impl Desk {
     pub(super) fn new(shard: u16, writer: &str, platform: Platform) -> Arc<Self> {
         let name = format!("claims-{shard}");
-        let book = Book::new(name.clone(), writer, BookConfig::default());
+        let book = Book::new(name.clone(), writer, ShardClaimsConfig::default());
         let state = State { book, waiters: Map::default(), next: 0, driven: false };
         Arc::new(Self { name, platform, state: Mutex::new(state), changed: Notify::new() })
     }
--- a/tests/claim_book.rs
+++ b/tests/claim_book.rs
@@ -6,7 +6,7 @@
     catalog::AnyObject,
     claim::{
         AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
-        book::{Book, BookConfig, Done, Op},
+        book::{Book, Done, Op, ShardClaimsConfig},
         local::{Local, Step},
         shard::{ARCHIVE_KIND, SHARD_KIND},
     },
@@ -65,8 +65,8 @@
     next: u64,
 }
 
-fn config() -> BookConfig {
-    BookConfig { horizon: 24 * HOUR, ..BookConfig::default() }
+fn config() -> ShardClaimsConfig {
+    ShardClaimsConfig { horizon: 24 * HOUR, ..ShardClaimsConfig::default() }
 }
 
 impl Desk {
