--- a/benches/claims/keeper.rs
+++ b/benches/claims/keeper.rs
@@ -147,10 +147,10 @@
         }
     }
 
-    pub(super) fn book(&mut self, router: usize, id: u64) -> &mut Book {
+    pub(super) fn book(&mut self, router: usize, id: u64) -> &mut ShardClaims {
         let cfg = self.cfg;
         let start = self.routers[router].start;
-        let new = || Book::new(format!("claims-{id}"), format!("r{router}-{start}"), cfg);
+        let new = || ShardClaims::new(format!("claims-{id}"), format!("r{router}-{start}"), cfg);
         self.routers[router].books.entry(id).or_insert_with(new)
     }
 
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -12,7 +12,7 @@
     claim::{
         AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
         attempt::{DispatchedClaim, GrantedClaim, RequestedClaim},
-        book::{Book, Done, Op, ShardClaimsConfig},
+        book::{Done, Op, ShardClaims, ShardClaimsConfig},
         local::{Local, Step},
         shard::{SHARD_KIND, Shard, read_archive},
     },
@@ -145,7 +145,7 @@
 struct Router {
     start: Start,
     paused_until: Ms,
-    books: BTreeMap<u64, Book>,
+    books: BTreeMap<u64, ShardClaims>,
     local: Local,
     reqs: BTreeMap<ReqId, Req>,
     askers: BTreeMap<u64, (Asker, AttemptId)>,
--- a/src/claim/book.rs
+++ b/src/claim/book.rs
@@ -122,7 +122,7 @@
 
 /// Claims of one shard.
 #[derive(Debug)]
-pub struct Book {
+pub struct ShardClaims {
     cfg: ShardClaimsConfig,
     name: String,
     writer: String,
@@ -155,7 +155,7 @@
 /// Age of what was last read beyond which an undecided claim of another attempt is read anew.
 const SYNC: Duration = Duration::from_secs(1);
 
-impl Book {
+impl ShardClaims {
     /// Book of the shard's object `name`; `writer` is this router's name and start.
     pub fn new(name: impl Into<String>, writer: impl Into<String>, cfg: ShardClaimsConfig) -> Self {
         Self {
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Asks for a claim; `None` when the verdict comes from [`Book::done`] or [`Book::expire`].
+    /// Asks for a claim; `None` when the verdict comes from [`ShardClaims::done`] or [`ShardClaims::expire`].
     pub fn ask(&mut self, clock: Clock, ask: ClaimRequest, id: WaiterId) -> Option<Verdict> {
         if self.waiting.len() >= self.cfg.max_waiting {
             return Some(Verdict::Unavailable);
--- a/src/claim/book/merge.rs
+++ b/src/claim/book/merge.rs
@@ -5,7 +5,7 @@
 const BACKOFF: Duration = Duration::from_millis(100);
 const BACKOFF_MAX: Duration = Duration::from_secs(2);
 
-impl Book {
+impl ShardClaims {
     /// Takes in the result of the call in flight; returns verdicts on asks that waited.
     pub fn done(&mut self, clock: Clock, done: Done) -> Vec<(WaiterId, Verdict)> {
         match (self.flight.take(), done) {
--- a/src/claim/book/plan.rs
+++ b/src/claim/book/plan.rs
@@ -9,7 +9,7 @@
 /// Difference between hosts' wall clocks that is allowed for when old claims are removed.
 const SKEW_MS: WallMs = 60_000;
 
-impl Book {
+impl ShardClaims {
     /// The call to make now, if any.
     pub fn next_op(&mut self, clock: Clock) -> Option<Op> {
         if self.flight.is_some() || clock.now < self.retry_at {
@@ -33,7 +33,7 @@
         None
     }
 
-    /// When [`Book::next_op`] or [`Book::expire`] should be called next, if nothing else happens.
+    /// When [`ShardClaims::next_op`] or [`ShardClaims::expire`] should be called next, if nothing else happens.
     pub fn wake_at(&self) -> Option<Instant> {
         let expiry = self.waiting.iter().map(|w| w.since + self.patience()).min();
         let wanted = self.want_read || self.base.is_none() || self.unloaded().is_some();
--- a/src/gateway/claim/desk.rs
+++ b/src/gateway/claim/desk.rs
@@ -10,7 +10,7 @@
 use crate::{
     claim::{
         AttemptId, ClaimRequest, Clock, KeyDigest, Record, Verdict,
-        book::{Book, Done, Op, ShardClaimsConfig, WaiterId},
+        book::{Done, Op, ShardClaims, ShardClaimsConfig, WaiterId},
         shard::{ARCHIVE_KIND, SHARD_KIND},
     },
     gateway::lock,
@@ -35,7 +35,7 @@
 
 #[derive(Debug)]
 struct State {
-    book: Book,
+    book: ShardClaims,
     waiters: Map<WaiterId, oneshot::Sender<Verdict>>,
     next: WaiterId,
     driven: bool,
@@ -44,7 +44,7 @@
 impl Desk {
     pub(super) fn new(shard: u16, writer: &str, platform: Platform) -> Arc<Self> {
         let name = format!("claims-{shard}");
-        let book = Book::new(name.clone(), writer, ShardClaimsConfig::default());
+        let book = ShardClaims::new(name.clone(), writer, ShardClaimsConfig::default());
         let state = State { book, waiters: Map::default(), next: 0, driven: false };
         Arc::new(Self { name, platform, state: Mutex::new(state), changed: Notify::new() })
     }
--- a/tests/claim_book.rs
+++ b/tests/claim_book.rs
@@ -6,7 +6,7 @@
     catalog::AnyObject,
     claim::{
         AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
-        book::{Book, Done, Op, ShardClaimsConfig},
+        book::{Done, Op, ShardClaims, ShardClaimsConfig},
         local::{Local, Step},
         shard::{ARCHIVE_KIND, SHARD_KIND},
     },
@@ -59,7 +59,7 @@
 
 /// A book, its platform and its clock.
 struct Desk {
-    book: Book,
+    book: ShardClaims,
     store: Store,
     now: Duration,
     next: u64,
@@ -71,7 +71,7 @@
 
 impl Desk {
     fn new() -> Self {
-        Self { book: Book::new(NAME, "r0", config()), store: Store::default(), now: HOUR, next: 0 }
+        Self { book: ShardClaims::new(NAME, "r0", config()), store: Store::default(), now: HOUR, next: 0 }
     }
 
     fn clock(&self) -> Clock {
@@ -80,7 +80,7 @@
 
     /// Another router takes the shard over; the platform stays.
     fn change_owner(&mut self) {
-        self.book = Book::new(NAME, "r1", config());
+        self.book = ShardClaims::new(NAME, "r1", config());
     }
 
     /// Runs the book until nothing is left to do; returns the verdicts.
