--- a/benches/claims/store.rs
+++ b/benches/claims/store.rs
@@ -7,8 +7,8 @@
         let (least, most) = self.faults.platform_ms;
         let ms = self.rng.random_range(least..=most) / 2;
         let unanswered = |op: &Op| match op {
-            Op::Write(_) | Op::Delete(_) => Done::Write(Write::Unknown),
-            _ => Done::Failed,
+            Op::Write(_) | Op::Delete(_) => OpResult::Write(Write::Unknown),
+            _ => OpResult::Failed,
         };
         if self.outage || self.chance(self.faults.lose_call) {
             let done = unanswered(&op);
@@ -33,27 +33,27 @@
             Op::Delete(obj) => {
                 self.stats.writes += 1;
                 self.objects.remove(&(obj.kind, obj.metadata.name));
-                Done::Write(Write::Conflict(None))
+                OpResult::Write(Write::Conflict(None))
             }
         };
         if !tell {
             return;
         }
         if written && self.chance(self.faults.lose_answer) {
-            done = Done::Write(Write::Unknown);
+            done = OpResult::Write(Write::Unknown);
         }
         if self.weak == Weak::LostIsDone
-            && done == Done::Write(Write::Unknown)
+            && done == OpResult::Write(Write::Unknown)
             && let Op::Write(obj) = shown
         {
-            done = Done::Write(Write::Done(obj));
+            done = OpResult::Write(Write::Done(obj));
         }
         let (least, most) = self.faults.platform_ms;
         let ms = self.rng.random_range(least..=most) / 2;
         self.after(ms, Event::Stored { router, start, book, done });
     }
 
-    pub(super) fn read(&mut self, kind: &str, name: &str) -> Done {
+    pub(super) fn read(&mut self, kind: &str, name: &str) -> OpResult {
         self.stats.reads += 1;
         let mut obj = self.objects.get(&(kind.to_owned(), name.to_owned())).cloned();
         if self.weak == Weak::ClaimsRunOut
@@ -65,10 +65,10 @@
             shard.entries.retain(|(_, e)| e.record.is_some() || e.at_ms > oldest);
             *o = shard.object(name, "");
         }
-        Done::Read(obj)
+        OpResult::Read(obj)
     }
 
-    pub(super) fn write(&mut self, mut obj: AnyObject) -> Done {
+    pub(super) fn write(&mut self, mut obj: AnyObject) -> OpResult {
         self.stats.writes += 1;
         let size = serde_json::to_vec(&obj).map_or(0, |b| b.len());
         self.stats.largest = self.stats.largest.max(size);
@@ -76,11 +76,11 @@
         let current = self.objects.get(&key);
         let version = current.map_or("", |o| o.metadata.resource_version.as_str());
         if version != obj.metadata.resource_version && self.weak != Weak::Unconditional {
-            return Done::Write(Write::Conflict(current.cloned()));
+            return OpResult::Write(Write::Conflict(current.cloned()));
         }
         self.version += 1;
         obj.metadata.resource_version = self.version.to_string();
         self.objects.insert(key, obj.clone());
-        Done::Write(Write::Done(obj))
+        OpResult::Write(Write::Done(obj))
     }
 }
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -12,7 +12,7 @@
     claim::{
         AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
         attempt::{DispatchedClaim, GrantedClaim, RequestedClaim},
-        book::{Done, Op, ShardClaims, ShardClaimsConfig},
+        book::{Op, OpResult, ShardClaims, ShardClaimsConfig},
         local::{Local, Step},
         shard::{SHARD_KIND, Shard, read_archive},
     },
@@ -76,7 +76,7 @@
     Send { caller: usize, router: usize },
     Link { to: usize, start: Start, msg: Msg },
     Store { router: usize, start: Start, book: u64, op: Op, tell: bool },
-    Stored { router: usize, start: Start, book: u64, done: Done },
+    Stored { router: usize, start: Start, book: u64, done: OpResult },
     Wake { router: usize, start: Start, book: u64 },
     Recorded { router: usize, start: Start, waiter: u64 },
     Dispatch { router: usize, start: Start, req: ReqId },
--- a/src/claim/book.rs
+++ b/src/claim/book.rs
@@ -66,7 +66,7 @@
 
 /// What became of a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Done {
+pub enum OpResult {
     /// The object was read.
     Read(Option<AnyObject>),
     /// A write or delete was answered, or its answer was lost.
--- a/src/claim/book/merge.rs
+++ b/src/claim/book/merge.rs
@@ -7,38 +7,38 @@
 
 impl ShardClaims {
     /// Takes in the result of the call in flight; returns verdicts on asks that waited.
-    pub fn done(&mut self, clock: Clock, done: Done) -> Vec<(WaiterId, Verdict)> {
+    pub fn done(&mut self, clock: Clock, done: OpResult) -> Vec<(WaiterId, Verdict)> {
         match (self.flight.take(), done) {
-            (Some(Flight::Read), Done::Read(obj)) => self.merge(clock, obj.as_ref()),
-            (Some(Flight::ReadArchive(name)), Done::Read(Some(obj))) => self.load(clock, name, &obj),
+            (Some(Flight::Read), OpResult::Read(obj)) => self.merge(clock, obj.as_ref()),
+            (Some(Flight::ReadArchive(name)), OpResult::Read(Some(obj))) => self.load(clock, name, &obj),
             // The archive is gone: another router has dropped it from the shard's object since.
-            (Some(Flight::ReadArchive(_)), Done::Read(None)) => self.want_read = true,
-            (Some(Flight::Write { sent, gone, archives }), Done::Write(Write::Done(obj))) => {
+            (Some(Flight::ReadArchive(_)), OpResult::Read(None)) => self.want_read = true,
+            (Some(Flight::Write { sent, gone, archives }), OpResult::Write(Write::Done(obj))) => {
                 self.committed(clock, &obj, &sent, &gone, archives);
             }
             // Another router wrote first. What it wrote comes with the answer.
-            (Some(Flight::Write { .. }), Done::Write(Write::Conflict(Some(obj)))) => {
+            (Some(Flight::Write { .. }), OpResult::Write(Write::Conflict(Some(obj)))) => {
                 // Two writers that both kept to the interval would starve the claims of the slower one.
                 self.last_write = None;
                 self.merge(clock, Some(&obj));
             }
-            (Some(Flight::Write { .. }), Done::Write(Write::Conflict(None))) => self.want_read = true,
+            (Some(Flight::Write { .. }), OpResult::Write(Write::Conflict(None))) => self.want_read = true,
             // The write may have taken effect, or may still. The object tells: see `merge`.
-            (Some(Flight::Write { .. }), Done::Write(Write::Unknown)) => {
+            (Some(Flight::Write { .. }), OpResult::Write(Write::Unknown)) => {
                 self.want_read = true;
                 self.fail(clock);
             }
-            (Some(Flight::Archive { name, newest_ms, sent, .. }), Done::Write(Write::Done(obj))) => {
+            (Some(Flight::Archive { name, newest_ms, sent, .. }), OpResult::Write(Write::Done(obj))) => {
                 self.drafted(clock, name, newest_ms, sent, &obj);
             }
             // Our own archive, written by a try whose answer was lost.
             (
                 Some(Flight::Archive { name, obj, newest_ms, sent }),
-                Done::Write(Write::Conflict(Some(now))),
+                OpResult::Write(Write::Conflict(Some(now))),
             ) if now.spec == obj.spec => {
                 self.drafted(clock, name, newest_ms, sent, &now);
             }
-            (Some(Flight::Archive { .. }), Done::Write(Write::Conflict(_))) => self.archived += 1,
+            (Some(Flight::Archive { .. }), OpResult::Write(Write::Conflict(_))) => self.archived += 1,
             (Some(Flight::Delete), _) | (None, _) => {}
             (Some(_), _) => self.fail(clock),
         }
--- a/src/gateway/claim/desk.rs
+++ b/src/gateway/claim/desk.rs
@@ -10,7 +10,7 @@
 use crate::{
     claim::{
         AttemptId, ClaimRequest, Clock, KeyDigest, Record, Verdict,
-        book::{Done, Op, ShardClaims, ShardClaimsConfig, WaiterId},
+        book::{Op, OpResult, ShardClaims, ShardClaimsConfig, WaiterId},
         shard::{ARCHIVE_KIND, SHARD_KIND},
     },
     gateway::lock,
@@ -124,18 +124,18 @@
         let _ = tokio::time::timeout(pause, self.changed.notified()).await;
     }
 
-    async fn call(&self, op: Op) -> Done {
+    async fn call(&self, op: Op) -> OpResult {
         let read = |kind: &'static str, name: String| async move {
             match self.platform.get(kind, &name).await {
-                Ok(obj) => Done::Read(obj),
-                Err(_) => Done::Failed,
+                Ok(obj) => OpResult::Read(obj),
+                Err(_) => OpResult::Failed,
             }
         };
         match op {
             Op::Read => read(SHARD_KIND, self.name.clone()).await,
             Op::ReadArchive(name) => read(ARCHIVE_KIND, name).await,
-            Op::Write(obj) => self.platform.put(&obj).await.map_or(Done::Failed, Done::Write),
-            Op::Delete(obj) => self.platform.delete(&obj).await.map_or(Done::Failed, Done::Write),
+            Op::Write(obj) => self.platform.put(&obj).await.map_or(OpResult::Failed, OpResult::Write),
+            Op::Delete(obj) => self.platform.delete(&obj).await.map_or(OpResult::Failed, OpResult::Write),
         }
     }
 }
--- a/tests/claim_book.rs
+++ b/tests/claim_book.rs
@@ -6,7 +6,7 @@
     catalog::AnyObject,
     claim::{
         AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
-        book::{Done, Op, ShardClaims, ShardClaimsConfig},
+        book::{Op, OpResult, ShardClaims, ShardClaimsConfig},
         local::{Local, Step},
         shard::{ARCHIVE_KIND, SHARD_KIND},
     },
@@ -24,30 +24,30 @@
 }
 
 impl Store {
-    fn call(&mut self, op: Op) -> Done {
+    fn call(&mut self, op: Op) -> OpResult {
         let key = |kind: &str, name: &str| (kind.to_owned(), name.to_owned());
         match op {
-            Op::Read => Done::Read(self.objects.get(&key(SHARD_KIND, NAME)).cloned()),
-            Op::ReadArchive(name) => Done::Read(self.objects.get(&key(ARCHIVE_KIND, &name)).cloned()),
+            Op::Read => OpResult::Read(self.objects.get(&key(SHARD_KIND, NAME)).cloned()),
+            Op::ReadArchive(name) => OpResult::Read(self.objects.get(&key(ARCHIVE_KIND, &name)).cloned()),
             Op::Delete(obj) => {
                 let key = key(&obj.kind, &obj.metadata.name);
                 let same = |o: &AnyObject| o.metadata.resource_version == obj.metadata.resource_version;
                 if self.objects.get(&key).is_some_and(same) {
                     self.objects.remove(&key);
                 }
-                Done::Write(Write::Conflict(None))
+                OpResult::Write(Write::Conflict(None))
             }
             Op::Write(mut obj) => {
                 let key = key(&obj.kind, &obj.metadata.name);
                 let current = self.objects.get(&key);
                 if current.map_or("", |o| &o.metadata.resource_version) != obj.metadata.resource_version {
-                    return Done::Write(Write::Conflict(current.cloned()));
+                    return OpResult::Write(Write::Conflict(current.cloned()));
                 }
                 self.version += 1;
                 obj.metadata.resource_version = self.version.to_string();
                 self.largest = self.largest.max(serde_json::to_vec(&obj).unwrap().len());
                 self.objects.insert(key, obj.clone());
-                Done::Write(Write::Done(obj))
+                OpResult::Write(Write::Done(obj))
             }
         }
     }
