--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -444,7 +444,7 @@
             Event::Stored { router, book, done, .. } => {
                 let clock = self.clock();
                 let Some(b) = self.routers[router].books.get_mut(&book) else { return };
-                let verdicts = b.done(clock, done);
+                let verdicts = b.handle_result(clock, done);
                 self.settle(router, verdicts);
                 self.drive(router, book);
             }
--- a/src/claim/book.rs
+++ b/src/claim/book.rs
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Asks for a claim; `None` when the verdict comes from [`ShardClaims::done`] or [`ShardClaims::expire`].
+    /// Asks for a claim; `None` when the verdict comes from [`ShardClaims::handle_result`] or [`ShardClaims::expire`].
     pub fn ask(&mut self, clock: Clock, ask: ClaimRequest, id: WaiterId) -> Option<Verdict> {
         if self.waiting.len() >= self.cfg.max_waiting {
             return Some(Verdict::Unavailable);
--- a/src/claim/book/merge.rs
+++ b/src/claim/book/merge.rs
@@ -7,7 +7,7 @@
 
 impl ShardClaims {
     /// Takes in the result of the call in flight; returns verdicts on asks that waited.
-    pub fn done(&mut self, clock: Clock, done: OpResult) -> Vec<(WaiterId, Verdict)> {
+    pub fn handle_result(&mut self, clock: Clock, done: OpResult) -> Vec<(WaiterId, Verdict)> {
         match (self.flight.take(), done) {
             (Some(Flight::Read), OpResult::Read(obj)) => self.merge(clock, obj.as_ref()),
             (Some(Flight::ReadArchive(name)), OpResult::Read(Some(obj))) => self.load(clock, name, &obj),
--- a/src/gateway/claim/desk.rs
+++ b/src/gateway/claim/desk.rs
@@ -108,7 +108,7 @@
                 Some(op) => {
                     let done = self.call(op).await;
                     let mut state = lock(&self.state);
-                    let verdicts = state.book.done(Clock::read(), done);
+                    let verdicts = state.book.handle_result(Clock::read(), done);
                     state.tell(verdicts);
                 }
                 None => self.wait().await,
--- a/tests/claim_book.rs
+++ b/tests/claim_book.rs
@@ -89,7 +89,7 @@
         for _ in 0..10_000 {
             if let Some(op) = self.book.next_op(self.clock()) {
                 let done = self.store.call(op);
-                verdicts.extend(self.book.done(self.clock(), done));
+                verdicts.extend(self.book.handle_result(self.clock(), done));
                 continue;
             }
             verdicts.extend(self.book.expire(self.clock()));
