--- a/src/claim/book.rs
+++ b/src/claim/book.rs
@@ -234,7 +234,7 @@
     }
 
     /// Writes records without waiting for company, before a planned stop.
-    pub fn hurry(&mut self) {
+    pub fn disable_record_delay(&mut self) {
         self.cfg.record_delay = Duration::ZERO;
     }
 
--- a/src/gateway/claim/desk.rs
+++ b/src/gateway/claim/desk.rs
@@ -81,7 +81,7 @@
         if !lock(&self.state).driven {
             return;
         }
-        lock(&self.state).book.hurry();
+        lock(&self.state).book.disable_record_delay();
         self.drive();
         while !lock(&self.state).book.is_idle() {
             tokio::time::sleep(SETTLE_CHECK).await;
