--- a/src/claim/book.rs
+++ b/src/claim/book.rs
@@ -30,7 +30,7 @@
     /// Longest time that an ask waits while the platform is known not to answer.
     pub outage_timeout: Duration,
     /// How long a claim is kept.
-    pub horizon: Duration,
+    pub retention: Duration,
     /// Size of the shard's object above which its older claims move to an archive, in bytes.
     pub hot_bytes: usize,
     /// Asks that may wait at once.
@@ -44,7 +44,7 @@
             record_delay: Duration::from_secs(1),
             ask_timeout: Duration::from_millis(1500),
             outage_timeout: Duration::from_millis(200),
-            horizon: Duration::from_secs(24 * 3600),
+            retention: Duration::from_secs(24 * 3600),
             hot_bytes: 96 << 10,
             max_waiting: 10_000,
         }
--- a/src/claim/book/plan.rs
+++ b/src/claim/book/plan.rs
@@ -115,7 +115,7 @@
     }
 
     fn is_old(&self, at_ms: WallMs, wall_ms: WallMs) -> bool {
-        at_ms + self.cfg.horizon.as_millis() as u64 + SKEW_MS < wall_ms
+        at_ms + self.cfg.retention.as_millis() as u64 + SKEW_MS < wall_ms
     }
 }
 
--- a/tests/claim_book.rs
+++ b/tests/claim_book.rs
@@ -66,7 +66,7 @@
 }
 
 fn config() -> ShardClaimsConfig {
-    ShardClaimsConfig { horizon: 24 * HOUR, ..ShardClaimsConfig::default() }
+    ShardClaimsConfig { retention: 24 * HOUR, ..ShardClaimsConfig::default() }
 }
 
 impl Desk {
