--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -504,7 +504,7 @@
 pub fn schedule(seed: u64, weak: Weak) -> World {
     let mut world =
         World::new(seed, 3, Way::Shards(1), Faults::many(), weak).with_config(ShardClaimsConfig {
-            hot_bytes: 2048,
+            max_shard_bytes: 2048,
             record_delay: Duration::from_millis(300),
             interval: Duration::from_millis(40),
             ..ShardClaimsConfig::default()
--- a/src/claim/book.rs
+++ b/src/claim/book.rs
@@ -32,7 +32,7 @@
     /// How long a claim is kept.
     pub retention: Duration,
     /// Size of the shard's object above which its older claims move to an archive, in bytes.
-    pub hot_bytes: usize,
+    pub max_shard_bytes: usize,
     /// Asks that may wait at once.
     pub max_waiting: usize,
 }
@@ -45,7 +45,7 @@
             ask_timeout: Duration::from_millis(1500),
             outage_timeout: Duration::from_millis(200),
             retention: Duration::from_secs(24 * 3600),
-            hot_bytes: 96 << 10,
+            max_shard_bytes: 96 << 10,
             max_waiting: 10_000,
         }
     }
--- a/src/claim/book/plan.rs
+++ b/src/claim/book/plan.rs
@@ -76,7 +76,7 @@
                 sent.push(one);
             }
         }
-        if bytes > self.cfg.hot_bytes {
+        if bytes > self.cfg.max_shard_bytes {
             return self.write_archive(sent);
         }
         self.last_write = Some(clock.now);
