--- a/benches/claims/cases.rs
+++ b/benches/claims/cases.rs
@@ -20,7 +20,8 @@
 
 /// Saves at `rate` a second for `seconds`, spread over `routers`.
 pub fn cost(way: Way, routers: usize, rate: u64, seconds: u64, interval: Ms) -> Cost {
-    let cfg = ShardClaimsConfig { interval: Duration::from_millis(interval), ..ShardClaimsConfig::default() };
+    let cfg =
+        ShardClaimsConfig { write_interval: Duration::from_millis(interval), ..ShardClaimsConfig::default() };
     let mut world = World::new(7, routers, way, Faults::none(), Weak::Nothing).with_config(cfg);
     let calls = rate * seconds;
     for i in 0..calls {
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -506,7 +506,7 @@
         World::new(seed, 3, Way::Shards(1), Faults::many(), weak).with_config(ShardClaimsConfig {
             max_shard_bytes: 2048,
             record_delay: Duration::from_millis(300),
-            interval: Duration::from_millis(40),
+            write_interval: Duration::from_millis(40),
             ..ShardClaimsConfig::default()
         });
     const SPAN: Ms = 6_000;
--- a/src/claim/book.rs
+++ b/src/claim/book.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ShardClaimsConfig {
     /// Least time between the starts of two writes.
-    pub interval: Duration,
+    pub write_interval: Duration,
     /// Longest time that a record waits for a write of its own.
     pub record_delay: Duration,
     /// Longest time that an ask waits.
@@ -40,7 +40,7 @@
 impl Default for ShardClaimsConfig {
     fn default() -> Self {
         Self {
-            interval: Duration::from_millis(100),
+            write_interval: Duration::from_millis(100),
             record_delay: Duration::from_secs(1),
             ask_timeout: Duration::from_millis(1500),
             outage_timeout: Duration::from_millis(200),
--- a/src/claim/book/plan.rs
+++ b/src/claim/book/plan.rs
@@ -59,7 +59,7 @@
     /// Earliest time of the next write; claims that wait go at once, records wait for company.
     fn write_at(&self) -> Option<Instant> {
         let since = self.dirty_since?;
-        let paced = self.last_write.map_or(Instant::ZERO, |at| at + self.cfg.interval);
+        let paced = self.last_write.map_or(Instant::ZERO, |at| at + self.cfg.write_interval);
         let at = if self.waiting.is_empty() { since + self.cfg.record_delay } else { Instant::ZERO };
         Some(at.max(paced))
     }
