--- a/src/claim/local.rs
+++ b/src/claim/local.rs
@@ -19,7 +19,7 @@
 pub enum Step {
     /// Answer it.
     Answer(Verdict),
-    /// Have the claim recorded in its shard, then call [`Local::recorded`].
+    /// Have the claim recorded in its shard, then call [`TicketClaims::recorded`].
     Record,
     /// The ticket has run out and the key is not in memory: look in the shard; it is granted no more.
     Look,
@@ -34,14 +34,14 @@
 
 /// Claims under the tickets of one start of a router.
 #[derive(Debug, Default)]
-pub struct Local {
+pub struct TicketClaims {
     slots: Map<KeyDigest, Slot>,
     refused: Map<AttemptId, Instant>,
     from_memory: u64,
     closed: bool,
 }
 
-impl Local {
+impl TicketClaims {
     /// Asks for a claim; `fresh` tells whether its ticket may still start new keys.
     pub fn ask(&mut self, clock: Clock, ask: &ClaimRequest, fresh: bool) -> Step {
         if self.refused.contains_key(&ask.attempt) {
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -18,7 +18,7 @@
     claim::{
         AttemptId, ClaimRequest, Clock, KeyDigest, Record, SHARD_COUNT, Verdict,
         attempt::{Finish, Release},
-        local::{Local, Step},
+        local::{Step, TicketClaims},
         messages::{Malformed, bytes16},
         ticket::{TicketKey, is_fresh},
     },
@@ -55,7 +55,7 @@
     start: u64,
     placement: Arc<Placement>,
     desks: Vec<Arc<Desk>>,
-    local: Mutex<Local>,
+    local: Mutex<TicketClaims>,
     tickets: TicketKey,
     closed: Closed,
     /// Where other routers reach this one.
--- a/tests/claim_book.rs
+++ b/tests/claim_book.rs
@@ -7,7 +7,7 @@
     claim::{
         AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
         book::{Op, OpResult, ShardClaims, ShardClaimsConfig},
-        local::{Local, Step},
+        local::{Step, TicketClaims},
         shard::{ARCHIVE_KIND, SHARD_KIND},
     },
     objects::Write,
@@ -227,7 +227,7 @@
 /// have been forgotten here.
 #[test]
 fn a_ticket_that_has_run_out_starts_no_new_key() {
-    let mut local = Local::default();
+    let mut local = TicketClaims::default();
     let clock = Desk::new().clock();
     assert_eq!(local.ask(clock, &ask(1, 1), true), Step::Record);
     assert_eq!(local.recorded(&ask(1, 1), Verdict::Granted), Verdict::Granted);
@@ -245,10 +245,10 @@
 #[test]
 fn a_closed_start_grants_nothing_from_memory() {
     let clock = Desk::new().clock();
-    let mut clean = Local::default();
+    let mut clean = TicketClaims::default();
     assert_eq!(clean.ask(clock, &ask(1, 1), true), Step::Record);
     assert_eq!(clean.ask(clock, &ask(2, 2), true), Step::Record);
-    let mut used = Local::default();
+    let mut used = TicketClaims::default();
     assert_eq!(used.ask(clock, &ask(1, 1), true), Step::Record);
     assert_eq!(used.recorded(&ask(1, 1), Verdict::Unavailable), Verdict::Granted);
 
