--- a/benches/claims/keeper.rs
+++ b/benches/claims/keeper.rs
@@ -85,7 +85,7 @@
             Step::Answer(verdict) => {
                 self.frame(router, from, Msg::Verdict { req, attempt: ask.attempt, verdict });
             }
-            Step::Record | Step::Look => {
+            Step::Record | Step::Lookup => {
                 let waiter = self.id();
                 let asker = Asker::Authority { ask, from, start, req };
                 self.routers[router].askers.insert(waiter, (asker, ask.attempt));
--- a/src/claim/local.rs
+++ b/src/claim/local.rs
@@ -52,7 +52,7 @@
                 if slot.granted { Step::Answer(Verdict::Granted) } else { Step::Record }
             }
             Some(slot) => Step::Answer(slot.entry.verdict(ask.content, clock.wall_ms)),
-            None if !fresh => Step::Look,
+            None if !fresh => Step::Lookup,
             None if self.slots.len() >= MAX => Step::Answer(Verdict::Unavailable),
             None => {
                 let entry =
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -230,7 +230,7 @@
         };
         match step {
             Step::Answer(verdict) => verdict,
-            Step::Look => self.ask_owner(ClaimRequest { lookup_only: true, ..ask }).await,
+            Step::Lookup => self.ask_owner(ClaimRequest { lookup_only: true, ..ask }).await,
             Step::Record => {
                 let recorded = tokio::time::timeout(RECORD_TIMEOUT, self.ask_owner(ask)).await;
                 let recorded = recorded.unwrap_or(Verdict::Unavailable);
--- a/tests/claim_book.rs
+++ b/tests/claim_book.rs
@@ -237,7 +237,7 @@
     let new = local.ask(clock, &ask(2, 3), false);
 
     assert_eq!(known, Step::Answer(Verdict::Recorded(answered(1))));
-    assert_eq!(new, Step::Look);
+    assert_eq!(new, Step::Lookup);
 }
 
 /// A router is about to stop and tells the fleet that its tickets' keys may be decided elsewhere. From then on it may
