--- a/benches/claims/keeper.rs
+++ b/benches/claims/keeper.rs
@@ -119,7 +119,7 @@
         let (to, start, req, verdict) = match asker {
             Asker::Remote { router: to, start, req } => (to, start, req, verdict),
             Asker::Authority { ask, from, start, req } => {
-                (from, start, req, self.routers[router].local.recorded(&ask, verdict))
+                (from, start, req, self.routers[router].local.apply_shard_verdict(&ask, verdict))
             }
             Asker::Look { from, start, req } => {
                 let verdict = if verdict == Verdict::Expired { Verdict::Unknown } else { verdict };
--- a/src/claim/local.rs
+++ b/src/claim/local.rs
@@ -19,7 +19,7 @@
 pub enum Step {
     /// Answer it.
     Answer(Verdict),
-    /// Have the claim recorded in its shard, then call [`TicketClaims::recorded`].
+    /// Have the claim recorded in its shard, then call [`TicketClaims::apply_shard_verdict`].
     Record,
     /// The ticket has run out and the key is not in memory: look in the shard; it is granted no more.
     Look,
@@ -65,7 +65,7 @@
 
     /// Verdict after the shard was asked to record the claim and said `shard`: a claim that could not be recorded is
     /// granted from memory, because no other router can have granted the key or ever will.
-    pub fn recorded(&mut self, ask: &ClaimRequest, shard: Verdict) -> Verdict {
+    pub fn apply_shard_verdict(&mut self, ask: &ClaimRequest, shard: Verdict) -> Verdict {
         let Some(slot) = self.slots.get_mut(&ask.key) else { return Verdict::Unavailable };
         if slot.entry.attempt != ask.attempt || slot.entry.record.is_some() {
             return Verdict::Unavailable;
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -236,7 +236,7 @@
                 let recorded = recorded.unwrap_or(Verdict::Unavailable);
                 let mut local = lock(&self.local);
                 let before = local.from_memory();
-                let verdict = local.recorded(&ask, recorded);
+                let verdict = local.apply_shard_verdict(&ask, recorded);
                 self.metrics.add(Counter::Claims, "from_memory", local.from_memory() - before);
                 verdict
             }
--- a/tests/claim_book.rs
+++ b/tests/claim_book.rs
@@ -230,7 +230,7 @@
     let mut local = TicketClaims::default();
     let clock = Desk::new().clock();
     assert_eq!(local.ask(clock, &ask(1, 1), true), Step::Record);
-    assert_eq!(local.recorded(&ask(1, 1), Verdict::Granted), Verdict::Granted);
+    assert_eq!(local.apply_shard_verdict(&ask(1, 1), Verdict::Granted), Verdict::Granted);
     local.finish(ask(1, 1).key, ask(1, 1).attempt, Record::Completed(answered(1)));
 
     let known = local.ask(clock, &ask(1, 2), false);
@@ -250,11 +250,11 @@
     assert_eq!(clean.ask(clock, &ask(2, 2), true), Step::Record);
     let mut used = TicketClaims::default();
     assert_eq!(used.ask(clock, &ask(1, 1), true), Step::Record);
-    assert_eq!(used.recorded(&ask(1, 1), Verdict::Unavailable), Verdict::Granted);
+    assert_eq!(used.apply_shard_verdict(&ask(1, 1), Verdict::Unavailable), Verdict::Granted);
 
     let closed = (clean.close(), used.close());
 
     assert_eq!(closed, (true, false));
-    assert_eq!(clean.recorded(&ask(1, 1), Verdict::Granted), Verdict::Granted);
-    assert_eq!(clean.recorded(&ask(2, 2), Verdict::Unavailable), Verdict::Unavailable);
+    assert_eq!(clean.apply_shard_verdict(&ask(1, 1), Verdict::Granted), Verdict::Granted);
+    assert_eq!(clean.apply_shard_verdict(&ask(2, 2), Verdict::Unavailable), Verdict::Unavailable);
 }
