--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -225,7 +225,7 @@
     async fn decide(&self, ask: ClaimRequest, ticket: &KeyTicket) -> Verdict {
         let step = {
             let mut local = lock(&self.local);
-            local.sweep(Clock::read());
+            local.evict_expired(Clock::read());
             local.ask(Clock::read(), &ask, is_fresh(ticket, now()))
         };
         match step {
