--- a/src/claim/ticket.rs
+++ b/src/claim/ticket.rs
@@ -60,7 +60,7 @@
 }
 
 /// Whether new keys may still be started under a ticket of this start, by its own clock.
-pub fn is_fresh(ticket: &KeyTicket, now: Instant) -> bool {
+pub fn accepts_new_keys(ticket: &KeyTicket, now: Instant) -> bool {
     let age = now.saturating_sub(Duration::from_millis(ticket.made_ms));
     age < TICKET_USE
 }
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -20,7 +20,7 @@
         attempt::{Finish, Release},
         local::{Step, TicketClaims},
         messages::{Malformed, bytes16},
-        ticket::{TicketKey, is_fresh},
+        ticket::{TicketKey, accepts_new_keys},
     },
     metrics::{Counter, Metrics},
     objects::Platform,
@@ -226,7 +226,7 @@
         let step = {
             let mut local = lock(&self.local);
             local.evict_expired(Clock::read());
-            local.ask(Clock::read(), &ask, is_fresh(ticket, now()))
+            local.ask(Clock::read(), &ask, accepts_new_keys(ticket, now()))
         };
         match step {
             Step::Answer(verdict) => verdict,
