--- a/src/claim/local.rs
+++ b/src/claim/local.rs
@@ -112,7 +112,7 @@
 
     /// Removes claims whose tickets ran out long ago.
     pub fn evict_expired(&mut self, clock: Clock) {
-        let keep = super::ticket::TICKET_USE + KEEP;
+        let keep = super::ticket::TICKET_LIFETIME + KEEP;
         self.slots.retain(|_, slot| clock.now < slot.since + keep);
         self.refused.retain(|_, at| clock.now < *at + keep);
     }
--- a/src/claim/ticket.rs
+++ b/src/claim/ticket.rs
@@ -14,7 +14,7 @@
 const MAC: usize = 16;
 const PREFIX: &str = "kt1-";
 /// How long a caller may start new keys under a ticket.
-pub const TICKET_USE: Duration = Duration::from_secs(600);
+pub const TICKET_LIFETIME: Duration = Duration::from_secs(600);
 
 /// Signs and reads tickets with a key derived from the fleet's shared key.
 #[derive(Clone)]
@@ -62,5 +62,5 @@
 /// Whether new keys may still be started under a ticket of this start, by its own clock.
 pub fn accepts_new_keys(ticket: &KeyTicket, now: Instant) -> bool {
     let age = now.saturating_sub(Duration::from_millis(ticket.made_ms));
-    age < TICKET_USE
+    age < TICKET_LIFETIME
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     catalog::{Catalog, Id},
-    claim::ticket::TICKET_USE,
+    claim::ticket::TICKET_LIFETIME,
     client::Client,
     entry::Router,
     error::{Fault, Kind},
@@ -224,7 +224,8 @@
 
     /// A ticket under which a caller may make idempotency keys that stay usable while the platform is out.
     fn key_ticket(&self) -> Reply {
-        let ticket = serde_json::json!({ "ticket": self.claims.ticket(), "keep_s": TICKET_USE.as_secs() });
+        let ticket =
+            serde_json::json!({ "ticket": self.claims.ticket(), "keep_s": TICKET_LIFETIME.as_secs() });
         Reply::json(200, &ticket)
     }
 
--- a/src/gateway/claim/closed.rs
+++ b/src/gateway/claim/closed.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     catalog::Object,
-    claim::ticket::TICKET_USE,
+    claim::ticket::TICKET_LIFETIME,
     gateway::lock,
     objects::Platform,
     schema::{claim::ClaimTicket, object::Meta},
@@ -47,7 +47,7 @@
     /// use, long before the shards forget the keys that were granted.
     pub(super) async fn takes_keys(&self, router: &str, start: u64) -> bool {
         let closed_ms = self.closed_ms(name(router, start)).await;
-        closed_ms.is_some_and(|ms| wall_ms() < ms + TICKET_USE.as_millis() as u64)
+        closed_ms.is_some_and(|ms| wall_ms() < ms + TICKET_LIFETIME.as_millis() as u64)
     }
 
     async fn closed_ms(&self, name: String) -> Option<u64> {
@@ -60,7 +60,7 @@
         let spec = obj.and_then(|o| serde_json::from_value::<ClaimTicket>(o.spec).ok());
         let seen = Seen { closed_ms: spec.map(|s| s.closed_ms), at: now() };
         let mut all = lock(&self.seen);
-        all.retain(|_, s| now() < s.at + TICKET_USE);
+        all.retain(|_, s| now() < s.at + TICKET_LIFETIME);
         all.insert(name, seen);
         seen.closed_ms
     }
