--- a/src/claim/ticket.rs
+++ b/src/claim/ticket.rs
@@ -41,7 +41,7 @@
     }
 
     /// The ticket of an idempotency key; `None` for a key of the caller's own making.
-    pub fn ticket_of(&self, key: &str) -> Option<KeyTicket> {
+    pub fn verified_ticket(&self, key: &str) -> Option<KeyTicket> {
         let (text, _) = key.strip_prefix(PREFIX)?.split_once('.')?;
         let bytes = URL_SAFE_NO_PAD.decode(text).ok()?;
         let (tag, body) = bytes.split_at_checked(MAC)?;
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -211,7 +211,7 @@
     }
 
     fn keeper(&self, key: &str) -> Keeper {
-        match self.tickets.ticket_of(key) {
+        match self.tickets.verified_ticket(key) {
             Some(t) if *t.router == *self.name && t.start == self.start => Keeper::Me(t),
             Some(t) => Keeper::Other(t),
             None => Keeper::Shard,
