--- a/benches/claims/cases.rs
+++ b/benches/claims/cases.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranberrytally::claim::book::ShardClaimsConfig;
+use cranberrytally::claim::shard_claims::ShardClaimsConfig;
 
 use super::world::{Faults, Ms, Way, Weak, World};
 
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -12,9 +12,9 @@
     claim::{
         AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
         attempt::{DispatchedClaim, GrantedClaim, RequestedClaim},
-        book::{Op, OpResult, ShardClaims, ShardClaimsConfig},
-        local::{Step, TicketClaims},
         shard::{SHARD_KIND, Shard, read_archive},
+        shard_claims::{Op, OpResult, ShardClaims, ShardClaimsConfig},
+        ticket_claims::{Step, TicketClaims},
     },
     client::Failure,
     objects::Write,
--- a/src/claim.rs
+++ b/src/claim.rs
@@ -1,6 +1,6 @@
 //! Claims on idempotency keys: at most one attempt with a key ever gets the right to run.
 //!
-//! A shard's claims are one object of the platform. A [`book::ShardClaims`] writes all claims that wait in one
+//! A shard's claims are one object of the platform. A [`shard_claims::ShardClaims`] writes all claims that wait in one
 //! conditional write (group commit), and grants a claim only once the object is known to hold it. The attempt's
 //! random number in the object is the proof, so that a lost answer, a second writer or a writer that was paused
 //! leads to reading the object again, never to a second grant. No clock and no lease takes part in that.
@@ -9,11 +9,11 @@
 //! router may go on granting them from memory while the platform is out.
 
 pub mod attempt;
-pub mod book;
-pub mod local;
 pub mod messages;
 pub mod shard;
+pub mod shard_claims;
 pub mod ticket;
+pub mod ticket_claims;
 
 use std::time::Duration;
 
--- a/src/claim/local.rs
+++ b/src/claim/ticket_claims.rs
@@ -22,7 +22,7 @@
     /// Have the claim recorded in its shard, then call [`TicketClaims::apply_shard_verdict`].
     Record,
     /// The ticket has run out and the key is not in memory: look in the shard; it is granted no more.
-    Look,
+    Lookup,
 }
 
 #[derive(Clone, Debug)]
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -18,9 +18,9 @@
     claim::{
         AttemptId, ClaimRequest, Clock, KeyDigest, Record, SHARD_COUNT, Verdict,
         attempt::{Finish, Release},
-        local::{Step, TicketClaims},
         messages::{Malformed, bytes16},
         ticket::{TicketKey, accepts_new_keys},
+        ticket_claims::{Step, TicketClaims},
     },
     metrics::{Counter, Metrics},
     objects::Platform,
--- a/src/gateway/claim/desk.rs
+++ b/src/gateway/claim/desk.rs
@@ -10,8 +10,8 @@
 use crate::{
     claim::{
         AttemptId, ClaimRequest, Clock, KeyDigest, Record, Verdict,
-        book::{Op, OpResult, ShardClaims, ShardClaimsConfig, WaiterId},
         shard::{ARCHIVE_KIND, SHARD_KIND},
+        shard_claims::{Op, OpResult, ShardClaims, ShardClaimsConfig, WaiterId},
     },
     gateway::lock,
     objects::Platform,
--- a/tests/claim_book.rs
+++ b/tests/claim_book.rs
@@ -6,9 +6,9 @@
     catalog::AnyObject,
     claim::{
         AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
-        book::{Op, OpResult, ShardClaims, ShardClaimsConfig},
-        local::{Step, TicketClaims},
         shard::{ARCHIVE_KIND, SHARD_KIND},
+        shard_claims::{Op, OpResult, ShardClaims, ShardClaimsConfig},
+        ticket_claims::{Step, TicketClaims},
     },
     objects::Write,
 };
