--- a/src/claim/attempt.rs
+++ b/src/claim/attempt.rs
@@ -1,7 +1,8 @@
-//! One attempt of a request with an idempotency key, as the router that holds the request sees it.
+//! State machine of one attempt with an idempotency key, in the router that handles the request.
 //!
-//! The types follow its life: [`RequestedClaim`] → [`GrantedClaim`] → [`DispatchedClaim`] → a record. Only a [`GrantedClaim`] claim can be
-//! dispatched, each of them once, and a claim can be given back only while it has not been dispatched.
+//! The states are types: [`RequestedClaim`] → [`GrantedClaim`] → [`DispatchedClaim`] → a record. Only a
+//! [`GrantedClaim`] can be dispatched, and only once. Only a [`GrantedClaim`] can be released, so a dispatched claim
+//! must first be proven not to have run.
 
 use super::{AttemptId, ClaimRequest, KeyDigest, Record, Verdict};
 use crate::{
@@ -9,7 +10,7 @@
     outcome::{Dispatched, Undispatched, Unsent},
 };
 
-/// The attempt has asked and waits for the verdict.
+/// The attempt has requested the claim and waits for the verdict.
 #[derive(Debug)]
 #[must_use]
 pub struct RequestedClaim {
@@ -17,7 +18,7 @@
     token: Undispatched,
 }
 
-/// The attempt, and no other, may run.
+/// The attempt holds the claim: it may run, and no other.
 #[derive(Debug)]
 #[must_use]
 pub struct GrantedClaim {
@@ -25,7 +26,7 @@
     token: Undispatched,
 }
 
-/// The attempt may have run.
+/// The request was dispatched and may have run.
 #[derive(Debug)]
 #[must_use]
 pub struct DispatchedClaim {
@@ -33,7 +34,7 @@
     token: Dispatched,
 }
 
-/// The right to run is given back: this attempt has not run and never will.
+/// Release of a claim by an attempt that has not run and never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Release {
@@ -43,42 +44,42 @@
     pub attempt: AttemptId,
 }
 
-/// What became of a run, for the router that keeps the claim.
+/// Result of a run, for the router that stores the claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Finish {
-    /// What was asked.
+    /// Request for the claim.
     pub ask: ClaimRequest,
-    /// What became of it.
+    /// Result of the run.
     pub record: Record,
 }
 
-/// An attempt that was not granted.
+/// An attempt to which the claim was not granted.
 #[derive(Debug)]
 pub struct Refused {
-    /// Why.
+    /// Reason.
     pub verdict: Verdict,
-    /// Token to refuse the request with.
+    /// Token with which to refuse the request.
     pub token: Undispatched,
-    /// To be told to the routers that were asked, when the claim may have been recorded all the same.
+    /// Release to send to the routers that were asked, if the claim may have been stored nevertheless.
     pub release: Option<Release>,
 }
 
 impl RequestedClaim {
-    /// Starts an attempt.
+    /// Starts an attempt with the request `ask`.
     pub fn new(ask: ClaimRequest, token: Undispatched) -> Self {
         Self { ask, token }
     }
 
-    /// What is asked.
+    /// Request for the claim.
     pub fn ask(&self) -> &ClaimRequest {
         &self.ask
     }
 
-    /// Takes the verdict in; no verdict in time counts as [`Verdict::Unavailable`].
+    /// Applies the verdict; on a timeout pass [`Verdict::Unavailable`].
     ///
     /// # Errors
-    /// When the attempt may not run. A verdict that comes later finds no [`RequestedClaim`] and can start no run.
+    /// If the attempt may not run. A late verdict has no [`RequestedClaim`] left to apply to, so it can't start a run.
     pub fn decide(self, verdict: Verdict) -> Result<GrantedClaim, Box<Refused>> {
         let Self { ask, token } = self;
         if verdict == Verdict::Granted {
@@ -91,35 +92,35 @@
 }
 
 impl GrantedClaim {
-    /// The request is handed to a connection.
+    /// Marks the request as handed to a connection.
     pub fn dispatch(self) -> DispatchedClaim {
         DispatchedClaim { ask: self.ask, token: self.token.dispatch() }
     }
 
-    /// Gives the claim back.
+    /// Releases the claim.
     pub fn release(self) -> (Undispatched, Release) {
         (self.token, Release { key: self.ask.key, attempt: self.ask.attempt })
     }
 }
 
 impl DispatchedClaim {
-    /// What was asked.
+    /// Request for the claim.
     pub fn ask(&self) -> &ClaimRequest {
         &self.ask
     }
 
-    /// Takes the request back against a proof that it did not run; it may be dispatched again.
+    /// Undoes the dispatch, given proof that the request did not run; it may be dispatched again.
     pub fn take_back(self, proof: Unsent) -> GrantedClaim {
         GrantedClaim { ask: self.ask, token: self.token.take_back(proof) }
     }
 
-    /// Ends the run.
+    /// Ends the run with its result.
     pub fn finish(self, record: Record) -> (Dispatched, Finish) {
         (self.token, Finish { ask: self.ask, record })
     }
 }
 
-/// Kind under which a caller is told of a verdict; `None` for those that are no refusal.
+/// Error kind that is returned to the caller for a verdict; `None` if the verdict is not a refusal.
 pub fn error_kind(verdict: &Verdict) -> Option<Kind> {
     match verdict {
         Verdict::Granted | Verdict::Recorded(_) => None,
--- a/src/claim/messages.rs
+++ b/src/claim/messages.rs
@@ -1,13 +1,15 @@
-//! Claims in the messages between routers.
+//! Conversion of claims to and from the messages between routers.
 
-use super::{AttemptId, ClaimRequest, ContentDigest, DIGEST, KeyDigest, Record, StoredResponse, Verdict};
+use super::{
+    AttemptId, ClaimRequest, ContentDigest, DIGEST_BYTES, KeyDigest, Record, StoredResponse, Verdict,
+};
 use crate::schema::claim::{self as wire, ClaimAnswer, ClaimAsk, Decision};
 
-/// A message does not have the form that it must have.
+/// A message or stored object that can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-pub(crate) fn bytes16(bytes: &[u8]) -> Result<[u8; DIGEST], Malformed> {
+pub(crate) fn bytes16(bytes: &[u8]) -> Result<[u8; DIGEST_BYTES], Malformed> {
     bytes.try_into().map_err(|_| Malformed)
 }
 
@@ -77,7 +79,7 @@
 }
 
 impl ClaimRequest {
-    /// The message that asks; `ticket` is empty for a key of the caller's own.
+    /// Message form of the request; `ticket` is empty for a key that the caller chose freely.
     pub fn to_message(&self, ticket: String) -> ClaimAsk {
         ClaimAsk {
             key: self.key.0.to_vec(),
@@ -88,10 +90,10 @@
         }
     }
 
-    /// Reads the digests of a message.
+    /// Builds a request from the digests in a message.
     ///
     /// # Errors
-    /// When one of them does not have the length that it must have.
+    /// If one of them does not have [`DIGEST_BYTES`] bytes.
     pub fn from_bytes(
         key: &[u8],
         content: &[u8],
--- a/src/claim/shard.rs
+++ b/src/claim/shard.rs
@@ -1,4 +1,4 @@
-//! The objects in which claims are kept, and their encoding.
+//! Platform objects that store claims, and their encoding.
 
 use base64::{Engine as _, engine::general_purpose::STANDARD_NO_PAD};
 
@@ -14,68 +14,68 @@
     },
 };
 
-/// Kind of the object with a shard's newest claims.
+/// Kind of the object that stores a shard's newest claims.
 pub const SHARD_KIND: &str = "ClaimShard";
-/// Kind of the objects with older claims.
+/// Kind of the objects that store a shard's older claims.
 pub const ARCHIVE_KIND: &str = "ClaimArchive";
 
-/// Content of a shard's object.
+/// Decoded content of a shard's object.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Shard {
-    /// Version on which the next write is conditional; empty when there is no object yet.
+    /// Version that the next write requires; empty if the object does not exist yet.
     pub version: String,
     /// Newest claims.
     pub entries: Vec<(KeyDigest, Entry)>,
-    /// Where older claims are.
+    /// References to the archives that store older claims.
     pub archives: Vec<ClaimArchiveRef>,
 }
 
 impl Shard {
-    /// Reads the object of a shard.
+    /// Decodes the object of a shard.
     ///
     /// # Errors
-    /// When it does not have the form that it must have.
+    /// If the object can't be decoded.
     pub fn read(obj: Option<&AnyObject>) -> Result<Self, Malformed> {
         let Some(obj) = obj else { return Ok(Self::default()) };
         let spec: ClaimShard = serde_json::from_value(obj.spec.clone()).map_err(|_| Malformed)?;
         Ok(Self {
             version: obj.metadata.resource_version.clone(),
-            entries: decode(&spec.entries)?,
+            entries: decode_entries(&spec.entries)?,
             archives: spec.archives,
         })
     }
 
-    /// The object to write.
+    /// Encodes the object to write.
     pub fn object(&self, name: &str, writer: &str) -> AnyObject {
         let spec = ClaimShard {
             writer: writer.to_owned(),
-            entries: encode(&self.entries),
+            entries: encode_entries(&self.entries),
             archives: self.archives.clone(),
         };
-        object(SHARD_KIND, name, &self.version, &spec)
+        build_object(SHARD_KIND, name, &self.version, &spec)
     }
 }
 
-/// Reads an archive.
+/// Decodes the claims of an archive.
 ///
 /// # Errors
-/// When it does not have the form that it must have.
+/// If the object can't be decoded.
 pub fn read_archive(obj: &AnyObject) -> Result<Vec<(KeyDigest, Entry)>, Malformed> {
     let spec: ClaimArchive = serde_json::from_value(obj.spec.clone()).map_err(|_| Malformed)?;
-    decode(&spec.entries)
+    decode_entries(&spec.entries)
 }
 
-/// The archive to create.
-pub fn archive(name: &str, entries: &[(KeyDigest, Entry)]) -> AnyObject {
-    object(ARCHIVE_KIND, name, "", &ClaimArchive { entries: encode(entries) })
+/// Encodes an archive to create.
+pub fn archive_object(name: &str, entries: &[(KeyDigest, Entry)]) -> AnyObject {
+    build_object(ARCHIVE_KIND, name, "", &ClaimArchive { entries: encode_entries(entries) })
 }
 
-fn object(kind: &str, name: &str, version: &str, spec: &impl serde::Serialize) -> AnyObject {
+fn build_object(kind: &str, name: &str, version: &str, spec: &impl serde::Serialize) -> AnyObject {
     let metadata = Meta { name: name.to_owned(), resource_version: version.to_owned(), ..Meta::default() };
     Object { kind: kind.to_owned(), metadata, spec: serde_json::to_value(spec).unwrap_or_default() }
 }
 
-fn encode(entries: &[(KeyDigest, Entry)]) -> String {
+fn encode_entries(entries: &[(KeyDigest, Entry)]) -> String {
     let entries = entries
         .iter()
         .map(|(key, entry)| ClaimEntry {
@@ -89,13 +89,13 @@
     STANDARD_NO_PAD.encode(postcard::to_stdvec(&ClaimEntries { entries }).unwrap_or_default())
 }
 
-fn decode(text: &str) -> Result<Vec<(KeyDigest, Entry)>, Malformed> {
+fn decode_entries(text: &str) -> Result<Vec<(KeyDigest, Entry)>, Malformed> {
     let bytes = STANDARD_NO_PAD.decode(text).map_err(|_| Malformed)?;
     let raw: ClaimEntries = postcard::from_bytes(&bytes).map_err(|_| Malformed)?;
-    raw.entries.into_iter().map(entry).collect()
+    raw.entries.into_iter().map(decode_entry).collect()
 }
 
-fn entry(raw: ClaimEntry) -> Result<(KeyDigest, Entry), Malformed> {
+fn decode_entry(raw: ClaimEntry) -> Result<(KeyDigest, Entry), Malformed> {
     let entry = Entry {
         content: ContentDigest(bytes16(&raw.content)?),
         attempt: AttemptId(bytes16(&raw.attempt)?),
--- a/src/claim/shard_claims.rs
+++ b/src/claim/shard_claims.rs
@@ -1,7 +1,7 @@
-//! The claims of one shard as one router works on them: group commit by conditional writes.
+//! In-memory claims of one shard in one router, stored on the platform by group commit with conditional writes.
 //!
-//! At most one call to the platform is in flight. All claims that wait go into one write. A claim is granted only
-//! when the object is known to hold it under the attempt's own number.
+//! At most one call to the platform is in flight. All outstanding claims go into one write. A claim is granted only
+//! when the shard's object is known to contain it under the attempt's own ID.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,25 +15,25 @@
 mod merge;
 mod plan;
 
-/// Number of a waiting ask, chosen by the caller.
+/// ID of a waiting claim request, chosen by the caller.
 pub type WaiterId = u64;
 
-/// How a book works.
+/// Timing and size limits of [`ShardClaims`].
 #[derive(Clone, Copy, Debug)]
 pub struct ShardClaimsConfig {
-    /// Least time between the starts of two writes.
+    /// Minimum time between the starts of two writes.
     pub write_interval: Duration,
-    /// Longest time that a record waits for a write of its own.
+    /// Maximum delay of a record before it is written without any new claim.
     pub record_delay: Duration,
-    /// Longest time that an ask waits.
-    pub ask_timeout: Duration,
-    /// Longest time that an ask waits while the platform is known not to answer.
+    /// Maximum wait of a claim request.
+    pub request_timeout: Duration,
+    /// Maximum wait of a claim request during a platform outage.
     pub outage_timeout: Duration,
-    /// How long a claim is kept.
+    /// Time for which a claim is stored.
     pub retention: Duration,
-    /// Size of the shard's object above which its older claims move to an archive, in bytes.
+    /// Size of the shard's object above which its oldest claims move to an archive, in bytes.
     pub max_shard_bytes: usize,
-    /// Asks that may wait at once.
+    /// Maximum number of waiting claim requests.
     pub max_waiting: usize,
 }
 
@@ -42,7 +42,7 @@
         Self {
             write_interval: Duration::from_millis(100),
             record_delay: Duration::from_secs(1),
-            ask_timeout: Duration::from_millis(1500),
+            request_timeout: Duration::from_millis(1500),
             outage_timeout: Duration::from_millis(200),
             retention: Duration::from_secs(24 * 3600),
             max_shard_bytes: 96 << 10,
@@ -51,156 +51,158 @@
     }
 }
 
-/// Call to the platform.
+/// A call to the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Op {
-    /// Read the shard's object.
+    /// Reads the shard's object.
     Read,
-    /// Read an archive.
+    /// Reads an archive.
     ReadArchive(String),
-    /// Write an object on the condition of its version.
+    /// Writes an object if its version on the platform is unchanged.
     Write(AnyObject),
-    /// Delete an archive.
+    /// Deletes an archive.
     Delete(AnyObject),
 }
 
-/// What became of a call.
+/// Result of a call to the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OpResult {
-    /// The object was read.
+    /// The object that was read, if it exists.
     Read(Option<AnyObject>),
-    /// A write or delete was answered, or its answer was lost.
+    /// Answer to a write or delete, or the fact that the answer was lost.
     Write(Write),
-    /// No answer came, and nothing took effect.
+    /// The call failed without effect.
     Failed,
 }
 
-/// Claim in memory.
+/// A claim in memory.
 #[derive(Clone, Debug)]
 struct Slot {
     entry: Entry,
-    /// Whether the platform is known to hold this attempt's claim.
+    /// Whether the platform is known to store this attempt's claim.
     durable: bool,
-    /// Whether nobody will run it: its ask was given up, or the right was given back.
-    free: bool,
-    /// Changes with each change that has to be written.
+    /// Whether the attempt has released the claim and will not run.
+    released: bool,
+    /// Incremented with each change that has to be written.
     revision: u32,
-    /// Archive that holds it; `None` for the shard's object.
+    /// Name of the archive that stores the claim; `None` for the shard's object.
     archive: Option<String>,
 }
 
-/// A slot as it went into a write.
+/// Identifies the state in which a slot was sent in a write.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct SlotRevision {
     key: KeyDigest,
     attempt: AttemptId,
     revision: u32,
 }
 
+/// A claim request that waits for its verdict.
 #[derive(Clone, Debug)]
-struct Waiting {
+struct WaitingRequest {
     id: WaiterId,
     ask: ClaimRequest,
     since: Instant,
 }
 
+/// The call in flight, with what is needed to apply its result.
 #[derive(Clone, Debug)]
-enum Flight {
+enum InFlight {
     Read,
     ReadArchive(String),
-    Write { sent: Vec<Sent>, gone: Vec<Sent>, archives: Vec<ClaimArchiveRef> },
-    Archive { name: String, obj: AnyObject, newest_ms: WallMs, sent: Vec<Sent> },
+    Write { sent: Vec<SlotRevision>, removed: Vec<SlotRevision>, archives: Vec<ClaimArchiveRef> },
+    Archive { name: String, obj: AnyObject, newest_ms: WallMs, sent: Vec<SlotRevision> },
     Delete,
 }
 
-/// An archive that exists but that the shard's object does not name yet.
+/// An archive that has been created but is not yet referenced by the shard's object.
 #[derive(Clone, Debug)]
-struct Draft {
+struct UnlistedArchive {
     reference: ClaimArchiveRef,
-    sent: Vec<Sent>,
+    sent: Vec<SlotRevision>,
 }
 
-/// Claims of one shard.
+/// Claims of one shard, with their requests and unwritten changes.
 #[derive(Debug)]
 pub struct ShardClaims {
     cfg: ShardClaimsConfig,
     name: String,
     writer: String,
     slots: Map<KeyDigest, Slot>,
-    hot: BTreeSet<KeyDigest>,
+    unarchived: BTreeSet<KeyDigest>,
     dirty: BTreeSet<KeyDigest>,
     dirty_since: Option<Instant>,
-    refused: BTreeMap<AttemptId, Instant>,
-    records: BTreeMap<AttemptId, Record>,
-    waiting: Vec<Waiting>,
+    released_attempts: BTreeMap<AttemptId, Instant>,
+    unmatched_records: BTreeMap<AttemptId, Record>,
+    waiting: Vec<WaitingRequest>,
     base: Option<Shard>,
-    archives: BTreeMap<String, String>,
-    drafts: Vec<Draft>,
-    archived: u64,
-    trash: Vec<AnyObject>,
-    flight: Option<Flight>,
-    want_read: bool,
-    synced: Instant,
+    loaded_archives: BTreeMap<String, String>,
+    unlisted_archives: Vec<UnlistedArchive>,
+    next_archive_number: u64,
+    archives_to_delete: Vec<AnyObject>,
+    in_flight: Option<InFlight>,
+    read_needed: bool,
+    synced_at: Instant,
     last_write: Option<Instant>,
     retry_at: Instant,
     failures: u32,
 }
 
-/// How long an attempt that was given back is remembered, against its own ask arriving late.
-const REFUSED_KEEP: Duration = Duration::from_secs(120);
-/// Calls in a row without an answer after which the platform counts as out.
-const OUTAGE_FAILURES: u32 = 4;
-/// Records that wait for the object to be read.
-const MAX_RECORDS: usize = 1000;
-/// Age of what was last read beyond which an undecided claim of another attempt is read anew.
-const SYNC: Duration = Duration::from_secs(1);
+/// Time for which a released attempt is remembered, so that its own delayed request is not granted.
+const RELEASED_ATTEMPT_RETENTION: Duration = Duration::from_secs(120);
+/// Consecutive failed calls after which a platform outage is assumed.
+const OUTAGE_AFTER_FAILURES: u32 = 4;
+/// Maximum number of records that are held until their claims have been read.
+const MAX_UNMATCHED_RECORDS: usize = 1000;
+/// Age of the last synchronisation above which another attempt's unfinished claim is read again before it is reported.
+const MAX_SYNC_AGE: Duration = Duration::from_secs(1);
 
 impl ShardClaims {
-    /// Book of the shard's object `name`; `writer` is this router's name and start.
+    /// Creates the state for the shard's object `name`; `writer` identifies this router and process.
     pub fn new(name: impl Into<String>, writer: impl Into<String>, cfg: ShardClaimsConfig) -> Self {
         Self {
             cfg,
             name: name.into(),
             writer: writer.into(),
             slots: Map::default(),
-            hot: BTreeSet::new(),
+            unarchived: BTreeSet::new(),
             dirty: BTreeSet::new(),
             dirty_since: None,
-            refused: BTreeMap::new(),
-            records: BTreeMap::new(),
+            released_attempts: BTreeMap::new(),
+            unmatched_records: BTreeMap::new(),
             waiting: Vec::new(),
             base: None,
-            archives: BTreeMap::new(),
-            drafts: Vec::new(),
-            archived: 0,
-            trash: Vec::new(),
-            flight: None,
-            want_read: false,
-            synced: Instant::ZERO,
+            loaded_archives: BTreeMap::new(),
+            unlisted_archives: Vec::new(),
+            next_archive_number: 0,
+            archives_to_delete: Vec::new(),
+            in_flight: None,
+            read_needed: false,
+            synced_at: Instant::ZERO,
             last_write: None,
             retry_at: Instant::ZERO,
             failures: 0,
         }
     }
 
-    /// Asks for a claim; `None` when the verdict comes from [`ShardClaims::handle_result`] or [`ShardClaims::expire`].
+    /// Requests a claim; if it returns `None`, the verdict follows from [`ShardClaims::handle_result`] or [`ShardClaims::expire`].
     pub fn ask(&mut self, clock: Clock, ask: ClaimRequest, id: WaiterId) -> Option<Verdict> {
         if self.waiting.len() >= self.cfg.max_waiting {
             return Some(Verdict::Unavailable);
         }
         let verdict = self.decide(clock, &ask);
         if verdict.is_none() {
-            self.waiting.push(Waiting { id, ask, since: clock.now });
+            self.waiting.push(WaitingRequest { id, ask, since: clock.now });
         }
         verdict
     }
 
-    /// Records what became of a granted attempt. With `authority`, the sender alone may run the key, so that its
-    /// word replaces whatever is there.
+    /// Stores the result of a granted attempt. With `authority`, the sender is the only router that may run the key, so
+    /// its record replaces any existing claim.
     pub fn finish(&mut self, clock: Clock, ask: &ClaimRequest, record: Record, authority: bool) {
         let known = self.slots.get(&ask.key).is_some_and(|s| s.entry.attempt == ask.attempt);
         if !known && !authority {
-            self.keep_record(ask.attempt, record);
+            self.keep_unmatched_record(ask.attempt, record);
             return;
         }
         let at_ms = self.slots.get(&ask.key).map_or(clock.wall_ms, |s| s.entry.at_ms);
@@ -208,64 +210,65 @@
         self.put(clock, ask.key, entry, known);
     }
 
-    /// Takes back the right of an attempt that has not run and never will.
+    /// Releases the claim of an attempt that has not run and never will.
     ///
-    /// The attempt is remembered: its own ask may still arrive, delayed or twice, and would otherwise hold the key
-    /// for nobody.
+    /// The attempt is remembered. Its own request may still arrive, delayed or duplicated, and would otherwise claim
+    /// the key for an attempt that never runs.
     pub fn release(&mut self, clock: Clock, key: KeyDigest, attempt: AttemptId) {
-        self.refused.insert(attempt, clock.now);
-        self.free(clock, key, attempt);
+        self.released_attempts.insert(attempt, clock.now);
+        self.mark_released(clock, key, attempt);
     }
 
-    /// Gives up asks that have waited too long.
+    /// Times out claim requests that have waited too long, and returns their verdicts.
     pub fn expire(&mut self, clock: Clock) -> Vec<(WaiterId, Verdict)> {
-        self.refused.retain(|_, at| clock.now < *at + REFUSED_KEEP);
-        let timeout = self.patience();
+        self.released_attempts.retain(|_, at| clock.now < *at + RELEASED_ATTEMPT_RETENTION);
+        let timeout = self.wait_timeout();
         let (late, waiting) =
             std::mem::take(&mut self.waiting).into_iter().partition(|w| clock.now >= w.since + timeout);
         self.waiting = waiting;
-        let late: Vec<Waiting> = late;
-        late.into_iter().map(|w| (w.id, self.give_up(clock, &w.ask))).collect()
+        let late: Vec<WaitingRequest> = late;
+        late.into_iter().map(|w| (w.id, self.timeout_verdict(clock, &w.ask))).collect()
     }
 
-    /// How long an ask may wait now: a caller whose claim has little chance is told so early.
-    fn patience(&self) -> Duration {
-        if self.failures < OUTAGE_FAILURES { self.cfg.ask_timeout } else { self.cfg.outage_timeout }
+    /// Current limit on the wait of a request: shorter during an outage, when a claim is unlikely to succeed.
+    fn wait_timeout(&self) -> Duration {
+        if self.failures < OUTAGE_AFTER_FAILURES { self.cfg.request_timeout } else { self.cfg.outage_timeout }
     }
 
-    /// Writes records without waiting for company, before a planned stop.
+    /// Writes records without delay from now on, before a planned shutdown.
     pub fn disable_record_delay(&mut self) {
         self.cfg.record_delay = Duration::ZERO;
     }
 
-    /// Whether asks wait or changes have not been written.
+    /// Whether no request waits, no change is unwritten and no call is in flight.
     pub fn is_idle(&self) -> bool {
-        self.waiting.is_empty() && self.dirty.is_empty() && self.flight.is_none()
+        self.waiting.is_empty() && self.dirty.is_empty() && self.in_flight.is_none()
     }
 
-    /// Claims in memory.
+    /// Number of claims in memory.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether no claim is in memory.
+    /// Whether there is no claim in memory.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
+    /// Decides on a request if possible, and inserts its claim if the key is unused; `None` if the request has to wait.
     fn decide(&mut self, clock: Clock, ask: &ClaimRequest) -> Option<Verdict> {
-        if self.refused.contains_key(&ask.attempt) {
+        if self.released_attempts.contains_key(&ask.attempt) {
             return Some(Verdict::Unavailable);
         }
         if let Some(slot) = self.slots.get(&ask.key)
-            && !slot.free
+            && !slot.released
         {
             let mine = slot.entry.attempt == ask.attempt && slot.entry.record.is_none() && !ask.lookup_only;
             if mine {
                 return (slot.durable && self.is_loaded()).then_some(Verdict::Granted);
             }
             if slot.entry.record.is_none() && self.is_stale(clock) {
-                self.want_read = true;
+                self.read_needed = true;
                 return None;
             }
             return Some(slot.entry.verdict(ask.content, clock.wall_ms));
@@ -274,7 +277,7 @@
             return None;
         }
         if ask.lookup_only && self.is_stale(clock) {
-            self.want_read = true;
+            self.read_needed = true;
             return None;
         }
         if ask.lookup_only {
@@ -285,12 +288,12 @@
         None
     }
 
-    /// Verdict on an ask that waited too long. Its claim may be on its way into the object and stays there: only
-    /// the attempt's own router knows that it will not run, and says so by a release. Freeing it here would let
-    /// this router take out a claim that the attempt has meanwhile been granted by way of another router.
-    fn give_up(&self, clock: Clock, ask: &ClaimRequest) -> Verdict {
+    /// Verdict on a request that timed out. Its claim may still be written and then stays stored: only the attempt's own
+    /// router knows that it will not run, and sends a release. Releasing the claim here could remove a claim that
+    /// the attempt has meanwhile been granted through another router.
+    fn timeout_verdict(&self, clock: Clock, ask: &ClaimRequest) -> Verdict {
         match self.slots.get(&ask.key) {
-            Some(slot) if !slot.free && slot.entry.attempt != ask.attempt => {
+            Some(slot) if !slot.released && slot.entry.attempt != ask.attempt => {
                 slot.entry.verdict(ask.content, clock.wall_ms)
             }
             _ if ask.lookup_only => Verdict::Unknown,
@@ -298,31 +301,33 @@
         }
     }
 
-    fn free(&mut self, clock: Clock, key: KeyDigest, attempt: AttemptId) {
+    /// Marks an attempt's claim for removal from the shard's object.
+    fn mark_released(&mut self, clock: Clock, key: KeyDigest, attempt: AttemptId) {
         let Some(slot) = self.slots.get_mut(&key) else { return };
-        // A claim in an archive can't be taken out of it; it stays and reads as unknown later.
+        // A claim can't be removed from an archive; it stays and is reported as unknown later.
         if slot.entry.attempt != attempt || slot.entry.record.is_some() || slot.archive.is_some() {
             return;
         }
-        slot.free = true;
+        slot.released = true;
         slot.revision += 1;
         self.mark_dirty(clock, key);
     }
 
-    /// Keeps a record whose claim is not in memory, as after a change of owner, until the object has been read.
-    fn keep_record(&mut self, attempt: AttemptId, record: Record) {
-        if self.records.len() < MAX_RECORDS {
-            self.records.insert(attempt, record);
-            self.want_read = true;
+    /// Holds a record whose claim is not in memory until the object has been read, as after a change of owner.
+    fn keep_unmatched_record(&mut self, attempt: AttemptId, record: Record) {
+        if self.unmatched_records.len() < MAX_UNMATCHED_RECORDS {
+            self.unmatched_records.insert(attempt, record);
+            self.read_needed = true;
         }
     }
 
+    /// Inserts or replaces a claim and marks it for writing.
     fn put(&mut self, clock: Clock, key: KeyDigest, entry: Entry, durable: bool) {
         let old = self.slots.get(&key);
         let durable = durable && old.is_some_and(|s| s.durable);
         let revision = old.map_or(0, |s| s.revision) + 1;
-        self.slots.insert(key, Slot { entry, durable, free: false, revision, archive: None });
-        self.hot.insert(key);
+        self.slots.insert(key, Slot { entry, durable, released: false, revision, archive: None });
+        self.unarchived.insert(key);
         self.mark_dirty(clock, key);
     }
 
@@ -331,16 +336,20 @@
         self.dirty_since.get_or_insert(clock.now);
     }
 
-    /// Whether memory holds all of the shard as of the version on which the next write is conditional.
+    /// Whether the whole shard is in memory, as of the version that the next write requires.
     fn is_loaded(&self) -> bool {
-        self.base.as_ref().is_some_and(|b| b.archives.iter().all(|a| self.archives.contains_key(&a.name)))
+        self.base
+            .as_ref()
+            .is_some_and(|b| b.archives.iter().all(|a| self.loaded_archives.contains_key(&a.name)))
     }
 
+    /// Whether the shard should be read again before another attempt's unfinished claim is reported.
     fn is_stale(&self, clock: Clock) -> bool {
-        clock.now > self.synced + SYNC && self.failures == 0
+        clock.now > self.synced_at + MAX_SYNC_AGE && self.failures == 0
     }
 
-    fn settle(&mut self, clock: Clock) -> Vec<(WaiterId, Verdict)> {
+    /// Decides on all waiting requests again, and returns the verdicts.
+    fn resolve_waiting(&mut self, clock: Clock) -> Vec<(WaiterId, Verdict)> {
         let waiting = std::mem::take(&mut self.waiting);
         let mut verdicts = Vec::new();
         for w in waiting {
--- a/src/claim/shard_claims/merge.rs
+++ b/src/claim/shard_claims/merge.rs
@@ -1,89 +1,94 @@
-//! Takes in what the platform answered.
+//! Applies the results of calls to the platform.
 
 use super::*;
 
-const BACKOFF: Duration = Duration::from_millis(100);
-const BACKOFF_MAX: Duration = Duration::from_secs(2);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 impl ShardClaims {
-    /// Takes in the result of the call in flight; returns verdicts on asks that waited.
+    /// Applies the result of the call in flight, and returns the verdicts on waiting requests that it decides.
     pub fn handle_result(&mut self, clock: Clock, done: OpResult) -> Vec<(WaiterId, Verdict)> {
-        match (self.flight.take(), done) {
-            (Some(Flight::Read), OpResult::Read(obj)) => self.merge(clock, obj.as_ref()),
-            (Some(Flight::ReadArchive(name)), OpResult::Read(Some(obj))) => self.load(clock, name, &obj),
-            // The archive is gone: another router has dropped it from the shard's object since.
-            (Some(Flight::ReadArchive(_)), OpResult::Read(None)) => self.want_read = true,
-            (Some(Flight::Write { sent, gone, archives }), OpResult::Write(Write::Done(obj))) => {
-                self.committed(clock, &obj, &sent, &gone, archives);
+        match (self.in_flight.take(), done) {
+            (Some(InFlight::Read), OpResult::Read(obj)) => self.merge(clock, obj.as_ref()),
+            (Some(InFlight::ReadArchive(name)), OpResult::Read(Some(obj))) => {
+                self.load_archive(clock, name, &obj)
             }
-            // Another router wrote first. What it wrote comes with the answer.
-            (Some(Flight::Write { .. }), OpResult::Write(Write::Conflict(Some(obj)))) => {
-                // Two writers that both kept to the interval would starve the claims of the slower one.
+            // The archive no longer exists: another router has since removed it from the shard's object.
+            (Some(InFlight::ReadArchive(_)), OpResult::Read(None)) => self.read_needed = true,
+            (Some(InFlight::Write { sent, removed, archives }), OpResult::Write(Write::Done(obj))) => {
+                self.write_committed(clock, &obj, &sent, &removed, archives);
+            }
+            // Another router wrote first. The answer contains its version of the object.
+            (Some(InFlight::Write { .. }), OpResult::Write(Write::Conflict(Some(obj)))) => {
+                // Retry at once: with two writers, waiting for the interval would starve the slower one.
                 self.last_write = None;
                 self.merge(clock, Some(&obj));
             }
-            (Some(Flight::Write { .. }), OpResult::Write(Write::Conflict(None))) => self.want_read = true,
-            // The write may have taken effect, or may still. The object tells: see `merge`.
-            (Some(Flight::Write { .. }), OpResult::Write(Write::Unknown)) => {
-                self.want_read = true;
-                self.fail(clock);
+            (Some(InFlight::Write { .. }), OpResult::Write(Write::Conflict(None))) => self.read_needed = true,
+            // The write may have taken effect or may do so later. Reading the object resolves it, see `merge`.
+            (Some(InFlight::Write { .. }), OpResult::Write(Write::Unknown)) => {
+                self.read_needed = true;
+                self.note_failure(clock);
             }
-            (Some(Flight::Archive { name, newest_ms, sent, .. }), OpResult::Write(Write::Done(obj))) => {
-                self.drafted(clock, name, newest_ms, sent, &obj);
+            (Some(InFlight::Archive { name, newest_ms, sent, .. }), OpResult::Write(Write::Done(obj))) => {
+                self.archive_written(clock, name, newest_ms, sent, &obj);
             }
-            // Our own archive, written by a try whose answer was lost.
+            // This router's own archive, written by an earlier attempt whose answer was lost.
             (
-                Some(Flight::Archive { name, obj, newest_ms, sent }),
+                Some(InFlight::Archive { name, obj, newest_ms, sent }),
                 OpResult::Write(Write::Conflict(Some(now))),
             ) if now.spec == obj.spec => {
-                self.drafted(clock, name, newest_ms, sent, &now);
+                self.archive_written(clock, name, newest_ms, sent, &now);
+            }
+            (Some(InFlight::Archive { .. }), OpResult::Write(Write::Conflict(_))) => {
+                self.next_archive_number += 1
             }
-            (Some(Flight::Archive { .. }), OpResult::Write(Write::Conflict(_))) => self.archived += 1,
-            (Some(Flight::Delete), _) | (None, _) => {}
-            (Some(_), _) => self.fail(clock),
+            (Some(InFlight::Delete), _) | (None, _) => {}
+            (Some(_), _) => self.note_failure(clock),
         }
-        self.settle(clock)
+        self.resolve_waiting(clock)
     }
 
-    fn fail(&mut self, clock: Clock) {
+    /// Counts a failed call and schedules the next one with exponential backoff.
+    fn note_failure(&mut self, clock: Clock) {
         self.failures += 1;
-        let wait = BACKOFF * 2u32.pow(self.failures.min(6) - 1);
-        self.retry_at = clock.now + wait.min(BACKOFF_MAX);
+        let wait = INITIAL_BACKOFF * 2u32.pow(self.failures.min(6) - 1);
+        self.retry_at = clock.now + wait.min(MAX_BACKOFF);
     }
 
-    fn succeed(&mut self, clock: Clock) {
+    fn note_success(&mut self, clock: Clock) {
         self.failures = 0;
-        self.synced = clock.now;
+        self.synced_at = clock.now;
     }
 
-    /// Takes the shard's object for the truth.
+    /// Merges the shard's object into memory; the object is authoritative.
     ///
-    /// This is what resolves a lost answer, a second writer and a writer that was paused: a claim of ours counts as
-    /// held exactly if the object holds our attempt's number, and an attempt of another router that is there
-    /// instead wins. Our next write is conditional on the version that was read, so that a write of ours which is
-    /// still on its way can't take effect after it.
+    /// This resolves lost answers, concurrent writers and writers that were paused. A claim of this router is durable
+    /// exactly if the object contains its attempt's ID; if the object contains another attempt for the key, that one
+    /// wins. The next write requires the version that was read here, so an earlier write that is still in flight
+    /// can't take effect after it.
     fn merge(&mut self, clock: Clock, obj: Option<&AnyObject>) {
         let Ok(mut shard) = Shard::read(obj) else {
-            self.want_read = true;
-            return self.fail(clock);
+            self.read_needed = true;
+            return self.note_failure(clock);
         };
-        self.succeed(clock);
-        self.want_read = false;
-        self.drafts.clear();
-        self.forget_unlisted(&shard);
+        self.note_success(clock);
+        self.read_needed = false;
+        self.unlisted_archives.clear();
+        self.evict_unlisted(&shard);
         for (key, entry) in std::mem::take(&mut shard.entries) {
-            self.take(clock, key, entry);
+            self.merge_entry(clock, key, entry);
         }
         self.base = Some(shard);
         if self.is_loaded() {
-            self.records.clear();
+            self.unmatched_records.clear();
         }
     }
 
-    /// Drops what is neither ours to write nor in an archive that is still listed.
-    fn forget_unlisted(&mut self, shard: &Shard) {
+    /// Removes claims that have no unwritten change and are in no archive that `shard` still lists.
+    fn evict_unlisted(&mut self, shard: &Shard) {
         let listed: BTreeSet<_> = shard.archives.iter().map(|a| a.name.as_str()).collect();
-        self.archives.retain(|name, _| listed.contains(name.as_str()));
+        self.loaded_archives.retain(|name, _| listed.contains(name.as_str()));
         let dirty = &self.dirty;
         self.slots.retain(|key, slot| {
             if slot.archive.as_deref().is_some_and(|a| !listed.contains(a)) {
@@ -92,12 +97,12 @@
             slot.durable = slot.archive.is_some();
             dirty.contains(key) || slot.durable
         });
-        self.hot = self.slots.iter().filter(|(_, s)| s.archive.is_none()).map(|(k, _)| *k).collect();
+        self.unarchived = self.slots.iter().filter(|(_, s)| s.archive.is_none()).map(|(k, _)| *k).collect();
     }
 
-    /// Takes in one claim of the shard's object.
-    fn take(&mut self, clock: Clock, key: KeyDigest, entry: Entry) {
-        self.hot.insert(key);
+    /// Merges one claim of the shard's object.
+    fn merge_entry(&mut self, clock: Clock, key: KeyDigest, entry: Entry) {
+        self.unarchived.insert(key);
         let attempt = entry.attempt;
         match self.slots.get_mut(&key) {
             Some(slot) if slot.entry.attempt == attempt => {
@@ -105,56 +110,60 @@
                 slot.durable = true;
                 if entry.record.is_some() && slot.entry.record.is_none() {
                     slot.entry = entry;
-                    slot.free = false;
+                    slot.released = false;
                 }
             }
-            // The object has another attempt: ours was never in it, or was given back.
+            // The object has another attempt: the one in memory was never stored, or was released.
             other => {
                 let revision = other.map_or(0, |s| s.revision + 1);
-                self.slots.insert(key, Slot { entry, durable: true, free: false, revision, archive: None });
-                self.clean(key);
+                self.slots
+                    .insert(key, Slot { entry, durable: true, released: false, revision, archive: None });
+                self.clear_dirty(key);
             }
         }
-        if self.refused.contains_key(&attempt) {
-            self.free(clock, key, attempt);
+        if self.released_attempts.contains_key(&attempt) {
+            self.mark_released(clock, key, attempt);
         }
-        if let Some(record) = self.records.remove(&attempt) {
-            self.record(clock, key, record);
+        if let Some(record) = self.unmatched_records.remove(&attempt) {
+            self.set_record(clock, key, record);
         }
     }
 
-    fn record(&mut self, clock: Clock, key: KeyDigest, record: Record) {
+    /// Sets the record of a claim that has none yet, and marks it for writing.
+    fn set_record(&mut self, clock: Clock, key: KeyDigest, record: Record) {
         let Some(slot) = self.slots.get_mut(&key) else { return };
         if slot.entry.record.is_none() {
             slot.entry.record = Some(record);
             slot.revision += 1;
             slot.archive = None;
-            self.hot.insert(key);
+            self.unarchived.insert(key);
             self.mark_dirty(clock, key);
         }
     }
 
-    fn clean(&mut self, key: KeyDigest) {
+    /// Drops the unwritten change of a claim.
+    fn clear_dirty(&mut self, key: KeyDigest) {
         self.dirty.remove(&key);
         if self.dirty.is_empty() {
             self.dirty_since = None;
         }
     }
 
-    fn load(&mut self, clock: Clock, name: String, obj: &AnyObject) {
-        let Ok(entries) = shard::read_archive(obj) else { return self.fail(clock) };
-        self.succeed(clock);
+    /// Merges the claims of an archive that was read.
+    fn load_archive(&mut self, clock: Clock, name: String, obj: &AnyObject) {
+        let Ok(entries) = shard::read_archive(obj) else { return self.note_failure(clock) };
+        self.note_success(clock);
         for (key, entry) in entries {
-            self.take_archived(&name, key, entry);
+            self.merge_archived_entry(&name, key, entry);
         }
-        self.archives.insert(name, obj.metadata.resource_version.clone());
+        self.loaded_archives.insert(name, obj.metadata.resource_version.clone());
         if self.is_loaded() {
-            self.records.clear();
+            self.unmatched_records.clear();
         }
     }
 
-    /// Takes in one claim of an archive; what the shard's object says of the same key is newer.
-    fn take_archived(&mut self, name: &str, key: KeyDigest, entry: Entry) {
+    /// Merges one claim of an archive; a claim of the same key in the shard's object is newer and wins.
+    fn merge_archived_entry(&mut self, name: &str, key: KeyDigest, entry: Entry) {
         let attempt = entry.attempt;
         let archive = Some(name.to_owned());
         match self.slots.get_mut(&key) {
@@ -163,55 +172,57 @@
                     slot.entry.record = entry.record;
                 }
                 slot.durable = true;
-                slot.free = false;
+                slot.released = false;
             }
-            // A claim that waits here for its first write, though the archive holds the key.
+            // A claim that has not been written yet, on a key that is already claimed in the archive.
             Some(slot) if !slot.durable => {
                 let revision = slot.revision + 1;
-                *slot = Slot { entry, durable: true, free: false, revision, archive };
-                self.hot.remove(&key);
-                self.clean(key);
+                *slot = Slot { entry, durable: true, released: false, revision, archive };
+                self.unarchived.remove(&key);
+                self.clear_dirty(key);
             }
             Some(_) => {}
             None => {
-                self.slots.insert(key, Slot { entry, durable: true, free: false, revision: 0, archive });
+                self.slots.insert(key, Slot { entry, durable: true, released: false, revision: 0, archive });
             }
         }
-        // The claim moved to the archive while its record was on its way here.
-        if let Some(record) = self.records.remove(&attempt)
+        // The claim moved to the archive before its record arrived here.
+        if let Some(record) = self.unmatched_records.remove(&attempt)
             && let Some(slot) = self.slots.get_mut(&key)
         {
             slot.entry.record.get_or_insert(record);
         }
     }
 
-    fn committed(
+    /// Applies a successful write of the shard's object.
+    fn write_committed(
         &mut self,
         clock: Clock,
         obj: &AnyObject,
-        sent: &[Sent],
-        gone: &[Sent],
+        sent: &[SlotRevision],
+        removed: &[SlotRevision],
         archives: Vec<ClaimArchiveRef>,
     ) {
-        self.succeed(clock);
-        for draft in std::mem::take(&mut self.drafts) {
-            draft.sent.iter().for_each(|s| self.written(s));
+        self.note_success(clock);
+        for draft in std::mem::take(&mut self.unlisted_archives) {
+            draft.sent.iter().for_each(|s| self.mark_durable(s));
         }
-        sent.iter().for_each(|s| self.written(s));
-        for s in gone {
+        sent.iter().for_each(|s| self.mark_durable(s));
+        for s in removed {
             if self.slots.get(&s.key).is_some_and(|slot| slot.revision == s.revision) {
                 self.slots.remove(&s.key);
-                self.hot.remove(&s.key);
+                self.unarchived.remove(&s.key);
                 self.dirty.remove(&s.key);
             }
         }
-        self.drop_archives(&archives);
+        self.drop_unlisted_archives(&archives);
         let version = obj.metadata.resource_version.clone();
         self.base = Some(Shard { version, entries: Vec::new(), archives });
         self.dirty_since = (!self.dirty.is_empty()).then_some(clock.now);
     }
 
-    fn written(&mut self, sent: &Sent) {
+    /// Marks a claim as stored, and as clean if it has not changed since it was sent.
+    fn mark_durable(&mut self, sent: &SlotRevision) {
         let Some(slot) = self.slots.get_mut(&sent.key) else { return };
         if slot.entry.attempt != sent.attempt {
             return;
@@ -222,31 +233,40 @@
         }
     }
 
-    fn drafted(&mut self, clock: Clock, name: String, newest_ms: WallMs, sent: Vec<Sent>, obj: &AnyObject) {
+    /// Applies the successful creation of an archive; the next write of the shard's object references it.
+    fn archive_written(
+        &mut self,
+        clock: Clock,
+        name: String,
+        newest_ms: WallMs,
+        sent: Vec<SlotRevision>,
+        obj: &AnyObject,
+    ) {
         self.failures = 0;
-        self.archived += 1;
+        self.next_archive_number += 1;
         for s in &sent {
             if let Some(slot) = self.slots.get_mut(&s.key)
                 && slot.revision == s.revision
             {
                 slot.archive = Some(name.clone());
-                self.hot.remove(&s.key);
+                self.unarchived.remove(&s.key);
             }
         }
-        self.archives.insert(name.clone(), obj.metadata.resource_version.clone());
-        self.drafts.push(Draft { reference: ClaimArchiveRef { name, newest_ms }, sent });
+        self.loaded_archives.insert(name.clone(), obj.metadata.resource_version.clone());
+        self.unlisted_archives.push(UnlistedArchive { reference: ClaimArchiveRef { name, newest_ms }, sent });
         self.dirty_since.get_or_insert(clock.now);
     }
 
-    /// Forgets archives that the shard's object no longer names, and has them deleted.
-    fn drop_archives(&mut self, kept: &[ClaimArchiveRef]) {
+    /// Removes archives that the shard's object no longer references from memory, and schedules their deletion.
+    fn drop_unlisted_archives(&mut self, kept: &[ClaimArchiveRef]) {
         let listed: BTreeSet<_> = kept.iter().map(|a| a.name.as_str()).collect();
-        let gone: Vec<_> = self.archives.keys().filter(|n| !listed.contains(n.as_str())).cloned().collect();
-        for name in gone {
+        let removed: Vec<_> =
+            self.loaded_archives.keys().filter(|n| !listed.contains(n.as_str())).cloned().collect();
+        for name in removed {
             self.slots.retain(|_, slot| slot.archive.as_ref() != Some(&name));
-            let mut obj = shard::archive(&name, &[]);
-            obj.metadata.resource_version = self.archives.remove(&name).unwrap_or_default();
-            self.trash.push(obj);
+            let mut obj = shard::archive_object(&name, &[]);
+            obj.metadata.resource_version = self.loaded_archives.remove(&name).unwrap_or_default();
+            self.archives_to_delete.push(obj);
         }
     }
 }
--- a/src/claim/ticket_claims.rs
+++ b/src/claim/ticket_claims.rs
@@ -1,27 +1,27 @@
-//! Claims under this router's own tickets: this start of this router alone decides on them.
+//! Claims under this process's own tickets, on which this process alone decides.
 //!
-//! A key that names this start and is not in this memory has run nowhere, since no other router ever grants it.
-//! The claim is still recorded in the key's shard before it is granted, so that its record outlives the router;
-//! only when that fails is it granted from memory.
+//! A key that names this process and is not in its memory has not run anywhere, because no other router ever grants it.
+//! The claim is still stored in the key's shard before it is granted, so that it survives the router. Only if
+//! that fails is it granted from memory.
 
 use std::time::Duration;
 
 use super::{AttemptId, ClaimRequest, Clock, Entry, KeyDigest, Record, Verdict};
 use crate::util::{Instant, Map};
 
-/// Claims that are kept at most.
-const MAX: usize = 200_000;
-/// How long a claim is kept after its ticket has run out; later asks go to the shard.
-const KEEP: Duration = Duration::from_secs(3600);
+/// Upper bound on the claims in memory; above it new keys are answered as unavailable.
+const MAX_CLAIMS: usize = 200_000;
+/// Time for which a claim stays in memory after its ticket has expired; later requests go to the shard.
+const RETENTION_AFTER_EXPIRY: Duration = Duration::from_secs(3600);
 
-/// What to do with an ask.
+/// Next step in answering a claim request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Answer it.
+    /// Return the verdict.
     Answer(Verdict),
-    /// Have the claim recorded in its shard, then call [`TicketClaims::apply_shard_verdict`].
+    /// Store the claim in its shard, then call [`TicketClaims::apply_shard_verdict`].
     Record,
-    /// The ticket has run out and the key is not in memory: look in the shard; it is granted no more.
+    /// Look the key up in its shard without granting it: the ticket has expired and the key is not in memory.
     Lookup,
 }
 
@@ -29,51 +29,51 @@
 struct Slot {
     entry: Entry,
     granted: bool,
-    since: Instant,
+    inserted_at: Instant,
 }
 
-/// Claims under the tickets of one start of a router.
+/// Claims under the tickets of one process of a router.
 #[derive(Debug, Default)]
 pub struct TicketClaims {
-    slots: Map<KeyDigest, Slot>,
-    refused: Map<AttemptId, Instant>,
+    claims: Map<KeyDigest, Slot>,
+    released: Map<AttemptId, Instant>,
     from_memory: u64,
     closed: bool,
 }
 
 impl TicketClaims {
-    /// Asks for a claim; `fresh` tells whether its ticket may still start new keys.
-    pub fn ask(&mut self, clock: Clock, ask: &ClaimRequest, fresh: bool) -> Step {
-        if self.refused.contains_key(&ask.attempt) {
+    /// Handles a claim request; `accepts_new_keys` says whether the key's ticket still accepts new keys.
+    pub fn ask(&mut self, clock: Clock, ask: &ClaimRequest, accepts_new_keys: bool) -> Step {
+        if self.released.contains_key(&ask.attempt) {
             return Step::Answer(Verdict::Unavailable);
         }
-        match self.slots.get(&ask.key) {
+        match self.claims.get(&ask.key) {
             Some(slot) if slot.entry.attempt == ask.attempt && slot.entry.record.is_none() => {
                 if slot.granted { Step::Answer(Verdict::Granted) } else { Step::Record }
             }
             Some(slot) => Step::Answer(slot.entry.verdict(ask.content, clock.wall_ms)),
-            None if !fresh => Step::Lookup,
-            None if self.slots.len() >= MAX => Step::Answer(Verdict::Unavailable),
+            None if !accepts_new_keys => Step::Lookup,
+            None if self.claims.len() >= MAX_CLAIMS => Step::Answer(Verdict::Unavailable),
             None => {
                 let entry =
                     Entry { content: ask.content, attempt: ask.attempt, at_ms: clock.wall_ms, record: None };
-                self.slots.insert(ask.key, Slot { entry, granted: false, since: clock.now });
+                self.claims.insert(ask.key, Slot { entry, granted: false, inserted_at: clock.now });
                 Step::Record
             }
         }
     }
 
-    /// Verdict after the shard was asked to record the claim and said `shard`: a claim that could not be recorded is
-    /// granted from memory, because no other router can have granted the key or ever will.
-    pub fn apply_shard_verdict(&mut self, ask: &ClaimRequest, shard: Verdict) -> Verdict {
-        let Some(slot) = self.slots.get_mut(&ask.key) else { return Verdict::Unavailable };
+    /// Decides on a claim after its shard has answered with `shard_verdict`. A claim that could not be stored is granted
+    /// from memory, unless this process is closed: no other router has granted the key or ever will.
+    pub fn apply_shard_verdict(&mut self, ask: &ClaimRequest, shard_verdict: Verdict) -> Verdict {
+        let Some(slot) = self.claims.get_mut(&ask.key) else { return Verdict::Unavailable };
         if slot.entry.attempt != ask.attempt || slot.entry.record.is_some() {
             return Verdict::Unavailable;
         }
-        if shard != Verdict::Granted {
+        if shard_verdict != Verdict::Granted {
             if self.closed {
-                self.slots.remove(&ask.key);
-                return shard;
+                self.claims.remove(&ask.key);
+                return shard_verdict;
             }
             self.from_memory += 1;
         }
@@ -81,39 +81,39 @@
         Verdict::Granted
     }
 
-    /// Stops granting from memory, before a planned stop. Returns whether this start never did: then each key that it
-    /// granted is in its shard, and any router may decide on its tickets' keys as on callers' own.
+    /// Stops granting from memory, before a planned shutdown. Returns whether this process never did: then each key that
+    /// it granted is stored in its shard, and any router may decide on its tickets' keys as on any other key.
     pub fn close(&mut self) -> bool {
         self.closed = true;
         self.from_memory == 0
     }
 
-    /// Claims granted from memory so far.
+    /// Number of claims granted from memory so far.
     pub fn from_memory(&self) -> u64 {
         self.from_memory
     }
 
-    /// Keeps what became of a granted attempt.
+    /// Stores the result of a granted attempt.
     pub fn finish(&mut self, key: KeyDigest, attempt: AttemptId, record: Record) {
-        if let Some(slot) = self.slots.get_mut(&key)
+        if let Some(slot) = self.claims.get_mut(&key)
             && slot.entry.attempt == attempt
         {
             slot.entry.record = Some(record);
         }
     }
 
-    /// Takes back the right of an attempt that has not run and never will.
+    /// Releases the claim of an attempt that has not run and never will.
     pub fn release(&mut self, clock: Clock, key: KeyDigest, attempt: AttemptId) {
-        self.refused.insert(attempt, clock.now);
-        if self.slots.get(&key).is_some_and(|s| s.entry.attempt == attempt && s.entry.record.is_none()) {
-            self.slots.remove(&key);
+        self.released.insert(attempt, clock.now);
+        if self.claims.get(&key).is_some_and(|s| s.entry.attempt == attempt && s.entry.record.is_none()) {
+            self.claims.remove(&key);
         }
     }
 
-    /// Removes claims whose tickets ran out long ago.
+    /// Removes claims whose tickets expired more than [`RETENTION_AFTER_EXPIRY`] ago.
     pub fn evict_expired(&mut self, clock: Clock) {
-        let keep = super::ticket::TICKET_LIFETIME + KEEP;
-        self.slots.retain(|_, slot| clock.now < slot.since + keep);
-        self.refused.retain(|_, at| clock.now < *at + keep);
+        let retention = super::ticket::TICKET_LIFETIME + RETENTION_AFTER_EXPIRY;
+        self.claims.retain(|_, slot| clock.now < slot.inserted_at + retention);
+        self.released.retain(|_, at| clock.now < *at + retention);
     }
 }
