--- a/benches/claims/store.rs
+++ b/benches/claims/store.rs
@@ -59,7 +59,7 @@
         if self.weak == Weak::ClaimsRunOut
             && kind == SHARD_KIND
             && let Some(o) = &mut obj
-            && let Ok(mut shard) = Shard::read(Some(o))
+            && let Ok(mut shard) = Shard::from_object(Some(o))
         {
             let oldest = WALL + self.now.saturating_sub(RUN_OUT_MS);
             shard.entries.retain(|(_, e)| e.record.is_some() || e.at_ms > oldest);
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -366,7 +366,7 @@
         let mut keys = BTreeMap::new();
         for ((kind, _), obj) in &self.objects {
             let entries = if kind == SHARD_KIND {
-                Shard::read(Some(obj)).map(|s| s.entries)
+                Shard::from_object(Some(obj)).map(|s| s.entries)
             } else {
                 read_archive(obj)
             };
--- a/src/claim/shard.rs
+++ b/src/claim/shard.rs
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// If the object can't be decoded.
-    pub fn read(obj: Option<&AnyObject>) -> Result<Self, Malformed> {
+    pub fn from_object(obj: Option<&AnyObject>) -> Result<Self, Malformed> {
         let Some(obj) = obj else { return Ok(Self::default()) };
         let spec: ClaimShard = serde_json::from_value(obj.spec.clone()).map_err(|_| Malformed)?;
         Ok(Self {
--- a/src/claim/shard_claims/merge.rs
+++ b/src/claim/shard_claims/merge.rs
@@ -68,7 +68,7 @@
     /// wins. The next write requires the version that was read here, so an earlier write that is still in flight
     /// can't take effect after it.
     fn merge(&mut self, clock: Clock, obj: Option<&AnyObject>) {
-        let Ok(mut shard) = Shard::read(obj) else {
+        let Ok(mut shard) = Shard::from_object(obj) else {
             self.read_needed = true;
             return self.note_failure(clock);
         };
