--- a/benches/claims/store.rs
+++ b/benches/claims/store.rs
@@ -63,7 +63,7 @@
         {
             let oldest = WALL + self.now.saturating_sub(RUN_OUT_MS);
             shard.entries.retain(|(_, e)| e.record.is_some() || e.at_ms > oldest);
-            *o = shard.object(name, "");
+            *o = shard.to_object(name, "");
         }
         OpResult::Read(obj)
     }
--- a/src/claim/shard.rs
+++ b/src/claim/shard.rs
@@ -46,7 +46,7 @@
     }
 
     /// Encodes the object to write.
-    pub fn object(&self, name: &str, writer: &str) -> AnyObject {
+    pub fn to_object(&self, name: &str, writer: &str) -> AnyObject {
         let spec = ClaimShard {
             writer: writer.to_owned(),
             entries: encode_entries(&self.entries),
--- a/src/claim/shard_claims/plan.rs
+++ b/src/claim/shard_claims/plan.rs
@@ -89,7 +89,7 @@
         archives.extend(self.unlisted_archives.iter().map(|d| d.reference.clone()));
         let version = base.map(|b| b.version.clone()).unwrap_or_default();
         let shard = Shard { version, entries: self.entries(&sent), archives: archives.clone() };
-        let obj = shard.object(&self.name, &self.writer);
+        let obj = shard.to_object(&self.name, &self.writer);
         self.start_call(InFlight::Write { sent, removed, archives }, Op::Write(obj))
     }
 
