--- a/src/claim/shard_claims.rs
+++ b/src/claim/shard_claims.rs
@@ -200,14 +200,14 @@
     /// Stores the result of a granted attempt. With `authority`, the sender is the only router that may run the key, so
     /// its record replaces any existing claim.
     pub fn finish(&mut self, clock: Clock, ask: &ClaimRequest, record: Record, authority: bool) {
-        let known = self.slots.get(&ask.key).is_some_and(|s| s.entry.attempt == ask.attempt);
-        if !known && !authority {
+        let is_current = self.slots.get(&ask.key).is_some_and(|s| s.entry.attempt == ask.attempt);
+        if !is_current && !authority {
             self.keep_unmatched_record(ask.attempt, record);
             return;
         }
         let at_ms = self.slots.get(&ask.key).map_or(clock.wall_ms, |s| s.entry.at_ms);
         let entry = Entry { content: ask.content, attempt: ask.attempt, at_ms, record: Some(record) };
-        self.put(clock, ask.key, entry, known);
+        self.put(clock, ask.key, entry, is_current);
     }
 
     /// Releases the claim of an attempt that has not run and never will.
@@ -223,11 +223,11 @@
     pub fn expire(&mut self, clock: Clock) -> Vec<(WaiterId, Verdict)> {
         self.released_attempts.retain(|_, at| clock.now < *at + RELEASED_ATTEMPT_RETENTION);
         let timeout = self.wait_timeout();
-        let (late, waiting) =
+        let (expired, waiting) =
             std::mem::take(&mut self.waiting).into_iter().partition(|w| clock.now >= w.since + timeout);
         self.waiting = waiting;
-        let late: Vec<WaitingRequest> = late;
-        late.into_iter().map(|w| (w.id, self.timeout_verdict(clock, &w.ask))).collect()
+        let expired: Vec<WaitingRequest> = expired;
+        expired.into_iter().map(|w| (w.id, self.timeout_verdict(clock, &w.ask))).collect()
     }
 
     /// Current limit on the wait of a request: shorter during an outage, when a claim is unlikely to succeed.
@@ -263,8 +263,8 @@
         if let Some(slot) = self.slots.get(&ask.key)
             && !slot.released
         {
-            let mine = slot.entry.attempt == ask.attempt && slot.entry.record.is_none() && !ask.lookup_only;
-            if mine {
+            let is_own = slot.entry.attempt == ask.attempt && slot.entry.record.is_none() && !ask.lookup_only;
+            if is_own {
                 return (slot.durable && self.is_loaded()).then_some(Verdict::Granted);
             }
             if slot.entry.record.is_none() && self.is_stale(clock) {
--- a/src/claim/shard_claims/merge.rs
+++ b/src/claim/shard_claims/merge.rs
@@ -7,8 +7,8 @@
 
 impl ShardClaims {
     /// Applies the result of the call in flight, and returns the verdicts on waiting requests that it decides.
-    pub fn handle_result(&mut self, clock: Clock, done: OpResult) -> Vec<(WaiterId, Verdict)> {
-        match (self.in_flight.take(), done) {
+    pub fn handle_result(&mut self, clock: Clock, result: OpResult) -> Vec<(WaiterId, Verdict)> {
+        match (self.in_flight.take(), result) {
             (Some(InFlight::Read), OpResult::Read(obj)) => self.merge(clock, obj.as_ref()),
             (Some(InFlight::ReadArchive(name)), OpResult::Read(Some(obj))) => {
                 self.load_archive(clock, name, &obj)
