--- a/src/order.rs
+++ b/src/order.rs
@@ -1,14 +1,14 @@
-//! Orders to engines: each pool's stated models, adapters and role are brought about by one holder of the pool's lease.
+//! Orders to engines: the holder of a pool's lease brings its engines to the pool's desired models, adapters and role.
 //!
-//! Level-triggered: the holder compares what the pool states with what each engine reports and sends the difference
-//! until the report agrees. No order counts as done because it was sent. [`Planner`] decides, [`Guard`] lets an order
-//! out only while the lease certainly holds.
+//! Reconciliation is level-triggered: the holder compares the desired state with the state that each engine reports and
+//! sends orders until they agree. An order is complete only when the engine's report shows it, not when it was sent.
+//! [`Planner`] chooses the orders; [`LeaseGuard`] lets an order be sent only while the lease is certainly held.
 
 mod guard;
 mod planner;
 pub mod pools;
 mod run;
 
-pub use guard::{Guard, ORDER_TIME, Sealed};
-pub use planner::{Command, Intent, Planner, Report};
+pub use guard::{FencedOrder, LeaseGuard, ORDER_TIMEOUT};
+pub use planner::{DesiredState, EngineOrder, Planner, ReportedState};
 pub(crate) use run::Orders;
--- a/src/order/guard.rs
+++ b/src/order/guard.rs
@@ -1,29 +1,29 @@
-//! Lets an order out only while its sender certainly holds the pool's lease.
+//! Lets an order be sent only while its sender certainly holds the pool's lease.
 
 use std::time::Duration;
 
-use super::Command;
+use super::EngineOrder;
 use crate::{
     lease::{Fencing, Held},
     util::Instant,
 };
 
-/// Time limit of an order: its sender closes the connection when it has passed.
-pub const ORDER_TIME: Duration = Duration::from_secs(3);
-/// Time that a process may be paused between the check of the lease and the send.
-const MARGIN: Duration = Duration::from_secs(2);
+/// Timeout of an order, after which its sender closes the connection.
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Tolerated pause of the process between the check of the lease and the send.
+const MAX_PAUSE: Duration = Duration::from_secs(2);
 
-/// An order that may be sent now, with the fencing number to send.
+/// An order that may be sent now, with its fencing number.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sealed {
-    command: Command,
+pub struct FencedOrder {
+    order: EngineOrder,
     fencing: Fencing,
 }
 
-impl Sealed {
+impl FencedOrder {
     /// The order.
-    pub fn command(&self) -> &Command {
-        &self.command
+    pub fn engine_order(&self) -> &EngineOrder {
+        &self.order
     }
 
     /// The fencing number.
@@ -32,33 +32,34 @@
     }
 }
 
-/// Rules for the engines of one pool.
+/// Checks the lease before an order is sent to an engine of one pool.
 #[derive(Clone, Copy, Debug)]
-pub struct Guard {
+pub struct LeaseGuard {
     checks_fencing: bool,
 }
 
-impl Guard {
-    /// Rules for engines that refuse an order with an old fencing number, or that ignore the number.
+impl LeaseGuard {
+    /// Creates the guard; `checks_fencing` says whether the engines refuse orders with an old fencing number.
     pub fn new(checks_fencing: bool) -> Self {
         Self { checks_fencing }
     }
 
-    /// Checks the lease at the last moment before the send; the order is refused when the lease may run out.
+    /// Checks the lease immediately before the send and attaches the fencing number; `None` if the lease might expire
+    /// too early.
     ///
-    /// Guards against a holder that was paused past its lease and acts as it wakes up. An engine that checks fencing
-    /// numbers refuses the order once the new holder's first order has arrived. For the others the old holder must not
-    /// send at all: an order is let out only if the lease outlasts the order's own time limit and a pause of
-    /// [`MARGIN`], and a new holder waits as long again before its first order.
+    /// This protects against a holder that is paused past the end of its lease and then continues. An engine that checks
+    /// fencing numbers refuses its order once the new holder's first order has arrived. Other engines accept any
+    /// order, so the old holder must not send one: the lease has to outlast the order's timeout plus a pause of
+    /// [`MAX_PAUSE`], and a new holder waits for the same time before its first order.
     ///
-    /// What stays possible with engines that ignore the number: a process that is paused for longer than the margin
-    /// between this check and the send, or an order that stays in a socket buffer or in the engine's own queue for
-    /// longer than its time limit, takes effect late. The holder sees the engine's report differ and orders again.
-    pub fn seal(&self, now: Instant, held: &mut Held, command: Command) -> Option<Sealed> {
-        if !self.checks_fencing && now < held.acquired() + ORDER_TIME + MARGIN {
+    /// With engines that ignore the fencing number an order can still take effect late: if the process is paused for
+    /// longer than [`MAX_PAUSE`] between this check and the send, or if the order stays in a socket buffer or in
+    /// the engine's queue for longer than its timeout. The holder then sees the report diverge and sends a new order.
+    pub fn fence(&self, now: Instant, held: &mut Held, order: EngineOrder) -> Option<FencedOrder> {
+        if !self.checks_fencing && now < held.acquired() + ORDER_TIMEOUT + MAX_PAUSE {
             return None;
         }
-        let fencing = held.check(now, ORDER_TIME + MARGIN)?;
-        Some(Sealed { command, fencing })
+        let fencing = held.check(now, ORDER_TIMEOUT + MAX_PAUSE)?;
+        Some(FencedOrder { order, fencing })
     }
 }
--- a/src/order/planner.rs
+++ b/src/order/planner.rs
@@ -1,4 +1,4 @@
-//! Decides which order each engine of a pool gets next.
+//! Chooses the next order for each engine of a pool.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -10,40 +10,40 @@
     util::{Instant, Map},
 };
 
-/// Longest time in which an engine is expected to bring an order about before it is sent again.
-const SETTLE: Duration = Duration::from_secs(60);
-const RETRY: Duration = Duration::from_secs(2);
-const RETRY_MAX: Duration = Duration::from_secs(120);
-/// At most this share of a pool's engines changes at once.
-const CHANGING_SHARE: usize = 4;
-/// A report older than this proves nothing.
-const FRESH: Duration = Duration::from_secs(30);
+/// Time for an engine to apply an order before it is sent again.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
+const INITIAL_BACKOFF: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(120);
+/// At most one in this many engines of a pool has an order in progress at once, rounded up.
+const CHANGING_ENGINES_DIVISOR: usize = 4;
+/// Age above which a report is ignored.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(30);
 
 type Names = BTreeSet<Arc<str>>;
 
-/// What a pool states.
+/// State that a pool's specification asks for.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Intent {
-    /// Models, with their versions, that each engine shall hold; empty leaves them as they are.
+pub struct DesiredState {
+    /// Models, with their versions, that each engine should have loaded; empty leaves them unchanged.
     pub models: Names,
-    /// Adapters that each engine shall hold; empty leaves them as they are.
+    /// Adapters that each engine should have loaded; empty leaves them unchanged.
     pub adapters: Names,
-    /// Role that each engine shall have; empty leaves it as it is.
+    /// Role that each engine should have; empty leaves it unchanged.
     pub role: Arc<str>,
 }
 
-/// What an engine reports.
+/// State that an engine reports.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Report {
-    /// Models that are loaded.
+pub struct ReportedState {
+    /// Loaded models.
     pub models: Names,
-    /// Adapters that are loaded.
+    /// Loaded adapters.
     pub adapters: Names,
     /// Role.
     pub role: Arc<str>,
 }
 
-impl From<&Load> for Report {
+impl From<&Load> for ReportedState {
     fn from(load: &Load) -> Self {
         let names = |list: &[String]| list.iter().map(|s| s.as_str().into()).collect();
         Self { models: names(&load.models), adapters: names(&load.adapters), role: load.role.as_str().into() }
@@ -52,56 +52,61 @@
 
 /// An order for one engine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Command {
-    /// Engine that shall get it.
+pub struct EngineOrder {
+    /// Name of the engine.
     pub engine: Arc<str>,
-    /// State that the engine shall have.
+    /// State that the engine should have after this order.
     pub order: Order,
 }
 
 #[derive(Debug)]
 struct Engine {
-    report: Option<(Instant, Report)>,
-    /// Order under way, until when its effect is waited for.
+    report: Option<(Instant, ReportedState)>,
+    /// Order in progress, and the time until which its effect is awaited.
     pending: Option<(Order, Instant)>,
-    next: Instant,
+    next_order_at: Instant,
     backoff: Backoff,
 }
 
 impl Engine {
     fn new() -> Self {
-        Self { report: None, pending: None, next: Instant::ZERO, backoff: Backoff::new(RETRY, RETRY_MAX) }
+        Self {
+            report: None,
+            pending: None,
+            next_order_at: Instant::ZERO,
+            backoff: Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF),
+        }
     }
 }
 
-/// Orders of one pool.
+/// Reconciles the engines of one pool with its desired state.
 #[derive(Debug)]
 pub struct Planner {
-    intent: Intent,
+    desired: DesiredState,
     engines: Map<Arc<str>, Engine>,
-    loads: Bucket,
+    load_rate: Bucket,
 }
 
 impl Planner {
-    /// Planner whose engines load at most `loads_per_minute` models and adapters from the weight store.
+    /// Creates a planner whose engines load at most `loads_per_minute` models and adapters from the weight store.
     pub fn new(loads_per_minute: f64) -> Self {
         Self {
-            intent: Intent::default(),
+            desired: DesiredState::default(),
             engines: Map::default(),
-            loads: Bucket::new(loads_per_minute / 60.0, 1.0),
+            load_rate: Bucket::new(loads_per_minute / 60.0, 1.0),
         }
     }
 
-    /// Sets what the pool states and its engines.
-    pub fn set_intent(&mut self, intent: Intent, engines: impl IntoIterator<Item = Arc<str>>) {
-        if intent != self.intent {
-            // What is under way is for the old intent; its effect is not waited for.
+    /// Sets the desired state and the engines of the pool.
+    pub fn set_desired(&mut self, desired: DesiredState, engines: impl IntoIterator<Item = Arc<str>>) {
+        if desired != self.desired {
+            // Orders in progress are for the old state; their effect is not awaited.
             for engine in self.engines.values_mut() {
                 engine.pending = None;
-                engine.next = Instant::ZERO;
+                engine.next_order_at = Instant::ZERO;
                 engine.backoff.reset();
             }
-            self.intent = intent;
+            self.desired = desired;
         }
         let mut old = std::mem::take(&mut self.engines);
         self.engines = engines
@@ -110,137 +115,143 @@
             .collect();
     }
 
-    /// Sets the share of the weight store's rate.
-    pub fn set_rate(&mut self, now: Instant, loads_per_minute: f64) {
-        self.loads.set_rate(now, loads_per_minute / 60.0, 1.0);
+    /// Sets this pool's share of the weight store's load rate.
+    pub fn set_load_rate(&mut self, now: Instant, loads_per_minute: f64) {
+        self.load_rate.set_rate(now, loads_per_minute / 60.0, 1.0);
     }
 
-    /// Notes what an engine reports.
-    pub fn report(&mut self, now: Instant, name: &str, report: Report) {
+    /// Applies an engine's report.
+    pub fn observe(&mut self, now: Instant, name: &str, report: ReportedState) {
         let Some(engine) = self.engines.get_mut(name) else { return };
-        let settled = engine.pending.as_ref().is_some_and(|(order, _)| reached(order, &report));
-        if settled {
+        let converged = engine.pending.as_ref().is_some_and(|(order, _)| is_converged(order, &report));
+        if converged {
             engine.pending = None;
-            engine.next = now;
+            engine.next_order_at = now;
             engine.backoff.reset();
         }
         engine.report = Some((now, report));
     }
 
-    /// Engines that do not yet report what the pool states, or don't report.
-    pub fn behind(&self, now: Instant) -> Vec<Arc<str>> {
-        let differs = |e: &Engine| e.fresh(now).is_none_or(|r| next_order(&self.intent, r).is_some());
+    /// Names of the engines that do not report the desired state or have no current report.
+    pub fn diverged(&self, now: Instant) -> Vec<Arc<str>> {
+        let differs =
+            |e: &Engine| e.current_report(now).is_none_or(|r| next_order(&self.desired, r).is_some());
         let mut names: Vec<_> =
             self.engines.iter().filter(|(_, e)| differs(e)).map(|(n, _)| n.clone()).collect();
         names.sort();
         names
     }
 
-    /// The orders to send now.
-    pub fn next(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<Command> {
-        let most = self.engines.len().div_ceil(CHANGING_SHARE);
-        self.expire(now, rng);
+    /// Returns the orders to send now.
+    pub fn next_orders(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<EngineOrder> {
+        let max_changing = self.engines.len().div_ceil(CHANGING_ENGINES_DIVISOR);
+        self.expire_pending(now, rng);
         let mut changing = self.engines.values().filter(|e| e.pending.is_some()).count();
         let mut names: Vec<_> = self.engines.keys().cloned().collect();
         names.sort();
-        let mut commands = Vec::new();
+        let mut orders = Vec::new();
         for name in names {
-            if changing >= most {
+            if changing >= max_changing {
                 break;
             }
             if let Some(order) = self.order_for(now, &name) {
                 changing += 1;
-                commands.push(Command { engine: name, order });
+                orders.push(EngineOrder { engine: name, order });
             }
         }
-        commands
+        orders
     }
 
+    /// Next order for an engine, if it may get one now.
     fn order_for(&mut self, now: Instant, name: &str) -> Option<Order> {
         let engine = self.engines.get_mut(name)?;
-        if engine.pending.is_some() || now < engine.next {
+        if engine.pending.is_some() || now < engine.next_order_at {
             return None;
         }
-        let report = engine.fresh(now)?;
-        let order = next_order(&self.intent, report)?;
-        if loads(&order, report) > 0 {
-            // Loads are spread within the weight store's rate.
-            self.loads.take(now).ok()?;
+        let report = engine.current_report(now)?;
+        let order = next_order(&self.desired, report)?;
+        if count_loads(&order, report) > 0 {
+            // Loads are limited to the weight store's rate.
+            self.load_rate.take(now).ok()?;
         }
-        engine.pending = Some((order.clone(), now + SETTLE));
+        engine.pending = Some((order.clone(), now + CONVERGENCE_TIMEOUT));
         Some(order)
     }
 
-    /// Gives up on orders whose effect did not show, so that they are sent again.
-    fn expire(&mut self, now: Instant, rng: &mut impl Rng) {
+    /// Drops orders whose effect was not reported in time, so that they are sent again after a backoff.
+    fn expire_pending(&mut self, now: Instant, rng: &mut impl Rng) {
         for engine in self.engines.values_mut() {
             if engine.pending.as_ref().is_some_and(|(_, until)| now >= *until) {
                 engine.pending = None;
-                engine.next = now + engine.backoff.wait(rng);
+                engine.next_order_at = now + engine.backoff.wait(rng);
             }
         }
     }
 
-    /// Notes that an order was not sent or not taken.
-    pub fn failed(&mut self, now: Instant, name: &str, rng: &mut impl Rng) {
+    /// Records that an order was not sent or not accepted; it is sent again after a backoff.
+    pub fn note_failure(&mut self, now: Instant, name: &str, rng: &mut impl Rng) {
         if let Some(engine) = self.engines.get_mut(name) {
             engine.pending = None;
-            engine.next = now + engine.backoff.wait(rng);
+            engine.next_order_at = now + engine.backoff.wait(rng);
         }
     }
 }
 
 impl Engine {
-    fn fresh(&self, now: Instant) -> Option<&Report> {
-        self.report.as_ref().filter(|(at, _)| now.saturating_sub(*at) <= FRESH).map(|(_, r)| r)
+    /// Last report, unless it is older than [`MAX_REPORT_AGE`].
+    fn current_report(&self, now: Instant) -> Option<&ReportedState> {
+        self.report.as_ref().filter(|(at, _)| now.saturating_sub(*at) <= MAX_REPORT_AGE).map(|(_, r)| r)
     }
 }
 
-/// The next step from what an engine reports to what the pool states; `None` when they agree.
+/// Next step from the reported to the desired state; `None` if they agree.
 ///
-/// One load a step, so that loads can be spread; what is not wanted goes only after all that is wanted is there, so
-/// that an engine never stands without a model.
-fn next_order(intent: &Intent, report: &Report) -> Option<Order> {
-    let role_differs = !intent.role.is_empty() && intent.role != report.role;
-    let missing_model = intent.models.iter().find(|m| !report.models.contains(*m));
-    let missing_adapter = intent.adapters.iter().find(|a| !report.adapters.contains(*a));
+/// Each step loads one model or adapter, so that loads can be rate-limited. Surplus ones are removed only after all
+/// desired ones are loaded, so that an engine is never without a model.
+fn next_order(desired: &DesiredState, report: &ReportedState) -> Option<Order> {
+    let role_differs = !desired.role.is_empty() && desired.role != report.role;
+    let missing_model = desired.models.iter().find(|m| !report.models.contains(*m));
+    let missing_adapter = desired.adapters.iter().find(|a| !report.adapters.contains(*a));
     let extra = |want: &Names, have: &Names| !want.is_empty() && have.iter().any(|n| !want.contains(n));
-    let extras = extra(&intent.models, &report.models) || extra(&intent.adapters, &report.adapters);
+    let extras = extra(&desired.models, &report.models) || extra(&desired.adapters, &report.adapters);
     if !role_differs && missing_model.is_none() && missing_adapter.is_none() && !extras {
         return None;
     }
-    let grown =
+    let names_with =
         |have: &Names, one: Option<&Arc<str>>| have.iter().chain(one).map(ToString::to_string).collect();
-    let role = intent.role.to_string();
+    let role = desired.role.to_string();
     if let Some(model) = missing_model {
         return Some(Order {
-            models: grown(&report.models, Some(model)),
-            adapters: grown(&report.adapters, None),
+            models: names_with(&report.models, Some(model)),
+            adapters: names_with(&report.adapters, None),
             role,
         });
     }
     if let Some(adapter) = missing_adapter {
         return Some(Order {
-            models: grown(&report.models, None),
-            adapters: grown(&report.adapters, Some(adapter)),
+            models: names_with(&report.models, None),
+            adapters: names_with(&report.adapters, Some(adapter)),
             role,
         });
     }
-    let wanted =
-        |want: &Names, have: &Names| if want.is_empty() { grown(have, None) } else { grown(want, None) };
+    let target = |want: &Names, have: &Names| {
+        if want.is_empty() { names_with(have, None) } else { names_with(want, None) }
+    };
     Some(Order {
-        models: wanted(&intent.models, &report.models),
-        adapters: wanted(&intent.adapters, &report.adapters),
+        models: target(&desired.models, &report.models),
+        adapters: target(&desired.adapters, &report.adapters),
         role,
     })
 }
 
-fn loads(order: &Order, report: &Report) -> usize {
+/// Number of models and adapters that an order makes the engine load.
+fn count_loads(order: &Order, report: &ReportedState) -> usize {
     let new = |want: &[String], have: &Names| want.iter().filter(|n| !have.contains(n.as_str())).count();
     new(&order.models, &report.models) + new(&order.adapters, &report.adapters)
 }
 
-fn reached(order: &Order, report: &Report) -> bool {
+/// Whether a report shows the state that an order asked for.
+fn is_converged(order: &Order, report: &ReportedState) -> bool {
     let same = |want: &[String], have: &Names| {
         want.len() == have.len() && want.iter().all(|n| have.contains(n.as_str()))
     };
--- a/src/order/run.rs
+++ b/src/order/run.rs
@@ -1,4 +1,4 @@
-//! Calls the platform for leases and the engines with orders, one task for each pool this router may hold.
+//! Runs one task for each pool whose lease this router may hold: renews the lease and sends orders to the engines.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -6,7 +6,9 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use tokio::{sync::watch, task::JoinHandle};
 
-use super::{Command, Guard, ORDER_TIME, Planner, Report, Sealed, pools, pools::Pool};
+use super::{
+    EngineOrder, FencedOrder, LeaseGuard, ORDER_TIMEOUT, Planner, ReportedState, pools, pools::Pool,
+};
 use crate::{
     client::Client,
     engine::{EngineClient, Ordered},
@@ -17,14 +19,18 @@
     util::{Instant, now},
 };
 
-const TICK: Duration = Duration::from_millis(500);
-const REVIEW: Duration = Duration::from_secs(1);
-const TTL: Duration = Duration::from_secs(30);
-/// Time between reports of a pool in which something differs, and of one in which nothing does.
-const REPORT_SOON: Duration = Duration::from_millis(500);
-const REPORT_LATE: Duration = Duration::from_secs(20);
+/// Pause between two steps of a pool's task.
+const POOL_TICK: Duration = Duration::from_millis(500);
+/// Pause between two checks of which pools need a task.
+const RECONCILE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time for which a pool's lease is valid after each renewal.
+const LEASE_TTL: Duration = Duration::from_secs(30);
+/// Interval at which engines are asked for reports while any engine of the pool has diverged.
+const DIVERGED_REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which engines are asked for reports while all engines of the pool have converged.
+const CONVERGED_REPORT_INTERVAL: Duration = Duration::from_secs(20);
 
-/// What all pools' tasks share.
+/// State shared by the tasks of all pools.
 struct Context {
     holder: Arc<str>,
     platform: Platform,
@@ -33,7 +39,7 @@
     loads_per_minute: f64,
 }
 
-/// The orders of one router.
+/// Handle of the background task that manages pools in one router.
 #[derive(Debug)]
 pub(crate) struct Orders {
     stop: watch::Sender<bool>,
@@ -41,7 +47,7 @@
 }
 
 impl Orders {
-    /// Starts to hold leases and give orders; the weight store takes `loads_per_minute` from the whole fleet.
+    /// Starts the task; `loads_per_minute` is the load rate of the weight store for the whole fleet.
     pub(crate) fn start(
         me: &Arc<str>,
         follow: Arc<follow::Shared>,
@@ -49,15 +55,15 @@
         metrics: Arc<Metrics>,
         loads_per_minute: f64,
     ) -> Self {
-        // Different after each restart, so that a process never takes an earlier life's lease for its own.
+        // Unique to each process, so that it never mistakes the lease of an earlier process for its own.
         let holder = format!("{me}/{:016x}", rand::random::<u64>()).into();
         let cx = Context { holder, platform, client: Client::default(), metrics, loads_per_minute };
         let (stop, stopped) = watch::channel(false);
-        let task = tokio::spawn(review(Arc::new(cx), me.clone(), follow, stopped));
+        let task = tokio::spawn(reconcile_tasks(Arc::new(cx), me.clone(), follow, stopped));
         Self { stop, task }
     }
 
-    /// Gives the leases back, so that others take over at once.
+    /// Stops the task and releases the leases, so that other routers can take over at once.
     pub(crate) async fn close(self) {
         let _ = self.stop.send(true);
         let _ = self.task.await;
@@ -66,8 +72,8 @@
 
 type Tasks = BTreeMap<Arc<str>, (watch::Sender<Option<Pool>>, JoinHandle<()>)>;
 
-/// Starts and ends the pools' tasks as the configuration and the membership change.
-async fn review(
+/// Starts and stops the pools' tasks as the configuration and the membership change.
+async fn reconcile_tasks(
     cx: Arc<Context>,
     me: Arc<str>,
     follow: Arc<follow::Shared>,
@@ -79,13 +85,13 @@
         let cat = follow.catalog();
         if cat.version != version {
             version = cat.version;
-            all = pools::pools(&follow.objects(), &cat);
+            all = pools::managed_pools(&follow.objects(), &cat);
         }
         let peers = follow.peers();
         let members = || std::iter::once(&*me).chain(peers.iter().map(|p| &*p.name));
         let mine = all.iter().filter(|(name, _)| pools::is_candidate(&me, members(), name));
-        adjust(&cx, &mut tasks, mine.map(|(n, p)| (n.clone(), p.clone())).collect());
-        let _ = tokio::time::timeout(REVIEW, stopped.changed()).await;
+        update_tasks(&cx, &mut tasks, mine.map(|(n, p)| (n.clone(), p.clone())).collect());
+        let _ = tokio::time::timeout(RECONCILE_INTERVAL, stopped.changed()).await;
     }
     let ending = tasks.into_values().map(|(tx, task)| {
         let _ = tx.send(None);
@@ -94,10 +100,11 @@
     join_all(ending).await;
 }
 
-fn adjust(cx: &Arc<Context>, tasks: &mut Tasks, wanted: BTreeMap<Arc<str>, Pool>) {
-    tasks.retain(|name, (tx, _)| wanted.contains_key(name) || tx.send(None).is_err());
+/// Starts, updates and stops tasks to match the desired pools.
+fn update_tasks(cx: &Arc<Context>, tasks: &mut Tasks, desired: BTreeMap<Arc<str>, Pool>) {
+    tasks.retain(|name, (tx, _)| desired.contains_key(name) || tx.send(None).is_err());
     tasks.retain(|_, (_, task)| !task.is_finished());
-    for (name, pool) in wanted {
+    for (name, pool) in desired {
         if let Some((tx, _)) = tasks.get(&name) {
             tx.send_if_modified(|old| {
                 let changed = old.as_ref() != Some(&pool);
@@ -112,53 +119,54 @@
     }
 }
 
-/// One pool at a router that may hold its lease.
-struct Work {
+/// Task of one pool whose lease this router may hold.
+struct PoolWorker {
     cx: Arc<Context>,
     pool: Pool,
     keeper: Keeper,
     planner: Planner,
     rng: StdRng,
-    report_at: Instant,
+    next_report_at: Instant,
 }
 
-/// Runs one pool until it is told to end.
+/// Runs the task of one pool until it receives no pool any more.
 async fn run_pool(cx: Arc<Context>, name: Arc<str>, mut rx: watch::Receiver<Option<Pool>>) {
-    let terms = Terms::new(format!("pool-{name}"), cx.holder.clone(), TTL);
-    let mut work = Work {
+    let terms = Terms::new(format!("pool-{name}"), cx.holder.clone(), LEASE_TTL);
+    let mut worker = PoolWorker {
         planner: Planner::new(cx.loads_per_minute),
         keeper: Keeper::new(terms, now()),
         pool: Pool::default(),
         rng: StdRng::from_os_rng(),
-        report_at: now(),
+        next_report_at: now(),
         cx,
     };
     loop {
         let pool = rx.borrow_and_update().clone();
         let Some(pool) = pool else { break };
-        work.set_pool(pool);
-        work.keep_lease().await;
-        if work.keeper.check(now(), Duration::ZERO).is_some() {
-            work.read_reports().await;
-            work.give_orders().await;
+        worker.set_pool(pool);
+        worker.renew_lease().await;
+        if worker.keeper.check(now(), Duration::ZERO).is_some() {
+            worker.read_reports().await;
+            worker.send_orders().await;
         }
-        let _ = tokio::time::timeout(TICK, rx.changed()).await;
+        let _ = tokio::time::timeout(POOL_TICK, rx.changed()).await;
     }
-    work.close().await;
+    worker.close().await;
 }
 
-impl Work {
+impl PoolWorker {
     fn set_pool(&mut self, pool: Pool) {
         if pool == self.pool {
             return;
         }
-        self.planner.set_intent(pool.intent.clone(), pool.engines.keys().cloned());
-        self.planner.set_rate(now(), self.cx.loads_per_minute * pool.share);
+        self.planner.set_desired(pool.desired.clone(), pool.engines.keys().cloned());
+        self.planner.set_load_rate(now(), self.cx.loads_per_minute * pool.load_share);
         self.pool = pool;
-        self.report_at = now();
+        self.next_report_at = now();
     }
 
-    async fn keep_lease(&mut self) {
+    /// Acquires or renews the lease if it is due.
+    async fn renew_lease(&mut self) {
         let Some(action) = self.keeper.tick(now(), &mut self.rng) else { return };
         match action {
             Action::Read => {
@@ -172,9 +180,9 @@
         }
     }
 
-    /// Reads what the engines report; an engine that doesn't answer gets no order.
+    /// Requests the engines' reports; an engine that does not respond gets no order.
     async fn read_reports(&mut self) {
-        if now() < self.report_at {
+        if now() < self.next_report_at {
             return;
         }
         let cx = &self.cx;
@@ -186,56 +194,64 @@
         let at = now();
         for (name, load) in answers {
             if let Ok(load) = load {
-                self.planner.report(at, &name, Report::from(&load));
+                self.planner.observe(at, &name, ReportedState::from(&load));
             }
         }
-        let period = if self.planner.behind(at).is_empty() { REPORT_LATE } else { REPORT_SOON };
-        self.report_at = at + period.mul_f64(0.8 + 0.2 * self.rng.random::<f64>());
+        let period = if self.planner.diverged(at).is_empty() {
+            CONVERGED_REPORT_INTERVAL
+        } else {
+            DIVERGED_REPORT_INTERVAL
+        };
+        self.next_report_at = at + period.mul_f64(0.8 + 0.2 * self.rng.random::<f64>());
     }
 
-    async fn give_orders(&mut self) {
-        let commands = self.planner.next(now(), &mut self.rng);
-        let guard = Guard::new(self.pool.checks_fencing);
-        let mut sealed = Vec::new();
-        for command in commands {
-            let engine = command.engine.clone();
+    /// Sends the orders that are due and that the lease allows.
+    async fn send_orders(&mut self) {
+        let orders = self.planner.next_orders(now(), &mut self.rng);
+        let guard = LeaseGuard::new(self.pool.checks_fencing);
+        let mut fenced = Vec::new();
+        for order in orders {
+            let engine = order.engine.clone();
             let held = self.keeper.held();
-            match held.and_then(|held| guard.seal(now(), held, command)) {
-                Some(order) => sealed.push(order),
-                None => self.failed(&engine, "withheld"),
+            match held.and_then(|held| guard.fence(now(), held, order)) {
+                Some(order) => fenced.push(order),
+                None => self.order_failed(&engine, "withheld"),
             }
         }
-        // Nothing is awaited between the check of the lease and the first poll of each send.
-        let sends = sealed.iter().map(|order| self.send(order));
+        // There is no await between the check of the lease and the first poll of each send.
+        let sends = fenced.iter().map(|order| self.send(order));
         let results = join_all(sends).await;
-        for (order, result) in sealed.iter().zip(results) {
-            let Command { engine, .. } = order.command();
+        for (order, result) in fenced.iter().zip(results) {
+            let EngineOrder { engine, .. } = order.engine_order();
             match result {
                 Some(Ordered::Taken) => self.cx.metrics.add(Counter::Orders, "taken", 1),
-                Some(Ordered::Stale) => self.failed(engine, "stale"),
-                // The order may have been taken; the report will tell.
-                None => self.failed(engine, "unanswered"),
+                Some(Ordered::Stale) => self.order_failed(engine, "stale"),
+                // The order may have been accepted; the engine's next report shows it.
+                None => self.order_failed(engine, "unanswered"),
             }
         }
     }
 
-    async fn send(&self, order: &Sealed) -> Option<Ordered> {
-        let Command { engine, order: wanted } = order.command();
+    /// Sends one order; `None` if there was no answer in time.
+    async fn send(&self, order: &FencedOrder) -> Option<Ordered> {
+        let EngineOrder { engine, order: wanted } = order.engine_order();
         let client = EngineClient::new(self.cx.client.clone(), *self.pool.engines.get(engine)?);
-        match client.order(wanted, order.fencing(), ORDER_TIME).await {
+        match client.order(wanted, order.fencing(), ORDER_TIMEOUT).await {
             Ok(ordered) => Some(ordered),
             Err(e) => {
-                spdlog::warn!("could not order {engine}: {e:#}");
+                spdlog::warn!("could not send an order to engine {engine}: {e:#}");
                 None
             }
         }
     }
 
-    fn failed(&mut self, engine: &str, result: &'static str) {
+    /// Counts an order that failed and schedules it again.
+    fn order_failed(&mut self, engine: &str, result: &'static str) {
         self.cx.metrics.add(Counter::Orders, result, 1);
-        self.planner.failed(now(), engine, &mut self.rng);
+        self.planner.note_failure(now(), engine, &mut self.rng);
     }
 
+    /// Releases the lease.
     async fn close(mut self) {
         if let Some(obj) = self.keeper.close(&mut self.rng) {
             let _ = self.cx.platform.put(&obj).await;
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -4,7 +4,7 @@
 
 use cranberrytally::{
     lease::{Fencing, Held},
-    order::{Command, Guard, Intent, ORDER_TIME, Planner, Report},
+    order::{DesiredState, EngineOrder, LeaseGuard, ORDER_TIMEOUT, Planner, ReportedState},
     schema::engine::Order,
     util::Instant,
 };
@@ -42,9 +42,9 @@
         self.state = Order { role, ..order.clone() };
     }
 
-    fn report(&self) -> Report {
+    fn report(&self) -> ReportedState {
         let names = |list: &[String]| list.iter().map(|s| s.as_str().into()).collect();
-        Report {
+        ReportedState {
             models: names(&self.state.models),
             adapters: names(&self.state.adapters),
             role: self.state.role.as_str().into(),
@@ -56,12 +56,12 @@
     list.iter().map(|s| (*s).into()).collect()
 }
 
-fn intent(models: &[&str]) -> Intent {
-    Intent { models: names(models), ..Intent::default() }
+fn intent(models: &[&str]) -> DesiredState {
+    DesiredState { models: names(models), ..DesiredState::default() }
 }
 
-fn command(name: &str) -> Command {
-    Command { engine: name.into(), order: Order { models: vec![name.into()], ..Order::default() } }
+fn command(name: &str) -> EngineOrder {
+    EngineOrder { engine: name.into(), order: Order { models: vec![name.into()], ..Order::default() } }
 }
 
 /// Runs both processes until the first of them holds the lease; returns the time and which one.
@@ -78,11 +78,11 @@
     }
 }
 
-fn seal(p: &mut Process, guard: Guard, now: Instant, name: &str) -> Option<(Fencing, Order)> {
+fn fence(p: &mut Process, guard: LeaseGuard, now: Instant, name: &str) -> Option<(Fencing, Order)> {
     let clock = p.clock(now);
     let held: &mut Held = p.keeper.held()?;
-    let sealed = guard.seal(clock, held, command(name))?;
-    Some((sealed.fencing(), sealed.command().order.clone()))
+    let fenced = guard.fence(clock, held, command(name))?;
+    Some((fenced.fencing(), fenced.engine_order().order.clone()))
 }
 
 struct Pause {
@@ -91,67 +91,67 @@
     old: Process,
     new: Process,
     /// An order that the old holder had sealed just before it was paused.
-    sealed: (Fencing, Order),
+    fenced: (Fencing, Order),
 }
 
 /// The old holder seals an order, is paused before it sends it, and another router takes the lease.
-fn paused_holder(guard: Guard) -> Pause {
+fn paused_holder(guard: LeaseGuard) -> Pause {
     let start = Duration::from_secs(100);
     let mut shelf = Shelf::default();
     let mut all = vec![Process::new("old", 1, start)];
     let (mut now, _) = until_held(&mut all, &mut shelf, start);
     // A new holder waits out a former one's last order where engines ignore the number.
-    now += ORDER_TIME * 2;
+    now += ORDER_TIMEOUT * 2;
     all[0].step(now, &mut shelf, STEP, 0.0);
     all[0].step(now + STEP, &mut shelf, STEP, 0.0);
     all[0].step(now + STEP * 3, &mut shelf, STEP, 0.0);
     now += STEP * 3;
-    let sealed = seal(&mut all[0], guard, now, "late").expect("the lease holds");
+    let fenced = fence(&mut all[0], guard, now, "late").expect("the lease holds");
     all[0].paused_until = now + TTL * 10;
     all.push(Process::new("new", 2, now));
     let (now, holder) = until_held(&mut all, &mut shelf, now);
     assert_eq!(holder, 1);
     let new = all.remove(1);
-    Pause { now, shelf, old: all.remove(0), new, sealed }
+    Pause { now, shelf, old: all.remove(0), new, fenced }
 }
 
 /// A holder is paused between its check and its send, wakes up after another router has taken over, and acts.
 /// An operator would see a model that the new holder has unloaded come back. The engine refuses the old number.
 #[test]
 fn a_paused_holder_wakes_up_at_an_engine_that_checks() {
-    let guard = Guard::new(true);
-    let Pause { now, mut old, mut new, sealed, .. } = paused_holder(guard);
+    let guard = LeaseGuard::new(true);
+    let Pause { now, mut old, mut new, fenced, .. } = paused_holder(guard);
     let mut engine = Engine { checks: true, ..Engine::default() };
 
-    let (fencing, order) = seal(&mut new, guard, now, "new").expect("the new holder may act at once");
+    let (fencing, order) = fence(&mut new, guard, now, "new").expect("the new holder may act at once");
     engine.order(&order, fencing);
-    engine.order(&sealed.1, sealed.0);
+    engine.order(&fenced.1, fenced.0);
 
     assert_eq!((engine.taken.as_slice(), engine.refused), ([fencing].as_slice(), 1));
     assert_eq!(engine.state.models, ["new"]);
-    assert_eq!(seal(&mut old, guard, now, "again"), None, "it can't seal another order");
+    assert_eq!(fence(&mut old, guard, now, "again"), None, "it can't seal another order");
 }
 
 /// The same where engines ignore the number. The old holder can seal nothing after waking up; the new one waits until
 /// an order sealed before the pause has reached its time limit, so the two are never under way together.
 #[test]
 fn a_paused_holder_wakes_up_at_an_engine_that_ignores_the_number() {
-    let guard = Guard::new(false);
+    let guard = LeaseGuard::new(false);
     let Pause { now, mut shelf, mut old, mut new, .. } = paused_holder(guard);
 
-    assert_eq!(seal(&mut old, guard, now, "again"), None);
-    assert_eq!(seal(&mut new, guard, now, "new"), None, "it waits out the old holder");
+    assert_eq!(fence(&mut old, guard, now, "again"), None);
+    assert_eq!(fence(&mut new, guard, now, "new"), None, "it waits out the old holder");
     let mut time = now;
-    while seal(&mut new, guard, time, "new").is_none() {
+    while fence(&mut new, guard, time, "new").is_none() {
         assert!(time < now + TTL, "the new holder never acts");
         time += STEP;
         new.step(time, &mut shelf, STEP, 0.0);
     }
 
-    assert!(time >= now + ORDER_TIME + SECOND * 2 - STEP * 2, "{:?}", time - now);
+    assert!(time >= now + ORDER_TIMEOUT + SECOND * 2 - STEP * 2, "{:?}", time - now);
     old.paused_until = time;
     old.step(time, &mut shelf, STEP, 0.0);
-    assert_eq!(seal(&mut old, guard, time, "again"), None);
+    assert_eq!(fence(&mut old, guard, time, "again"), None);
 }
 
 /// An order is sealed only while the lease outlasts the order's time limit: an order that is sent in the last moment
@@ -165,11 +165,11 @@
 
     let times: Vec<_> = (0..100)
         .map(|i| now + STEP * i)
-        .filter(|t| seal(&mut all[0], Guard::new(true), *t, "x").is_some())
+        .filter(|t| fence(&mut all[0], LeaseGuard::new(true), *t, "x").is_some())
         .collect();
 
     let last = times.last().expect("some are sealed");
-    assert!(*last + ORDER_TIME <= now + TTL, "{last:?}");
+    assert!(*last + ORDER_TIMEOUT <= now + TTL, "{last:?}");
 }
 
 /// Three routers race for ten minutes; calls to the platform are slow and lost, processes pause for up to 30 s, and an
@@ -177,7 +177,7 @@
 /// nothing but the guard keeps an old holder's order from arriving after a new holder's.
 #[test]
 fn orders_of_two_holders_never_cross_at_an_engine_that_ignores_the_number() {
-    let guard = Guard::new(false);
+    let guard = LeaseGuard::new(false);
     let (mut orders, mut holders) = (0, 0);
     for seed in 0..60 {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -197,9 +197,9 @@
                 }
                 p.step(now, &mut shelf, SECOND, 0.1);
                 if p.paused_until <= now
-                    && let Some((fencing, order)) = seal(p, guard, now, "x")
+                    && let Some((fencing, order)) = fence(p, guard, now, "x")
                 {
-                    let latest = SECOND * 2 + ORDER_TIME;
+                    let latest = SECOND * 2 + ORDER_TIMEOUT;
                     under_way.push((now + latest.mul_f64(rng.random()), fencing, order));
                 }
             }
@@ -243,7 +243,7 @@
 
     fn want(&mut self, models: &[&str]) {
         let engines: Vec<_> = self.engines.keys().map(|n| n.as_str().into()).collect();
-        self.planner.set_intent(intent(models), engines);
+        self.planner.set_desired(intent(models), engines);
     }
 
     /// Runs until the engines report what is wanted; returns the time that took.
@@ -252,24 +252,24 @@
         for second in 0..7200 {
             self.now += SECOND;
             for (name, engine) in &self.engines {
-                self.planner.report(self.now, name, engine.report());
+                self.planner.observe(self.now, name, engine.report());
                 self.starved += usize::from(engine.state.models.is_empty());
             }
-            if self.planner.behind(self.now).is_empty() {
+            if self.planner.diverged(self.now).is_empty() {
                 return self.now - start;
             }
-            let commands = self.planner.next(self.now, &mut self.rng);
+            let commands = self.planner.next_orders(self.now, &mut self.rng);
             self.most = self.most.max(commands.len());
-            for Command { engine, order } in commands {
+            for EngineOrder { engine, order } in commands {
                 self.orders += 1;
                 if lossy && (second + self.orders).is_multiple_of(3) {
-                    self.planner.failed(self.now, &engine, &mut self.rng);
+                    self.planner.note_failure(self.now, &engine, &mut self.rng);
                     continue;
                 }
                 self.engines.get_mut(&*engine).expect("an engine").order(&order, 1);
             }
         }
-        panic!("never settled: {:?}", self.planner.behind(self.now));
+        panic!("never settled: {:?}", self.planner.diverged(self.now));
     }
 }
 
@@ -306,13 +306,13 @@
 fn an_engine_that_never_gets_there() {
     let mut planner = Planner::new(600.0);
     let mut rng = StdRng::seed_from_u64(1);
-    planner.set_intent(intent(&["m@2"]), ["a".into(), "b".into()]);
+    planner.set_desired(intent(&["m@2"]), ["a".into(), "b".into()]);
     let mut sent = Vec::new();
     for second in 0..3600 {
         let now = SECOND * (100 + second);
-        planner.report(now, "a", Report { models: names(&["m@1"]), ..Report::default() });
-        planner.report(now, "b", Report { models: names(&["m@1"]), ..Report::default() });
-        sent.extend(planner.next(now, &mut rng).into_iter().map(|c| (second, c.engine)));
+        planner.observe(now, "a", ReportedState { models: names(&["m@1"]), ..ReportedState::default() });
+        planner.observe(now, "b", ReportedState { models: names(&["m@1"]), ..ReportedState::default() });
+        sent.extend(planner.next_orders(now, &mut rng).into_iter().map(|c| (second, c.engine)));
     }
 
     let to = |name: &str| sent.iter().filter(|(_, e)| &**e == name).count();
