--- a/src/order.rs
+++ b/src/order.rs
@@ -11,4 +11,4 @@
 
 pub use guard::{FencedOrder, LeaseGuard, ORDER_TIMEOUT};
 pub use planner::{DesiredState, EngineOrder, Planner, ReportedState};
-pub(crate) use run::Orders;
+pub(crate) use run::OrderTask;
--- a/src/order/run.rs
+++ b/src/order/run.rs
@@ -41,12 +41,12 @@
 
 /// Handle of the background task that manages pools in one router.
 #[derive(Debug)]
-pub(crate) struct Orders {
+pub(crate) struct OrderTask {
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
-impl Orders {
+impl OrderTask {
     /// Starts the task; `loads_per_minute` is the load rate of the weight store for the whole fleet.
     pub(crate) fn start(
         me: &Arc<str>,
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -21,7 +21,7 @@
     metrics::Metrics,
     objects::Platform,
     operate::Operate,
-    order::Orders,
+    order::OrderTask,
     util::now,
 };
 
@@ -43,7 +43,7 @@
     follow: Follow,
     gossip: Gossip,
     drain: DrainConfig,
-    orders: Option<Orders>,
+    orders: Option<OrderTask>,
     link_server: LinkServer,
     releases: JoinHandle<()>,
     operate: Arc<Operate>,
@@ -87,7 +87,7 @@
         let links = Arc::new(Links::new(key.clone()));
         let follow = Follow::start(cfg, peer_addr, platform.clone(), links, gateway.clone());
         let rate = cfg.loads_per_minute as f64;
-        let orders = Orders::start(&cfg.name, follow.shared().clone(), platform, metrics.clone(), rate);
+        let orders = OrderTask::start(&cfg.name, follow.shared().clone(), platform, metrics.clone(), rate);
         let calls = Calls { me: me.clone(), follow: follow.shared().clone(), gateway: gateway.clone() };
         let link_server = LinkServer::start(peer_listener, key, Arc::new(calls));
         let (following, answering) = (follow.shared().clone(), gateway.clone());
