--- a/benches/claims/store.rs
+++ b/benches/claims/store.rs
@@ -62,7 +62,7 @@
             && let Ok(mut shard) = Shard::from_object(Some(o))
         {
             let oldest = WALL + self.now.saturating_sub(RUN_OUT_MS);
-            shard.entries.retain(|(_, e)| e.record.is_some() || e.at_ms > oldest);
+            shard.entries.retain(|(_, e)| e.record.is_some() || e.claimed_at_ms > oldest);
             *o = shard.to_object(name, "");
         }
         OpResult::Read(obj)
--- a/src/claim.rs
+++ b/src/claim.rs
@@ -103,7 +103,7 @@
     /// The only attempt that may run.
     pub attempt: AttemptId,
     /// Time of the claim.
-    pub at_ms: WallMs,
+    pub claimed_at_ms: WallMs,
     /// Result of the run, once it is known.
     pub record: Option<Record>,
 }
@@ -168,7 +168,7 @@
         match &self.record {
             Some(Record::Completed(answered)) => Verdict::Recorded(answered.clone()),
             Some(Record::Unknown) => Verdict::Unknown,
-            None if wall_ms.saturating_sub(self.at_ms) < PENDING_TIMEOUT.as_millis() as u64 => {
+            None if wall_ms.saturating_sub(self.claimed_at_ms) < PENDING_TIMEOUT.as_millis() as u64 => {
                 Verdict::Pending
             }
             None => Verdict::Unknown,
--- a/src/claim/shard.rs
+++ b/src/claim/shard.rs
@@ -82,7 +82,7 @@
             key: key.0.to_vec(),
             content: entry.content.0.to_vec(),
             attempt: entry.attempt.0.to_vec(),
-            at_ms: entry.at_ms,
+            at_ms: entry.claimed_at_ms,
             record: entry.record.as_ref().map(Into::into),
         })
         .collect();
@@ -99,7 +99,7 @@
     let entry = Entry {
         content: ContentDigest(bytes16(&raw.content)?),
         attempt: AttemptId(bytes16(&raw.attempt)?),
-        at_ms: raw.at_ms,
+        claimed_at_ms: raw.at_ms,
         record: raw.record.map(TryInto::try_into).transpose()?,
     };
     Ok((KeyDigest(bytes16(&raw.key)?), entry))
--- a/src/claim/shard_claims.rs
+++ b/src/claim/shard_claims.rs
@@ -205,8 +205,8 @@
             self.keep_unmatched_record(ask.attempt, record);
             return;
         }
-        let at_ms = self.slots.get(&ask.key).map_or(clock.wall_ms, |s| s.entry.at_ms);
-        let entry = Entry { content: ask.content, attempt: ask.attempt, at_ms, record: Some(record) };
+        let claimed_at_ms = self.slots.get(&ask.key).map_or(clock.wall_ms, |s| s.entry.claimed_at_ms);
+        let entry = Entry { content: ask.content, attempt: ask.attempt, claimed_at_ms, record: Some(record) };
         self.put(clock, ask.key, entry, is_current);
     }
 
@@ -283,7 +283,8 @@
         if ask.lookup_only {
             return Some(Verdict::Expired);
         }
-        let entry = Entry { content: ask.content, attempt: ask.attempt, at_ms: clock.wall_ms, record: None };
+        let entry =
+            Entry { content: ask.content, attempt: ask.attempt, claimed_at_ms: clock.wall_ms, record: None };
         self.put(clock, ask.key, entry, false);
         None
     }
--- a/src/claim/shard_claims/plan.rs
+++ b/src/claim/shard_claims/plan.rs
@@ -72,7 +72,7 @@
             let Some(slot) = self.slots.get(key) else { continue };
             let slot_revision =
                 SlotRevision { key: *key, attempt: slot.entry.attempt, revision: slot.revision };
-            if slot.released || self.is_past_retention(slot.entry.at_ms, clock.wall_ms) {
+            if slot.released || self.is_past_retention(slot.entry.claimed_at_ms, clock.wall_ms) {
                 removed.push(slot_revision);
             } else {
                 bytes += encoded_size(&slot.entry);
@@ -96,7 +96,7 @@
     /// Builds the write of an archive with the oldest claims. The next write of the shard's object removes them from
     /// that object and references the archive; until then readers find them in the object.
     fn write_archive(&mut self, mut sent: Vec<SlotRevision>) -> Op {
-        sent.sort_by_key(|s| (self.slots[&s.key].entry.at_ms, s.key));
+        sent.sort_by_key(|s| (self.slots[&s.key].entry.claimed_at_ms, s.key));
         let (mut bytes, mut newest_ms) = (0, 0);
         let max_count = sent.len() - sent.len() / 4;
         let fits = sent.iter().take(max_count).take_while(|s| {
@@ -106,7 +106,7 @@
         let count = fits.count().max(1);
         sent.truncate(count);
         for s in &sent {
-            newest_ms = newest_ms.max(self.slots[&s.key].entry.at_ms);
+            newest_ms = newest_ms.max(self.slots[&s.key].entry.claimed_at_ms);
         }
         let name = format!("{}-{}-{}", self.name, self.writer, self.next_archive_number);
         let obj = shard::archive_object(&name, &self.entries(&sent));
@@ -117,9 +117,9 @@
         sent.iter().map(|s| (s.key, self.slots[&s.key].entry.clone())).collect()
     }
 
-    /// Whether a claim of the time `at_ms` has expired.
-    fn is_past_retention(&self, at_ms: WallMs, wall_ms: WallMs) -> bool {
-        at_ms + self.cfg.retention.as_millis() as u64 + MAX_CLOCK_SKEW_MS < wall_ms
+    /// Whether a claim of the time `claimed_at_ms` has expired.
+    fn is_past_retention(&self, claimed_at_ms: WallMs, wall_ms: WallMs) -> bool {
+        claimed_at_ms + self.cfg.retention.as_millis() as u64 + MAX_CLOCK_SKEW_MS < wall_ms
     }
 }
 
--- a/src/claim/ticket_claims.rs
+++ b/src/claim/ticket_claims.rs
@@ -55,8 +55,12 @@
             None if !accepts_new_keys => Step::Lookup,
             None if self.claims.len() >= MAX_CLAIMS => Step::Answer(Verdict::Unavailable),
             None => {
-                let entry =
-                    Entry { content: ask.content, attempt: ask.attempt, at_ms: clock.wall_ms, record: None };
+                let entry = Entry {
+                    content: ask.content,
+                    attempt: ask.attempt,
+                    claimed_at_ms: clock.wall_ms,
+                    record: None,
+                };
                 self.claims.insert(ask.key, Slot { entry, granted: false, inserted_at: clock.now });
                 Step::Record
             }
