--- a/src/member.rs
+++ b/src/member.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    probe::{Engines, ProbeConfig},
+    probe::{EngineTable, ProbeConfig},
     schema::membership::{EngineEvent, Note, Summary, datagram::Body},
     util::{Instant, Map, Set},
 };
@@ -142,7 +142,7 @@
     budget: Budget,
     rng: ChaCha8Rng,
     /// Engines' liveness and load.
-    pub engines: Engines,
+    pub engines: EngineTable,
     summaries: Summaries,
     notes: Notes,
     news: VecDeque<News>,
@@ -204,7 +204,7 @@
         now: Instant,
         seed: u64,
     ) -> Self {
-        let engines = Engines::new(me.name.clone(), me.data_centre.clone(), me.incarnation, probe);
+        let engines = EngineTable::new(me.name.clone(), me.data_centre.clone(), me.incarnation, probe);
         let mut this = Self {
             budget: Budget::new(cfg.bytes_per_second),
             cfg,
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -90,7 +90,7 @@
 
 /// All engines as one router sees them.
 #[derive(Debug)]
-pub struct Engines {
+pub struct EngineTable {
     me: Arc<str>,
     data_centre: Arc<str>,
     cfg: ProbeConfig,
@@ -103,7 +103,7 @@
     events: Vec<EngineEvent>,
 }
 
-impl Engines {
+impl EngineTable {
     /// No engine is known yet; `start` must rise from one start of this router to the next.
     pub fn new(me: Arc<str>, data_centre: Arc<str>, start: u64, cfg: ProbeConfig) -> Self {
         Self {
--- a/src/probe/report.rs
+++ b/src/probe/report.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::{Engines, Finding, State, raw_state};
+use super::{EngineTable, Finding, State, raw_state};
 use crate::{
     schema::membership::{EngineLoad, Report},
     util::Instant,
@@ -14,7 +14,7 @@
 /// Number of the last change and the two lengths.
 const HEAD_BYTES: usize = 10 + 2 + 2;
 
-impl Engines {
+impl EngineTable {
     /// Changes after `acked` that fit `room` bytes, oldest first; `None` when there is none.
     pub fn report(&self, acked: u64, room: usize) -> Option<Report> {
         let mut changes: Vec<(u64, u32, bool)> = Vec::new();
--- a/src/probe/schedule.rs
+++ b/src/probe/schedule.rs
@@ -1,12 +1,12 @@
 //! Which probes to make now, within the byte budget.
 
-use super::{Engines, PROBE_BYTES, Probe};
+use super::{EngineTable, PROBE_BYTES, Probe};
 use crate::{
     member::{Priority, Usage},
     util::Instant,
 };
 
-impl Engines {
+impl EngineTable {
     /// Probes that are due and that the budget allows; those that wait longest go first.
     ///
     /// With more engines than the budget carries, the time between probes grows; no engine is left out.
--- a/tests/probe.rs
+++ b/tests/probe.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     client::Client,
     http::{Limits, Server},
-    probe::{EngineSpec, Engines, PROBE_BYTES, PROBERS, ProbeConfig, Seen, State},
+    probe::{EngineSpec, EngineTable, PROBE_BYTES, PROBERS, ProbeConfig, Seen, State},
     standin::{engine::EngineStandin, outside::loopback},
     util::Instant,
 };
@@ -36,9 +36,9 @@
 }
 
 /// Views of `n` routers on the same engines.
-fn views(n: usize, engines: usize) -> Vec<Engines> {
+fn views(n: usize, engines: usize) -> Vec<EngineTable> {
     let build = |name: Arc<str>| {
-        let mut e = Engines::new(name, "dc".into(), 1_000, ProbeConfig::default());
+        let mut e = EngineTable::new(name, "dc".into(), 1_000, ProbeConfig::default());
         e.set_engines(s(0), (0..engines).map(spec));
         e.set_probers(s(0), routers(n));
         e
@@ -47,7 +47,7 @@
 }
 
 /// Lets every view learn what view `from` has found.
-fn tell(views: &mut [Engines], from: usize, now: Instant) {
+fn tell(views: &mut [EngineTable], from: usize, now: Instant) {
     let name = routers(views.len())[from].clone();
     let report = views[from].report(0, 10_000);
     let events = views[from].take_events();
@@ -64,8 +64,8 @@
     }
 }
 
-fn probers(views: &mut [Engines], engine: &str) -> Vec<usize> {
-    let due = |v: &mut Engines| v.due(s(100)).iter().any(|p| &*p.engine == engine);
+fn probers(views: &mut [EngineTable], engine: &str) -> Vec<usize> {
+    let due = |v: &mut EngineTable| v.due(s(100)).iter().any(|p| &*p.engine == engine);
     (0..views.len()).filter(|&i| due(&mut views[i])).collect()
 }
 
@@ -73,7 +73,7 @@
 fn each_engine_is_probed_by_a_few_routers_and_the_work_is_even() {
     let views = views(10, 100);
 
-    let shares: Vec<_> = views.iter().map(Engines::assigned).collect();
+    let shares: Vec<_> = views.iter().map(EngineTable::assigned).collect();
 
     assert_eq!(shares.iter().sum::<usize>(), 100 * PROBERS);
     assert!(shares.iter().all(|n| (15..45).contains(n)), "{shares:?}");
@@ -166,7 +166,7 @@
 #[test]
 fn probes_stay_within_their_budget_and_reach_every_engine() {
     let cfg = ProbeConfig { bytes_per_second: 4_200, ..ProbeConfig::default() };
-    let mut e = Engines::new("router-0".into(), "dc".into(), 1, cfg);
+    let mut e = EngineTable::new("router-0".into(), "dc".into(), 1, cfg);
     e.set_engines(s(0), (0..100).map(spec));
     let (mut seen, mut most) = (std::collections::BTreeMap::<Arc<str>, u32>::new(), 0);
 
@@ -191,7 +191,7 @@
 /// Two engines whose names meet in one short identifier would share their findings. 100,000 names meet a few times.
 #[test]
 fn engines_whose_identifiers_meet_are_told_apart() {
-    let mut e = Engines::new("router-0".into(), "dc".into(), 1, ProbeConfig::default());
+    let mut e = EngineTable::new("router-0".into(), "dc".into(), 1, ProbeConfig::default());
 
     e.set_engines(s(0), (0..100_000).map(|i| EngineSpec { name: format!("e{i}").into(), ..spec(0) }));
 
