--- a/benches/membership/fleet.rs
+++ b/benches/membership/fleet.rs
@@ -14,7 +14,7 @@
 
 use cranberrytally::{
     member::{Event, GossipKey, HEAD_BYTES, MemberConfig, Membership, Output, Record, Status},
-    probe::{EngineSpec, Probe, ProbeConfig, Seen, State},
+    probe::{EngineSpec, Probe, ProbeConfig, ProbeResult, State},
     util::Instant,
 };
 use rand::{Rng, SeedableRng};
@@ -87,7 +87,7 @@
 enum Act {
     Tick(usize),
     Deliver(usize, SocketAddr, Vec<u8>),
-    Probed(usize, usize, Seen),
+    Probed(usize, usize, ProbeResult),
     InForce(usize, u64),
 }
 
@@ -394,9 +394,9 @@
         let (time, seen) = if e.up && !e.hidden_from.contains(&i) {
             let (start, leaving) = (e.start, e.leaving);
             let running = self.rng.random_range(20..60);
-            (Duration::from_millis(1), Seen::Answer { start, running, leaving })
+            (Duration::from_millis(1), ProbeResult::Answer { start, running, leaving })
         } else {
-            (PROBE_TIMEOUT, Seen::Unreachable)
+            (PROBE_TIMEOUT, ProbeResult::Unreachable)
         };
         self.push(self.now + time, Act::Probed(i, engine, seen));
     }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -17,7 +17,7 @@
     gateway::Gateway,
     member::{Event, GossipKey, HEAD_BYTES, MAX_BYTES, MemberConfig, Membership, Output, Record, Status},
     metrics::{Counter, Metrics},
-    probe::{EngineSpec, PROBE_BYTES, Probe, ProbeConfig, Seen},
+    probe::{EngineSpec, PROBE_BYTES, Probe, ProbeConfig, ProbeResult},
     util::{lock, now, wall_ms},
 };
 
@@ -143,7 +143,7 @@
                 m.set_in_force(now(), version);
             }
             for engine in &unreached {
-                m.engines.dispatched(now(), engine, Seen::Unreachable);
+                m.engines.dispatched(now(), engine, ProbeResult::Unreachable);
             }
             (m.tick(now()), m.engines.due(now()))
         });
@@ -207,7 +207,7 @@
         self.with(|m| m.engines.set_engines(now(), specs));
     }
 
-    fn probed(&self, probe: &Probe, seen: Seen) {
+    fn probed(&self, probe: &Probe, seen: ProbeResult) {
         self.with(|m| m.engines.probed(now(), &probe.engine, seen));
     }
 }
--- a/src/gossip/probes.rs
+++ b/src/gossip/probes.rs
@@ -7,7 +7,7 @@
 use super::Shared;
 use crate::{
     catalog::Engine,
-    probe::{EngineSpec, Probe, Seen},
+    probe::{EngineSpec, Probe, ProbeResult},
     schema::engine::Load,
 };
 
@@ -17,22 +17,22 @@
 pub(super) async fn probe(shared: Arc<Shared>, probe: Probe) {
     let url = format!("http://{}/load", probe.addr);
     let seen = match shared.client.json(Method::GET, &url, None, TIMEOUT).await {
-        Ok((status, _)) if status >= 500 => Seen::Unreachable,
+        Ok((status, _)) if status >= 500 => ProbeResult::Unreachable,
         Ok((200, body)) => match serde_json::from_value::<Load>(body) {
             Ok(load) => {
                 shared.gateway.note_engine_load(&probe.engine, &load);
-                Seen::Answer { start: load.start, running: load.running, leaving: load.leaving }
+                ProbeResult::Answer { start: load.start, running: load.running, leaving: load.leaving }
             }
             Err(_) => UNREPORTED,
         },
         Ok(_) => UNREPORTED,
-        Err(_) => Seen::Unreachable,
+        Err(_) => ProbeResult::Unreachable,
     };
     shared.probed(&probe, seen);
 }
 
 /// A backend server of a plain service answers, but knows no load report.
-const UNREPORTED: Seen = Seen::Answer { start: 0, running: 0, leaving: false };
+const UNREPORTED: ProbeResult = ProbeResult::Answer { start: 0, running: 0, leaving: false };
 
 impl From<&Engine> for EngineSpec {
     fn from(e: &Engine) -> Self {
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -41,7 +41,7 @@
 
 /// What a probe or a dispatch saw.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum ProbeResult {
     /// The engine answered.
     Answer {
         /// Identifies the engine's start.
@@ -190,10 +190,10 @@
     }
 
     /// Takes in what a probe saw.
-    pub fn probed(&mut self, now: Instant, name: &str, seen: Seen) {
+    pub fn probed(&mut self, now: Instant, name: &str, seen: ProbeResult) {
         let Some(e) = self.by_name.get(name).and_then(|id| self.entries.get_mut(id)) else { return };
         let next = match seen {
-            Seen::Unreachable => {
+            ProbeResult::Unreachable => {
                 e.fails += 1;
                 let others = e.down_elsewhere(&self.me);
                 if e.fails < self.cfg.failures && !others {
@@ -202,7 +202,7 @@
                 }
                 Finding { state: State::Down, start: e.start(), running: 0, at: now, seq: 0 }
             }
-            Seen::Answer { start, running, leaving } => {
+            ProbeResult::Answer { start, running, leaving } => {
                 e.fails = 0;
                 let state = if leaving { State::Leaving } else { State::Up };
                 Finding { state, start, running, at: now, seq: 0 }
@@ -213,15 +213,15 @@
     }
 
     /// Takes in what a dispatch of this router saw; its answer is worth a probe.
-    pub fn dispatched(&mut self, now: Instant, name: &str, seen: Seen) {
+    pub fn dispatched(&mut self, now: Instant, name: &str, seen: ProbeResult) {
         let Some(e) = self.by_name.get(name).and_then(|id| self.entries.get_mut(id)) else { return };
         match seen {
-            Seen::Unreachable if e.mine => e.next = now,
-            Seen::Unreachable => {
+            ProbeResult::Unreachable if e.mine => e.next = now,
+            ProbeResult::Unreachable => {
                 let lost = Finding { state: State::Down, start: e.start(), running: 0, at: now, seq: 0 };
                 self.note(now, name, lost);
             }
-            Seen::Answer { start, running, leaving } => {
+            ProbeResult::Answer { start, running, leaving } => {
                 let state = if leaving { State::Leaving } else { State::Up };
                 self.note(now, name, Finding { state, start, running, at: now, seq: 0 });
             }
--- a/tests/probe.rs
+++ b/tests/probe.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     client::Client,
     http::{Limits, Server},
-    probe::{EngineSpec, EngineTable, PROBE_BYTES, PROBERS, ProbeConfig, Seen, State},
+    probe::{EngineSpec, EngineTable, PROBE_BYTES, PROBERS, ProbeConfig, ProbeResult, State},
     standin::{engine::EngineStandin, outside::loopback},
     util::Instant,
 };
@@ -20,7 +20,7 @@
     Duration::from_secs(n)
 }
 
-const UP: Seen = Seen::Answer { start: 1, running: 3, leaving: false };
+const UP: ProbeResult = ProbeResult::Answer { start: 1, running: 3, leaving: false };
 
 fn spec(i: usize) -> EngineSpec {
     EngineSpec {
@@ -90,8 +90,8 @@
         tell(&mut all, i, s(100));
     }
 
-    all[probers[0]].probed(s(101), "engine-0", Seen::Unreachable);
-    all[probers[0]].probed(s(102), "engine-0", Seen::Unreachable);
+    all[probers[0]].probed(s(101), "engine-0", ProbeResult::Unreachable);
+    all[probers[0]].probed(s(102), "engine-0", ProbeResult::Unreachable);
     tell(&mut all, probers[0], s(102));
 
     for (i, v) in all.iter().enumerate() {
@@ -110,12 +110,12 @@
         tell(&mut all, i, s(100));
     }
 
-    all[probers[0]].probed(s(101), "engine-0", Seen::Unreachable);
-    all[probers[0]].probed(s(102), "engine-0", Seen::Unreachable);
+    all[probers[0]].probed(s(101), "engine-0", ProbeResult::Unreachable);
+    all[probers[0]].probed(s(102), "engine-0", ProbeResult::Unreachable);
     tell(&mut all, probers[0], s(102));
     // The second is asked at once and needs no second failure of its own.
     assert!(all[probers[1]].due(s(102)).iter().any(|p| &*p.engine == "engine-0"));
-    all[probers[1]].probed(s(103), "engine-0", Seen::Unreachable);
+    all[probers[1]].probed(s(103), "engine-0", ProbeResult::Unreachable);
     tell(&mut all, probers[1], s(103));
     let down = all.iter().all(|v| v.view(s(103), "engine-0").unwrap().state == State::Down);
     all[probers[1]].probed(s(104), "engine-0", UP);
@@ -137,11 +137,11 @@
         tell(&mut all, i, s(100));
     }
 
-    let leaving = Seen::Answer { start: 1, running: 3, leaving: true };
+    let leaving = ProbeResult::Answer { start: 1, running: 3, leaving: true };
     all[other].dispatched(s(101), "engine-0", leaving);
     tell(&mut all, other, s(101));
     let left = all.iter().all(|v| v.view(s(101), "engine-0").unwrap().state == State::Leaving);
-    let restarted = Seen::Answer { start: 2, running: 0, leaving: false };
+    let restarted = ProbeResult::Answer { start: 2, running: 0, leaving: false };
     all[probers[0]].probed(s(103), "engine-0", restarted);
     tell(&mut all, probers[0], s(103));
 
