--- a/benches/membership/fleet.rs
+++ b/benches/membership/fleet.rs
@@ -352,7 +352,7 @@
             Act::Deliver(to, from, bytes) => self.deliver(to, from, &bytes),
             Act::Probed(i, engine, seen) => {
                 let name = self.engines[engine].spec.name.clone();
-                self.timed(i, |m| m.engines.probed(now, &name, seen));
+                self.timed(i, |m| m.engines.on_probe_result(now, &name, seen));
             }
             Act::InForce(i, version) => {
                 self.timed(i, |m| m.set_in_force(now, version));
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -208,6 +208,6 @@
     }
 
     fn probed(&self, probe: &Probe, seen: ProbeResult) {
-        self.with(|m| m.engines.probed(now(), &probe.engine, seen));
+        self.with(|m| m.engines.on_probe_result(now(), &probe.engine, seen));
     }
 }
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -190,7 +190,7 @@
     }
 
     /// Takes in what a probe saw.
-    pub fn probed(&mut self, now: Instant, name: &str, seen: ProbeResult) {
+    pub fn on_probe_result(&mut self, now: Instant, name: &str, seen: ProbeResult) {
         let Some(e) = self.by_name.get(name).and_then(|id| self.entries.get_mut(id)) else { return };
         let next = match seen {
             ProbeResult::Unreachable => {
--- a/tests/probe.rs
+++ b/tests/probe.rs
@@ -86,12 +86,12 @@
     let mut all = views(5, 1);
     let probers = probers(&mut all, "engine-0");
     for &i in &probers[1..] {
-        all[i].probed(s(100), "engine-0", UP);
+        all[i].on_probe_result(s(100), "engine-0", UP);
         tell(&mut all, i, s(100));
     }
 
-    all[probers[0]].probed(s(101), "engine-0", ProbeResult::Unreachable);
-    all[probers[0]].probed(s(102), "engine-0", ProbeResult::Unreachable);
+    all[probers[0]].on_probe_result(s(101), "engine-0", ProbeResult::Unreachable);
+    all[probers[0]].on_probe_result(s(102), "engine-0", ProbeResult::Unreachable);
     tell(&mut all, probers[0], s(102));
 
     for (i, v) in all.iter().enumerate() {
@@ -106,19 +106,19 @@
     let mut all = views(5, 1);
     let probers = probers(&mut all, "engine-0");
     for &i in &probers {
-        all[i].probed(s(100), "engine-0", UP);
+        all[i].on_probe_result(s(100), "engine-0", UP);
         tell(&mut all, i, s(100));
     }
 
-    all[probers[0]].probed(s(101), "engine-0", ProbeResult::Unreachable);
-    all[probers[0]].probed(s(102), "engine-0", ProbeResult::Unreachable);
+    all[probers[0]].on_probe_result(s(101), "engine-0", ProbeResult::Unreachable);
+    all[probers[0]].on_probe_result(s(102), "engine-0", ProbeResult::Unreachable);
     tell(&mut all, probers[0], s(102));
     // The second is asked at once and needs no second failure of its own.
     assert!(all[probers[1]].due(s(102)).iter().any(|p| &*p.engine == "engine-0"));
-    all[probers[1]].probed(s(103), "engine-0", ProbeResult::Unreachable);
+    all[probers[1]].on_probe_result(s(103), "engine-0", ProbeResult::Unreachable);
     tell(&mut all, probers[1], s(103));
     let down = all.iter().all(|v| v.view(s(103), "engine-0").unwrap().state == State::Down);
-    all[probers[1]].probed(s(104), "engine-0", UP);
+    all[probers[1]].on_probe_result(s(104), "engine-0", UP);
     tell(&mut all, probers[1], s(104));
 
     assert!(down);
@@ -133,7 +133,7 @@
     let probers = probers(&mut all, "engine-0");
     let other = (0..5).find(|i| !probers.contains(i)).unwrap();
     for &i in &probers {
-        all[i].probed(s(100), "engine-0", UP);
+        all[i].on_probe_result(s(100), "engine-0", UP);
         tell(&mut all, i, s(100));
     }
 
@@ -142,7 +142,7 @@
     tell(&mut all, other, s(101));
     let left = all.iter().all(|v| v.view(s(101), "engine-0").unwrap().state == State::Leaving);
     let restarted = ProbeResult::Answer { start: 2, running: 0, leaving: false };
-    all[probers[0]].probed(s(103), "engine-0", restarted);
+    all[probers[0]].on_probe_result(s(103), "engine-0", restarted);
     tell(&mut all, probers[0], s(103));
 
     assert!(left);
@@ -177,7 +177,7 @@
             for probe in e.due(at) {
                 now += 1;
                 *seen.entry(probe.engine.clone()).or_default() += 1;
-                e.probed(at, &probe.engine, UP);
+                e.on_probe_result(at, &probe.engine, UP);
             }
         }
         most = most.max(now);
