--- a/benches/claims/holder.rs
+++ b/benches/claims/holder.rs
@@ -15,10 +15,10 @@
             }
         }
         let (key, content) = (self.callers[caller].key, self.callers[caller].content);
-        let ask = Ask { key, content, attempt: self.attempt_id(), look: false };
+        let ask = ClaimRequest { key, content, attempt: self.attempt_id(), lookup_only: false };
         let req = self.id();
         let since = self.now;
-        let stage = Some(Stage::Asking(Asking::new(ask, Undispatched::new())));
+        let stage = Some(Stage::Asking(RequestedClaim::new(ask, Undispatched::new())));
         let asked = Vec::new();
         self.routers[router].reqs.insert(req, Req { caller, since, asked, stage });
         self.ask(router, req, ask);
@@ -56,7 +56,7 @@
         self.again(caller);
     }
 
-    pub(super) fn ask(&mut self, router: usize, req: ReqId, ask: Ask) {
+    pub(super) fn ask(&mut self, router: usize, req: ReqId, ask: ClaimRequest) {
         let caller = self.routers[router].reqs[&req].caller;
         let ticket = self.callers[caller].ticket;
         let start = self.routers[router].start;
@@ -199,8 +199,8 @@
         match run {
             Some(run) => {
                 let body = Some(run.to_le_bytes().to_vec());
-                let answered = Answered { status: 200, content_type: "application/json".into(), body };
-                let (_, finish) = running.finish(Record::Ran(answered));
+                let answered = StoredResponse { status: 200, content_type: "application/json".into(), body };
+                let (_, finish) = running.finish(Record::Completed(answered));
                 self.finish(router, &r.asked, finish.ask, finish.record, ticket);
                 self.told_ran(r.caller, run, false);
             }
@@ -233,7 +233,7 @@
         &mut self,
         from: usize,
         asked: &[usize],
-        ask: Ask,
+        ask: ClaimRequest,
         record: Record,
         ticket: Option<(usize, Start)>,
     ) {
--- a/benches/claims/keeper.rs
+++ b/benches/claims/keeper.rs
@@ -31,7 +31,7 @@
                         self.ask_local(to, ask, from, start, req);
                     }
                     Some(named) if self.weak != Weak::TicketAnywhere && !self.closed.contains(&named) => {
-                        let ask = Ask { look: true, ..ask };
+                        let ask = ClaimRequest { lookup_only: true, ..ask };
                         self.ask_book(to, ask, Asker::Look { from, start, req });
                     }
                     _ => self.ask_book(to, ask, Asker::Remote { router: from, start, req }),
@@ -57,7 +57,7 @@
         }
     }
 
-    pub(super) fn keep(&mut self, router: usize, ask: Ask, record: Record, authority: bool) {
+    pub(super) fn keep(&mut self, router: usize, ask: ClaimRequest, record: Record, authority: bool) {
         let clock = self.clock();
         let id = self.book_id(router, ask.key);
         self.book(router, id).finish(clock, &ask, record, authority);
@@ -71,14 +71,21 @@
         self.drive(router, id);
     }
 
-    pub(super) fn ask_local(&mut self, router: usize, ask: Ask, from: usize, start: Start, req: ReqId) {
+    pub(super) fn ask_local(
+        &mut self,
+        router: usize,
+        ask: ClaimRequest,
+        from: usize,
+        start: Start,
+        req: ReqId,
+    ) {
         let clock = self.clock();
         let step = self.routers[router].local.ask(clock, &ask, true);
         match step {
             Step::Answer(verdict) => {
                 self.frame(router, from, Msg::Verdict { req, attempt: ask.attempt, verdict });
             }
-            Step::Record | Step::Look => {
+            Step::Record | Step::Lookup => {
                 let waiter = self.id();
                 let asker = Asker::Authority { ask, from, start, req };
                 self.routers[router].askers.insert(waiter, (asker, ask.attempt));
@@ -90,13 +97,13 @@
         }
     }
 
-    pub(super) fn ask_book(&mut self, router: usize, ask: Ask, asker: Asker) {
+    pub(super) fn ask_book(&mut self, router: usize, ask: ClaimRequest, asker: Asker) {
         let clock = self.clock();
         let id = self.book_id(router, ask.key);
         let waiter = self.id();
         let verdict = self.book(router, id).ask(clock, ask, waiter);
         let verdict = match verdict {
-            None if self.weak == Weak::GrantAtOnce && !ask.look => Some(Verdict::Granted),
+            None if self.weak == Weak::GrantAtOnce && !ask.lookup_only => Some(Verdict::Granted),
             verdict => verdict,
         };
         match verdict {
@@ -112,7 +119,7 @@
         let (to, start, req, verdict) = match asker {
             Asker::Remote { router: to, start, req } => (to, start, req, verdict),
             Asker::Authority { ask, from, start, req } => {
-                (from, start, req, self.routers[router].local.recorded(&ask, verdict))
+                (from, start, req, self.routers[router].local.apply_shard_verdict(&ask, verdict))
             }
             Asker::Look { from, start, req } => {
                 let verdict = if verdict == Verdict::Expired { Verdict::Unknown } else { verdict };
@@ -140,10 +147,10 @@
         }
     }
 
-    pub(super) fn book(&mut self, router: usize, id: u64) -> &mut Book {
+    pub(super) fn book(&mut self, router: usize, id: u64) -> &mut ShardClaims {
         let cfg = self.cfg;
         let start = self.routers[router].start;
-        let new = || Book::new(format!("claims-{id}"), format!("r{router}-{start}"), cfg);
+        let new = || ShardClaims::new(format!("claims-{id}"), format!("r{router}-{start}"), cfg);
         self.routers[router].books.entry(id).or_insert_with(new)
     }
 
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -10,11 +10,11 @@
 use cranberrytally::{
     catalog::AnyObject,
     claim::{
-        Answered, Ask, AttemptId, Clock, ContentDigest, KeyDigest, Record, Verdict,
-        attempt::{Asking, Held, Running},
-        book::{Book, BookConfig, Done, Op},
-        local::{Local, Step},
+        AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
+        attempt::{DispatchedClaim, GrantedClaim, RequestedClaim},
         shard::{SHARD_KIND, Shard, read_archive},
+        shard_claims::{Op, OpResult, ShardClaims, ShardClaimsConfig},
+        ticket_claims::{Step, TicketClaims},
     },
     client::Failure,
     objects::Write,
@@ -41,7 +41,7 @@
         from: usize,
         start: Start,
         req: ReqId,
-        ask: Ask,
+        ask: ClaimRequest,
         ticket: Option<(usize, Start)>,
     },
     Verdict {
@@ -50,7 +50,7 @@
         verdict: Verdict,
     },
     Finish {
-        ask: Ask,
+        ask: ClaimRequest,
         record: Record,
         ticket: Option<(usize, Start)>,
     },
@@ -61,7 +61,7 @@
     },
     /// The authority of a ticket hands a record on to the key's shard.
     Keep {
-        ask: Ask,
+        ask: ClaimRequest,
         record: Record,
     },
     /// The authority of a ticket hands a release on to the key's shard.
@@ -76,7 +76,7 @@
     Send { caller: usize, router: usize },
     Link { to: usize, start: Start, msg: Msg },
     Store { router: usize, start: Start, book: u64, op: Op, tell: bool },
-    Stored { router: usize, start: Start, book: u64, done: Done },
+    Stored { router: usize, start: Start, book: u64, done: OpResult },
     Wake { router: usize, start: Start, book: u64 },
     Recorded { router: usize, start: Start, waiter: u64 },
     Dispatch { router: usize, start: Start, req: ReqId },
@@ -107,9 +107,9 @@
 }
 
 enum Stage {
-    Asking(Asking),
-    Held(Held),
-    Running(Running),
+    Asking(RequestedClaim),
+    Held(GrantedClaim),
+    Running(DispatchedClaim),
 }
 
 struct Req {
@@ -129,7 +129,7 @@
     },
     /// The authority of a ticket, which asked for durability; it answers the asker behind it.
     Authority {
-        ask: Ask,
+        ask: ClaimRequest,
         from: usize,
         start: Start,
         req: ReqId,
@@ -145,8 +145,8 @@
 struct Router {
     start: Start,
     paused_until: Ms,
-    books: BTreeMap<u64, Book>,
-    local: Local,
+    books: BTreeMap<u64, ShardClaims>,
+    local: TicketClaims,
     reqs: BTreeMap<ReqId, Req>,
     askers: BTreeMap<u64, (Asker, AttemptId)>,
     late: BTreeMap<AttemptId, (usize, ReqId)>,
@@ -214,7 +214,7 @@
     weak: Weak,
     way: Way,
     faults: Faults,
-    cfg: BookConfig,
+    cfg: ShardClaimsConfig,
     outage: bool,
     closed: BTreeSet<(usize, Start)>,
     objects: BTreeMap<(String, String), AnyObject>,
@@ -246,7 +246,7 @@
             weak,
             way,
             faults,
-            cfg: BookConfig::default(),
+            cfg: ShardClaimsConfig::default(),
             outage: false,
             closed: BTreeSet::new(),
             objects: BTreeMap::new(),
@@ -266,7 +266,7 @@
         world
     }
 
-    pub fn with_config(mut self, cfg: BookConfig) -> Self {
+    pub fn with_config(mut self, cfg: ShardClaimsConfig) -> Self {
         self.cfg = cfg;
         self
     }
@@ -366,7 +366,7 @@
         let mut keys = BTreeMap::new();
         for ((kind, _), obj) in &self.objects {
             let entries = if kind == SHARD_KIND {
-                Shard::read(Some(obj)).map(|s| s.entries)
+                Shard::from_object(Some(obj)).map(|s| s.entries)
             } else {
                 read_archive(obj)
             };
@@ -381,7 +381,7 @@
             start,
             paused_until: 0,
             books: BTreeMap::new(),
-            local: Local::default(),
+            local: TicketClaims::default(),
             reqs: BTreeMap::new(),
             askers: BTreeMap::new(),
             late: BTreeMap::new(),
@@ -444,7 +444,7 @@
             Event::Stored { router, book, done, .. } => {
                 let clock = self.clock();
                 let Some(b) = self.routers[router].books.get_mut(&book) else { return };
-                let verdicts = b.done(clock, done);
+                let verdicts = b.handle_result(clock, done);
                 self.settle(router, verdicts);
                 self.drive(router, book);
             }
@@ -502,12 +502,13 @@
 
 /// One seeded schedule of all faults over three routers and one shard.
 pub fn schedule(seed: u64, weak: Weak) -> World {
-    let mut world = World::new(seed, 3, Way::Shards(1), Faults::many(), weak).with_config(BookConfig {
-        hot_bytes: 2048,
-        record_delay: Duration::from_millis(300),
-        interval: Duration::from_millis(40),
-        ..BookConfig::default()
-    });
+    let mut world =
+        World::new(seed, 3, Way::Shards(1), Faults::many(), weak).with_config(ShardClaimsConfig {
+            max_shard_bytes: 2048,
+            record_delay: Duration::from_millis(300),
+            write_interval: Duration::from_millis(40),
+            ..ShardClaimsConfig::default()
+        });
     const SPAN: Ms = 6_000;
     for _ in 0..24 {
         let at = world.rng.random_range(0..SPAN);
--- a/src/claim/messages.rs
+++ b/src/claim/messages.rs
@@ -1,13 +1,15 @@
-//! Claims in the messages between routers.
+//! Conversion of claims to and from the messages between routers.
 
-use super::{Answered, Ask, AttemptId, ContentDigest, DIGEST, KeyDigest, Record, Verdict};
+use super::{
+    AttemptId, ClaimRequest, ContentDigest, DIGEST_BYTES, KeyDigest, Record, StoredResponse, Verdict,
+};
 use crate::schema::claim::{self as wire, ClaimAnswer, ClaimAsk, Decision};
 
-/// A message does not have the form that it must have.
+/// A message or stored object that can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-pub(crate) fn bytes16(bytes: &[u8]) -> Result<[u8; DIGEST], Malformed> {
+pub(crate) fn bytes16(bytes: &[u8]) -> Result<[u8; DIGEST_BYTES], Malformed> {
     bytes.try_into().map_err(|_| Malformed)
 }
 
@@ -15,7 +17,7 @@
     fn from(record: &Record) -> Self {
         match record {
             Record::Unknown => Self::default(),
-            Record::Ran(a) => Self {
+            Record::Completed(a) => Self {
                 known: true,
                 status: a.status.into(),
                 content_type: a.content_type.clone(),
@@ -33,7 +35,7 @@
             return Ok(Record::Unknown);
         }
         let status = raw.status.try_into().map_err(|_| Malformed)?;
-        Ok(Record::Ran(Answered { status, content_type: raw.content_type, body: raw.body }))
+        Ok(Record::Completed(StoredResponse { status, content_type: raw.content_type, body: raw.body }))
     }
 }
 
@@ -49,7 +51,7 @@
             Verdict::Unavailable => Decision::Unavailable,
         };
         let record = match verdict {
-            Verdict::Recorded(answered) => Some((&Record::Ran(answered.clone())).into()),
+            Verdict::Recorded(answered) => Some((&Record::Completed(answered.clone())).into()),
             _ => None,
         };
         Self { decision: decision.into(), record }
@@ -69,35 +71,40 @@
             Decision::Unavailable => Ok(Verdict::Unavailable),
             Decision::Noted => Err(Malformed),
             Decision::Recorded => match raw.record.ok_or(Malformed)?.try_into()? {
-                Record::Ran(answered) => Ok(Verdict::Recorded(answered)),
+                Record::Completed(answered) => Ok(Verdict::Recorded(answered)),
                 Record::Unknown => Err(Malformed),
             },
         }
     }
 }
 
-impl Ask {
-    /// The message that asks; `ticket` is empty for a key of the caller's own.
-    pub fn message(&self, ticket: String) -> ClaimAsk {
+impl ClaimRequest {
+    /// Message form of the request; `ticket` is empty for a key that the caller chose freely.
+    pub fn to_message(&self, ticket: String) -> ClaimAsk {
         ClaimAsk {
             key: self.key.0.to_vec(),
             content: self.content.0.to_vec(),
             attempt: self.attempt.0.to_vec(),
-            look: self.look,
+            look: self.lookup_only,
             ticket,
         }
     }
 
-    /// Reads the digests of a message.
+    /// Builds a request from the digests in a message.
     ///
     /// # Errors
-    /// When one of them does not have the length that it must have.
-    pub fn read(key: &[u8], content: &[u8], attempt: &[u8], look: bool) -> Result<Self, Malformed> {
+    /// If one of them does not have [`DIGEST_BYTES`] bytes.
+    pub fn from_bytes(
+        key: &[u8],
+        content: &[u8],
+        attempt: &[u8],
+        lookup_only: bool,
+    ) -> Result<Self, Malformed> {
         Ok(Self {
             key: KeyDigest(bytes16(key)?),
             content: ContentDigest(bytes16(content)?),
             attempt: AttemptId(bytes16(attempt)?),
-            look,
+            lookup_only,
         })
     }
 }
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -7,8 +7,8 @@
 use super::Claims;
 use crate::{
     claim::{
-        Answered, Ask, KEPT_BODY, Record, Verdict,
-        attempt::{Asking, Held, Refused, Running, refusal},
+        ClaimRequest, MAX_KEPT_BODY_BYTES, Record, StoredResponse, Verdict,
+        attempt::{DispatchedClaim, GrantedClaim, Refused, RequestedClaim, error_kind},
     },
     error::{Fault, Kind},
     gateway::{admit::Entered, ask::header, attempt::Started, relay::STALL},
@@ -23,14 +23,14 @@
 pub(in crate::gateway) struct Claim {
     claims: Arc<Claims>,
     key: Arc<str>,
-    held: Held,
+    held: GrantedClaim,
 }
 
 /// A claim whose request may have run.
 pub(in crate::gateway) struct Claimed {
     claims: Arc<Claims>,
     key: Arc<str>,
-    running: Running,
+    running: DispatchedClaim,
 }
 
 /// What a key's claim comes to.
@@ -49,10 +49,10 @@
     pub(in crate::gateway) async fn ask(
         claims: &Arc<Claims>,
         key: &Arc<str>,
-        ask: Ask,
+        ask: ClaimRequest,
         patience: std::time::Duration,
     ) -> Result<Answer, Fault> {
-        let asking = Asking::new(ask, Undispatched::new());
+        let asking = RequestedClaim::new(ask, Undispatched::new());
         let verdict = tokio::time::timeout(patience, claims.ask(ask, key)).await;
         match asking.decide(verdict.unwrap_or(Verdict::Unavailable)) {
             Ok(held) => Ok(Answer::Run(Self { claims: claims.clone(), key: key.clone(), held })),
@@ -74,12 +74,12 @@
     if let Verdict::Recorded(answered) = verdict {
         return replay(answered).map(Answer::Replay);
     }
-    let kind = refusal(&verdict).unwrap_or(Kind::Internal);
+    let kind = error_kind(&verdict).unwrap_or(Kind::Internal);
     token.refuse(kind, kind.answer().about).into_result()
 }
 
 /// The recorded answer of the run.
-fn replay(answered: Answered) -> Result<Reply, Fault> {
+fn replay(answered: StoredResponse) -> Result<Reply, Fault> {
     let Some(body) = answered.body else {
         return Err(Fault::new(Kind::KeyAnswered, Kind::KeyAnswered.answer().about));
     };
@@ -115,7 +115,8 @@
         let status = res.status().as_u16();
         let content_type =
             header(res.headers(), "content-type").unwrap_or("application/octet-stream").to_owned();
-        let mut answered = Answered { status, content_type: content_type.clone(), body: Some(Vec::new()) };
+        let mut answered =
+            StoredResponse { status, content_type: content_type.clone(), body: Some(Vec::new()) };
         tokio::spawn(async move {
             let _held = (found, entered);
             let mut body = res.into_body();
@@ -133,7 +134,7 @@
                 keep(&mut answered, &data);
                 let _ = tx.send(data).await;
             }
-            self.record(Record::Ran(answered));
+            self.record(Record::Completed(answered));
             run.complete();
             tx.finish().await;
         });
@@ -150,10 +151,10 @@
 }
 
 /// Keeps the body as long as it is small enough.
-fn keep(answered: &mut Answered, data: &[u8]) {
+fn keep(answered: &mut StoredResponse, data: &[u8]) {
     if let Some(body) = &mut answered.body {
         body.extend_from_slice(data);
-        if body.len() > KEPT_BODY {
+        if body.len() > MAX_KEPT_BODY_BYTES {
             answered.body = None;
         }
     }
--- a/src/gateway/claim/desk.rs
+++ b/src/gateway/claim/desk.rs
@@ -9,9 +9,9 @@
 
 use crate::{
     claim::{
-        Ask, AttemptId, Clock, KeyDigest, Record, Verdict,
-        book::{Book, BookConfig, Done, Op, WaiterId},
+        AttemptId, ClaimRequest, Clock, KeyDigest, Record, Verdict,
         shard::{ARCHIVE_KIND, SHARD_KIND},
+        shard_claims::{Op, OpResult, ShardClaims, ShardClaimsConfig, WaiterId},
     },
     gateway::lock,
     objects::Platform,
@@ -35,7 +35,7 @@
 
 #[derive(Debug)]
 struct State {
-    book: Book,
+    book: ShardClaims,
     waiters: Map<WaiterId, oneshot::Sender<Verdict>>,
     next: WaiterId,
     driven: bool,
@@ -44,13 +44,13 @@
 impl Desk {
     pub(super) fn new(shard: u16, writer: &str, platform: Platform) -> Arc<Self> {
         let name = format!("claims-{shard}");
-        let book = Book::new(name.clone(), writer, BookConfig::default());
+        let book = ShardClaims::new(name.clone(), writer, ShardClaimsConfig::default());
         let state = State { book, waiters: Map::default(), next: 0, driven: false };
         Arc::new(Self { name, platform, state: Mutex::new(state), changed: Notify::new() })
     }
 
     /// Asks for a claim and waits for the verdict.
-    pub(super) async fn ask(self: &Arc<Self>, ask: Ask) -> Verdict {
+    pub(super) async fn ask(self: &Arc<Self>, ask: ClaimRequest) -> Verdict {
         let rx = {
             let mut state = lock(&self.state);
             state.next += 1;
@@ -66,7 +66,7 @@
         rx.await.unwrap_or(Verdict::Unavailable)
     }
 
-    pub(super) fn finish(self: &Arc<Self>, ask: &Ask, record: Record, authority: bool) {
+    pub(super) fn finish(self: &Arc<Self>, ask: &ClaimRequest, record: Record, authority: bool) {
         lock(&self.state).book.finish(Clock::read(), ask, record, authority);
         self.drive();
     }
@@ -81,7 +81,7 @@
         if !lock(&self.state).driven {
             return;
         }
-        lock(&self.state).book.hurry();
+        lock(&self.state).book.disable_record_delay();
         self.drive();
         while !lock(&self.state).book.is_idle() {
             tokio::time::sleep(SETTLE_CHECK).await;
@@ -108,7 +108,7 @@
                 Some(op) => {
                     let done = self.call(op).await;
                     let mut state = lock(&self.state);
-                    let verdicts = state.book.done(Clock::read(), done);
+                    let verdicts = state.book.handle_result(Clock::read(), done);
                     state.tell(verdicts);
                 }
                 None => self.wait().await,
@@ -124,18 +124,18 @@
         let _ = tokio::time::timeout(pause, self.changed.notified()).await;
     }
 
-    async fn call(&self, op: Op) -> Done {
+    async fn call(&self, op: Op) -> OpResult {
         let read = |kind: &'static str, name: String| async move {
             match self.platform.get(kind, &name).await {
-                Ok(obj) => Done::Read(obj),
-                Err(_) => Done::Failed,
+                Ok(obj) => OpResult::Read(obj),
+                Err(_) => OpResult::Failed,
             }
         };
         match op {
             Op::Read => read(SHARD_KIND, self.name.clone()).await,
             Op::ReadArchive(name) => read(ARCHIVE_KIND, name).await,
-            Op::Write(obj) => self.platform.put(&obj).await.map_or(Done::Failed, Done::Write),
-            Op::Delete(obj) => self.platform.delete(&obj).await.map_or(Done::Failed, Done::Write),
+            Op::Write(obj) => self.platform.put(&obj).await.map_or(OpResult::Failed, OpResult::Write),
+            Op::Delete(obj) => self.platform.delete(&obj).await.map_or(OpResult::Failed, OpResult::Write),
         }
     }
 }
--- a/src/gateway/service.rs
+++ b/src/gateway/service.rs
@@ -56,11 +56,11 @@
             let started = self.attempt(&cat, &ask, &queue, &servers).await?;
             return Ok(relay(started, entered));
         };
-        let wanted = claim::Ask {
+        let wanted = claim::ClaimRequest {
             key: KeyDigest::new(&ask.workspace, name, key),
             content: ContentDigest::new(req.method().as_str(), &path, req.body()),
             attempt: AttemptId(rand::random()),
-            look: false,
+            lookup_only: false,
         };
         let claim = match Claim::ask(&self.claims, key, wanted, ask.deadline.saturating_sub(now())).await? {
             Answer::Replay(reply) => return Ok(reply),
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -21,7 +21,7 @@
         Status,
     },
     metrics::{Counter, Metrics},
-    probe::{EngineSpec, PROBE_BYTES, Probe, ProbeConfig, Seen},
+    probe::{EngineSpec, PROBE_BYTES, Probe, ProbeConfig, ProbeResult},
     util::{lock, now, wall_ms},
 };
 
@@ -148,7 +148,7 @@
                 m.set_in_force(now(), version);
             }
             for engine in &unreached {
-                m.engines.dispatched(now(), engine, Seen::Unreachable);
+                m.engines.dispatched(now(), engine, ProbeResult::Unreachable);
             }
             (m.tick(now()), m.engines.due(now()))
         });
@@ -214,7 +214,7 @@
     }
 
     /// Records the result of a probe.
-    fn probed(&self, probe: &Probe, seen: Seen) {
-        self.with(|m| m.engines.probed(now(), &probe.engine, seen));
+    fn probed(&self, probe: &Probe, seen: ProbeResult) {
+        self.with(|m| m.engines.on_probe_result(now(), &probe.engine, seen));
     }
 }
--- a/src/member.rs
+++ b/src/member.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    probe::{Engines, ProbeConfig},
+    probe::{EngineTable, ProbeConfig},
     schema::membership::{EngineEvent, Note, Summary, datagram::Body},
     util::{Instant, Map, Set},
 };
@@ -144,7 +144,7 @@
     budget: Budget,
     rng: ChaCha8Rng,
     /// Liveness and load of engines.
-    pub engines: Engines,
+    pub engines: EngineTable,
     summaries: Summaries,
     notes: Notes,
     broadcasts: VecDeque<Broadcast>,
@@ -206,7 +206,7 @@
         now: Instant,
         seed: u64,
     ) -> Self {
-        let engines = Engines::new(me.name.clone(), me.data_centre.clone(), me.incarnation, probe);
+        let engines = EngineTable::new(me.name.clone(), me.data_centre.clone(), me.incarnation, probe);
         let mut this = Self {
             budget: Budget::new(cfg.bytes_per_second),
             cfg,
--- a/tests/claim_book.rs
+++ b/tests/claim_book.rs
@@ -5,10 +5,10 @@
 use cranberrytally::{
     catalog::AnyObject,
     claim::{
-        Answered, Ask, AttemptId, Clock, ContentDigest, KeyDigest, Record, Verdict,
-        book::{Book, BookConfig, Done, Op},
-        local::{Local, Step},
+        AttemptId, ClaimRequest, Clock, ContentDigest, KeyDigest, Record, StoredResponse, Verdict,
         shard::{ARCHIVE_KIND, SHARD_KIND},
+        shard_claims::{Op, OpResult, ShardClaims, ShardClaimsConfig},
+        ticket_claims::{Step, TicketClaims},
     },
     objects::Write,
 };
@@ -24,30 +24,30 @@
 }
 
 impl Store {
-    fn call(&mut self, op: Op) -> Done {
+    fn call(&mut self, op: Op) -> OpResult {
         let key = |kind: &str, name: &str| (kind.to_owned(), name.to_owned());
         match op {
-            Op::Read => Done::Read(self.objects.get(&key(SHARD_KIND, NAME)).cloned()),
-            Op::ReadArchive(name) => Done::Read(self.objects.get(&key(ARCHIVE_KIND, &name)).cloned()),
+            Op::Read => OpResult::Read(self.objects.get(&key(SHARD_KIND, NAME)).cloned()),
+            Op::ReadArchive(name) => OpResult::Read(self.objects.get(&key(ARCHIVE_KIND, &name)).cloned()),
             Op::Delete(obj) => {
                 let key = key(&obj.kind, &obj.metadata.name);
                 let same = |o: &AnyObject| o.metadata.resource_version == obj.metadata.resource_version;
                 if self.objects.get(&key).is_some_and(same) {
                     self.objects.remove(&key);
                 }
-                Done::Write(Write::Conflict(None))
+                OpResult::Write(Write::Conflict(None))
             }
             Op::Write(mut obj) => {
                 let key = key(&obj.kind, &obj.metadata.name);
                 let current = self.objects.get(&key);
                 if current.map_or("", |o| &o.metadata.resource_version) != obj.metadata.resource_version {
-                    return Done::Write(Write::Conflict(current.cloned()));
+                    return OpResult::Write(Write::Conflict(current.cloned()));
                 }
                 self.version += 1;
                 obj.metadata.resource_version = self.version.to_string();
                 self.largest = self.largest.max(serde_json::to_vec(&obj).unwrap().len());
                 self.objects.insert(key, obj.clone());
-                Done::Write(Write::Done(obj))
+                OpResult::Write(Write::Done(obj))
             }
         }
     }
@@ -59,19 +59,19 @@
 
 /// A book, its platform and its clock.
 struct Desk {
-    book: Book,
+    book: ShardClaims,
     store: Store,
     now: Duration,
     next: u64,
 }
 
-fn config() -> BookConfig {
-    BookConfig { horizon: 24 * HOUR, ..BookConfig::default() }
+fn config() -> ShardClaimsConfig {
+    ShardClaimsConfig { retention: 24 * HOUR, ..ShardClaimsConfig::default() }
 }
 
 impl Desk {
     fn new() -> Self {
-        Self { book: Book::new(NAME, "r0", config()), store: Store::default(), now: HOUR, next: 0 }
+        Self { book: ShardClaims::new(NAME, "r0", config()), store: Store::default(), now: HOUR, next: 0 }
     }
 
     fn clock(&self) -> Clock {
@@ -80,7 +80,7 @@
 
     /// Another router takes the shard over; the platform stays.
     fn change_owner(&mut self) {
-        self.book = Book::new(NAME, "r1", config());
+        self.book = ShardClaims::new(NAME, "r1", config());
     }
 
     /// Runs the book until nothing is left to do; returns the verdicts.
@@ -89,7 +89,7 @@
         for _ in 0..10_000 {
             if let Some(op) = self.book.next_op(self.clock()) {
                 let done = self.store.call(op);
-                verdicts.extend(self.book.done(self.clock(), done));
+                verdicts.extend(self.book.handle_result(self.clock(), done));
                 continue;
             }
             verdicts.extend(self.book.expire(self.clock()));
@@ -99,31 +99,31 @@
         panic!("the book never comes to rest");
     }
 
-    fn ask(&mut self, ask: Ask) -> Verdict {
+    fn ask(&mut self, ask: ClaimRequest) -> Verdict {
         self.next += 1;
         let id = self.next;
         let at_once = self.book.ask(self.clock(), ask, id);
         at_once.unwrap_or_else(|| self.settle().remove(&id).unwrap())
     }
 
-    fn run(&mut self, ask: Ask) {
+    fn run(&mut self, ask: ClaimRequest) {
         assert_eq!(self.ask(ask), Verdict::Granted);
-        self.book.finish(self.clock(), &ask, Record::Ran(answered(10)), false);
+        self.book.finish(self.clock(), &ask, Record::Completed(answered(10)), false);
     }
 }
 
-fn ask(key: u64, attempt: u64) -> Ask {
+fn ask(key: u64, attempt: u64) -> ClaimRequest {
     let attempt = KeyDigest::new("", "", &attempt.to_string()).0;
-    Ask {
+    ClaimRequest {
         key: KeyDigest::new("w", "s", &key.to_string()),
         content: ContentDigest::new("POST", "/hold", b"tour"),
         attempt: AttemptId(attempt),
-        look: false,
+        lookup_only: false,
     }
 }
 
-fn answered(size: usize) -> Answered {
-    Answered { status: 200, content_type: "text/plain".into(), body: Some(vec![b'-'; size]) }
+fn answered(size: usize) -> StoredResponse {
+    StoredResponse { status: 200, content_type: "text/plain".into(), body: Some(vec![b'-'; size]) }
 }
 
 /// A tablet comes back from a day without network and sends its old booking again. Within the horizon it reads the
@@ -157,7 +157,7 @@
         if key % 100 == 99 {
             desk.settle();
             for key in key - 99..=key {
-                let record = Record::Ran(answered(1024));
+                let record = Record::Completed(answered(1024));
                 desk.book.finish(desk.clock(), &ask(key, key), record, false);
             }
         }
@@ -215,7 +215,7 @@
     assert_eq!(desk.ask(one), Verdict::Granted);
 
     desk.change_owner();
-    desk.book.finish(desk.clock(), &one, Record::Ran(answered(3)), false);
+    desk.book.finish(desk.clock(), &one, Record::Completed(answered(3)), false);
     desk.settle();
     desk.change_owner();
     let repeat = desk.ask(ask(1, 2));
@@ -227,17 +227,17 @@
 /// have been forgotten here.
 #[test]
 fn a_ticket_that_has_run_out_starts_no_new_key() {
-    let mut local = Local::default();
+    let mut local = TicketClaims::default();
     let clock = Desk::new().clock();
     assert_eq!(local.ask(clock, &ask(1, 1), true), Step::Record);
-    assert_eq!(local.recorded(&ask(1, 1), Verdict::Granted), Verdict::Granted);
-    local.finish(ask(1, 1).key, ask(1, 1).attempt, Record::Ran(answered(1)));
+    assert_eq!(local.apply_shard_verdict(&ask(1, 1), Verdict::Granted), Verdict::Granted);
+    local.finish(ask(1, 1).key, ask(1, 1).attempt, Record::Completed(answered(1)));
 
     let known = local.ask(clock, &ask(1, 2), false);
     let new = local.ask(clock, &ask(2, 3), false);
 
     assert_eq!(known, Step::Answer(Verdict::Recorded(answered(1))));
-    assert_eq!(new, Step::Look);
+    assert_eq!(new, Step::Lookup);
 }
 
 /// A router is about to stop and tells the fleet that its tickets' keys may be decided elsewhere. From then on it may
@@ -245,16 +245,16 @@
 #[test]
 fn a_closed_start_grants_nothing_from_memory() {
     let clock = Desk::new().clock();
-    let mut clean = Local::default();
+    let mut clean = TicketClaims::default();
     assert_eq!(clean.ask(clock, &ask(1, 1), true), Step::Record);
     assert_eq!(clean.ask(clock, &ask(2, 2), true), Step::Record);
-    let mut used = Local::default();
+    let mut used = TicketClaims::default();
     assert_eq!(used.ask(clock, &ask(1, 1), true), Step::Record);
-    assert_eq!(used.recorded(&ask(1, 1), Verdict::Unavailable), Verdict::Granted);
+    assert_eq!(used.apply_shard_verdict(&ask(1, 1), Verdict::Unavailable), Verdict::Granted);
 
     let closed = (clean.close(), used.close());
 
     assert_eq!(closed, (true, false));
-    assert_eq!(clean.recorded(&ask(1, 1), Verdict::Granted), Verdict::Granted);
-    assert_eq!(clean.recorded(&ask(2, 2), Verdict::Unavailable), Verdict::Unavailable);
+    assert_eq!(clean.apply_shard_verdict(&ask(1, 1), Verdict::Granted), Verdict::Granted);
+    assert_eq!(clean.apply_shard_verdict(&ask(2, 2), Verdict::Unavailable), Verdict::Unavailable);
 }
--- a/tests/probe.rs
+++ b/tests/probe.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     client::Client,
     http::{Limits, Server},
-    probe::{EngineSpec, Engines, PROBE_BYTES, PROBERS, ProbeConfig, Seen, State},
+    probe::{EngineSpec, EngineTable, PROBE_BYTES, PROBERS, ProbeConfig, ProbeResult, State},
     standin::{engine::EngineStandin, outside::loopback},
     util::Instant,
 };
@@ -20,7 +20,7 @@
     Duration::from_secs(n)
 }
 
-const UP: Seen = Seen::Answer { start: 1, running: 3, leaving: false };
+const UP: ProbeResult = ProbeResult::Answer { start: 1, running: 3, leaving: false };
 
 fn spec(i: usize) -> EngineSpec {
     EngineSpec {
@@ -36,9 +36,9 @@
 }
 
 /// Views of `n` routers on the same engines.
-fn views(n: usize, engines: usize) -> Vec<Engines> {
+fn views(n: usize, engines: usize) -> Vec<EngineTable> {
     let build = |name: Arc<str>| {
-        let mut e = Engines::new(name, "dc".into(), 1_000, ProbeConfig::default());
+        let mut e = EngineTable::new(name, "dc".into(), 1_000, ProbeConfig::default());
         e.set_engines(s(0), (0..engines).map(spec));
         e.set_probers(s(0), routers(n));
         e
@@ -47,7 +47,7 @@
 }
 
 /// Lets every view learn what view `from` has found.
-fn tell(views: &mut [Engines], from: usize, now: Instant) {
+fn tell(views: &mut [EngineTable], from: usize, now: Instant) {
     let name = routers(views.len())[from].clone();
     let report = views[from].report(0, 10_000);
     let events = views[from].take_events();
@@ -64,8 +64,8 @@
     }
 }
 
-fn probers(views: &mut [Engines], engine: &str) -> Vec<usize> {
-    let due = |v: &mut Engines| v.due(s(100)).iter().any(|p| &*p.engine == engine);
+fn probers(views: &mut [EngineTable], engine: &str) -> Vec<usize> {
+    let due = |v: &mut EngineTable| v.due(s(100)).iter().any(|p| &*p.engine == engine);
     (0..views.len()).filter(|&i| due(&mut views[i])).collect()
 }
 
@@ -73,7 +73,7 @@
 fn each_engine_is_probed_by_a_few_routers_and_the_work_is_even() {
     let views = views(10, 100);
 
-    let shares: Vec<_> = views.iter().map(Engines::assigned).collect();
+    let shares: Vec<_> = views.iter().map(EngineTable::assigned).collect();
 
     assert_eq!(shares.iter().sum::<usize>(), 100 * PROBERS);
     assert!(shares.iter().all(|n| (15..45).contains(n)), "{shares:?}");
@@ -86,12 +86,12 @@
     let mut all = views(5, 1);
     let probers = probers(&mut all, "engine-0");
     for &i in &probers[1..] {
-        all[i].probed(s(100), "engine-0", UP);
+        all[i].on_probe_result(s(100), "engine-0", UP);
         tell(&mut all, i, s(100));
     }
 
-    all[probers[0]].probed(s(101), "engine-0", Seen::Unreachable);
-    all[probers[0]].probed(s(102), "engine-0", Seen::Unreachable);
+    all[probers[0]].on_probe_result(s(101), "engine-0", ProbeResult::Unreachable);
+    all[probers[0]].on_probe_result(s(102), "engine-0", ProbeResult::Unreachable);
     tell(&mut all, probers[0], s(102));
 
     for (i, v) in all.iter().enumerate() {
@@ -106,19 +106,19 @@
     let mut all = views(5, 1);
     let probers = probers(&mut all, "engine-0");
     for &i in &probers {
-        all[i].probed(s(100), "engine-0", UP);
+        all[i].on_probe_result(s(100), "engine-0", UP);
         tell(&mut all, i, s(100));
     }
 
-    all[probers[0]].probed(s(101), "engine-0", Seen::Unreachable);
-    all[probers[0]].probed(s(102), "engine-0", Seen::Unreachable);
+    all[probers[0]].on_probe_result(s(101), "engine-0", ProbeResult::Unreachable);
+    all[probers[0]].on_probe_result(s(102), "engine-0", ProbeResult::Unreachable);
     tell(&mut all, probers[0], s(102));
     // The second is asked at once and needs no second failure of its own.
     assert!(all[probers[1]].due(s(102)).iter().any(|p| &*p.engine == "engine-0"));
-    all[probers[1]].probed(s(103), "engine-0", Seen::Unreachable);
+    all[probers[1]].on_probe_result(s(103), "engine-0", ProbeResult::Unreachable);
     tell(&mut all, probers[1], s(103));
     let down = all.iter().all(|v| v.view(s(103), "engine-0").unwrap().state == State::Down);
-    all[probers[1]].probed(s(104), "engine-0", UP);
+    all[probers[1]].on_probe_result(s(104), "engine-0", UP);
     tell(&mut all, probers[1], s(104));
 
     assert!(down);
@@ -133,16 +133,16 @@
     let probers = probers(&mut all, "engine-0");
     let other = (0..5).find(|i| !probers.contains(i)).unwrap();
     for &i in &probers {
-        all[i].probed(s(100), "engine-0", UP);
+        all[i].on_probe_result(s(100), "engine-0", UP);
         tell(&mut all, i, s(100));
     }
 
-    let leaving = Seen::Answer { start: 1, running: 3, leaving: true };
+    let leaving = ProbeResult::Answer { start: 1, running: 3, leaving: true };
     all[other].dispatched(s(101), "engine-0", leaving);
     tell(&mut all, other, s(101));
     let left = all.iter().all(|v| v.view(s(101), "engine-0").unwrap().state == State::Leaving);
-    let restarted = Seen::Answer { start: 2, running: 0, leaving: false };
-    all[probers[0]].probed(s(103), "engine-0", restarted);
+    let restarted = ProbeResult::Answer { start: 2, running: 0, leaving: false };
+    all[probers[0]].on_probe_result(s(103), "engine-0", restarted);
     tell(&mut all, probers[0], s(103));
 
     assert!(left);
@@ -166,7 +166,7 @@
 #[test]
 fn probes_stay_within_their_budget_and_reach_every_engine() {
     let cfg = ProbeConfig { bytes_per_second: 4_200, ..ProbeConfig::default() };
-    let mut e = Engines::new("router-0".into(), "dc".into(), 1, cfg);
+    let mut e = EngineTable::new("router-0".into(), "dc".into(), 1, cfg);
     e.set_engines(s(0), (0..100).map(spec));
     let (mut seen, mut most) = (std::collections::BTreeMap::<Arc<str>, u32>::new(), 0);
 
@@ -177,7 +177,7 @@
             for probe in e.due(at) {
                 now += 1;
                 *seen.entry(probe.engine.clone()).or_default() += 1;
-                e.probed(at, &probe.engine, UP);
+                e.on_probe_result(at, &probe.engine, UP);
             }
         }
         most = most.max(now);
@@ -191,7 +191,7 @@
 /// Two engines whose names meet in one short identifier would share their findings. 100,000 names meet a few times.
 #[test]
 fn engines_whose_identifiers_meet_are_told_apart() {
-    let mut e = Engines::new("router-0".into(), "dc".into(), 1, ProbeConfig::default());
+    let mut e = EngineTable::new("router-0".into(), "dc".into(), 1, ProbeConfig::default());
 
     e.set_engines(s(0), (0..100_000).map(|i| EngineSpec { name: format!("e{i}").into(), ..spec(0) }));
 
