--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -14,7 +14,7 @@
     error::{Kind, Ran},
     relay::{
         Read, Refusal, Sending, Wire,
-        admission::Told,
+        admission::ReportedLoad,
         answer::AnswerBody,
         inbound::Ask,
         request::{Part, Request},
@@ -186,9 +186,9 @@
 }
 
 /// Running and waiting requests and places, separated by commas.
-fn told(value: &str) -> Option<Told> {
+fn told(value: &str) -> Option<ReportedLoad> {
     let mut numbers = value.split(',').map(|n| n.trim().parse().ok());
-    Some(Told { running: numbers.next()??, waiting: numbers.next()??, slots: numbers.next()?? })
+    Some(ReportedLoad { running: numbers.next()??, waiting: numbers.next()??, slots: numbers.next()?? })
 }
 
 fn keeps(value: &str) -> Option<Duration> {
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -282,7 +282,7 @@
     }
 
     /// Notes what a server told of its work.
-    pub(crate) fn note_told(&self, service: &Arc<str>, told: admission::Told) {
+    pub(crate) fn note_told(&self, service: &Arc<str>, told: admission::ReportedLoad) {
         self.state().admission.hear(now(), service, told);
     }
 
--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -71,7 +71,7 @@
 
 /// Work at a backend server, as it tells with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ReportedLoad {
     /// Requests that it runs.
     pub running: u32,
     /// Requests that wait there.
@@ -245,7 +245,7 @@
 
 impl Admission {
     /// Notes what a server of the service told of its work.
-    pub fn hear(&mut self, now: Instant, service: &Arc<str>, told: Told) {
+    pub fn hear(&mut self, now: Instant, service: &Arc<str>, told: ReportedLoad) {
         let work = f64::from(told.running + told.waiting) / f64::from(told.slots.max(1));
         let service = self.service(now, service);
         if !std::mem::replace(&mut service.tells, true) {
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 
 use super::{
-    admission::Told,
+    admission::ReportedLoad,
     answer::AnswerBody,
     inbound::Ask,
     request::{EventNumber, Request},
@@ -38,7 +38,7 @@
     /// Whether it closes the connection after this answer.
     pub closes: bool,
     /// The work at the server, if it tells.
-    pub told: Option<Told>,
+    pub told: Option<ReportedLoad>,
     /// Whether the server says that it leaves.
     pub leaves: bool,
     /// For how long it wants nothing from this host, if it has turned the request away and tells so.
