--- a/benches/relay.rs
+++ b/benches/relay.rs
@@ -8,7 +8,7 @@
 use cranberrytally::{
     logs::lines::{self, Weight, line},
     relay::{
-        admission::{Admission, Ask, Work},
+        admission::{Admission, AdmissionRequest, Work},
         backends::Backends,
         holders::Holders,
         peers::{Own, Peers},
@@ -97,7 +97,7 @@
     let (objective, left) = (Duration::from_millis(600), Duration::from_secs(10));
     per_round(ROUNDS, |i| {
         let work = Work { own: 60, all: 300 + (i % 100) as u32, places: 384 };
-        let ask = Ask { route: i % 5, rank: 1, route_rank: 1, objective, left, work };
+        let ask = AdmissionRequest { route: i % 5, rank: 1, route_rank: 1, objective, left, work };
         let now = Duration::from_micros(i * 100);
         let draw = (i % 100) as f64 / 100.0;
         let _ = std::hint::black_box(admission.ask(now, &service, ask, [draw, draw]));
--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -82,7 +82,7 @@
 
 /// A request that asks to be sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct AdmissionRequest {
     /// Hash of its route's name and longest time: with another one callers have other times left.
     pub route: u64,
     /// Rank of the workspace, or of the route where it has none; 0 is the most urgent.
@@ -274,7 +274,7 @@
         &mut self,
         now: Instant,
         service: &Arc<str>,
-        ask: Ask,
+        ask: AdmissionRequest,
         draws: [f64; 2],
     ) -> Result<(), Refused> {
         let overdue = self.is_overdue(ask);
@@ -292,7 +292,7 @@
     }
 
     /// Whether a request came too late for its objective: its caller has waited for that long before.
-    fn is_overdue(&mut self, ask: Ask) -> bool {
+    fn is_overdue(&mut self, ask: AdmissionRequest) -> bool {
         let longest = self.longest.entry(ask.route).or_default();
         *longest = ask.left.max(*longest);
         ask.left + ask.objective < *longest
@@ -304,14 +304,14 @@
 }
 
 /// Work against the limit from which such requests are refused.
-fn first_refused(ask: Ask, overdue: bool) -> f64 {
+fn first_refused(ask: AdmissionRequest, overdue: bool) -> f64 {
     let rank = |rank: u32| f64::from(rank.min(MOST_RANK));
     let overdue = if overdue { OVERDUE_STEP } else { 0.0 };
     FIRST_REFUSED - RANK_STEP * rank(ask.rank) - ROUTE_RANK_STEP * rank(ask.route_rank) - overdue
 }
 
 /// When a caller should come back that was refused with this chance.
-fn come_back(ask: Ask, chance: f64, draw: f64) -> Duration {
+fn come_back(ask: AdmissionRequest, chance: f64, draw: f64) -> Duration {
     if chance < WORTH_A_SECOND_TRY {
         let soon = ask.objective.mul_f64(SOON.0 + (SOON.1 - SOON.0) * draw);
         return soon.min(ask.left.mul_f64(LATEST_RETURN));
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -9,7 +9,7 @@
 
 use super::{
     Relay, State, Wire,
-    admission::{Ask, Refused, Work, come_back_late},
+    admission::{AdmissionRequest, Refused, Work, come_back_late},
     backends::{Backend, BackendKey, Tag},
     health::Survey,
     place::{self, Bound, Candidate, Choice, Placer},
@@ -250,7 +250,7 @@
     /// # Errors
     /// When it is not; the caller should come back.
     pub(crate) fn admit(&mut self, now: Instant, req: &Request) -> Result<(), Refused> {
-        let ask = Ask {
+        let ask = AdmissionRequest {
             route: hash((&req.route.route.name, req.route.route.timeout_ms)),
             rank: req.rank(),
             route_rank: req.route.route.rank,
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use cranberrytally::relay::admission::{Admission, Ask, ReportedLoad, Work};
+use cranberrytally::relay::admission::{Admission, AdmissionRequest, ReportedLoad, Work};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 /// What is played; times in milliseconds.
@@ -153,7 +153,7 @@
         let known = &self.told[0];
         let others: usize = known.iter().take(self.servers.len()).sum();
         let own = self.servers.iter().map(|s| s.of(host)).sum::<usize>();
-        let ask = Ask {
+        let ask = AdmissionRequest {
             route: u64::from(rank),
             rank,
             route_rank: rank,
