--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -94,12 +94,12 @@
     /// Time that is left until its deadline.
     pub left: Duration,
     /// What is in progress at the servers of the service.
-    pub work: Work,
+    pub work: ServiceLoad,
 }
 
 /// Requests in progress at the servers of a service that are not left alone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Work {
+pub struct ServiceLoad {
     /// Of this host.
     pub own: u32,
     /// Of all hosts, as far as this one knows; the others' are as old as their last beats.
@@ -108,7 +108,7 @@
     pub places: u32,
 }
 
-impl Work {
+impl ServiceLoad {
     fn against_places(self, requests: f64) -> f64 {
         requests / f64::from(self.places.max(1))
     }
@@ -208,7 +208,7 @@
 
 impl Estimate {
     /// Takes one look at the work and returns what is in progress at all hosts.
-    fn look(&mut self, now: Instant, work: Work) -> f64 {
+    fn look(&mut self, now: Instant, work: ServiceLoad) -> f64 {
         self.now.add(now, NOW, work.own.into());
         self.own.add(now, LONG, work.own.into());
         self.all.add(now, LONG, work.all.into());
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -9,7 +9,7 @@
 
 use super::{
     Relay, State, Wire,
-    admission::{AdmissionRequest, Refused, Work, come_back_late},
+    admission::{AdmissionRequest, Refused, ServiceLoad, come_back_late},
     backends::{Backend, BackendKey, Tag},
     health::Survey,
     place::{self, Bound, Candidate, Choice, Placer},
@@ -230,10 +230,10 @@
 
     /// What is in progress at the servers of a service that are not left alone. Lost and cold ones have no places to offer;
     /// where all are cold, theirs are the only ones.
-    pub(crate) fn work(&self, now: Instant, service: &Arc<str>) -> Work {
+    pub(crate) fn work(&self, now: Instant, service: &Arc<str>) -> ServiceLoad {
         let open = self.open(now, service);
         let keys = if open.warm.is_empty() { open.cold } else { open.warm };
-        let mut work = Work::default();
+        let mut work = ServiceLoad::default();
         for (key, b) in keys.iter().filter_map(|key| Some((*key, self.backends.get(*key)?))) {
             if self.health.paused(now, key) || self.many_avoid(b.tag) {
                 continue;
--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -5,7 +5,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use cranberrytally::relay::admission::{Admission, AdmissionRequest, Refused, ReportedLoad, Work};
+use cranberrytally::relay::admission::{Admission, AdmissionRequest, Refused, ReportedLoad, ServiceLoad};
 use load::{Load, Second};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
@@ -132,7 +132,7 @@
 
 /// A request while so many requests are in progress at a hundred places, all of them this host's.
 fn ask(left: Duration, own: u32) -> AdmissionRequest {
-    let work = Work { own, all: own, places: 100 };
+    let work = ServiceLoad { own, all: own, places: 100 };
     AdmissionRequest { route: 1, rank: 1, route_rank: 1, objective: ms(600), left, work }
 }
 
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use cranberrytally::relay::admission::{Admission, AdmissionRequest, ReportedLoad, Work};
+use cranberrytally::relay::admission::{Admission, AdmissionRequest, ReportedLoad, ServiceLoad};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 /// What is played; times in milliseconds.
@@ -159,7 +159,7 @@
             route_rank: rank,
             objective: ms(self.load.objective),
             left: ms((asked + self.load.deadline).saturating_sub(now)),
-            work: Work {
+            work: ServiceLoad {
                 own: own as u32,
                 all: others as u32,
                 places: (self.servers.len() * self.load.places) as u32,
