--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -94,7 +94,7 @@
     /// Time that is left until its deadline.
     pub left: Duration,
     /// What is in progress at the servers of the service.
-    pub work: ServiceLoad,
+    pub load: ServiceLoad,
 }
 
 /// Requests in progress at the servers of a service that are not left alone.
@@ -180,7 +180,7 @@
         self.objective = self.objective.max(objective);
         if self.results >= FEW_RESULTS && now >= self.since + self.objective.max(LEAST_WINDOW) {
             self.adapt();
-            *self = Self { work: self.work, ..Self::new(now) };
+            *self = Self { load: self.work, ..Self::new(now) };
         }
     }
 
@@ -208,7 +208,7 @@
 
 impl Estimate {
     /// Takes one look at the work and returns what is in progress at all hosts.
-    fn look(&mut self, now: Instant, work: ServiceLoad) -> f64 {
+    fn look(&mut self, now: Instant, load: ServiceLoad) -> f64 {
         self.now.add(now, NOW, work.own.into());
         self.own.add(now, LONG, work.own.into());
         self.all.add(now, LONG, work.all.into());
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -256,7 +256,7 @@
             route_rank: req.route.route.rank,
             objective: req.objective(),
             left: req.left(now),
-            work: self.work(now, &req.service),
+            load: self.work(now, &req.service),
         };
         let draws = [self.rng.random(), self.rng.random()];
         self.admission.ask(now, &req.service, ask, draws)
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -159,7 +159,7 @@
             route_rank: rank,
             objective: ms(self.load.objective),
             left: ms((asked + self.load.deadline).saturating_sub(now)),
-            work: ServiceLoad {
+            load: ServiceLoad {
                 own: own as u32,
                 all: others as u32,
                 places: (self.servers.len() * self.load.places) as u32,
