--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -105,12 +105,12 @@
     /// Of all hosts, as far as this one knows; the others' are as old as their last beats.
     pub all: u32,
     /// Requests that the servers run at once.
-    pub places: u32,
+    pub slots: u32,
 }
 
 impl ServiceLoad {
     fn against_places(self, requests: f64) -> f64 {
-        requests / f64::from(self.places.max(1))
+        requests / f64::from(self.slots.max(1))
     }
 }
 
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -240,7 +240,7 @@
             }
             work.own += b.in_progress;
             work.all += self.load(b);
-            work.places += b.slots;
+            work.slots += b.slots;
         }
         work
     }
