--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -132,7 +132,7 @@
 
 /// A request while so many requests are in progress at a hundred places, all of them this host's.
 fn ask(left: Duration, own: u32) -> AdmissionRequest {
-    let load = ServiceLoad { own, all: own, places: 100 };
+    let load = ServiceLoad { own, all: own, slots: 100 };
     AdmissionRequest { route: 1, rank: 1, route_rank: 1, objective: ms(600), left, load }
 }
 
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -162,7 +162,7 @@
             load: ServiceLoad {
                 own: own as u32,
                 all: others as u32,
-                places: (self.servers.len() * self.load.places) as u32,
+                slots: (self.servers.len() * self.load.places) as u32,
             },
         };
         let draws = [self.rng.random(), self.rng.random()];
