--- a/src/relay.rs
+++ b/src/relay.rs
@@ -283,7 +283,7 @@
 
     /// Notes what a server told of its work.
     pub(crate) fn note_told(&self, service: &Arc<str>, told: admission::ReportedLoad) {
-        self.state().admission.hear(now(), service, told);
+        self.state().admission.record_load(now(), service, told);
     }
 
     /// Keeps a connection whose answer has been read. A server accepts so many connections from all hosts and resets those
--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -245,7 +245,7 @@
 
 impl Admission {
     /// Notes what a server of the service told of its work.
-    pub fn hear(&mut self, now: Instant, service: &Arc<str>, told: ReportedLoad) {
+    pub fn record_load(&mut self, now: Instant, service: &Arc<str>, told: ReportedLoad) {
         let work = f64::from(told.running + told.waiting) / f64::from(told.slots.max(1));
         let service = self.service(now, service);
         if !std::mem::replace(&mut service.tells, true) {
--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -140,7 +140,7 @@
 fn decide(first: Duration, own: u32, left: Duration, draws: [f64; 2]) -> Result<(), Refused> {
     let service: Arc<str> = "s".into();
     let mut admission = Admission::default();
-    admission.hear(ms(0), &service, ReportedLoad { running: 1, waiting: 0, slots: 64 });
+    admission.record_load(ms(0), &service, ReportedLoad { running: 1, waiting: 0, slots: 64 });
     let _ = admission.ask(ms(0), &service, ask(first, 0), draws);
     admission.ask(ms(5_000), &service, ask(left, own), draws)
 }
@@ -173,7 +173,7 @@
 fn what_servers_told_is_forgotten_within_a_second() {
     let service: Arc<str> = "s".into();
     let mut admission = Admission::default();
-    admission.hear(ms(0), &service, ReportedLoad { running: 64, waiting: 200, slots: 64 });
+    admission.record_load(ms(0), &service, ReportedLoad { running: 64, waiting: 200, slots: 64 });
 
     let soon = admission.ask(ms(50), &service, ask(ms(9_000), 10), [0.0, 0.5]);
     let later = admission.ask(ms(1_000), &service, ask(ms(9_000), 10), [0.0, 0.5]);
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -194,7 +194,11 @@
             host.note(ms(now), &service, ms(load.objective), ms(now - job.sent));
             if load.tells {
                 let (running, waiting) = (server.running.len() as u32, server.queue.len() as u32);
-                host.hear(ms(now), &service, ReportedLoad { running, waiting, slots: load.places as u32 });
+                host.record_load(
+                    ms(now),
+                    &service,
+                    ReportedLoad { running, waiting, slots: load.places as u32 },
+                );
             }
             if now <= job.asked + load.objective {
                 self.seconds[now as usize / 1_000].in_time += 1;
