--- a/src/relay.rs
+++ b/src/relay.rs
@@ -278,7 +278,7 @@
     /// Notes how long a request waited at a server for the first of its answer.
     pub(crate) fn note_waited(&self, req: &Request, sent: Instant) {
         let now = now();
-        self.state().admission.note(now, &req.service, req.objective(), now - sent);
+        self.state().admission.record_wait(now, &req.service, req.objective(), now - sent);
     }
 
     /// Notes what a server told of its work.
--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -256,7 +256,7 @@
 
     /// Notes how long a request waited at a server for the first of its answer. What a server refuses at once is not
     /// noted: it delays nobody, and the server knows its queue better than any host.
-    pub fn note(&mut self, now: Instant, service: &Arc<str>, objective: Duration, waited: Duration) {
+    pub fn record_wait(&mut self, now: Instant, service: &Arc<str>, objective: Duration, waited: Duration) {
         let late = waited > objective.mul_f64(WELL);
         self.service(now, service).limit.note(now, objective, late);
     }
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -191,7 +191,7 @@
             let Some(job) = server.queue.pop_front() else { break };
             server.running.push(job);
             let host = &mut self.hosts[job.host];
-            host.note(ms(now), &service, ms(load.objective), ms(now - job.sent));
+            host.record_wait(ms(now), &service, ms(load.objective), ms(now - job.sent));
             if load.tells {
                 let (running, waiting) = (server.running.len() as u32, server.queue.len() as u32);
                 host.record_load(
