--- a/benches/relay.rs
+++ b/benches/relay.rs
@@ -100,7 +100,7 @@
         let ask = AdmissionRequest { route: i % 5, rank: 1, route_rank: 1, objective, left, load };
         let now = Duration::from_micros(i * 100);
         let draw = (i % 100) as f64 / 100.0;
-        let _ = std::hint::black_box(admission.ask(now, &service, ask, [draw, draw]));
+        let _ = std::hint::black_box(admission.admit(now, &service, ask, [draw, draw]));
     })
 }
 
--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -270,7 +270,7 @@
     ///
     /// # Errors
     /// When it is not; the caller should come back.
-    pub fn ask(
+    pub fn admit(
         &mut self,
         now: Instant,
         service: &Arc<str>,
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -259,6 +259,6 @@
             load: self.work(now, &req.service),
         };
         let draws = [self.rng.random(), self.rng.random()];
-        self.admission.ask(now, &req.service, ask, draws)
+        self.admission.admit(now, &req.service, ask, draws)
     }
 }
--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -141,8 +141,8 @@
     let service: Arc<str> = "s".into();
     let mut admission = Admission::default();
     admission.record_load(ms(0), &service, ReportedLoad { running: 1, waiting: 0, slots: 64 });
-    let _ = admission.ask(ms(0), &service, ask(first, 0), draws);
-    admission.ask(ms(5_000), &service, ask(left, own), draws)
+    let _ = admission.admit(ms(0), &service, ask(first, 0), draws);
+    admission.admit(ms(5_000), &service, ask(left, own), draws)
 }
 
 /// Callers that are refused come back while their answer could still be in time, if they have a chance to be taken, and
@@ -175,8 +175,8 @@
     let mut admission = Admission::default();
     admission.record_load(ms(0), &service, ReportedLoad { running: 64, waiting: 200, slots: 64 });
 
-    let soon = admission.ask(ms(50), &service, ask(ms(9_000), 10), [0.0, 0.5]);
-    let later = admission.ask(ms(1_000), &service, ask(ms(9_000), 10), [0.0, 0.5]);
+    let soon = admission.admit(ms(50), &service, ask(ms(9_000), 10), [0.0, 0.5]);
+    let later = admission.admit(ms(1_000), &service, ask(ms(9_000), 10), [0.0, 0.5]);
 
     assert!(soon.is_err());
     assert_eq!(later, Ok(()));
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -167,7 +167,8 @@
         };
         let draws = [self.rng.random(), self.rng.random()];
         let service: Arc<str> = SERVICE.into();
-        let refused = self.hosts[host].ask(ms(now), &service, ask, draws).err().filter(|_| self.load.admits);
+        let refused =
+            self.hosts[host].admit(ms(now), &service, ask, draws).err().filter(|_| self.load.admits);
         if let Some(refused) = refused {
             if asked == now {
                 let back = now + 1 + refused.after.as_millis() as u64;
