--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -316,11 +316,11 @@
         let soon = ask.objective.mul_f64(SOON.0 + (SOON.1 - SOON.0) * draw);
         return soon.min(ask.left.mul_f64(LATEST_RETURN));
     }
-    come_back_late(ask.left, draw)
+    late_retry_delay(ask.left, draw)
 }
 
 /// When a caller with so much time left should come back that found the servers full: as late as it may, and apart from
 /// the others by a draw in `0..1`.
-pub fn come_back_late(left: Duration, draw: f64) -> Duration {
+pub fn late_retry_delay(left: Duration, draw: f64) -> Duration {
     left.mul_f64(LATEST_RETURN * (SPREAD + (1.0 - SPREAD) * draw))
 }
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -9,7 +9,7 @@
 
 use super::{
     Relay, State, Wire,
-    admission::{AdmissionRequest, Refused, ServiceLoad, come_back_late},
+    admission::{AdmissionRequest, Refused, ServiceLoad, late_retry_delay},
     backends::{Backend, BackendKey, Tag},
     health::Survey,
     place::{self, Bound, Candidate, Choice, Placer},
@@ -89,7 +89,7 @@
                 ends.map_or(RETRY_AFTER, |ends| ends - now)
             }
             Kind::Evacuated | Kind::WarmingUp | Kind::Overloaded => {
-                come_back_late(req.left(now()), self.draw())
+                late_retry_delay(req.left(now()), self.draw())
             }
             _ => RETRY_AFTER,
         }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -9,7 +9,7 @@
 
 use super::{
     Read, Refusal, Relay, Sending, Wire, Work,
-    admission::{Refused, come_back_late},
+    admission::{Refused, late_retry_delay},
     answer::AnswerBody,
     backends::BackendKey,
     outcome::Outcome,
@@ -388,7 +388,7 @@
         self.relay.metrics.add(Counter::RelayRefusals, kind.answer().code, 1);
         let comes_back = ran == Ran::No && kind != Kind::Quarantined;
         let retry_after = comes_back.then(|| match last {
-            Some(Failure::Refused) => come_back_late(self.req.left(now()), self.relay.draw()),
+            Some(Failure::Refused) => late_retry_delay(self.req.left(now()), self.relay.draw()),
             _ => self.relay.back_after(&self.req, kind),
         });
         let refusal = Refusal { kind, ran, retry_after };
