--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -81,7 +81,7 @@
 
     /// When a caller should come back that found no server: those that can be reached again are seen soon, while an evacuation
     /// or a cold start lasts longer than a caller may wait.
-    pub(crate) fn back_after(&self, req: &Request, kind: Kind) -> Duration {
+    pub(crate) fn retry_after(&self, req: &Request, kind: Kind) -> Duration {
         match kind {
             Kind::Paused => {
                 let now = now();
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -389,7 +389,7 @@
         let comes_back = ran == Ran::No && kind != Kind::Quarantined;
         let retry_after = comes_back.then(|| match last {
             Some(Failure::Refused) => late_retry_delay(self.req.left(now()), self.relay.draw()),
-            _ => self.relay.back_after(&self.req, kind),
+            _ => self.relay.retry_after(&self.req, kind),
         });
         let refusal = Refusal { kind, ran, retry_after };
         self.relay.note(Weight::Notable, "given_up", &self.req, |l| {
