--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -110,7 +110,7 @@
     }
 
     /// Servers of a service that may get something new: none in an evacuated data centre, and none that has asked for a pause.
-    pub(crate) fn placeable(
+    pub(crate) fn accepting(
         &self,
         now: Instant,
         service: &str,
@@ -126,7 +126,7 @@
     fn open(&self, now: Instant, service: &str) -> Open {
         let limited = self.cold_limit(service).is_some();
         let mut open = Open::default();
-        for (key, b) in self.placeable(now, service) {
+        for (key, b) in self.accepting(now, service) {
             let keys = if limited && self.is_cold(now, b) { &mut open.cold } else { &mut open.warm };
             keys.push(key);
         }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -136,7 +136,7 @@
         if relay.refuses(req) {
             return Err(Stop::Suspect);
         }
-        let may: Vec<_> = relay.state().placeable(now(), &req.service).map(|(key, _)| key).collect();
+        let may: Vec<_> = relay.state().accepting(now(), &req.service).map(|(key, _)| key).collect();
         if !may.is_empty() && may.iter().all(|key| self.tried.contains(key)) {
             // Nobody else can run it: those that refused may have room again in a moment.
             self.tried.clear();
@@ -315,7 +315,7 @@
 
     /// How long to wait for a server that says nothing; `None`: until the deadline.
     pub(crate) fn patience(&self) -> Option<Duration> {
-        let others = self.relay.state().placeable(now(), &self.req.service).count() > self.tried.len() + 1;
+        let others = self.relay.state().accepting(now(), &self.req.service).count() > self.tried.len() + 1;
         let may =
             self.req.route.repeatable && others && self.tries.made() + 1 < self.req.route.route.attempts;
         may.then(|| (self.req.objective() * PATIENCE_FACTOR).clamp(PATIENCE.0, PATIENCE.1))
