--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -163,7 +163,7 @@
     }
 
     /// Counts servers as cold from which many hosts keep away: where they have started again, their entries may be late.
-    pub(crate) fn doubt_avoided(&mut self, now: Instant, avoided: &[Tag]) {
+    pub(crate) fn treat_avoided_as_cold(&mut self, now: Instant, avoided: &[Tag]) {
         for tag in avoided {
             if let Some(key) = self.backends.by_tag(*tag).filter(|_| self.many_avoid(*tag)) {
                 self.doubt(now, key);
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -96,7 +96,7 @@
         let hosts = state.peers.hosts();
         state.budget.set_hosts(hosts);
         state.suspects.hear(now, &beat.suspects);
-        state.doubt_avoided(now, &beat.avoided);
+        state.treat_avoided_as_cold(now, &beat.avoided);
         let left = state.backends.hear_left(now, &beat.left);
         self.note_changes(&mut state, &left, &from.to_string());
         if let Some(told) = &beat.evacuations {
