--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -290,7 +290,7 @@
     /// Leaves a server alone for a while that could not be reached or fell silent.
     pub(crate) fn avoid(&self, key: BackendKey, why: &str) {
         let mut state = self.state();
-        state.doubt(now(), key);
+        state.note_possible_restart(now(), key);
         let Some(pause) = state.health.lose(now(), key) else { return };
         let Some(id) = state.backends.get(key).map(|b| b.id.clone()) else { return };
         drop(state);
@@ -304,7 +304,7 @@
         if !state.health.succeed(now(), key) {
             return;
         }
-        state.doubt(now(), key);
+        state.note_possible_restart(now(), key);
         let Some(id) = state.backends.get(key).map(|b| b.id.clone()) else { return };
         drop(state);
         line(Weight::Notable, "taken_back", |l| l.text("backend", &id));
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -155,10 +155,10 @@
     }
 
     /// Notes that a server may start without a word: it can't be reached, or answers again.
-    pub(crate) fn doubt(&mut self, now: Instant, key: BackendKey) {
+    pub(crate) fn note_possible_restart(&mut self, now: Instant, key: BackendKey) {
         let Some((service, tag)) = self.backends.get(key).map(|b| (b.service.clone(), b.tag)) else { return };
         if let Some(limit) = self.cold_limit(&service) {
-            self.warmup.doubt(now, tag, limit);
+            self.warmup.note_possible_restart(now, tag, limit);
         }
     }
 
@@ -166,7 +166,7 @@
     pub(crate) fn treat_avoided_as_cold(&mut self, now: Instant, avoided: &[Tag]) {
         for tag in avoided {
             if let Some(key) = self.backends.by_tag(*tag).filter(|_| self.many_avoid(*tag)) {
-                self.doubt(now, key);
+                self.note_possible_restart(now, key);
             }
         }
     }
--- a/src/relay/warmup.rs
+++ b/src/relay/warmup.rs
@@ -65,7 +65,7 @@
     }
 
     /// Notes that a server can't be reached, or answers for the first time since.
-    pub fn doubt(&mut self, now: Instant, tag: Tag, limit: ColdLimit) {
+    pub fn note_possible_restart(&mut self, now: Instant, tag: Tag, limit: ColdLimit) {
         self.doubts.insert(tag, now + limit.lasts);
     }
 
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -249,8 +249,8 @@
 fn a_doubt_lasts_as_long_as_a_start_is_cold() {
     let mut warmup = Warmup::default();
 
-    warmup.doubt(ms(0), TAG, LIMIT);
-    warmup.doubt(ms(2_500), TAG, LIMIT);
+    warmup.note_possible_restart(ms(0), TAG, LIMIT);
+    warmup.note_possible_restart(ms(2_500), TAG, LIMIT);
 
     assert!(warmup.is_doubted(ms(5_499), TAG));
     assert!(!warmup.is_doubted(ms(5_500), TAG));
