--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -151,7 +151,7 @@
     }
 
     fn is_cold(&self, now: Instant, b: &Backend) -> bool {
-        b.cold_until > now || self.warmup.is_doubted(now, b.tag)
+        b.cold_until > now || self.warmup.may_have_restarted(now, b.tag)
     }
 
     /// Notes that a server may start without a word: it can't be reached, or answers again.
--- a/src/relay/warmup.rs
+++ b/src/relay/warmup.rs
@@ -70,7 +70,7 @@
     }
 
     /// Whether a server may have started a short time ago, though nothing tells so.
-    pub fn is_doubted(&self, now: Instant, tag: Tag) -> bool {
+    pub fn may_have_restarted(&self, now: Instant, tag: Tag) -> bool {
         !self.doubts.is_empty() && self.doubts.get(&tag).is_some_and(|until| *until > now)
     }
 
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -252,7 +252,7 @@
     warmup.note_possible_restart(ms(0), TAG, LIMIT);
     warmup.note_possible_restart(ms(2_500), TAG, LIMIT);
 
-    assert!(warmup.is_doubted(ms(5_499), TAG));
-    assert!(!warmup.is_doubted(ms(5_500), TAG));
-    assert!(!warmup.is_doubted(ms(2_501), TAG + 1));
+    assert!(warmup.may_have_restarted(ms(5_499), TAG));
+    assert!(!warmup.may_have_restarted(ms(5_500), TAG));
+    assert!(!warmup.may_have_restarted(ms(2_501), TAG + 1));
 }
