--- a/src/relay/routes.rs
+++ b/src/relay/routes.rs
@@ -114,8 +114,8 @@
     pub fn cold(&self, service: &str) -> Option<ColdLimit> {
         let service = self.source.services.iter().find(|s| s.name == service)?;
         let per_second = f64::from(service.cold_per_minute) / 60.0;
-        let lasts = Duration::from_millis(service.cold_ms.into());
-        (service.cold_ms > 0).then_some(ColdLimit { lasts, per_second })
+        let duration = Duration::from_millis(service.cold_ms.into());
+        (service.cold_ms > 0).then_some(ColdLimit { duration, per_second })
     }
 
     /// Limits on what callers send.
--- a/src/relay/warmup.rs
+++ b/src/relay/warmup.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLimit {
     /// How long a server is cold after a start.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests a second that it bears from all hosts.
     pub per_second: f64,
 }
@@ -66,7 +66,7 @@
 
     /// Notes that a server can't be reached, or answers for the first time since.
     pub fn note_possible_restart(&mut self, now: Instant, tag: Tag, limit: ColdLimit) {
-        self.doubts.insert(tag, now + limit.lasts);
+        self.doubts.insert(tag, now + limit.duration);
     }
 
     /// Whether a server may have started a short time ago, though nothing tells so.
@@ -82,7 +82,7 @@
         limit: ColdLimit,
         feeds: impl FnOnce() -> bool,
     ) -> bool {
-        if now < self.started + limit.lasts || self.next.get(&tag).is_some_and(|next| *next > now) {
+        if now < self.started + limit.duration || self.next.get(&tag).is_some_and(|next| *next > now) {
             return false;
         }
         let look = self.feeds.entry(tag).or_insert((Instant::ZERO, false));
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -22,7 +22,7 @@
 use wire::{Act, Host, Server, configuration, header, ok, request, status};
 
 const TAG: u32 = 77;
-const LIMIT: ColdLimit = ColdLimit { lasts: Duration::from_secs(3), per_second: 11.0 };
+const LIMIT: ColdLimit = ColdLimit { duration: Duration::from_secs(3), per_second: 11.0 };
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
