--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -210,7 +210,8 @@
                 revision(l.text("from", from), state.evacuations.revision())
             });
             if let (evacuations::Change::TakenBack(_), Some(routes)) = (change, state.routes.clone()) {
-                let lasts = |service: &str| routes.cold(service).map_or(Duration::ZERO, |limit| limit.lasts);
+                let lasts =
+                    |service: &str| routes.cold(service).map_or(Duration::ZERO, |limit| limit.duration);
                 state.taken_back = Some(now());
                 let cold = state.backends.cool(now(), data_centre, lasts);
                 cold.into_iter().for_each(|key| state.holders.forget(key));
