--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -15,7 +15,7 @@
     place::{self, Bound, Candidate, Choice, Placer},
     request::Request,
     run::RETRY_AFTER,
-    warmup::{ColdLimit, FEEDERS},
+    warmup::{COLD_SENDERS, ColdLimit},
 };
 use crate::{
     error::Kind,
@@ -194,7 +194,7 @@
         let (backends, peers, warmup) = (&self.backends, &self.peers, &mut self.warmup);
         let may = |key: &BackendKey| {
             let tag = backends.get(*key)?.tag;
-            warmup.may_send(now, tag, limit, || peers.is_among_first(tag, FEEDERS)).then_some(*key)
+            warmup.may_send(now, tag, limit, || peers.is_among_first(tag, COLD_SENDERS)).then_some(*key)
         };
         let fed: Vec<_> = cold.iter().filter_map(may).collect();
         let survey = self.health.survey(now, &fed);
--- a/src/relay/warmup.rs
+++ b/src/relay/warmup.rs
@@ -18,7 +18,7 @@
 use crate::util::{Instant, Map};
 
 /// Hosts that send to a cold server: with one, its loss would leave the server without work until all are warm.
-pub const FEEDERS: usize = 2;
+pub const COLD_SENDERS: usize = 2;
 /// Part of what a cold server bears that its feeders send together. A partition in which all hosts have restarted makes a set
 /// of feeders on each side, and each set may send as much.
 const PART: f64 = 0.45;
@@ -40,7 +40,7 @@
 impl ColdLimit {
     /// Time between two requests of one feeder.
     fn interval(self) -> Duration {
-        let per_second = (self.per_second * PART / FEEDERS as f64).max(LEAST_PER_SECOND);
+        let per_second = (self.per_second * PART / COLD_SENDERS as f64).max(LEAST_PER_SECOND);
         Duration::from_secs_f64(1.0 / per_second)
     }
 }
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -12,7 +12,7 @@
         backends::{Backends, Change},
         follow::BackendsUpdate,
         peers::Peers,
-        warmup::{ColdLimit, FEEDERS, Warmup},
+        warmup::{COLD_SENDERS, ColdLimit, Warmup},
     },
     schema::fleet::{Backend, Backends as List, Member},
 };
@@ -83,7 +83,7 @@
                 nodes[*i] = node(*i, hosts, sides, false, ms(at));
             }
             for node in nodes.iter_mut().filter(|_| rng.random_bool(0.7)) {
-                let feeds = || node.peers.is_among_first(TAG, FEEDERS);
+                let feeds = || node.peers.is_among_first(TAG, COLD_SENDERS);
                 if node.warmup.may_send(ms(at), TAG, LIMIT, feeds) {
                     node.warmup.sent(ms(at), TAG, LIMIT);
                     sent.push(ms(at));
