--- a/src/relay/place.rs
+++ b/src/relay/place.rs
@@ -110,7 +110,7 @@
 
 /// Why a server was chosen; a label in logs and counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Why {
+pub enum Reason {
     /// It holds shared parts of the prompt.
     Holder,
     /// It is the parts' place by rendezvous.
@@ -121,17 +121,17 @@
     LeastLoad,
 }
 
-impl Why {
+impl Reason {
     /// Every reason.
-    pub const ALL: [Why; 4] = [Why::Holder, Why::Home, Why::Spilled, Why::LeastLoad];
+    pub const ALL: [Reason; 4] = [Reason::Holder, Reason::Home, Reason::Spilled, Reason::LeastLoad];
 
     /// Name in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
-            Why::Holder => "holder",
-            Why::Home => "home",
-            Why::Spilled => "spilled",
-            Why::LeastLoad => "least_load",
+            Reason::Holder => "holder",
+            Reason::Home => "home",
+            Reason::Spilled => "spilled",
+            Reason::LeastLoad => "least_load",
         }
     }
 }
@@ -142,7 +142,7 @@
     /// The server.
     pub key: BackendKey,
     /// Why.
-    pub why: Why,
+    pub why: Reason,
     /// Its load when it was chosen, in requests in progress.
     pub load: f64,
     /// The bound that held, in requests in progress.
@@ -220,10 +220,10 @@
     };
     let holder = candidates.iter().filter(open).filter(|c| held(c) == whole);
     if let Some(best) = holder.min_by(|a, b| cost(a).total_cmp(&cost(b))) {
-        return Some(choice(best, Why::Holder));
+        return Some(choice(best, Reason::Holder));
     }
     if open(&home) && known.is_none() {
-        return Some(choice(home, Why::Home));
+        return Some(choice(home, Reason::Home));
     }
     // Every host spills a part to the same few servers in the same order, so that it is read at few of them. Where these
     // are full, a short wait there costs less than one more copy, which takes the place of others.
@@ -237,7 +237,7 @@
     let spill = spill.or_else(|| candidates.iter().filter(open).max_by_key(rank));
     let least = || candidates.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
     let chosen = spill.or_else(least)?;
-    let why = if chosen.key == home.key { Why::Home } else { Why::Spilled };
+    let why = if chosen.key == home.key { Reason::Home } else { Reason::Spilled };
     Some(choice(chosen, why))
 }
 
@@ -272,7 +272,7 @@
 fn least_load(candidates: &[Candidate], bound: f64, rng: &mut impl Rng) -> Option<Choice> {
     let choice = |c: &Candidate| Choice {
         key: c.key,
-        why: Why::LeastLoad,
+        why: Reason::LeastLoad,
         load: c.load,
         bound,
         held: 0,
