--- a/src/relay/place.rs
+++ b/src/relay/place.rs
@@ -142,7 +142,7 @@
     /// The server.
     pub key: BackendKey,
     /// Why.
-    pub why: Reason,
+    pub reason: Reason,
     /// Its load when it was chosen, in requests in progress.
     pub load: f64,
     /// The bound that held, in requests in progress.
@@ -213,10 +213,10 @@
     let before = || candidates.iter().filter(|c| c.key != home.key && usable(c.key)).max_by_key(rank);
     let source = known.or_else(|| before().map(|c| c.key));
     let whole: u32 = shared.iter().map(|p| p.tokens).sum();
-    let choice = |c: &Candidate, why| {
+    let choice = |c: &Candidate, reason| {
         let other = source.filter(|s| *s != c.key).or(Some(home.key)).filter(|s| *s != c.key);
         let fetch_from = other.filter(|s| held(c) < whole && usable(*s));
-        Choice { key: c.key, why, load: c.load, bound, held: held(c), fetch_from }
+        Choice { key: c.key, reason, load: c.load, bound, held: held(c), fetch_from }
     };
     let holder = candidates.iter().filter(open).filter(|c| held(c) == whole);
     if let Some(best) = holder.min_by(|a, b| cost(a).total_cmp(&cost(b))) {
@@ -237,8 +237,8 @@
     let spill = spill.or_else(|| candidates.iter().filter(open).max_by_key(rank));
     let least = || candidates.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
     let chosen = spill.or_else(least)?;
-    let why = if chosen.key == home.key { Reason::Home } else { Reason::Spilled };
-    Some(choice(chosen, why))
+    let reason = if chosen.key == home.key { Reason::Home } else { Reason::Spilled };
+    Some(choice(chosen, reason))
 }
 
 /// The sound servers at which a part may be read, in the order of their rank.
@@ -272,7 +272,7 @@
 fn least_load(candidates: &[Candidate], bound: f64, rng: &mut impl Rng) -> Option<Choice> {
     let choice = |c: &Candidate| Choice {
         key: c.key,
-        why: Reason::LeastLoad,
+        reason: Reason::LeastLoad,
         load: c.load,
         bound,
         held: 0,
