--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -269,10 +269,10 @@
     }
 
     fn note_sent(&self, choice: &Choice, id: &str, stale: usize) {
-        self.relay.metrics.add(Counter::RelayPlacements, choice.why.as_str(), 1);
+        self.relay.metrics.add(Counter::RelayPlacements, choice.reason.as_str(), 1);
         let from = choice.fetch_from.and_then(|key| Some(self.relay.state().backends.get(key)?.id.clone()));
         self.relay.note(Weight::Routine, "sent", &self.req, |l| {
-            let l = l.text("backend", id).text("why", choice.why.as_str());
+            let l = l.text("backend", id).text("why", choice.reason.as_str());
             let l = l.decimal("load", choice.load).decimal("bound", choice.bound);
             let l = l.text("fetches", from.as_deref().unwrap_or("")).number("stale", stale as u64);
             let l = l.number("version", self.req.version).ms("confirmed_ms", self.relay.configuration_age());
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -142,7 +142,7 @@
     let second = choose(&candidates, &prompt(7, 200), &holders);
 
     assert_eq!(first.key, second.key);
-    assert_eq!(first.why, Reason::Home);
+    assert_eq!(first.reason, Reason::Home);
 }
 
 #[test]
@@ -156,7 +156,7 @@
 
     let chosen = choose(&candidates, &prompt(7, 200), &holders);
 
-    assert_eq!((chosen.key, chosen.why, chosen.held), (other, Reason::Holder, 10_500));
+    assert_eq!((chosen.key, chosen.reason, chosen.held), (other, Reason::Holder, 10_500));
     assert_eq!(chosen.fetch_from, None);
 }
 
@@ -176,7 +176,7 @@
 
     let chosen = choose(&candidates, &prompt(7, 200), &holders);
 
-    assert_eq!((chosen.key, chosen.why, chosen.held), (other, Reason::Holder, 10_500));
+    assert_eq!((chosen.key, chosen.reason, chosen.held), (other, Reason::Holder, 10_500));
     assert_eq!(chosen.fetch_from, None);
 }
 
@@ -194,7 +194,7 @@
     let chosen = choose(&candidates, &parts, &holders);
 
     assert_ne!(chosen.key, home);
-    assert_eq!(chosen.why, Reason::Spilled);
+    assert_eq!(chosen.reason, Reason::Spilled);
     assert_eq!(chosen.fetch_from, Some(home));
 }
 
