--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -65,7 +65,7 @@
                 true => bound.after_evacuation(mean_of_all, mean_of_open),
                 false => bound.while_short(mean_of_all, mean_of_open),
             });
-            keep_below(&mut candidates, Bound::MOST.at(mean_of_all))?;
+            keep_below(&mut candidates, Bound::MAX.at(mean_of_all))?;
         }
         let caches = state.routes.as_ref().is_some_and(|r| r.caches_prompts(&req.service));
         let (backends, health) = (&state.backends, &state.health);
--- a/src/relay/place.rs
+++ b/src/relay/place.rs
@@ -29,7 +29,7 @@
 
 impl Bound {
     /// The most that an engine may hold of the mean of all, with room for views that lag.
-    pub const MOST: Bound = Bound { factor: 2.0, extra: 2.5 };
+    pub const MAX: Bound = Bound { factor: 2.0, extra: 2.5 };
 
     /// The bound where some servers get nothing new, as in an evacuated data centre: the mean of all falls with theirs while
     /// the others' loads rise towards what it allows. With half as much again at the others it is halfway between these loads
@@ -55,7 +55,7 @@
 
 /// Halfway between the loads of the open servers and the most that the mean of all allows.
 fn halfway(mean_of_all: f64, mean_of_open: f64) -> f64 {
-    (mean_of_open + Bound::MOST.at(mean_of_all)) / 2.0
+    (mean_of_open + Bound::MAX.at(mean_of_all)) / 2.0
 }
 
 impl Default for Bound {
