--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -63,7 +63,7 @@
             let bound = self.cfg.bound;
             placer = placer.with_limit(match uneven {
                 true => bound.after_evacuation(mean_of_all, mean_of_open),
-                false => bound.while_short(mean_of_all, mean_of_open),
+                false => bound.with_servers_excluded(mean_of_all, mean_of_open),
             });
             keep_below(&mut candidates, Bound::MAX.at(mean_of_all))?;
         }
--- a/src/relay/place.rs
+++ b/src/relay/place.rs
@@ -34,7 +34,7 @@
     /// The bound where some servers get nothing new, as in an evacuated data centre: the mean of all falls with theirs while
     /// the others' loads rise towards what it allows. With half as much again at the others it is halfway between these loads
     /// and that: requests still spread, and what hosts send at once on the same old view stays below the limit.
-    pub fn while_short(self, mean_of_all: f64, mean_of_open: f64) -> f64 {
+    pub fn with_servers_excluded(self, mean_of_all: f64, mean_of_open: f64) -> f64 {
         let common = self.at(mean_of_all);
         let excess = mean_of_open / mean_of_all.max(f64::MIN_POSITIVE) - 1.0;
         let part = (excess / SHORT_EXCESS).clamp(0.0, 1.0);
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -545,11 +545,11 @@
 #[test]
 fn the_bound_keeps_away_from_the_limit_while_servers_get_nothing() {
     for mean in [0.5, 1.0, 5.6, 12.0] {
-        let one_of_many = Bound::default().while_short(mean, mean * 140.0 / 139.0);
+        let one_of_many = Bound::default().with_servers_excluded(mean, mean * 140.0 / 139.0);
         assert!(Bound::default().at(mean) - one_of_many < 0.15, "{mean}: {one_of_many}");
         for open in [1.5, 3.0] {
             let (limit, loads) = (2.0 * mean + 3.0, open * mean);
-            let bound = Bound::default().while_short(mean, loads);
+            let bound = Bound::default().with_servers_excluded(mean, loads);
 
             assert!(bound <= Bound::default().at(mean));
             if loads < limit {
