--- a/benches/relay.rs
+++ b/benches/relay.rs
@@ -44,7 +44,7 @@
     let candidates = backends.iter().map(|(key, b)| Candidate {
         key,
         tag: b.tag,
-        near: true,
+        local: true,
         load: f64::from(b.tag % 8),
         slots: 64,
         unsound: false,
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -174,10 +174,10 @@
     fn candidates(&self, now: Instant, me: &Member, keys: &[BackendKey], survey: Survey) -> Vec<Candidate> {
         let candidate = |key: &BackendKey| {
             let b = self.backends.get(*key)?;
-            let near = *b.data_centre == *me.data_centre;
+            let local = *b.data_centre == *me.data_centre;
             let load = f64::from(self.load(b));
             let unsound = self.many_avoid(b.tag) || self.health.unsound(now, *key, survey);
-            Some(Candidate { key: *key, tag: b.tag, near, load, slots: b.slots, unsound })
+            Some(Candidate { key: *key, tag: b.tag, local, load, slots: b.slots, unsound })
         };
         keys.iter().filter_map(candidate).collect()
     }
--- a/src/relay/place.rs
+++ b/src/relay/place.rs
@@ -87,7 +87,7 @@
     /// Its tag, on which rendezvous hashing works.
     pub tag: Tag,
     /// Whether it stands in the own data centre.
-    pub near: bool,
+    pub local: bool,
     /// Requests in progress there, of all hosts, as far as known.
     pub load: f64,
     /// Requests that it runs at once.
@@ -262,7 +262,7 @@
 }
 
 fn cost(c: &Candidate) -> f64 {
-    let far = if c.near { 0.0 } else { CROSS_PENALTY };
+    let far = if c.local { 0.0 } else { CROSS_PENALTY };
     let unsound = if c.unsound { UNSOUND_PENALTY } else { 0.0 };
     c.load + far + unsound
 }
@@ -279,9 +279,9 @@
         fetch_from: None,
     };
     let free = |c: &&Candidate| !c.unsound && c.load <= f64::from(c.slots) * MOSTLY_FREE;
-    let near = candidates.iter().filter(|c| c.near).filter(free);
-    if let Some(near) = near.min_by(|a, b| a.load.total_cmp(&b.load)) {
-        return Some(choice(near));
+    let local = candidates.iter().filter(|c| c.local).filter(free);
+    if let Some(local) = local.min_by(|a, b| a.load.total_cmp(&b.load)) {
+        return Some(choice(local));
     }
     let sound = candidates.iter().any(|c| !c.unsound);
     let drawn = candidates.iter().filter(|c| !sound || !c.unsound);
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -115,7 +115,7 @@
     let candidates = known.into_iter().zip(loads).map(|((_, key, tag), load)| Candidate {
         key,
         tag,
-        near: true,
+        local: true,
         load: *load,
         slots: 64,
         unsound: false,
