--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -176,7 +176,7 @@
             let b = self.backends.get(*key)?;
             let local = *b.data_centre == *me.data_centre;
             let load = f64::from(self.load(b));
-            let unsound = self.many_avoid(b.tag) || self.health.unsound(now, *key, survey);
+            let unsound = self.many_avoid(b.tag) || self.health.is_unhealthy(now, *key, survey);
             Some(Candidate { key: *key, tag: b.tag, local, load, slots: b.slots, unsound })
         };
         keys.iter().filter_map(candidate).collect()
--- a/src/relay/health.rs
+++ b/src/relay/health.rs
@@ -102,7 +102,7 @@
     }
 
     /// Whether a server is left alone at the moment, given those of its service.
-    pub fn unsound(&self, now: Instant, key: BackendKey, service: Survey) -> bool {
+    pub fn is_unhealthy(&self, now: Instant, key: BackendKey, service: Survey) -> bool {
         let Some(entry) = self.servers.get(&key) else { return false };
         if entry.until > now {
             return true;
