--- a/benches/relay.rs
+++ b/benches/relay.rs
@@ -47,7 +47,7 @@
         local: true,
         load: f64::from(b.tag % 8),
         slots: 64,
-        unsound: false,
+        unhealthy: false,
     });
     let candidates = candidates.collect();
     (backends, candidates)
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -176,8 +176,8 @@
             let b = self.backends.get(*key)?;
             let local = *b.data_centre == *me.data_centre;
             let load = f64::from(self.load(b));
-            let unsound = self.many_avoid(b.tag) || self.health.is_unhealthy(now, *key, survey);
-            Some(Candidate { key: *key, tag: b.tag, local, load, slots: b.slots, unsound })
+            let unhealthy = self.many_avoid(b.tag) || self.health.is_unhealthy(now, *key, survey);
+            Some(Candidate { key: *key, tag: b.tag, local, load, slots: b.slots, unhealthy })
         };
         keys.iter().filter_map(candidate).collect()
     }
@@ -199,7 +199,7 @@
         let fed: Vec<_> = cold.iter().filter_map(may).collect();
         let survey = self.health.survey(now, &fed);
         let candidates = self.candidates(now, me, &fed, survey);
-        candidates.into_iter().filter(|c| !c.unsound).collect()
+        candidates.into_iter().filter(|c| !c.unhealthy).collect()
     }
 
     fn spend_on_cold(&mut self, now: Instant, key: BackendKey, limit: ColdLimit) {
--- a/src/relay/place.rs
+++ b/src/relay/place.rs
@@ -93,13 +93,13 @@
     /// Requests that it runs at once.
     pub slots: u32,
     /// Whether it fails lately and is left alone if others can do the work.
-    pub unsound: bool,
+    pub unhealthy: bool,
 }
 
 impl Candidate {
     /// Whether it takes one more request without letting it wait.
     pub fn has_room(&self) -> bool {
-        !self.unsound && self.load + 1.0 <= f64::from(self.slots)
+        !self.unhealthy && self.load + 1.0 <= f64::from(self.slots)
     }
 
     /// Load against places.
@@ -205,7 +205,7 @@
     let rank = |c: &&Candidate| hash((last.id, c.tag));
     let home = candidates.iter().max_by_key(rank)?;
     let held = |c: &Candidate| holders.tokens(shared, c.key);
-    let bounded = |c: &Candidate| !c.unsound && c.load + 1.0 <= bound;
+    let bounded = |c: &Candidate| !c.unhealthy && c.load + 1.0 <= bound;
     let open = |c: &&Candidate| bounded(c) && c.load + 1.0 <= f64::from(c.slots);
     let known = holders.best(shared, &usable);
     // Where no holder is known, as after a start, the next place by rendezvous may be the home of before: the last
@@ -243,7 +243,7 @@
 
 /// The sound servers at which a part may be read, in the order of their rank.
 fn first_by(candidates: &[Candidate], rank: impl Fn(&&Candidate) -> u64) -> Vec<&Candidate> {
-    let mut sound: Vec<_> = candidates.iter().filter(|c| !c.unsound).collect();
+    let mut sound: Vec<_> = candidates.iter().filter(|c| !c.unhealthy).collect();
     if sound.len() > MOST_COPIES {
         sound.select_nth_unstable_by_key(MOST_COPIES, |c| Reverse(rank(c)));
         sound.truncate(MOST_COPIES);
@@ -263,8 +263,8 @@
 
 fn cost(c: &Candidate) -> f64 {
     let far = if c.local { 0.0 } else { CROSS_PENALTY };
-    let unsound = if c.unsound { UNSOUND_PENALTY } else { 0.0 };
-    c.load + far + unsound
+    let unhealthy = if c.unhealthy { UNSOUND_PENALTY } else { 0.0 };
+    c.load + far + unhealthy
 }
 
 /// The least loaded server of the own data centre while it is mostly free, else one drawn by free places: all hosts see
@@ -278,13 +278,13 @@
         held: 0,
         fetch_from: None,
     };
-    let free = |c: &&Candidate| !c.unsound && c.load <= f64::from(c.slots) * MOSTLY_FREE;
+    let free = |c: &&Candidate| !c.unhealthy && c.load <= f64::from(c.slots) * MOSTLY_FREE;
     let local = candidates.iter().filter(|c| c.local).filter(free);
     if let Some(local) = local.min_by(|a, b| a.load.total_cmp(&b.load)) {
         return Some(choice(local));
     }
-    let sound = candidates.iter().any(|c| !c.unsound);
-    let drawn = candidates.iter().filter(|c| !sound || !c.unsound);
+    let sound = candidates.iter().any(|c| !c.unhealthy);
+    let drawn = candidates.iter().filter(|c| !sound || !c.unhealthy);
     let weight = |c: &Candidate| (f64::from(c.slots) - c.load).max(LEAST_WEIGHT);
     // The lowest of exponential draws, each at the rate of its weight, falls to each with a chance by weight.
     let drawn = drawn.map(|c| (-rng.random::<f64>().max(f64::MIN_POSITIVE).ln() / weight(c), c));
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -118,7 +118,7 @@
         local: true,
         load: *load,
         slots: 64,
-        unsound: false,
+        unhealthy: false,
     });
     (backends, candidates.collect())
 }
@@ -255,11 +255,11 @@
     let (_, mut candidates) = fleet(&[2.0; 3]);
     let holders = Holders::default();
     let home = choose(&candidates, &prompt(7, 1), &holders).key;
-    candidates.iter_mut().filter(|c| c.key == home).for_each(|c| c.unsound = true);
+    candidates.iter_mut().filter(|c| c.key == home).for_each(|c| c.unhealthy = true);
 
     let around = choose(&candidates, &prompt(7, 1), &holders);
     let plain = (0..50).all(|_| choose(&candidates, &[], &holders).key != home);
-    candidates.iter_mut().for_each(|c| c.unsound = true);
+    candidates.iter_mut().for_each(|c| c.unhealthy = true);
     let all = choose(&candidates, &[], &holders);
 
     assert_ne!(around.key, home);
