--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -17,7 +17,7 @@
     pool::Conn,
     request::{EventNumber, Request},
     stream,
-    verdict::{Failure, Stop, Tries},
+    verdict::{Attempts, Failure, Stop},
 };
 use crate::{
     error::{Kind, Ran},
@@ -60,7 +60,7 @@
 pub(crate) struct Run<W: Wire> {
     pub(crate) relay: Arc<Relay<W>>,
     pub(crate) req: Arc<Request>,
-    pub(crate) tries: Tries,
+    pub(crate) tries: Attempts,
     pub(crate) tried: Vec<BackendKey>,
     /// When the attempt in progress was begun.
     pub(crate) sent: Instant,
@@ -90,7 +90,7 @@
 /// Runs a request to its answer.
 pub async fn run<W: Wire>(relay: Arc<Relay<W>>, req: Request) -> Response<AnswerBody> {
     let req = Arc::new(req);
-    let tries = Tries::new(req.route.repeatable, req.route.route.attempts, req.deadline);
+    let tries = Attempts::new(req.route.repeatable, req.route.route.attempts, req.deadline);
     let mut run = Run { relay, req, tries, tried: Vec::new(), sent: now(), begun: 0, outcome: None };
     if run.relay.refuses(&run.req) {
         return run.give_up(Kind::Quarantined, None);
--- a/src/relay/verdict.rs
+++ b/src/relay/verdict.rs
@@ -107,7 +107,7 @@
 
 /// The attempts of one request so far.
 #[derive(Clone, Copy, Debug)]
-pub struct Tries {
+pub struct Attempts {
     repeatable: bool,
     most: u32,
     deadline: Instant,
@@ -115,7 +115,7 @@
     unrun: u32,
 }
 
-impl Tries {
+impl Attempts {
     /// No attempt so far, of `most` that may run.
     pub fn new(repeatable: bool, most: u32, deadline: Instant) -> Self {
         Self { repeatable, most: most.max(1), deadline, may_have_run: 0, unrun: 0 }
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -18,7 +18,7 @@
         request::Part,
         routes::Routes,
         suspects::Suspects,
-        verdict::{Failure, Stop, Tries},
+        verdict::{Attempts, Failure, Stop},
     },
     schema::fleet::{Backends as List, Configuration, Repeat, Route, Share, Workspace},
 };
@@ -389,7 +389,7 @@
     assert_eq!(cases.len(), Failure::ALL.len());
     for (failure, repeatable, not) in cases {
         for (may, expected) in [(true, repeatable), (false, not)] {
-            let mut tries = Tries::new(may, 2, ms(1_000));
+            let mut tries = Attempts::new(may, 2, ms(1_000));
 
             assert_eq!(tries.fail(ms(10), failure, || true), expected, "{failure:?}, may be repeated: {may}");
         }
@@ -398,10 +398,10 @@
 
 #[test]
 fn attempts_end_at_their_bounds() {
-    let mut runs = Tries::new(true, 2, ms(1_000));
-    let mut refused = Tries::new(false, 1, ms(1_000));
-    let mut budget = Tries::new(true, 2, ms(1_000));
-    let mut late = Tries::new(true, 2, ms(1_000));
+    let mut runs = Attempts::new(true, 2, ms(1_000));
+    let mut refused = Attempts::new(false, 1, ms(1_000));
+    let mut budget = Attempts::new(true, 2, ms(1_000));
+    let mut late = Attempts::new(true, 2, ms(1_000));
 
     assert_eq!(runs.fail(ms(1), Failure::Broken, || true), Ok(()));
     assert_eq!(runs.fail(ms(2), Failure::Broken, || true), Err(Stop::Attempts));
