--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -383,7 +383,7 @@
 
     /// The final answer to a request that is given up.
     pub(crate) fn give_up(&mut self, kind: Kind, last: Option<Failure>) -> Response<AnswerBody> {
-        let ran = if self.tries.is_unrun() { Ran::No } else { Ran::Unknown };
+        let ran = if self.tries.cannot_have_run() { Ran::No } else { Ran::Unknown };
         self.outcome = Some(if ran == Ran::No { Outcome::Refused } else { Outcome::Failed });
         self.relay.metrics.add(Counter::RelayRefusals, kind.answer().code, 1);
         let comes_back = ran == Ran::No && kind != Kind::Quarantined;
--- a/src/relay/verdict.rs
+++ b/src/relay/verdict.rs
@@ -122,7 +122,7 @@
     }
 
     /// Whether no attempt so far can have run.
-    pub fn is_unrun(&self) -> bool {
+    pub fn cannot_have_run(&self) -> bool {
         self.may_have_run == 0
     }
 
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -405,10 +405,10 @@
 
     assert_eq!(runs.fail(ms(1), Failure::Broken, || true), Ok(()));
     assert_eq!(runs.fail(ms(2), Failure::Broken, || true), Err(Stop::Attempts));
-    assert!(!runs.is_unrun());
+    assert!(!runs.cannot_have_run());
     let refusals: Vec<_> = (0..4).map(|_| refused.fail(ms(1), Failure::Refused, || true)).collect();
     assert_eq!(refusals, [Ok(()), Ok(()), Ok(()), Err(Stop::Attempts)]);
-    assert!(refused.is_unrun());
+    assert!(refused.cannot_have_run());
     assert_eq!(budget.fail(ms(1), Failure::Refused, || false), Err(Stop::Budget));
     assert_eq!(late.fail(ms(1_000), Failure::Connect, || true), Err(Stop::Deadline));
 }
