--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -337,7 +337,7 @@
         if let Some(pause) = read.pause {
             self.note(Weight::Notable, "told_pause", req, |l| l.text("backend", id).ms("for_ms", pause));
             self.metrics.add(Counter::RelayTold, Said::Pause.as_str(), 1);
-            self.state().health.ask_pause(now(), key, pause);
+            self.state().health.record_requested_pause(now(), key, pause);
         }
     }
 
--- a/src/relay/health.rs
+++ b/src/relay/health.rs
@@ -56,7 +56,7 @@
 impl Health {
     /// Notes that a server wants nothing from this host for a while. A shorter pause that comes later ends no longer one:
     /// answers may overtake each other.
-    pub fn ask_pause(&mut self, now: Instant, key: BackendKey, pause: Duration) {
+    pub fn record_requested_pause(&mut self, now: Instant, key: BackendKey, pause: Duration) {
         let until = now + pause.min(MOST_ASKED);
         let known = self.asked.entry(key).or_default();
         *known = until.max(*known);
--- a/tests/relay_told.rs
+++ b/tests/relay_told.rs
@@ -101,10 +101,10 @@
     let [key, other, far]: [BackendKey; 3] = std::array::from_fn(|_| arena.insert(()));
     let (s, mut health) = (Duration::from_secs, Health::default());
 
-    health.ask_pause(s(10), key, s(5));
-    health.ask_pause(s(11), key, s(1));
+    health.record_requested_pause(s(10), key, s(5));
+    health.record_requested_pause(s(11), key, s(1));
     health.succeed(s(11), key);
-    health.ask_pause(s(10), far, Duration::MAX);
+    health.record_requested_pause(s(10), far, Duration::MAX);
 
     assert_eq!(health.asked_pause(s(14), key), Some(s(15)));
     assert_eq!((health.asked_pause(s(15), key), health.asked_pause(s(11), other)), (None, None));
