--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -69,7 +69,7 @@
         }
         let caches = state.routes.as_ref().is_some_and(|r| r.caches_prompts(&req.service));
         let (backends, health) = (&state.backends, &state.health);
-        let pauses = |key| health.paused(now, key) || health.asked_pause(now, key).is_some();
+        let pauses = |key| health.paused(now, key) || health.requested_pause_end(now, key).is_some();
         let reaches = |key| caches && backends.get(key).is_some() && !pauses(key);
         let choice = placer.choose(&candidates, &req.parts, &state.holders, reaches, &mut state.rng);
         let choice = choice.ok_or_else(|| state.why_none(now, &req.service, &open))?;
@@ -115,12 +115,12 @@
         now: Instant,
         service: &str,
     ) -> impl Iterator<Item = (BackendKey, &Backend)> {
-        self.in_force(service).filter(move |(key, _)| self.health.asked_pause(now, *key).is_none())
+        self.in_force(service).filter(move |(key, _)| self.health.requested_pause_end(now, *key).is_none())
     }
 
     /// When the first of a service's servers that have asked for a pause may get requests again.
     fn pause_ends(&self, now: Instant, service: &str) -> Option<Instant> {
-        self.in_force(service).filter_map(|(key, _)| self.health.asked_pause(now, key)).min()
+        self.in_force(service).filter_map(|(key, _)| self.health.requested_pause_end(now, key)).min()
     }
 
     fn open(&self, now: Instant, service: &str) -> Open {
--- a/src/relay/health.rs
+++ b/src/relay/health.rs
@@ -63,7 +63,7 @@
     }
 
     /// Until when a server wants nothing from this host, if it does.
-    pub fn asked_pause(&self, now: Instant, key: BackendKey) -> Option<Instant> {
+    pub fn requested_pause_end(&self, now: Instant, key: BackendKey) -> Option<Instant> {
         self.asked.get(&key).copied().filter(|until| *until > now)
     }
 
--- a/tests/relay_told.rs
+++ b/tests/relay_told.rs
@@ -106,11 +106,14 @@
     health.succeed(s(11), key);
     health.record_requested_pause(s(10), far, Duration::MAX);
 
-    assert_eq!(health.asked_pause(s(14), key), Some(s(15)));
-    assert_eq!((health.asked_pause(s(15), key), health.asked_pause(s(11), other)), (None, None));
-    assert_eq!(health.asked_pause(s(12), far), Some(s(3_610)));
+    assert_eq!(health.requested_pause_end(s(14), key), Some(s(15)));
+    assert_eq!(
+        (health.requested_pause_end(s(15), key), health.requested_pause_end(s(11), other)),
+        (None, None)
+    );
+    assert_eq!(health.requested_pause_end(s(12), far), Some(s(3_610)));
     health.forget(far);
-    assert_eq!(health.asked_pause(s(12), far), None);
+    assert_eq!(health.requested_pause_end(s(12), far), None);
 }
 
 /// A server left alone for an hour of nonsense.
