--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -11,7 +11,7 @@
     Relay, State, Wire,
     admission::{AdmissionRequest, Refused, ServiceLoad, late_retry_delay},
     backends::{Backend, BackendKey, Tag},
-    health::Survey,
+    health::FailureSummary,
     place::{self, Bound, Candidate, Choice, Placer},
     request::Request,
     run::RETRY_AFTER,
@@ -171,7 +171,13 @@
         }
     }
 
-    fn candidates(&self, now: Instant, me: &Member, keys: &[BackendKey], survey: Survey) -> Vec<Candidate> {
+    fn candidates(
+        &self,
+        now: Instant,
+        me: &Member,
+        keys: &[BackendKey],
+        survey: FailureSummary,
+    ) -> Vec<Candidate> {
         let candidate = |key: &BackendKey| {
             let b = self.backends.get(*key)?;
             let local = *b.data_centre == *me.data_centre;
--- a/src/relay/health.rs
+++ b/src/relay/health.rs
@@ -40,7 +40,7 @@
 /// Failure ratios of a service, summed up once for all of its servers: with each server held against each other one, a
 /// choice among a hundred costs ten thousand look-ups.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Survey {
+pub struct FailureSummary {
     sum: f64,
     servers: usize,
 }
@@ -96,13 +96,13 @@
     }
 
     /// Failure ratios of the servers of a service, against which each of them is held.
-    pub fn survey(&self, now: Instant, service: &[BackendKey]) -> Survey {
+    pub fn survey(&self, now: Instant, service: &[BackendKey]) -> FailureSummary {
         let ratio = |key: &BackendKey| self.servers.get(key).map_or(0.0, |e| e.ratio(now));
-        Survey { sum: service.iter().map(ratio).sum(), servers: service.len() }
+        FailureSummary { sum: service.iter().map(ratio).sum(), servers: service.len() }
     }
 
     /// Whether a server is left alone at the moment, given those of its service.
-    pub fn is_unhealthy(&self, now: Instant, key: BackendKey, service: Survey) -> bool {
+    pub fn is_unhealthy(&self, now: Instant, key: BackendKey, service: FailureSummary) -> bool {
         let Some(entry) = self.servers.get(&key) else { return false };
         if entry.until > now {
             return true;
