--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -49,10 +49,10 @@
         let state = &mut *state;
         let limit = state.cold_limit(&req.service);
         let open = state.open(now, &req.service);
-        let survey = state.health.survey(now, &open.warm);
+        let failure_summary = state.health.failure_summary(now, &open.warm);
         let untried = |keys: &[BackendKey]| keys.iter().copied().filter(|k| !tried.contains(k)).collect();
         let (warm, cold): (Vec<_>, Vec<_>) = (untried(&open.warm), untried(&open.cold));
-        let mut candidates = state.candidates(now, &self.cfg.me, &warm, survey);
+        let mut candidates = state.candidates(now, &self.cfg.me, &warm, failure_summary);
         if !candidates.iter().any(Candidate::has_room) {
             candidates.extend(state.fed(now, &self.cfg.me, &cold, limit));
         }
@@ -176,13 +176,13 @@
         now: Instant,
         me: &Member,
         keys: &[BackendKey],
-        survey: FailureSummary,
+        failure_summary: FailureSummary,
     ) -> Vec<Candidate> {
         let candidate = |key: &BackendKey| {
             let b = self.backends.get(*key)?;
             let local = *b.data_centre == *me.data_centre;
             let load = f64::from(self.load(b));
-            let unhealthy = self.many_avoid(b.tag) || self.health.is_unhealthy(now, *key, survey);
+            let unhealthy = self.many_avoid(b.tag) || self.health.is_unhealthy(now, *key, failure_summary);
             Some(Candidate { key: *key, tag: b.tag, local, load, slots: b.slots, unhealthy })
         };
         keys.iter().filter_map(candidate).collect()
@@ -203,8 +203,8 @@
             warmup.may_send(now, tag, limit, || peers.is_among_first(tag, COLD_SENDERS)).then_some(*key)
         };
         let fed: Vec<_> = cold.iter().filter_map(may).collect();
-        let survey = self.health.survey(now, &fed);
-        let candidates = self.candidates(now, me, &fed, survey);
+        let failure_summary = self.health.failure_summary(now, &fed);
+        let candidates = self.candidates(now, me, &fed, failure_summary);
         candidates.into_iter().filter(|c| !c.unhealthy).collect()
     }
 
--- a/src/relay/health.rs
+++ b/src/relay/health.rs
@@ -96,7 +96,7 @@
     }
 
     /// Failure ratios of the servers of a service, against which each of them is held.
-    pub fn survey(&self, now: Instant, service: &[BackendKey]) -> FailureSummary {
+    pub fn failure_summary(&self, now: Instant, service: &[BackendKey]) -> FailureSummary {
         let ratio = |key: &BackendKey| self.servers.get(key).map_or(0.0, |e| e.ratio(now));
         FailureSummary { sum: service.iter().map(ratio).sum(), servers: service.len() }
     }
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -430,9 +430,9 @@
         }
     }
 
-    assert!(health.is_unhealthy(ms(300), keys[0], health.survey(ms(300), &keys)));
-    assert!(!health.is_unhealthy(ms(300), keys[1], health.survey(ms(300), &keys)));
-    assert!(!health.is_unhealthy(ms(10_000), keys[0], health.survey(ms(10_000), &keys)));
+    assert!(health.is_unhealthy(ms(300), keys[0], health.failure_summary(ms(300), &keys)));
+    assert!(!health.is_unhealthy(ms(300), keys[1], health.failure_summary(ms(300), &keys)));
+    assert!(!health.is_unhealthy(ms(10_000), keys[0], health.failure_summary(ms(10_000), &keys)));
 }
 
 /// A whole service fails. Leaving all of its servers alone would turn a bad service into none.
@@ -445,7 +445,7 @@
         keys.iter().for_each(|key| health.fail(ms(i), *key));
     }
 
-    assert!(keys.iter().all(|key| !health.is_unhealthy(ms(30), *key, health.survey(ms(30), &keys))));
+    assert!(keys.iter().all(|key| !health.is_unhealthy(ms(30), *key, health.failure_summary(ms(30), &keys))));
 }
 
 #[test]
