--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -69,7 +69,7 @@
         }
         let caches = state.routes.as_ref().is_some_and(|r| r.caches_prompts(&req.service));
         let (backends, health) = (&state.backends, &state.health);
-        let pauses = |key| health.paused(now, key) || health.requested_pause_end(now, key).is_some();
+        let pauses = |key| health.is_backing_off(now, key) || health.requested_pause_end(now, key).is_some();
         let reaches = |key| caches && backends.get(key).is_some() && !pauses(key);
         let choice = placer.choose(&candidates, &req.parts, &state.holders, reaches, &mut state.rng);
         let choice = choice.ok_or_else(|| state.why_none(now, &req.service, &open))?;
@@ -241,7 +241,7 @@
         let keys = if open.warm.is_empty() { open.cold } else { open.warm };
         let mut work = ServiceLoad::default();
         for (key, b) in keys.iter().filter_map(|key| Some((*key, self.backends.get(*key)?))) {
-            if self.health.paused(now, key) || self.many_avoid(b.tag) {
+            if self.health.is_backing_off(now, key) || self.many_avoid(b.tag) {
                 continue;
             }
             work.own += b.in_progress;
--- a/src/relay/health.rs
+++ b/src/relay/health.rs
@@ -116,7 +116,7 @@
     }
 
     /// Whether a server is paused after a failed connection.
-    pub fn paused(&self, now: Instant, key: BackendKey) -> bool {
+    pub fn is_backing_off(&self, now: Instant, key: BackendKey) -> bool {
         self.servers.get(&key).is_some_and(|e| e.until > now)
     }
 
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -43,7 +43,7 @@
         let at = state.backends.iter().filter(|(_, b)| b.in_progress > 0);
         let in_progress = at.map(|(_, b)| InProgress { backend: b.tag, requests: b.in_progress }).collect();
         let service: Vec<_> = state.backends.iter().map(|(key, _)| key).collect();
-        let paused = service.iter().filter(|key| state.health.paused(now, **key));
+        let paused = service.iter().filter(|key| state.health.is_backing_off(now, **key));
         let avoided = paused.filter_map(|key| state.backends.get(*key)).map(|b| b.tag).collect();
         let told = state.news.len().min(MOST_NEWS);
         let mut beat = Beat {
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -455,12 +455,12 @@
     let mut health = Health::default();
 
     health.lose(ms(0), key);
-    assert!(health.paused(ms(399), key) && !health.paused(ms(400), key));
+    assert!(health.is_backing_off(ms(399), key) && !health.is_backing_off(ms(400), key));
     health.lose(ms(400), key);
-    assert!(health.paused(ms(1_199), key) && !health.paused(ms(1_200), key));
+    assert!(health.is_backing_off(ms(1_199), key) && !health.is_backing_off(ms(1_200), key));
     health.succeed(ms(1_200), key);
     health.lose(ms(1_300), key);
-    assert!(!health.paused(ms(1_700), key));
+    assert!(!health.is_backing_off(ms(1_700), key));
 }
 
 #[test]
