--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -302,7 +302,7 @@
     /// Notes a whole answer of a server, which ends a pause.
     pub(crate) fn trust(&self, key: BackendKey) {
         let mut state = self.state();
-        if !state.health.succeed(now(), key) {
+        if !state.health.record_success(now(), key) {
             return;
         }
         state.note_possible_restart(now(), key);
--- a/src/relay/health.rs
+++ b/src/relay/health.rs
@@ -68,7 +68,7 @@
     }
 
     /// Notes an answer that was whole and no failure of the server; returns whether a pause ends with it.
-    pub fn succeed(&mut self, now: Instant, key: BackendKey) -> bool {
+    pub fn record_success(&mut self, now: Instant, key: BackendKey) -> bool {
         let entry = self.servers.entry(key).or_default();
         let paused = !entry.pause.is_zero();
         *entry = Entry { ratio: entry.ratio(now) * (1.0 - WEIGHT), seen: now, ..Entry::default() };
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -421,12 +421,12 @@
     let keys: Vec<_> = backends.iter().map(|(key, _)| key).collect();
     let mut health = Health::default();
     for i in 0..30 {
-        health.succeed(ms(i * 10), keys[1]);
-        health.succeed(ms(i * 10), keys[2]);
+        health.record_success(ms(i * 10), keys[1]);
+        health.record_success(ms(i * 10), keys[2]);
         if i % 2 == 0 {
             health.fail(ms(i * 10), keys[0]);
         } else {
-            health.succeed(ms(i * 10), keys[0]);
+            health.record_success(ms(i * 10), keys[0]);
         }
     }
 
@@ -458,7 +458,7 @@
     assert!(health.is_backing_off(ms(399), key) && !health.is_backing_off(ms(400), key));
     health.lose(ms(400), key);
     assert!(health.is_backing_off(ms(1_199), key) && !health.is_backing_off(ms(1_200), key));
-    health.succeed(ms(1_200), key);
+    health.record_success(ms(1_200), key);
     health.lose(ms(1_300), key);
     assert!(!health.is_backing_off(ms(1_700), key));
 }
--- a/tests/relay_told.rs
+++ b/tests/relay_told.rs
@@ -103,7 +103,7 @@
 
     health.record_requested_pause(s(10), key, s(5));
     health.record_requested_pause(s(11), key, s(1));
-    health.succeed(s(11), key);
+    health.record_success(s(11), key);
     health.record_requested_pause(s(10), far, Duration::MAX);
 
     assert_eq!(health.requested_pause_end(s(14), key), Some(s(15)));
