--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -292,7 +292,7 @@
     pub(crate) fn avoid(&self, key: BackendKey, why: &str) {
         let mut state = self.state();
         state.note_possible_restart(now(), key);
-        let Some(pause) = state.health.lose(now(), key) else { return };
+        let Some(pause) = state.health.record_unreachable(now(), key) else { return };
         let Some(id) = state.backends.get(key).map(|b| b.id.clone()) else { return };
         drop(state);
         line(Weight::Notable, "avoided", |l| l.text("backend", &id).text("why", why).ms("for_ms", pause));
@@ -347,7 +347,7 @@
     }
 
     /// Counts a server as gone, as when another one answers at its address.
-    pub(crate) fn lose(&self, key: BackendKey, why: &str) {
+    pub(crate) fn record_unreachable(&self, key: BackendKey, why: &str) {
         let mut state = self.state();
         if let Some(change) = state.backends.lose(key) {
             self.note_changes(&mut state, &[change], why);
--- a/src/relay/health.rs
+++ b/src/relay/health.rs
@@ -84,7 +84,7 @@
 
     /// Notes that no connection could be made, or that a server with requests in progress fell silent; returns the pause
     /// that begins with it, if one does.
-    pub fn lose(&mut self, now: Instant, key: BackendKey) -> Option<Duration> {
+    pub fn record_unreachable(&mut self, now: Instant, key: BackendKey) -> Option<Duration> {
         self.fail(now, key);
         let entry = self.servers.entry(key).or_default();
         if entry.until > now {
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -454,12 +454,12 @@
     let key = backends.iter().next().unwrap().0;
     let mut health = Health::default();
 
-    health.lose(ms(0), key);
+    health.record_unreachable(ms(0), key);
     assert!(health.is_backing_off(ms(399), key) && !health.is_backing_off(ms(400), key));
-    health.lose(ms(400), key);
+    health.record_unreachable(ms(400), key);
     assert!(health.is_backing_off(ms(1_199), key) && !health.is_backing_off(ms(1_200), key));
     health.record_success(ms(1_200), key);
-    health.lose(ms(1_300), key);
+    health.record_unreachable(ms(1_300), key);
     assert!(!health.is_backing_off(ms(1_700), key));
 }
 
