--- a/src/relay/health.rs
+++ b/src/relay/health.rs
@@ -76,7 +76,7 @@
     }
 
     /// Notes a failure of a request that had been sent.
-    pub fn fail(&mut self, now: Instant, key: BackendKey) {
+    pub fn record_failure(&mut self, now: Instant, key: BackendKey) {
         let entry = self.servers.entry(key).or_default();
         entry.ratio = entry.ratio(now) * (1.0 - WEIGHT) + WEIGHT;
         entry.seen = now;
@@ -85,7 +85,7 @@
     /// Notes that no connection could be made, or that a server with requests in progress fell silent; returns the pause
     /// that begins with it, if one does.
     pub fn record_unreachable(&mut self, now: Instant, key: BackendKey) -> Option<Duration> {
-        self.fail(now, key);
+        self.record_failure(now, key);
         let entry = self.servers.entry(key).or_default();
         if entry.until > now {
             return None;
