--- a/src/relay/verdict.rs
+++ b/src/relay/verdict.rs
@@ -135,7 +135,12 @@
     ///
     /// # Errors
     /// Why no further attempt may follow.
-    pub fn fail(&mut self, now: Instant, failure: Failure, spend: impl FnOnce() -> bool) -> Result<(), Stop> {
+    pub fn record_failure(
+        &mut self,
+        now: Instant,
+        failure: Failure,
+        spend: impl FnOnce() -> bool,
+    ) -> Result<(), Stop> {
         match failure.ran() {
             Ran::No => self.unrun += 1,
             Ran::Unknown | Ran::Yes => self.may_have_run += 1,
