--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -391,7 +391,11 @@
         for (may, expected) in [(true, repeatable), (false, not)] {
             let mut tries = Attempts::new(may, 2, ms(1_000));
 
-            assert_eq!(tries.fail(ms(10), failure, || true), expected, "{failure:?}, may be repeated: {may}");
+            assert_eq!(
+                tries.record_failure(ms(10), failure, || true),
+                expected,
+                "{failure:?}, may be repeated: {may}"
+            );
         }
     }
 }
@@ -403,14 +407,14 @@
     let mut budget = Attempts::new(true, 2, ms(1_000));
     let mut late = Attempts::new(true, 2, ms(1_000));
 
-    assert_eq!(runs.fail(ms(1), Failure::Broken, || true), Ok(()));
-    assert_eq!(runs.fail(ms(2), Failure::Broken, || true), Err(Stop::Attempts));
+    assert_eq!(runs.record_failure(ms(1), Failure::Broken, || true), Ok(()));
+    assert_eq!(runs.record_failure(ms(2), Failure::Broken, || true), Err(Stop::Attempts));
     assert!(!runs.cannot_have_run());
-    let refusals: Vec<_> = (0..4).map(|_| refused.fail(ms(1), Failure::Refused, || true)).collect();
+    let refusals: Vec<_> = (0..4).map(|_| refused.record_failure(ms(1), Failure::Refused, || true)).collect();
     assert_eq!(refusals, [Ok(()), Ok(()), Ok(()), Err(Stop::Attempts)]);
     assert!(refused.cannot_have_run());
-    assert_eq!(budget.fail(ms(1), Failure::Refused, || false), Err(Stop::Budget));
-    assert_eq!(late.fail(ms(1_000), Failure::Connect, || true), Err(Stop::Deadline));
+    assert_eq!(budget.record_failure(ms(1), Failure::Refused, || false), Err(Stop::Budget));
+    assert_eq!(late.record_failure(ms(1_000), Failure::Connect, || true), Err(Stop::Deadline));
 }
 
 /// One server fails a third of its requests while the others are well. It is left alone, and tried again once it has
@@ -424,7 +428,7 @@
         health.record_success(ms(i * 10), keys[1]);
         health.record_success(ms(i * 10), keys[2]);
         if i % 2 == 0 {
-            health.fail(ms(i * 10), keys[0]);
+            health.record_failure(ms(i * 10), keys[0]);
         } else {
             health.record_success(ms(i * 10), keys[0]);
         }
@@ -442,7 +446,7 @@
     let keys: Vec<_> = backends.iter().map(|(key, _)| key).collect();
     let mut health = Health::default();
     for i in 0..30 {
-        keys.iter().for_each(|key| health.fail(ms(i), *key));
+        keys.iter().for_each(|key| health.record_failure(ms(i), *key));
     }
 
     assert!(keys.iter().all(|key| !health.is_unhealthy(ms(30), *key, health.failure_summary(ms(30), &keys))));
