--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -347,7 +347,7 @@
     }
 
     /// Counts a server as gone, as when another one answers at its address.
-    pub(crate) fn record_unreachable(&self, key: BackendKey, why: &str) {
+    pub(crate) fn lose(&self, key: BackendKey, why: &str) {
         let mut state = self.state();
         if let Some(change) = state.backends.lose(key) {
             self.note_changes(&mut state, &[change], why);
