--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -189,7 +189,7 @@
             Ok(conn) => self.relay.keep(key, conn, None),
             Err(_) => {
                 self.relay.note_crash(key);
-                let crashes = self.relay.state().suspects.crash(now(), self.req.fingerprint());
+                let crashes = self.relay.state().suspects.record_crash(now(), self.req.fingerprint());
                 self.relay.note(Weight::Notable, "suspected", &self.req, |l| l.number("crashes", crashes));
             }
         }
--- a/src/relay/suspects.rs
+++ b/src/relay/suspects.rs
@@ -36,7 +36,7 @@
 
 impl Suspects {
     /// Notes that a content was running when its server crashed.
-    pub fn crash(&mut self, now: Instant, fingerprint: u64) -> u32 {
+    pub fn record_crash(&mut self, now: Instant, fingerprint: u64) -> u32 {
         self.make_room(now);
         let entry = self.contents.entry(fingerprint).or_insert(Entry { crashes: 0, last: now });
         entry.crashes += 1;
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -485,12 +485,12 @@
 #[test]
 fn a_content_that_crashed_three_servers_is_refused_everywhere() {
     let (mut here, mut there) = (Suspects::default(), Suspects::default());
-    here.crash(ms(0), 1);
-    here.crash(ms(0), 2);
-    here.crash(ms(50), 1);
+    here.record_crash(ms(0), 1);
+    here.record_crash(ms(0), 2);
+    here.record_crash(ms(50), 1);
     there.hear(ms(60), &here.told(ms(60)));
     assert!(!there.refuses(ms(61), 1));
-    there.crash(ms(100), 1);
+    there.record_crash(ms(100), 1);
 
     here.hear(ms(110), &there.told(ms(110)));
 
