--- a/src/relay/suspects.rs
+++ b/src/relay/suspects.rs
@@ -72,7 +72,7 @@
     }
 
     /// Recent crashes, for the other hosts.
-    pub fn told(&self, now: Instant) -> Vec<Suspect> {
+    pub fn recent(&self, now: Instant) -> Vec<Suspect> {
         let recent = self.contents.iter().filter(|(_, e)| e.last + TELL > now && e.crashes > 1);
         let told = recent.map(|(f, e)| Suspect { fingerprint: *f, crashes: e.crashes });
         told.take(MOST_TOLD).collect()
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -58,7 +58,7 @@
             in_progress,
             held: state.news.drain(..told).collect(),
             avoided,
-            suspects: state.suspects.told(now),
+            suspects: state.suspects.recent(now),
             evacuations: state.evacuations.told(now),
             left: state.backends.left_lately(now),
             confirmed: Some(state.confirmations.told(now)),
