--- a/src/relay/suspects.rs
+++ b/src/relay/suspects.rs
@@ -79,7 +79,7 @@
     }
 
     /// Takes in what another host told.
-    pub fn hear(&mut self, now: Instant, told: &[Suspect]) {
+    pub fn merge(&mut self, now: Instant, told: &[Suspect]) {
         for suspect in told {
             self.make_room(now);
             if self.contents.len() >= MOST && !self.contents.contains_key(&suspect.fingerprint) {
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -95,7 +95,7 @@
         }
         let hosts = state.peers.hosts();
         state.budget.set_hosts(hosts);
-        state.suspects.hear(now, &beat.suspects);
+        state.suspects.merge(now, &beat.suspects);
         state.treat_avoided_as_cold(now, &beat.avoided);
         let left = state.backends.hear_left(now, &beat.left);
         self.note_changes(&mut state, &left, &from.to_string());
--- a/tests/relay_datagrams.rs
+++ b/tests/relay_datagrams.rs
@@ -80,7 +80,7 @@
         let member = |n| Member { peers: addr(n).to_string(), ..Member::default() };
         let members = (0..16).map(|n| member(i * 16 + n)).collect();
         peers.hear(Duration::ZERO, addr(i), &Beat { members, ..beat(1, 1) }, Own::default());
-        suspects.hear(Duration::ZERO, &[Suspect { fingerprint: i.into(), crashes: 9 }]);
+        suspects.merge(Duration::ZERO, &[Suspect { fingerprint: i.into(), crashes: 9 }]);
     }
 
     assert!(peers.hosts() <= 2_049, "{}", peers.hosts());
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -488,11 +488,11 @@
     here.record_crash(ms(0), 1);
     here.record_crash(ms(0), 2);
     here.record_crash(ms(50), 1);
-    there.hear(ms(60), &here.recent(ms(60)));
+    there.merge(ms(60), &here.recent(ms(60)));
     assert!(!there.refuses(ms(61), 1));
     there.record_crash(ms(100), 1);
 
-    here.hear(ms(110), &there.recent(ms(110)));
+    here.merge(ms(110), &there.recent(ms(110)));
 
     assert!(here.refuses(ms(110), 1) && there.refuses(ms(110), 1));
     assert!(!here.refuses(ms(110), 2) && !there.refuses(ms(110), 2));
