--- a/src/relay/place.rs
+++ b/src/relay/place.rs
@@ -148,7 +148,7 @@
     /// The bound that held, in requests in progress.
     pub bound: f64,
     /// Tokens of shared parts that it has read.
-    pub held: u32,
+    pub cached_tokens: u32,
     /// Server from which it can fetch shared parts that it has not read.
     pub fetch_from: Option<BackendKey>,
 }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -277,7 +277,7 @@
             let l = l.text("fetches", from.as_deref().unwrap_or("")).number("stale", stale as u64);
             let l = l.number("version", self.req.version).ms("confirmed_ms", self.relay.configuration_age());
             let l = match shared(&self.req.parts).last() {
-                Some(part) => l.text("part", &format!("{:x}", part.id)).number("held", choice.held),
+                Some(part) => l.text("part", &format!("{:x}", part.id)).number("held", choice.cached_tokens),
                 None => l,
             };
             l.ms("after_ms", now() - self.req.arrived).number("attempt", self.tries.made())
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -156,7 +156,7 @@
 
     let chosen = choose(&candidates, &prompt(7, 200), &holders);
 
-    assert_eq!((chosen.key, chosen.reason, chosen.held), (other, Reason::Holder, 10_500));
+    assert_eq!((chosen.key, chosen.reason, chosen.cached_tokens), (other, Reason::Holder, 10_500));
     assert_eq!(chosen.fetch_from, None);
 }
 
@@ -176,7 +176,7 @@
 
     let chosen = choose(&candidates, &prompt(7, 200), &holders);
 
-    assert_eq!((chosen.key, chosen.reason, chosen.held), (other, Reason::Holder, 10_500));
+    assert_eq!((chosen.key, chosen.reason, chosen.cached_tokens), (other, Reason::Holder, 10_500));
     assert_eq!(chosen.fetch_from, None);
 }
 
