--- a/src/relay/place.rs
+++ b/src/relay/place.rs
@@ -216,7 +216,7 @@
     let choice = |c: &Candidate, reason| {
         let other = source.filter(|s| *s != c.key).or(Some(home.key)).filter(|s| *s != c.key);
         let fetch_from = other.filter(|s| held(c) < whole && usable(*s));
-        Choice { key: c.key, reason, load: c.load, bound, held: held(c), fetch_from }
+        Choice { key: c.key, reason, load: c.load, bound, cached_tokens: held(c), fetch_from }
     };
     let holder = candidates.iter().filter(open).filter(|c| held(c) == whole);
     if let Some(best) = holder.min_by(|a, b| cost(a).total_cmp(&cost(b))) {
@@ -275,7 +275,7 @@
         reason: Reason::LeastLoad,
         load: c.load,
         bound,
-        held: 0,
+        cached_tokens: 0,
         fetch_from: None,
     };
     let free = |c: &&Candidate| !c.unhealthy && c.load <= f64::from(c.slots) * MOSTLY_FREE;
