--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -1,142 +1,146 @@
-//! Which requests are sent to a service whose backend servers have as much work as they can finish in time.
+//! Admission control: rejects part of the requests to a service whose backend servers are overloaded.
 //!
-//! The load that it answers: callers ask for several times what the servers can do, for seconds, while some of the servers
-//! are lost. A service that takes everything then answers everything late: requests wait behind each other for longer than
-//! their callers want, and those that were begun lose their memory to others. So a part of the requests is refused at once,
-//! provably not run, and the rest is answered as usual.
+//! Under overload, such as several times the servers' capacity for some seconds while some servers are lost, a
+//! service that accepts everything answers everything late: requests queue for longer than their callers wait, and
+//! running ones are preempted for lack of memory. Therefore part of the requests is rejected at once, with a
+//! guarantee that they did not run, and the rest is answered in time.
 //!
-//! How many are refused follows from the work at the servers against their places, and from a limit on it that is learned:
-//! it rises while answers begin well within their objectives and falls once many don't. Requests wait within the servers,
-//! for as long as that limit allows, and nowhere else. The part that is refused rises gradually with the work, since each
-//! host sees the work of the others late: with a fixed edge all of them would open and close together. Less urgent requests
-//! are refused earlier, and so are those whose objective has passed: what they displace would still be in time.
+//! The rejected fraction follows from the occupancy, that is the requests at the servers divided by their slots,
+//! and from a learned limit on it. The limit rises while answers begin well within their objectives and falls once
+//! too many do not. Requests queue only at the servers, and only as far as the limit allows. The rejected fraction
+//! rises gradually with the occupancy because each host learns of the others' load with a delay: with a fixed
+//! threshold all hosts would start and stop rejecting together. Requests of a less urgent rank are rejected
+//! earlier, and so are those whose objective has already passed, since the requests they would displace can still
+//! be in time.
 
 use std::{sync::Arc, time::Duration};
 
 use crate::util::{Instant, Map, kept};
 
-/// Work against the limit from which the most urgent requests are refused.
-const FIRST_REFUSED: f64 = 0.95;
-/// How much earlier requests of each further rank are refused. Workspaces mostly share a rank, so that the route's
-/// decides between kinds.
-const RANK_STEP: f64 = 0.06;
-/// The same for each further rank of the route.
-const ROUTE_RANK_STEP: f64 = 0.08;
-/// Ranks beyond this are refused no earlier.
-const MOST_RANK: u32 = 3;
-/// How much earlier requests are refused whose objective has passed: what they displace would still be in time.
-const OVERDUE_STEP: f64 = 0.15;
-/// Work against the limit from the first refused request of a rank until all of them are.
-const SLOPE: f64 = 0.3;
-
-/// Time in which what is seen now loses half of its weight; some requests come within it at each host under load.
-const NOW: Duration = Duration::from_millis(100);
-/// The same for the part of the work that is this host's, which changes with the callers and not with the load.
-const LONG: Duration = Duration::from_secs(2);
-/// Weight below which a mean says nothing: the last request is long ago.
-const LEAST_WEIGHT: f64 = 0.5;
-/// Own requests in progress, on average, from which they tell of all.
-const LEAST_OWN: f64 = 1.0;
-
-/// Work against places that is taken for the limit at first where servers tell what waits at them: all places taken.
-const FIRST_LIMIT: f64 = 1.0;
-/// The same where they don't. Such requests are short: three times as many may wait without being late, and what servers
-/// can't queue they refuse themselves.
-const UNTOLD_LIMIT: f64 = 4.0;
-/// Bounds of the limit: below, places would stand empty; above, a queue is longer than servers keep.
-const LIMITS: (f64, f64) = (0.4, 4.0);
-/// Results from which the limit moves.
-const FEW_RESULTS: u32 = 8;
-/// Least time between two moves. Where the objective is longer it is that, since the effect of a move shows no sooner.
-const LEAST_WINDOW: Duration = Duration::from_millis(200);
-/// Part of the objective within which an answer begins well.
-const WELL: f64 = 0.7;
-/// Part of late results above which the limit falls, and below which it rises.
-const LATE: (f64, f64) = (0.2, 0.08);
-/// Factors of the limit in one move, down and up.
-const MOVES: (f64, f64) = (0.85, 1.1);
-/// Part of the limit that must have been used for it to rise: results of a service at rest say nothing of its limit.
-const USED: f64 = 0.7;
-
-/// Part of its time after which a caller returns at the latest; callers wait no longer.
-const LATEST_RETURN: f64 = 1.0 / 3.0;
-/// Part of that time after which those who come late return at the earliest: callers that are refused together come back
-/// apart.
-const SPREAD: f64 = 0.5;
-/// Chance to be refused up to which a caller is asked back within its objective. Above that it would find the same again
-/// and has used its only retry up, so that it comes back as late as it may.
-const WORTH_A_SECOND_TRY: f64 = 0.6;
-/// Parts of the objective after which it comes back then: time for a second try to be in time.
-const SOON: (f64, f64) = (0.25, 0.6);
-
-/// Work at a backend server, as it tells with an answer.
+/// Occupancy, as a fraction of the limit, above which requests of the most urgent rank are rejected.
+const SHED_START: f64 = 0.95;
+/// Decrease of that fraction for each further rank of the workspace. Smaller than the step of routes, since most
+/// workspaces share a rank and the route's then tells requests apart.
+const RANK_SHED_STEP: f64 = 0.06;
+/// Decrease of that fraction for each further rank of the route.
+const ROUTE_RANK_SHED_STEP: f64 = 0.08;
+/// Higher ranks are treated as this one.
+const MAX_RANK: u32 = 3;
+/// Decrease of that fraction for requests whose objective has passed: the requests they would displace can still be
+/// in time.
+const OVERDUE_SHED_STEP: f64 = 0.15;
+/// Increase of that fraction from the first rejected request of a rank until all of them are rejected.
+const SHED_RANGE: f64 = 0.3;
+
+/// Half-life of current measurements; a host under load sees several requests within it.
+const RECENT_HALF_LIFE: Duration = Duration::from_millis(100);
+/// Half-life of this host's share of the load, which changes with the set of callers rather than with the load.
+const SHARE_HALF_LIFE: Duration = Duration::from_secs(2);
+/// Weight below which a mean is discarded as out of date.
+const MIN_WEIGHT: f64 = 0.5;
+/// Mean number of this host's requests in progress from which the load of all hosts is extrapolated.
+const MIN_OWN_REQUESTS: f64 = 1.0;
+
+/// Initial limit where servers report their load: all slots taken.
+const INITIAL_LIMIT_REPORTED: f64 = 1.0;
+/// Initial limit where servers report no load. Requests to such services are short: three times as many as there
+/// are slots can queue without being late, and servers reject what they cannot queue.
+const INITIAL_LIMIT_UNREPORTED: f64 = 4.0;
+/// Range of the limit. Below it slots would stay empty; above it the queue would exceed what servers hold.
+const LIMIT_RANGE: (f64, f64) = (0.4, 4.0);
+/// Results needed before the limit is adjusted.
+const MIN_RESULTS: u32 = 8;
+/// Minimum time between two adjustments. With a longer objective that is the minimum, since an adjustment takes
+/// that long to show an effect.
+const MIN_WINDOW: Duration = Duration::from_millis(200);
+/// Fraction of the objective within which an answer must begin to count as on time.
+const ON_TIME_FRACTION: f64 = 0.7;
+/// Fractions of late results above which the limit falls and below which it rises.
+const LATE_THRESHOLDS: (f64, f64) = (0.2, 0.08);
+/// Factors by which the limit falls and rises.
+const LIMIT_FACTORS: (f64, f64) = (0.85, 1.1);
+/// Fraction of the limit that must have been reached for the limit to rise: an idle service says nothing about it.
+const MIN_UTILIZATION: f64 = 0.7;
+
+/// Maximum retry delay as a fraction of the time until the deadline; callers wait no longer.
+const MAX_RETRY_DELAY: f64 = 1.0 / 3.0;
+/// Minimum of a late retry delay as a fraction of its maximum. The delay is drawn from this range so that callers
+/// that were rejected together do not come back together.
+const MIN_LATE_DELAY: f64 = 0.5;
+/// Chance of rejection up to which callers are asked to retry within the objective. Above it the retry would
+/// probably be rejected as well, and a caller has only one, so that it is asked to come back late.
+const MAX_EARLY_RETRY_CHANCE: f64 = 0.6;
+/// Range of early retry delays as fractions of the objective, which leaves the retry time to be answered on time.
+const EARLY_RETRY_DELAYS: (f64, f64) = (0.25, 0.6);
+
+/// Load of a backend server, as reported with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that it runs.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests that are queued.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// Requests that the server runs concurrently.
     pub slots: u32,
 }
 
-/// A request that asks to be sent.
+/// What admission needs to know about a request.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
-    /// Hash of its route's name and longest time: with another one callers have other times left.
+    /// Hash of the route's name and timeout; callers of another route or timeout have different deadlines.
     pub route: u64,
-    /// Rank of the workspace, or of the route where it has none; 0 is the most urgent.
+    /// Rank of the workspace, or of the route if the workspace has none; 0 is the most urgent.
     pub rank: u32,
     /// Rank of the route.
     pub route_rank: u32,
-    /// Time within which its answer has its full worth.
+    /// Time within which the answer should begin.
     pub objective: Duration,
-    /// Time that is left until its deadline.
+    /// Time until the deadline.
     pub left: Duration,
-    /// What is in progress at the servers of the service.
+    /// Requests in progress at the servers of the service.
     pub load: ServiceLoad,
 }
 
-/// Requests in progress at the servers of a service that are not left alone.
+/// Requests in progress at the usable servers of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceLoad {
-    /// Of this host.
+    /// Requests of this host.
     pub own: u32,
-    /// Of all hosts, as far as this one knows; the others' are as old as their last beats.
+    /// Requests of all hosts; those of the others are as old as their last heartbeats.
     pub all: u32,
-    /// Requests that the servers run at once.
+    /// Requests that the servers run concurrently.
     pub slots: u32,
 }
 
 impl ServiceLoad {
-    fn against_places(self, requests: f64) -> f64 {
+    fn occupancy(self, requests: f64) -> f64 {
         requests / f64::from(self.slots.max(1))
     }
 }
 
-/// Why a request is not sent, and when its caller should come back.
+/// Why a request was rejected, and when its caller should retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
-    /// When the caller should come back.
+    /// Delay after which the caller should retry.
     pub after: Duration,
-    /// Work against places.
+    /// Requests in progress divided by slots.
     pub occupancy: f64,
-    /// The limit on it.
+    /// Limit on the occupancy.
     pub limit: f64,
-    /// Chance with which the request was refused.
+    /// Probability with which the request was rejected.
     pub chance: f64,
 }
 
-/// A mean over the last moments.
+/// A mean with exponentially decaying weights.
 #[derive(Clone, Copy, Debug, Default)]
-struct Recent {
+struct DecayingMean {
     sum: f64,
     weight: f64,
     at: Instant,
 }
 
-impl Recent {
-    fn age(&mut self, now: Instant, half_life: Duration) {
+impl DecayingMean {
+    fn decay(&mut self, now: Instant, half_life: Duration) {
         let kept = kept(now.saturating_sub(self.at), half_life);
         self.sum *= kept;
         self.weight *= kept;
@@ -144,132 +148,154 @@
     }
 
     fn add(&mut self, now: Instant, half_life: Duration, value: f64) {
-        self.age(now, half_life);
+        self.decay(now, half_life);
         self.sum += value;
         self.weight += 1.0;
     }
 
     fn mean(&mut self, now: Instant, half_life: Duration) -> Option<f64> {
-        self.age(now, half_life);
-        (self.weight >= LEAST_WEIGHT).then(|| self.sum / self.weight)
+        self.decay(now, half_life);
+        (self.weight >= MIN_WEIGHT).then(|| self.sum / self.weight)
     }
 }
 
-/// The learned limit on the work of one service.
+/// The learned occupancy limit of a service.
 #[derive(Clone, Copy, Debug)]
 struct Limit {
-    work: f64,
-    /// Since when results are counted.
-    since: Instant,
+    value: f64,
+    /// When the current measurement window began.
+    window_start: Instant,
     results: u32,
     late: u32,
-    /// Most work against places since then.
-    busiest: f64,
-    /// Longest objective among the results.
+    /// Highest occupancy in the window.
+    peak_occupancy: f64,
+    /// Longest objective among the results of the window.
     objective: Duration,
 }
 
 impl Limit {
     fn new(now: Instant) -> Self {
-        Self { work: UNTOLD_LIMIT, since: now, results: 0, late: 0, busiest: 0.0, objective: Duration::ZERO }
+        Self {
+            value: INITIAL_LIMIT_UNREPORTED,
+            window_start: now,
+            results: 0,
+            late: 0,
+            peak_occupancy: 0.0,
+            objective: Duration::ZERO,
+        }
     }
 
-    fn note(&mut self, now: Instant, objective: Duration, late: bool) {
+    fn record_result(&mut self, now: Instant, objective: Duration, late: bool) {
         self.results += 1;
         self.late += u32::from(late);
         self.objective = self.objective.max(objective);
-        if self.results >= FEW_RESULTS && now >= self.since + self.objective.max(LEAST_WINDOW) {
+        if self.results >= MIN_RESULTS && now >= self.window_start + self.objective.max(MIN_WINDOW) {
             self.adapt();
-            *self = Self { load: self.work, ..Self::new(now) };
+            *self = Self { value: self.value, ..Self::new(now) };
         }
     }
 
     fn adapt(&mut self) {
         let late = f64::from(self.late) / f64::from(self.results);
         let moved = match late {
-            // A service at rest is late for other reasons, such as a server that has just started.
-            _ if late > LATE.0 && self.busiest > LIMITS.0 => self.work * MOVES.0,
-            _ if late < LATE.1 && self.busiest > self.work * USED => self.work * MOVES.1,
-            _ => self.work,
+            // An idle service can be late for other reasons, such as a server that has just started.
+            _ if late > LATE_THRESHOLDS.0 && self.peak_occupancy > LIMIT_RANGE.0 => {
+                self.value * LIMIT_FACTORS.0
+            }
+            _ if late < LATE_THRESHOLDS.1 && self.peak_occupancy > self.value * MIN_UTILIZATION => {
+                self.value * LIMIT_FACTORS.1
+            }
+            _ => self.value,
         };
-        self.work = moved.clamp(LIMITS.0, LIMITS.1);
+        self.value = moved.clamp(LIMIT_RANGE.0, LIMIT_RANGE.1);
     }
 }
 
-/// The work of all hosts, from this host's own and the part that it was of all lately. What is known of the others is half
-/// a second old; in that time a surge queues more than the servers finish, after which all hosts would refuse everything
-/// until the queue is gone. The load reaches all hosts alike, so that the own work tells of it at once.
+/// Estimates the load of all hosts from this host's current load and its recent share of the total. What is known
+/// of the other hosts is up to half a second old. In a surge that is long enough to queue more than the servers can
+/// finish, after which all hosts would reject everything until the queue is empty. Since load reaches all hosts
+/// alike, this host's own load shows a surge at once.
 #[derive(Clone, Copy, Debug, Default)]
-struct Estimate {
-    now: Recent,
-    own: Recent,
-    all: Recent,
+struct LoadEstimate {
+    recent: DecayingMean,
+    own: DecayingMean,
+    all: DecayingMean,
 }
 
-impl Estimate {
-    /// Takes one look at the work and returns what is in progress at all hosts.
-    fn look(&mut self, now: Instant, load: ServiceLoad) -> f64 {
-        self.now.add(now, NOW, work.own.into());
-        self.own.add(now, LONG, work.own.into());
-        self.all.add(now, LONG, work.all.into());
-        let means = (self.now.mean(now, NOW), self.own.mean(now, LONG), self.all.mean(now, LONG));
+impl LoadEstimate {
+    /// Adds a measurement and returns the estimated number of requests in progress at all hosts.
+    fn update(&mut self, now: Instant, load: ServiceLoad) -> f64 {
+        self.recent.add(now, RECENT_HALF_LIFE, load.own.into());
+        self.own.add(now, SHARE_HALF_LIFE, load.own.into());
+        self.all.add(now, SHARE_HALF_LIFE, load.all.into());
+        let means = (
+            self.recent.mean(now, RECENT_HALF_LIFE),
+            self.own.mean(now, SHARE_HALF_LIFE),
+            self.all.mean(now, SHARE_HALF_LIFE),
+        );
         match means {
-            (Some(recent), Some(own), Some(all)) if own >= LEAST_OWN => recent * all / own,
-            _ => work.all.into(),
+            (Some(recent), Some(own), Some(all)) if own >= MIN_OWN_REQUESTS => recent * all / own,
+            _ => load.all.into(),
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Service {
+struct ServiceState {
     limit: Limit,
-    work: Estimate,
-    told: Recent,
-    /// Whether its servers tell what waits at them.
-    tells: bool,
+    estimate: LoadEstimate,
+    reported: DecayingMean,
+    /// Whether its servers report their load.
+    reports_load: bool,
 }
 
-impl Service {
+impl ServiceState {
     fn new(now: Instant) -> Self {
-        Self { limit: Limit::new(now), work: Estimate::default(), told: Recent::default(), tells: false }
+        Self {
+            limit: Limit::new(now),
+            estimate: LoadEstimate::default(),
+            reported: DecayingMean::default(),
+            reports_load: false,
+        }
     }
 }
 
-/// Admission to the services.
+/// Admission control for all services.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
-    services: Map<Arc<str>, Service>,
-    /// Longest time that callers of a route gave: those who give less have waited before.
+    services: Map<Arc<str>, ServiceState>,
+    /// Longest time until the deadline seen on each route; a request with less has already waited or is a retry.
     longest: Map<u64, Duration>,
 }
 
 impl Admission {
-    /// Notes what a server of the service told of its work.
-    pub fn record_load(&mut self, now: Instant, service: &Arc<str>, told: ReportedLoad) {
-        let work = f64::from(told.running + told.waiting) / f64::from(told.slots.max(1));
+    /// Records the load reported by a server of a service.
+    pub fn record_load(&mut self, now: Instant, service: &Arc<str>, report: ReportedLoad) {
+        let load = f64::from(report.running + report.waiting) / f64::from(report.slots.max(1));
         let service = self.service(now, service);
-        if !std::mem::replace(&mut service.tells, true) {
-            service.limit.work = service.limit.work.min(FIRST_LIMIT);
+        if !std::mem::replace(&mut service.reports_load, true) {
+            service.limit.value = service.limit.value.min(INITIAL_LIMIT_REPORTED);
         }
-        service.told.add(now, NOW, work);
+        service.reported.add(now, RECENT_HALF_LIFE, load);
     }
 
-    /// Notes how long a request waited at a server for the first of its answer. What a server refuses at once is not
-    /// noted: it delays nobody, and the server knows its queue better than any host.
+    /// Records how long a request waited for the beginning of its answer. Requests that a server rejects at once
+    /// are not recorded: they delay nobody, and the server knows its queue better than any host does.
     pub fn record_wait(&mut self, now: Instant, service: &Arc<str>, objective: Duration, waited: Duration) {
-        let late = waited > objective.mul_f64(WELL);
-        self.service(now, service).limit.note(now, objective, late);
+        let late = waited > objective.mul_f64(ON_TIME_FRACTION);
+        self.service(now, service).limit.record_result(now, objective, late);
     }
 
-    /// Work against places up to which requests are sent to a service.
+    /// The current limit on the occupancy of a service.
     pub fn limit(&self, service: &str) -> Option<f64> {
-        self.services.get(service).map(|s| s.limit.work)
+        self.services.get(service).map(|s| s.limit.value)
     }
 
-    /// Decides with two draws in `0..1` whether a request is sent.
+    /// Decides whether a request is admitted, with two random numbers in `0..1`: one for the decision, one for the
+    /// retry delay.
     ///
     /// # Errors
-    /// When it is not; the caller should come back.
+    /// If it is rejected; the caller should retry after the given delay.
     pub fn admit(
         &mut self,
         now: Instant,
@@ -279,48 +305,51 @@
     ) -> Result<(), Refused> {
         let overdue = self.is_overdue(ask);
         let service = self.service(now, service);
-        let occupancy = ask.work.against_places(service.work.look(now, ask.work));
-        // What servers tell counts requests that wait there for hosts that are gone, the work servers that say nothing.
-        let occupancy = service.told.mean(now, NOW).map_or(occupancy, |told| told.max(occupancy));
-        service.limit.busiest = service.limit.busiest.max(occupancy);
-        let limit = service.limit.work;
-        let chance = (occupancy / limit - first_refused(ask, overdue)) / SLOPE;
+        let occupancy = ask.load.occupancy(service.estimate.update(now, ask.load));
+        // The reports count requests queued by hosts that have failed; the hosts' own counts include servers that
+        // report nothing. The higher one is used.
+        let occupancy =
+            service.reported.mean(now, RECENT_HALF_LIFE).map_or(occupancy, |report| report.max(occupancy));
+        service.limit.peak_occupancy = service.limit.peak_occupancy.max(occupancy);
+        let limit = service.limit.value;
+        let chance = (occupancy / limit - shed_start(ask, overdue)) / SHED_RANGE;
         if draws[0] >= chance {
             return Ok(());
         }
-        Err(Refused { after: come_back(ask, chance, draws[1]), occupancy, limit, chance })
+        Err(Refused { after: retry_delay(ask, chance, draws[1]), occupancy, limit, chance })
     }
 
-    /// Whether a request came too late for its objective: its caller has waited for that long before.
+    /// Whether the objective of a request has already passed, since its caller has waited or retried before.
     fn is_overdue(&mut self, ask: AdmissionRequest) -> bool {
         let longest = self.longest.entry(ask.route).or_default();
         *longest = ask.left.max(*longest);
         ask.left + ask.objective < *longest
     }
 
-    fn service(&mut self, now: Instant, service: &Arc<str>) -> &mut Service {
-        self.services.entry(service.clone()).or_insert_with(|| Service::new(now))
+    fn service(&mut self, now: Instant, service: &Arc<str>) -> &mut ServiceState {
+        self.services.entry(service.clone()).or_insert_with(|| ServiceState::new(now))
     }
 }
 
-/// Work against the limit from which such requests are refused.
-fn first_refused(ask: AdmissionRequest, overdue: bool) -> f64 {
-    let rank = |rank: u32| f64::from(rank.min(MOST_RANK));
-    let overdue = if overdue { OVERDUE_STEP } else { 0.0 };
-    FIRST_REFUSED - RANK_STEP * rank(ask.rank) - ROUTE_RANK_STEP * rank(ask.route_rank) - overdue
+/// Occupancy, as a fraction of the limit, above which such requests are rejected.
+fn shed_start(ask: AdmissionRequest, overdue: bool) -> f64 {
+    let rank = |rank: u32| f64::from(rank.min(MAX_RANK));
+    let overdue = if overdue { OVERDUE_SHED_STEP } else { 0.0 };
+    SHED_START - RANK_SHED_STEP * rank(ask.rank) - ROUTE_RANK_SHED_STEP * rank(ask.route_rank) - overdue
 }
 
-/// When a caller should come back that was refused with this chance.
-fn come_back(ask: AdmissionRequest, chance: f64, draw: f64) -> Duration {
-    if chance < WORTH_A_SECOND_TRY {
-        let soon = ask.objective.mul_f64(SOON.0 + (SOON.1 - SOON.0) * draw);
-        return soon.min(ask.left.mul_f64(LATEST_RETURN));
+/// Delay after which a caller that was rejected with this probability should retry.
+fn retry_delay(ask: AdmissionRequest, chance: f64, draw: f64) -> Duration {
+    if chance < MAX_EARLY_RETRY_CHANCE {
+        let soon = ask
+            .objective
+            .mul_f64(EARLY_RETRY_DELAYS.0 + (EARLY_RETRY_DELAYS.1 - EARLY_RETRY_DELAYS.0) * draw);
+        return soon.min(ask.left.mul_f64(MAX_RETRY_DELAY));
     }
     late_retry_delay(ask.left, draw)
 }
 
-/// When a caller with so much time left should come back that found the servers full: as late as it may, and apart from
-/// the others by a draw in `0..1`.
+/// Delay for callers that should retry as late as their remaining time allows, spread by `draw` in `0..1`.
 pub fn late_retry_delay(left: Duration, draw: f64) -> Duration {
-    left.mul_f64(LATEST_RETURN * (SPREAD + (1.0 - SPREAD) * draw))
+    left.mul_f64(MAX_RETRY_DELAY * (MIN_LATE_DELAY + (1.0 - MIN_LATE_DELAY) * draw))
 }
--- a/src/relay/budget.rs
+++ b/src/relay/budget.rs
@@ -1,27 +1,30 @@
-//! The fleet's budget of retries, by service, over a sliding window.
+//! The fleet's retry budget: limits retries per service over a sliding window.
 //!
-//! The fleet may send `ratio` times the callers' requests again, plus a fixed extra. Each host keeps to the ratio of
-//! its own requests and to an equal part of the extra, so that the sum holds also while hosts don't hear each other.
+//! The fleet may retry `ratio` times the number of callers' requests, plus a constant extra. Each host applies the
+//! ratio to its own requests and takes an equal share of the extra, so that the sum stays within the budget even
+//! while hosts are partitioned.
 //!
-//! A host that has just started does not know what it spent before, nor for the first moments how many share the extra: its
-//! part grows from nothing over the length of the window, slowly at first. Its first retry comes out of the part of the
-//! allowance that is otherwise left unused, so that a single failure in the first seconds does not end a request.
+//! A host that has just started knows neither what it spent before nor, for a moment, how many hosts share the
+//! extra. Its share therefore grows from zero over the length of the window, slowly at first. Its first retry may
+//! come out of the reserve, which is the part of the allowance otherwise left unused, so that a single failure in
+//! the first seconds does not fail a request.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
 use crate::util::{Instant, Map};
 
-/// Part of the allowance that is used: hosts join, and requests cross the edge of the window on their way.
-const SAFETY: f64 = 0.85;
-/// Buckets of the window; what is counted ages in these steps.
-const BUCKETS: u32 = 20;
+/// Fraction of the allowance that is used. The reserve covers hosts that join and requests that cross the edge of
+/// the window on their way.
+const USED_FRACTION: f64 = 0.85;
+/// Number of buckets in the window; counts expire one bucket at a time.
+const WINDOW_BUCKETS: u32 = 20;
 
-/// Bounds on retries, from the settings.
+/// Limits on retries, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetConfig {
-    /// Retries a request.
+    /// Retries per request of a caller.
     pub ratio: f64,
-    /// Retries in a window beside the ratio, for the whole fleet.
+    /// Additional retries of the whole fleet in a window.
     pub extra: f64,
     /// Length of the window.
     pub window: Duration,
@@ -35,7 +38,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Window {
-    /// Start of each bucket with its requests and retries.
+    /// Start of each bucket with its number of requests and retries.
     buckets: VecDeque<(Instant, u32, u32)>,
 }
 
@@ -44,7 +47,7 @@
         while self.buckets.front().is_some_and(|(start, ..)| *start + window < now) {
             self.buckets.pop_front();
         }
-        let step = window / BUCKETS;
+        let step = window / WINDOW_BUCKETS;
         if self.buckets.back().is_none_or(|(start, ..)| *start + step <= now) {
             self.buckets.push_back((now, 0, 0));
         }
@@ -52,11 +55,11 @@
     }
 
     fn sums(&self) -> (u32, u32) {
-        self.buckets.iter().fold((0, 0), |(req, again), (_, r, a)| (req + r, again + a))
+        self.buckets.iter().fold((0, 0), |(req, retries), (_, r, a)| (req + r, retries + a))
     }
 }
 
-/// Requests and retries of this host.
+/// The retry budget as seen by this host.
 #[derive(Clone, Debug)]
 pub struct FleetBudget {
     cfg: BudgetConfig,
@@ -66,48 +69,49 @@
 }
 
 impl FleetBudget {
-    /// Budget of a fleet of one host, until more are known.
+    /// Budget of a fleet with one host, until [`FleetBudget::set_hosts`] is called.
     pub fn new(cfg: BudgetConfig) -> Self {
         Self { cfg, hosts: 1, started: None, services: Map::default() }
     }
 
-    /// Sets when the host started, so that retries of its last start may still count. Against a fleet that is killed while a
-    /// service refuses: every host would spend its part of the extra once more within the window.
+    /// Sets when the host started, so that the budget ramps up from then. Otherwise each host of a fleet that is
+    /// killed while a service rejects requests would spend its share of the extra again within the same window.
     pub fn with_start(self, started: Instant) -> Self {
         Self { started: Some(started), ..self }
     }
 
-    /// Sets how many hosts share the extra.
+    /// Sets the number of hosts that share the extra.
     pub fn set_hosts(&mut self, hosts: usize) {
         self.hosts = hosts.max(1);
     }
 
-    /// Notes the request of a caller.
+    /// Counts a request of a caller.
     pub fn request(&mut self, now: Instant, service: &Arc<str>) {
         let length = self.cfg.window;
         self.window(service).bucket(now, length).1 += 1;
     }
 
-    /// Takes one retry, if the budget holds one.
+    /// Takes a retry from the budget; returns false if it is exhausted.
     pub fn spend(&mut self, now: Instant, service: &Arc<str>) -> bool {
-        let (cfg, grown, share) = (self.cfg, self.grown(now), self.cfg.extra / self.hosts as f64);
+        let (cfg, ramp, share) = (self.cfg, self.ramp(now), self.cfg.extra / self.hosts as f64);
         let window = self.window(service);
         window.bucket(now, cfg.window);
         let (requests, retries) = window.sums();
         let from_requests = cfg.ratio * f64::from(requests);
-        let allowed = SAFETY * (from_requests + grown * grown * share);
-        // Every host of a fleet that was killed may take this one, as long as the reserve of all holds them together.
-        let reserve = (1.0 - SAFETY) * (from_requests + share);
-        let first = grown < 1.0 && retries == 0 && reserve >= 1.0;
-        if f64::from(retries) + 1.0 > allowed && !first {
+        let allowed = USED_FRACTION * (from_requests + ramp * ramp * share);
+        // Every host of a fleet that was killed may take this retry, as long as the reserves of all hosts together
+        // cover it.
+        let reserve = (1.0 - USED_FRACTION) * (from_requests + share);
+        let is_first_retry = ramp < 1.0 && retries == 0 && reserve >= 1.0;
+        if f64::from(retries) + 1.0 > allowed && !is_first_retry {
             return false;
         }
         window.bucket(now, cfg.window).2 += 1;
         true
     }
 
-    /// Part of the window since this host started, 1 once that is over.
-    fn grown(&self, now: Instant) -> f64 {
+    /// Time since the start of this host as a fraction of the window, at most 1.
+    fn ramp(&self, now: Instant) -> f64 {
         let age =
             |started: Instant| now.saturating_sub(started).as_secs_f64() / self.cfg.window.as_secs_f64();
         self.started.map_or(1.0, |started| age(started).min(1.0))
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -1,7 +1,7 @@
-//! Which backend servers may get a request, and which of them does.
+//! Selects the backend servers that are eligible for a request, and the one that gets it.
 //!
-//! Servers in evacuated data centres get nothing, nor do those that have asked for a pause. Cold ones get requests only where
-//! no other has room, within what [`super::warmup`] allows this host.
+//! Servers in evacuated data centres get no requests, nor do those that have requested a pause. Cold servers get
+//! requests only while no other server has a free slot, within the rate that [`super::warmup`] allows this host.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,69 +23,71 @@
     util::{Instant, hash, now},
 };
 
-/// Other hosts that must keep away from a server before this one does without trying it: one alone may be cut off.
-const MANY: u32 = 2;
+/// Number of other hosts that must avoid a server before this host avoids it without trying it first; a single host
+/// may be partitioned from the server.
+const MIN_AVOIDING_HOSTS: u32 = 2;
 
-/// Time after a data centre was taken back in which loads are uneven: those that stood in for it hold its prompt parts.
-const UNEVEN: Duration = Duration::from_secs(15);
+/// Time after the end of an evacuation during which loads are uneven, because the servers that stood in for the
+/// data centre still hold its prompt parts.
+const POST_EVACUATION_PERIOD: Duration = Duration::from_secs(15);
 
-/// Servers that may get a request of a service.
+/// The servers of a service that are eligible for a request.
 #[derive(Debug, Default)]
-struct Open {
+struct Eligible {
     warm: Vec<BackendKey>,
     cold: Vec<BackendKey>,
-    /// Whether some servers get nothing, or little.
-    is_short: bool,
+    /// Whether some servers of the service get no requests, or few.
+    has_exclusions: bool,
 }
 
 impl<W: Wire> Relay<W> {
-    /// Chooses a server for a request, none of `tried`.
+    /// Chooses a server for a request, other than those in `tried`.
     ///
     /// # Errors
-    /// Why there is none.
+    /// Why no server can be chosen.
     pub(crate) fn choose(&self, req: &Request, tried: &[BackendKey]) -> Result<Choice, Kind> {
         let now = now();
         let mut state = self.state();
         let state = &mut *state;
         let limit = state.cold_limit(&req.service);
-        let open = state.open(now, &req.service);
-        let failure_summary = state.health.failure_summary(now, &open.warm);
+        let eligible = state.eligible(now, &req.service);
+        let failure_summary = state.health.failure_summary(now, &eligible.warm);
         let untried = |keys: &[BackendKey]| keys.iter().copied().filter(|k| !tried.contains(k)).collect();
-        let (warm, cold): (Vec<_>, Vec<_>) = (untried(&open.warm), untried(&open.cold));
+        let (warm, cold): (Vec<_>, Vec<_>) = (untried(&eligible.warm), untried(&eligible.cold));
         let mut candidates = state.candidates(now, &self.cfg.me, &warm, failure_summary);
         if !candidates.iter().any(Candidate::has_room) {
-            candidates.extend(state.fed(now, &self.cfg.me, &cold, limit));
+            candidates.extend(state.cold_candidates(now, &self.cfg.me, &cold, limit));
         }
         let mut placer = Placer::default().with_bound(self.cfg.bound);
-        let uneven = state.taken_back.is_some_and(|at| at + UNEVEN > now);
-        if open.is_short || uneven {
-            let (mean_of_all, mean_of_open) = (state.mean_load(&req.service), place::mean(&candidates));
+        let recently_evacuated = state.taken_back.is_some_and(|at| at + POST_EVACUATION_PERIOD > now);
+        if eligible.has_exclusions || recently_evacuated {
+            let (mean_of_all, mean_of_eligible) = (state.mean_load(&req.service), place::mean(&candidates));
             let bound = self.cfg.bound;
-            placer = placer.with_limit(match uneven {
-                true => bound.after_evacuation(mean_of_all, mean_of_open),
-                false => bound.with_servers_excluded(mean_of_all, mean_of_open),
+            placer = placer.with_limit(match recently_evacuated {
+                true => bound.after_evacuation(mean_of_all, mean_of_eligible),
+                false => bound.with_servers_excluded(mean_of_all, mean_of_eligible),
             });
-            keep_below(&mut candidates, Bound::MAX.at(mean_of_all))?;
+            retain_below(&mut candidates, Bound::MAX.at(mean_of_all))?;
         }
         let caches = state.routes.as_ref().is_some_and(|r| r.caches_prompts(&req.service));
         let (backends, health) = (&state.backends, &state.health);
         let pauses = |key| health.is_backing_off(now, key) || health.requested_pause_end(now, key).is_some();
         let reaches = |key| caches && backends.get(key).is_some() && !pauses(key);
         let choice = placer.choose(&candidates, &req.parts, &state.holders, reaches, &mut state.rng);
-        let choice = choice.ok_or_else(|| state.why_none(now, &req.service, &open))?;
+        let choice = choice.ok_or_else(|| state.no_server_kind(now, &req.service, &eligible))?;
         if let Some(limit) = limit.filter(|_| cold.contains(&choice.key)) {
-            state.spend_on_cold(now, choice.key, limit);
+            state.record_cold_request(now, choice.key, limit);
         }
         Ok(choice)
     }
 
-    /// When a caller should come back that found no server: those that can be reached again are seen soon, while an evacuation
-    /// or a cold start lasts longer than a caller may wait.
+    /// Delay after which a caller that found no server should retry. Servers that become reachable again are
+    /// noticed soon, whereas an evacuation or a cold start lasts longer than callers wait.
     pub(crate) fn retry_after(&self, req: &Request, kind: Kind) -> Duration {
         match kind {
             Kind::Paused => {
                 let now = now();
-                let ends = self.state().pause_ends(now, &req.service);
+                let ends = self.state().first_pause_end(now, &req.service);
                 ends.map_or(RETRY_AFTER, |ends| ends - now)
             }
             Kind::Evacuated | Kind::WarmingUp | Kind::Overloaded => {
@@ -96,52 +98,55 @@
     }
 }
 
-/// Leaves out servers that hold as much as they may. While some get nothing, all others may: then the request is refused.
-fn keep_below(candidates: &mut Vec<Candidate>, most: f64) -> Result<(), Kind> {
+/// Drops servers whose load has reached `most`. If that drops all of them, the service is overloaded. Used while
+/// some servers are excluded and the load of the others could rise past the fleet's limit.
+fn retain_below(candidates: &mut Vec<Candidate>, most: f64) -> Result<(), Kind> {
     let any = !candidates.is_empty();
     candidates.retain(|c| c.load + 1.0 <= most);
     if any && candidates.is_empty() { Err(Kind::Overloaded) } else { Ok(()) }
 }
 
 impl State {
-    /// Servers of a service that take work, but for those in evacuated data centres.
-    fn in_force(&self, service: &str) -> impl Iterator<Item = (BackendKey, &Backend)> {
+    /// Servers of a service that accept work and are not in an evacuated data centre.
+    fn not_evacuated(&self, service: &str) -> impl Iterator<Item = (BackendKey, &Backend)> {
         self.backends.of(service).filter(|(_, b)| !self.evacuations.covers(&b.data_centre))
     }
 
-    /// Servers of a service that may get something new: none in an evacuated data centre, and none that has asked for a pause.
+    /// Servers of a service that may get new requests: not in an evacuated data centre and not in a pause that they
+    /// requested.
     pub(crate) fn accepting(
         &self,
         now: Instant,
         service: &str,
     ) -> impl Iterator<Item = (BackendKey, &Backend)> {
-        self.in_force(service).filter(move |(key, _)| self.health.requested_pause_end(now, *key).is_none())
+        self.not_evacuated(service)
+            .filter(move |(key, _)| self.health.requested_pause_end(now, *key).is_none())
     }
 
-    /// When the first of a service's servers that have asked for a pause may get requests again.
-    fn pause_ends(&self, now: Instant, service: &str) -> Option<Instant> {
-        self.in_force(service).filter_map(|(key, _)| self.health.requested_pause_end(now, key)).min()
+    /// Earliest end of the pauses requested by servers of a service.
+    fn first_pause_end(&self, now: Instant, service: &str) -> Option<Instant> {
+        self.not_evacuated(service).filter_map(|(key, _)| self.health.requested_pause_end(now, key)).min()
     }
 
-    fn open(&self, now: Instant, service: &str) -> Open {
+    fn eligible(&self, now: Instant, service: &str) -> Eligible {
         let limited = self.cold_limit(service).is_some();
-        let mut open = Open::default();
+        let mut eligible = Eligible::default();
         for (key, b) in self.accepting(now, service) {
-            let keys = if limited && self.is_cold(now, b) { &mut open.cold } else { &mut open.warm };
+            let keys = if limited && self.is_cold(now, b) { &mut eligible.cold } else { &mut eligible.warm };
             keys.push(key);
         }
-        open.is_short = open.warm.len() < self.backends.of(service).count();
-        open
+        eligible.has_exclusions = eligible.warm.len() < self.backends.of(service).count();
+        eligible
     }
 
-    /// Mean load of the servers of a service, those that get nothing new included.
+    /// Mean load of all servers of a service, including those that are not eligible.
     fn mean_load(&self, service: &str) -> f64 {
         let loads = self.backends.of(service).map(|(_, b)| self.load(b));
         let (sum, servers) = loads.fold((0, 0), |(sum, n), load| (sum + load, n + 1));
         f64::from(sum) / f64::from(servers.max(1))
     }
 
-    /// Requests in progress at a server, of all hosts, as far as known.
+    /// Requests in progress at a server, of this host and of the others as last reported.
     fn load(&self, b: &Backend) -> u32 {
         b.in_progress + self.peers.load(b.tag)
     }
@@ -154,7 +159,7 @@
         b.cold_until > now || self.warmup.may_have_restarted(now, b.tag)
     }
 
-    /// Notes that a server may start without a word: it can't be reached, or answers again.
+    /// Treats a server as possibly restarted, and therefore cold: it is unreachable, or answers again after it was.
     pub(crate) fn note_possible_restart(&mut self, now: Instant, key: BackendKey) {
         let Some((service, tag)) = self.backends.get(key).map(|b| (b.service.clone(), b.tag)) else { return };
         if let Some(limit) = self.cold_limit(&service) {
@@ -162,10 +167,11 @@
         }
     }
 
-    /// Counts servers as cold from which many hosts keep away: where they have started again, their entries may be late.
+    /// Treats servers that several hosts avoid as cold: if they have restarted, their entries in the store may
+    /// arrive late.
     pub(crate) fn treat_avoided_as_cold(&mut self, now: Instant, avoided: &[Tag]) {
         for tag in avoided {
-            if let Some(key) = self.backends.by_tag(*tag).filter(|_| self.many_avoid(*tag)) {
+            if let Some(key) = self.backends.by_tag(*tag).filter(|_| self.is_widely_avoided(*tag)) {
                 self.note_possible_restart(now, key);
             }
         }
@@ -182,14 +188,15 @@
             let b = self.backends.get(*key)?;
             let local = *b.data_centre == *me.data_centre;
             let load = f64::from(self.load(b));
-            let unhealthy = self.many_avoid(b.tag) || self.health.is_unhealthy(now, *key, failure_summary);
+            let unhealthy =
+                self.is_widely_avoided(b.tag) || self.health.is_unhealthy(now, *key, failure_summary);
             Some(Candidate { key: *key, tag: b.tag, local, load, slots: b.slots, unhealthy })
         };
         keys.iter().filter_map(candidate).collect()
     }
 
-    /// The cold servers to which this host may send a request now.
-    fn fed(
+    /// Cold servers to which this host may send a request now.
+    fn cold_candidates(
         &mut self,
         now: Instant,
         me: &Member,
@@ -198,63 +205,63 @@
     ) -> Vec<Candidate> {
         let Some(limit) = limit.filter(|_| self.peers.is_settled()) else { return Vec::new() };
         let (backends, peers, warmup) = (&self.backends, &self.peers, &mut self.warmup);
-        let may = |key: &BackendKey| {
+        let allowed = |key: &BackendKey| {
             let tag = backends.get(*key)?.tag;
             warmup.may_send(now, tag, limit, || peers.is_among_first(tag, COLD_SENDERS)).then_some(*key)
         };
-        let fed: Vec<_> = cold.iter().filter_map(may).collect();
-        let failure_summary = self.health.failure_summary(now, &fed);
-        let candidates = self.candidates(now, me, &fed, failure_summary);
+        let cold_candidates: Vec<_> = cold.iter().filter_map(allowed).collect();
+        let failure_summary = self.health.failure_summary(now, &cold_candidates);
+        let candidates = self.candidates(now, me, &cold_candidates, failure_summary);
         candidates.into_iter().filter(|c| !c.unhealthy).collect()
     }
 
-    fn spend_on_cold(&mut self, now: Instant, key: BackendKey, limit: ColdLimit) {
+    fn record_cold_request(&mut self, now: Instant, key: BackendKey, limit: ColdLimit) {
         if let Some(tag) = self.backends.get(key).map(|b| b.tag) {
-            self.warmup.sent(now, tag, limit);
+            self.warmup.record_send(now, tag, limit);
         }
     }
 
-    /// Why no server may get a request.
-    fn why_none(&self, now: Instant, service: &str, open: &Open) -> Kind {
+    /// The error for a request for which no server could be chosen.
+    fn no_server_kind(&self, now: Instant, service: &str, eligible: &Eligible) -> Kind {
         let listed = self.backends.of(service).next().is_some();
-        match open {
-            Open { warm, cold, .. }
-                if warm.is_empty() && cold.is_empty() && self.pause_ends(now, service).is_some() =>
+        match eligible {
+            Eligible { warm, cold, .. }
+                if warm.is_empty() && cold.is_empty() && self.first_pause_end(now, service).is_some() =>
             {
                 Kind::Paused
             }
-            Open { warm, cold, .. } if warm.is_empty() && !cold.is_empty() => Kind::WarmingUp,
-            Open { warm, cold, .. } if warm.is_empty() && cold.is_empty() && listed => Kind::Evacuated,
+            Eligible { warm, cold, .. } if warm.is_empty() && !cold.is_empty() => Kind::WarmingUp,
+            Eligible { warm, cold, .. } if warm.is_empty() && cold.is_empty() && listed => Kind::Evacuated,
             _ => Kind::NoEngine,
         }
     }
 
-    /// Whether enough other hosts keep away from a server for this one to do so without trying it.
-    pub(crate) fn many_avoid(&self, tag: Tag) -> bool {
-        self.peers.avoiding(tag) >= MANY
+    /// Whether enough other hosts avoid a server for this host to avoid it without trying.
+    pub(crate) fn is_widely_avoided(&self, tag: Tag) -> bool {
+        self.peers.avoiding(tag) >= MIN_AVOIDING_HOSTS
     }
 
-    /// What is in progress at the servers of a service that are not left alone. Lost and cold ones have no places to offer;
-    /// where all are cold, theirs are the only ones.
-    pub(crate) fn work(&self, now: Instant, service: &Arc<str>) -> ServiceLoad {
-        let open = self.open(now, service);
-        let keys = if open.warm.is_empty() { open.cold } else { open.warm };
-        let mut work = ServiceLoad::default();
+    /// Requests in progress at the usable servers of a service. Unreachable and cold servers have no slots to
+    /// offer; if all are cold, their slots are the only ones.
+    pub(crate) fn service_load(&self, now: Instant, service: &Arc<str>) -> ServiceLoad {
+        let eligible = self.eligible(now, service);
+        let keys = if eligible.warm.is_empty() { eligible.cold } else { eligible.warm };
+        let mut total = ServiceLoad::default();
         for (key, b) in keys.iter().filter_map(|key| Some((*key, self.backends.get(*key)?))) {
-            if self.health.is_backing_off(now, key) || self.many_avoid(b.tag) {
+            if self.health.is_backing_off(now, key) || self.is_widely_avoided(b.tag) {
                 continue;
             }
-            work.own += b.in_progress;
-            work.all += self.load(b);
-            work.slots += b.slots;
+            total.own += b.in_progress;
+            total.all += self.load(b);
+            total.slots += b.slots;
         }
-        work
+        total
     }
 
-    /// Decides whether a request is sent to its service at all.
+    /// Decides whether a request is admitted to its service.
     ///
     /// # Errors
-    /// When it is not; the caller should come back.
+    /// If it is rejected; the caller should retry.
     pub(crate) fn admit(&mut self, now: Instant, req: &Request) -> Result<(), Refused> {
         let ask = AdmissionRequest {
             route: hash((&req.route.route.name, req.route.route.timeout_ms)),
@@ -262,7 +269,7 @@
             route_rank: req.route.route.rank,
             objective: req.objective(),
             left: req.left(now),
-            load: self.work(now, &req.service),
+            load: self.service_load(now, &req.service),
         };
         let draws = [self.rng.random(), self.rng.random()];
         self.admission.admit(now, &req.service, ask, draws)
--- a/src/relay/health.rs
+++ b/src/relay/health.rs
@@ -1,110 +1,110 @@
-//! Which backend servers fail requests lately, whatever their health answers say.
+//! Tracks which backend servers have failed requests recently, regardless of their own health answers.
 //!
-//! Each answer or failure moves a server's failure ratio. A server is unsound while its ratio is well above that of
-//! the other servers of its service, so that a service that fails as a whole keeps all of them; one that could not
-//! be connected to is left alone for a pause that doubles. One that turns a request away may ask this host for a pause itself,
-//! in which it gets nothing at all.
+//! Each answer or failure updates the failure ratio of a server. A server is unhealthy while its ratio is well
+//! above that of the other servers of its service, so that all servers stay in use if the whole service fails. A
+//! server that cannot be connected to is avoided for a backoff period that doubles each time. A server that rejects
+//! a request may also ask this host for a pause, during which it gets no requests at all.
 
 use std::time::Duration;
 
 use super::backends::BackendKey;
 use crate::util::{Instant, Map, kept};
 
-/// Weight of the newest result in the failure ratio: about the last ten results count.
-const WEIGHT: f64 = 0.12;
-/// Failure ratio above the service's mean from which a server is unsound.
-const MARGIN: f64 = 0.25;
-/// First pause after a failed connection.
-const FIRST_PAUSE: Duration = Duration::from_millis(400);
-/// Longest pause.
-const MOST_PAUSE: Duration = Duration::from_secs(4);
-/// Longest pause that a server may ask for; one that asks for more is asked again then.
-const MOST_ASKED: Duration = Duration::from_secs(3_600);
-/// Time in which the failure ratio of a server without requests halves, so that it is tried again.
-const HALF_LIFE: Duration = Duration::from_secs(3);
+/// Weight of the latest result in the failure ratio, so that roughly the last ten results count.
+const RESULT_WEIGHT: f64 = 0.12;
+/// Excess of a server's failure ratio over the mean of the others from which it is unhealthy.
+const UNHEALTHY_MARGIN: f64 = 0.25;
+/// First backoff after a failed connection.
+const MIN_BACKOFF: Duration = Duration::from_millis(400);
+/// Maximum backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
+/// Maximum pause that a server may request; after it the server gets requests again and may ask for another pause.
+const MAX_REQUESTED_PAUSE: Duration = Duration::from_secs(3_600);
+/// Half-life of the failure ratio of a server without requests, so that it is tried again.
+const RATIO_HALF_LIFE: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Entry {
     ratio: f64,
-    seen: Instant,
-    pause: Duration,
-    until: Instant,
+    updated: Instant,
+    backoff: Duration,
+    backoff_until: Instant,
 }
 
 impl Entry {
     fn ratio(&self, now: Instant) -> f64 {
-        self.ratio * kept(now.saturating_sub(self.seen), HALF_LIFE)
+        self.ratio * kept(now.saturating_sub(self.updated), RATIO_HALF_LIFE)
     }
 }
 
-/// Failure ratios of a service, summed up once for all of its servers: with each server held against each other one, a
-/// choice among a hundred costs ten thousand look-ups.
+/// Sum of the failure ratios of a service's servers, computed once per choice: comparing each server with each
+/// other one would take ten thousand look-ups for a hundred servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailureSummary {
     sum: f64,
     servers: usize,
 }
 
-/// Results of the backend servers.
+/// Health of the backend servers as seen by this host.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     servers: Map<BackendKey, Entry>,
-    /// Until when servers have asked for nothing.
-    asked: Map<BackendKey, Instant>,
+    /// When the pauses that servers have requested end.
+    requested_pauses: Map<BackendKey, Instant>,
 }
 
 impl Health {
-    /// Notes that a server wants nothing from this host for a while. A shorter pause that comes later ends no longer one:
+    /// Records that a server requests a pause. A shorter pause that arrives later does not end a longer one, since
     /// answers may overtake each other.
     pub fn record_requested_pause(&mut self, now: Instant, key: BackendKey, pause: Duration) {
-        let until = now + pause.min(MOST_ASKED);
-        let known = self.asked.entry(key).or_default();
-        *known = until.max(*known);
+        let until = now + pause.min(MAX_REQUESTED_PAUSE);
+        let end = self.requested_pauses.entry(key).or_default();
+        *end = until.max(*end);
     }
 
-    /// Until when a server wants nothing from this host, if it does.
+    /// When the pause that a server has requested ends, if it is in one.
     pub fn requested_pause_end(&self, now: Instant, key: BackendKey) -> Option<Instant> {
-        self.asked.get(&key).copied().filter(|until| *until > now)
+        self.requested_pauses.get(&key).copied().filter(|until| *until > now)
     }
 
-    /// Notes an answer that was whole and no failure of the server; returns whether a pause ends with it.
+    /// Records a complete answer that was not a failure of the server; returns whether it ends a backoff.
     pub fn record_success(&mut self, now: Instant, key: BackendKey) -> bool {
         let entry = self.servers.entry(key).or_default();
-        let paused = !entry.pause.is_zero();
-        *entry = Entry { ratio: entry.ratio(now) * (1.0 - WEIGHT), seen: now, ..Entry::default() };
-        paused
+        let was_backing_off = !entry.backoff.is_zero();
+        *entry = Entry { ratio: entry.ratio(now) * (1.0 - RESULT_WEIGHT), updated: now, ..Entry::default() };
+        was_backing_off
     }
 
-    /// Notes a failure of a request that had been sent.
+    /// Records a failure of a request that had been sent.
     pub fn record_failure(&mut self, now: Instant, key: BackendKey) {
         let entry = self.servers.entry(key).or_default();
-        entry.ratio = entry.ratio(now) * (1.0 - WEIGHT) + WEIGHT;
-        entry.seen = now;
+        entry.ratio = entry.ratio(now) * (1.0 - RESULT_WEIGHT) + RESULT_WEIGHT;
+        entry.updated = now;
     }
 
-    /// Notes that no connection could be made, or that a server with requests in progress fell silent; returns the pause
-    /// that begins with it, if one does.
+    /// Records that a server could not be connected to or did not answer in time; returns the backoff if one
+    /// begins.
     pub fn record_unreachable(&mut self, now: Instant, key: BackendKey) -> Option<Duration> {
         self.record_failure(now, key);
         let entry = self.servers.entry(key).or_default();
-        if entry.until > now {
+        if entry.backoff_until > now {
             return None;
         }
-        entry.pause = (entry.pause * 2).clamp(FIRST_PAUSE, MOST_PAUSE);
-        entry.until = now + entry.pause;
-        Some(entry.pause)
+        entry.backoff = (entry.backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
+        entry.backoff_until = now + entry.backoff;
+        Some(entry.backoff)
     }
 
-    /// Failure ratios of the servers of a service, against which each of them is held.
+    /// Sums up the failure ratios of the servers of a service.
     pub fn failure_summary(&self, now: Instant, service: &[BackendKey]) -> FailureSummary {
         let ratio = |key: &BackendKey| self.servers.get(key).map_or(0.0, |e| e.ratio(now));
         FailureSummary { sum: service.iter().map(ratio).sum(), servers: service.len() }
     }
 
-    /// Whether a server is left alone at the moment, given those of its service.
+    /// Whether a server is to be avoided, compared with the servers of its service.
     pub fn is_unhealthy(&self, now: Instant, key: BackendKey, service: FailureSummary) -> bool {
         let Some(entry) = self.servers.get(&key) else { return false };
-        if entry.until > now {
+        if entry.backoff_until > now {
             return true;
         }
         let others = service.servers.saturating_sub(1);
@@ -112,17 +112,17 @@
             return false;
         }
         let ratio = entry.ratio(now);
-        ratio > (service.sum - ratio) / others as f64 + MARGIN
+        ratio > (service.sum - ratio) / others as f64 + UNHEALTHY_MARGIN
     }
 
-    /// Whether a server is paused after a failed connection.
+    /// Whether a server is avoided after a failed connection.
     pub fn is_backing_off(&self, now: Instant, key: BackendKey) -> bool {
-        self.servers.get(&key).is_some_and(|e| e.until > now)
+        self.servers.get(&key).is_some_and(|e| e.backoff_until > now)
     }
 
-    /// Forgets a server that is gone.
+    /// Forgets a server that has been removed.
     pub fn forget(&mut self, key: BackendKey) {
         self.servers.remove(&key);
-        self.asked.remove(&key);
+        self.requested_pauses.remove(&key);
     }
 }
--- a/src/relay/place.rs
+++ b/src/relay/place.rs
@@ -1,8 +1,9 @@
-//! Chooses a backend server for one request.
+//! Chooses a backend server for a request.
 //!
-//! Requests with prompt parts go where the longest chain of their shared parts has been read, as long as the load
-//! there stays under the bound; without a known holder, to the part's place by rendezvous, the same on every host.
-//! All others go to the least loaded server, preferring the own data centre.
+//! A request with shared prompt parts goes to a server that has the longest chain of them cached, provided that its
+//! load is below a bound. If no server is known to have them, it goes to their home server, which rendezvous
+//! hashing gives and which is the same on every host. Other requests go to the least loaded server, preferably in
+//! the local data centre.
 
 use std::cmp::Reverse;
 
@@ -15,47 +16,51 @@
 };
 use crate::util::hash;
 
-/// Load bound as a multiple of the mean load and a constant, in requests in progress.
+/// Upper bound on a server's load, in requests in progress: a multiple of the mean load plus a constant.
 ///
-/// The fleet's limit is twice the mean and three more. A tighter bound moves prompts more often, a looser one comes near the
-/// limit while views lag.
+/// The limit for the whole fleet is twice the mean plus three. A tighter bound moves prompts to other servers more
+/// often; a looser one comes close to the limit while load reports are out of date.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-    /// Multiple of the mean.
+    /// Multiple of the mean load.
     pub factor: f64,
-    /// Constant.
+    /// Constant that is added, in requests.
     pub extra: f64,
 }
 
 impl Bound {
-    /// The most that an engine may hold of the mean of all, with room for views that lag.
+    /// The highest load of a server relative to the mean of all; leaves a margin to the fleet's limit for load
+    /// reports that are out of date.
     pub const MAX: Bound = Bound { factor: 2.0, extra: 2.5 };
 
-    /// The bound where some servers get nothing new, as in an evacuated data centre: the mean of all falls with theirs while
-    /// the others' loads rise towards what it allows. With half as much again at the others it is halfway between these loads
-    /// and that: requests still spread, and what hosts send at once on the same old view stays below the limit.
-    pub fn with_servers_excluded(self, mean_of_all: f64, mean_of_open: f64) -> f64 {
+    /// The bound while some servers are excluded, as in an evacuated data centre. The mean of all servers then
+    /// falls, while the loads of the eligible ones rise towards the limit derived from it. The bound is tightened
+    /// with the excess of the eligible servers' mean; from half as much again it lies midway between that mean and
+    /// [`Bound::MAX`]. Requests then still spread, and what hosts send at the same time based on the same old
+    /// reports stays below the limit.
+    pub fn with_servers_excluded(self, mean_of_all: f64, mean_of_eligible: f64) -> f64 {
         let common = self.at(mean_of_all);
-        let excess = mean_of_open / mean_of_all.max(f64::MIN_POSITIVE) - 1.0;
-        let part = (excess / SHORT_EXCESS).clamp(0.0, 1.0);
-        common.min(common + (halfway(mean_of_all, mean_of_open) - common) * part)
+        let excess = mean_of_eligible / mean_of_all.max(f64::MIN_POSITIVE) - 1.0;
+        let part = (excess / FULL_TIGHTENING_EXCESS).clamp(0.0, 1.0);
+        common.min(common + (midpoint_to_max(mean_of_all, mean_of_eligible) - common) * part)
     }
 
-    /// The bound for a while after a data centre was taken back: those that stood in for it hold most parts and stay near the
-    /// bound, many at a time, until others have read them too.
-    pub fn after_evacuation(self, mean_of_all: f64, mean_of_open: f64) -> f64 {
-        self.at(mean_of_all).min(halfway(mean_of_all, mean_of_open))
+    /// The bound for some time after the end of an evacuation. The servers that stood in for the data centre hold
+    /// most prompt parts, so that many of them stay near the bound at once until other servers have cached the
+    /// parts too.
+    pub fn after_evacuation(self, mean_of_all: f64, mean_of_eligible: f64) -> f64 {
+        self.at(mean_of_all).min(midpoint_to_max(mean_of_all, mean_of_eligible))
     }
 
-    /// Requests in progress at this mean load.
+    /// The bound for a mean load, in requests in progress.
     pub fn at(self, mean: f64) -> f64 {
         self.factor * mean + self.extra
     }
 }
 
-/// Halfway between the loads of the open servers and the most that the mean of all allows.
-fn halfway(mean_of_all: f64, mean_of_open: f64) -> f64 {
-    (mean_of_open + Bound::MAX.at(mean_of_all)) / 2.0
+/// Midpoint between the mean load of the eligible servers and the maximum derived from the mean of all.
+fn midpoint_to_max(mean_of_all: f64, mean_of_eligible: f64) -> f64 {
+    (mean_of_eligible + Bound::MAX.at(mean_of_all)) / 2.0
 }
 
 impl Default for Bound {
@@ -64,60 +69,63 @@
     }
 }
 
-/// Load of the open servers above the mean of all, as a part of it, from which the bound keeps away from the limit in full.
-const SHORT_EXCESS: f64 = 0.5;
-/// Load in requests that a server in another data centre must be below one in the own to be preferred.
-const CROSS_PENALTY: f64 = 0.7;
-/// Part of a server's places up to which it counts as mostly free; no request waits there.
-const MOSTLY_FREE: f64 = 0.34;
-/// Free places that a full server counts as having: it may have some again before a request arrives.
-const LEAST_WEIGHT: f64 = 0.5;
-/// Servers at which a part is read before it is read elsewhere: past the capacity each copy takes the place of another part.
-const MOST_COPIES: usize = 3;
-/// Load against places from which a part is read at further servers.
-const CROWDED: f64 = 1.25;
-/// Load in requests that an unsound server counts as having more.
-const UNSOUND_PENALTY: f64 = 1_000.0;
+/// Excess of the eligible servers' mean load over the mean of all, as a fraction of the latter, at which the bound
+/// is fully tightened.
+const FULL_TIGHTENING_EXCESS: f64 = 0.5;
+/// Load in requests that is added to servers in other data centres when servers are compared.
+const REMOTE_PENALTY: f64 = 0.7;
+/// Fraction of a server's slots up to which it counts as lightly loaded; no request queues there.
+const LIGHT_LOAD_FRACTION: f64 = 0.34;
+/// Minimum weight, in free slots, of a server in a weighted draw: a full server may have a free slot before the
+/// request arrives.
+const MIN_WEIGHT: f64 = 0.5;
+/// Number of servers on which a prompt part is cached before others are used. Once caches are full, each copy
+/// evicts another part.
+const MAX_COPIES: usize = 3;
+/// Occupancy above which requests are spilled to further servers rather than queued.
+const MAX_QUEUEING_OCCUPANCY: f64 = 1.25;
+/// Load in requests that is added to unhealthy servers when servers are compared.
+const UNHEALTHY_PENALTY: f64 = 1_000.0;
 
 /// A backend server that may be chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// The server.
+    /// Key of the server.
     pub key: BackendKey,
-    /// Its tag, on which rendezvous hashing works.
+    /// Tag of the server, which is the input to rendezvous hashing.
     pub tag: Tag,
-    /// Whether it stands in the own data centre.
+    /// Whether the server is in this host's data centre.
     pub local: bool,
-    /// Requests in progress there, of all hosts, as far as known.
+    /// Requests in progress at the server, of this host and of the others as last reported.
     pub load: f64,
-    /// Requests that it runs at once.
+    /// Requests that the server runs concurrently.
     pub slots: u32,
-    /// Whether it fails lately and is left alone if others can do the work.
+    /// Whether the server has failed recently and is avoided while healthy servers are available.
     pub unhealthy: bool,
 }
 
 impl Candidate {
-    /// Whether it takes one more request without letting it wait.
+    /// Whether it is healthy and has a free slot.
     pub fn has_room(&self) -> bool {
         !self.unhealthy && self.load + 1.0 <= f64::from(self.slots)
     }
 
-    /// Load against places.
-    fn fullness(&self) -> f64 {
+    /// Requests in progress divided by slots.
+    fn occupancy(&self) -> f64 {
         self.load / f64::from(self.slots.max(1))
     }
 }
 
-/// Why a server was chosen; a label in logs and counters.
+/// Why a server was chosen; a label in logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// It holds shared parts of the prompt.
+    /// It has shared parts of the prompt cached.
     Holder,
-    /// It is the parts' place by rendezvous.
+    /// It is the home of the parts by rendezvous hashing.
     Home,
-    /// The holders and the home are at the load bound, or unsound.
+    /// The holders and the home are at the load bound or unhealthy.
     Spilled,
-    /// It has the least load.
+    /// It was chosen by load.
     LeastLoad,
 }
 
@@ -125,7 +133,7 @@
     /// Every reason.
     pub const ALL: [Reason; 4] = [Reason::Holder, Reason::Home, Reason::Spilled, Reason::LeastLoad];
 
-    /// Name in logs and counters.
+    /// Label in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Reason::Holder => "holder",
@@ -139,21 +147,21 @@
 /// A chosen server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// The server.
+    /// Key of the server.
     pub key: BackendKey,
-    /// Why.
+    /// Why it was chosen.
     pub reason: Reason,
     /// Its load when it was chosen, in requests in progress.
     pub load: f64,
-    /// The bound that held, in requests in progress.
+    /// The load bound that was applied, in requests in progress.
     pub bound: f64,
-    /// Tokens of shared parts that it has read.
+    /// Tokens of shared parts that it has cached.
     pub cached_tokens: u32,
-    /// Server from which it can fetch shared parts that it has not read.
+    /// Server from which it can fetch shared parts that it has not cached.
     pub fetch_from: Option<BackendKey>,
 }
 
-/// Places requests.
+/// Places requests on servers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Placer {
     bound: Bound,
@@ -161,17 +169,17 @@
 }
 
 impl Placer {
-    /// Sets the load bound.
+    /// Sets the load bound relative to the candidates' mean load.
     pub fn with_bound(self, bound: Bound) -> Self {
         Self { bound, ..self }
     }
 
-    /// Sets the load up to which servers are used, in requests in progress, in place of the bound on the candidates' mean.
+    /// Sets an absolute load limit, in requests in progress, which replaces the bound.
     pub fn with_limit(self, limit: f64) -> Self {
         Self { limit: Some(limit), ..self }
     }
 
-    /// Chooses among the candidates; `None` where there are none.
+    /// Chooses among the candidates; `None` if there are none.
     pub fn choose(
         &self,
         candidates: &[Candidate],
@@ -183,18 +191,18 @@
         let bound = self.limit.unwrap_or_else(|| self.bound.at(mean(candidates)));
         let shared = shared(parts);
         match shared.last() {
-            Some(last) => by_parts(candidates, shared, *last, holders, usable, bound),
-            None => least_load(candidates, bound, rng),
+            Some(last) => choose_by_parts(candidates, shared, *last, holders, usable, bound),
+            None => choose_by_load(candidates, bound, rng),
         }
     }
 }
 
-/// Mean load of some servers.
+/// Mean load of the candidates.
 pub fn mean(candidates: &[Candidate]) -> f64 {
     candidates.iter().map(|c| c.load).sum::<f64>() / candidates.len().max(1) as f64
 }
 
-fn by_parts(
+fn choose_by_parts(
     candidates: &[Candidate],
     shared: &[Part],
     last: Part,
@@ -204,55 +212,57 @@
 ) -> Option<Choice> {
     let rank = |c: &&Candidate| hash((last.id, c.tag));
     let home = candidates.iter().max_by_key(rank)?;
-    let held = |c: &Candidate| holders.tokens(shared, c.key);
-    let bounded = |c: &Candidate| !c.unhealthy && c.load + 1.0 <= bound;
-    let open = |c: &&Candidate| bounded(c) && c.load + 1.0 <= f64::from(c.slots);
-    let known = holders.best(shared, &usable);
-    // Where no holder is known, as after a start, the next place by rendezvous may be the home of before: the last
-    // server to join took over its parts. Asking a server that holds nothing costs nothing.
-    let before = || candidates.iter().filter(|c| c.key != home.key && usable(c.key)).max_by_key(rank);
-    let source = known.or_else(|| before().map(|c| c.key));
-    let whole: u32 = shared.iter().map(|p| p.tokens).sum();
+    let cached_tokens = |c: &Candidate| holders.tokens(shared, c.key);
+    let below_bound = |c: &Candidate| !c.unhealthy && c.load + 1.0 <= bound;
+    let has_free_slot = |c: &&Candidate| below_bound(c) && c.load + 1.0 <= f64::from(c.slots);
+    let best_holder = holders.best(shared, &usable);
+    // If no holder is known, as after a start, the second server in rendezvous order may be the previous home: the
+    // server that joined last took its parts over. Asking a server that has nothing cached costs nothing.
+    let previous_home = || candidates.iter().filter(|c| c.key != home.key && usable(c.key)).max_by_key(rank);
+    let source = best_holder.or_else(|| previous_home().map(|c| c.key));
+    let total_tokens: u32 = shared.iter().map(|p| p.tokens).sum();
     let choice = |c: &Candidate, reason| {
         let other = source.filter(|s| *s != c.key).or(Some(home.key)).filter(|s| *s != c.key);
-        let fetch_from = other.filter(|s| held(c) < whole && usable(*s));
-        Choice { key: c.key, reason, load: c.load, bound, cached_tokens: held(c), fetch_from }
+        let fetch_from = other.filter(|s| cached_tokens(c) < total_tokens && usable(*s));
+        Choice { key: c.key, reason, load: c.load, bound, cached_tokens: cached_tokens(c), fetch_from }
     };
-    let holder = candidates.iter().filter(open).filter(|c| held(c) == whole);
+    let holder = candidates.iter().filter(has_free_slot).filter(|c| cached_tokens(c) == total_tokens);
     if let Some(best) = holder.min_by(|a, b| cost(a).total_cmp(&cost(b))) {
         return Some(choice(best, Reason::Holder));
     }
-    if open(&home) && known.is_none() {
+    if has_free_slot(&home) && best_holder.is_none() {
         return Some(choice(home, Reason::Home));
     }
-    // Every host spills a part to the same few servers in the same order, so that it is read at few of them. Where these
-    // are full, a short wait there costs less than one more copy, which takes the place of others.
-    let copies = first_by(candidates, rank);
-    let readers = copies.iter().copied().chain(candidates.iter().filter(|c| held(c) == whole));
-    let crowded = || {
-        let emptiest = readers.filter(|c| bounded(c)).min_by(|a, b| a.fullness().total_cmp(&b.fullness()));
-        emptiest.filter(|c| c.fullness() <= CROWDED)
+    // Every host spills a part to the same few servers in the same order, so that few servers cache it. If these
+    // are full, a short wait there costs less than a further copy, which would evict other parts.
+    let copies = top_ranked(candidates, rank);
+    let readers =
+        copies.iter().copied().chain(candidates.iter().filter(|c| cached_tokens(c) == total_tokens));
+    let least_occupied = || {
+        let least = readers.filter(|c| below_bound(c)).min_by(|a, b| a.occupancy().total_cmp(&b.occupancy()));
+        least.filter(|c| c.occupancy() <= MAX_QUEUEING_OCCUPANCY)
     };
-    let spill = copies.iter().copied().find(open).or_else(crowded);
-    let spill = spill.or_else(|| candidates.iter().filter(open).max_by_key(rank));
+    let spill = copies.iter().copied().find(has_free_slot).or_else(least_occupied);
+    let spill = spill.or_else(|| candidates.iter().filter(has_free_slot).max_by_key(rank));
     let least = || candidates.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
     let chosen = spill.or_else(least)?;
     let reason = if chosen.key == home.key { Reason::Home } else { Reason::Spilled };
     Some(choice(chosen, reason))
 }
 
-/// The sound servers at which a part may be read, in the order of their rank.
-fn first_by(candidates: &[Candidate], rank: impl Fn(&&Candidate) -> u64) -> Vec<&Candidate> {
-    let mut sound: Vec<_> = candidates.iter().filter(|c| !c.unhealthy).collect();
-    if sound.len() > MOST_COPIES {
-        sound.select_nth_unstable_by_key(MOST_COPIES, |c| Reverse(rank(c)));
-        sound.truncate(MOST_COPIES);
+/// The healthy servers on which a part may be cached, in rendezvous order.
+fn top_ranked(candidates: &[Candidate], rank: impl Fn(&&Candidate) -> u64) -> Vec<&Candidate> {
+    let mut healthy: Vec<_> = candidates.iter().filter(|c| !c.unhealthy).collect();
+    if healthy.len() > MAX_COPIES {
+        healthy.select_nth_unstable_by_key(MAX_COPIES, |c| Reverse(rank(c)));
+        healthy.truncate(MAX_COPIES);
     }
-    sound.sort_unstable_by_key(|c| Reverse(rank(c)));
-    sound
+    healthy.sort_unstable_by_key(|c| Reverse(rank(c)));
+    healthy
 }
 
-/// Parts that other requests share: all but the last, which is the request's or its session's own.
+/// Prompt parts that other requests share: all but the last, which belongs to the request or its session. A single
+/// part counts as shared.
 pub fn shared(parts: &[Part]) -> &[Part] {
     match parts {
         [] => &[],
@@ -262,14 +272,15 @@
 }
 
 fn cost(c: &Candidate) -> f64 {
-    let far = if c.local { 0.0 } else { CROSS_PENALTY };
-    let unhealthy = if c.unhealthy { UNSOUND_PENALTY } else { 0.0 };
-    c.load + far + unhealthy
+    let penalty = if c.local { 0.0 } else { REMOTE_PENALTY };
+    let unhealthy = if c.unhealthy { UNHEALTHY_PENALTY } else { 0.0 };
+    c.load + penalty + unhealthy
 }
 
-/// The least loaded server of the own data centre while it is mostly free, else one drawn by free places: all hosts see
-/// the same loads, some of them old, and would otherwise send to the same server until the next beats.
-fn least_load(candidates: &[Candidate], bound: f64, rng: &mut impl Rng) -> Option<Choice> {
+/// Chooses the least loaded server of the local data centre that is lightly loaded; otherwise one at random,
+/// weighted by free slots. All hosts see the same, partly outdated loads and would otherwise send to the same
+/// server until the next heartbeats.
+fn choose_by_load(candidates: &[Candidate], bound: f64, rng: &mut impl Rng) -> Option<Choice> {
     let choice = |c: &Candidate| Choice {
         key: c.key,
         reason: Reason::LeastLoad,
@@ -278,15 +289,16 @@
         cached_tokens: 0,
         fetch_from: None,
     };
-    let free = |c: &&Candidate| !c.unhealthy && c.load <= f64::from(c.slots) * MOSTLY_FREE;
-    let local = candidates.iter().filter(|c| c.local).filter(free);
+    let lightly_loaded = |c: &&Candidate| !c.unhealthy && c.load <= f64::from(c.slots) * LIGHT_LOAD_FRACTION;
+    let local = candidates.iter().filter(|c| c.local).filter(lightly_loaded);
     if let Some(local) = local.min_by(|a, b| a.load.total_cmp(&b.load)) {
         return Some(choice(local));
     }
-    let sound = candidates.iter().any(|c| !c.unhealthy);
-    let drawn = candidates.iter().filter(|c| !sound || !c.unhealthy);
-    let weight = |c: &Candidate| (f64::from(c.slots) - c.load).max(LEAST_WEIGHT);
-    // The lowest of exponential draws, each at the rate of its weight, falls to each with a chance by weight.
+    let any_healthy = candidates.iter().any(|c| !c.unhealthy);
+    let drawn = candidates.iter().filter(|c| !any_healthy || !c.unhealthy);
+    let weight = |c: &Candidate| (f64::from(c.slots) - c.load).max(MIN_WEIGHT);
+    // The minimum of exponential draws with the weights as rates selects each server with a probability
+    // proportional to its weight.
     let drawn = drawn.map(|c| (-rng.random::<f64>().max(f64::MIN_POSITIVE).ln() / weight(c), c));
     drawn.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, c)| choice(c))
 }
--- a/src/relay/suspects.rs
+++ b/src/relay/suspects.rs
@@ -1,8 +1,9 @@
-//! Contents that crash the backend servers that run them.
+//! Quarantine of request contents that crash the backend servers that run them.
 //!
-//! A content that was running at a crash is suspect; each further crash with it running counts. From the third crash on
-//! it is refused, at every host: hosts tell each other in their beats. An innocent that ran beside it comes to one
-//! crash, or to two where two servers crash in a row, and is answered when it is sent again.
+//! A content that was running when a server crashed is suspect, and each further crash that it was running in
+//! counts. From the third crash on, every host refuses it; hosts exchange the counts in their heartbeats. An
+//! innocent content that ran beside it is counted for one crash, or for two if two servers crash in a row, and is
+//! answered when it is sent again.
 
 use std::time::Duration;
 
@@ -11,16 +12,17 @@
     util::{Instant, Map},
 };
 
-/// Crashes from which a content is refused. Two servers that crash for another reason would convict an innocent.
-const REFUSED_FROM: u32 = 3;
+/// Crashes from which a content is refused. With a limit of two, an innocent content would be refused after two
+/// servers crashed for another reason.
+const MIN_CRASHES_TO_REFUSE: u32 = 3;
 /// How long a content is remembered after its last crash.
-const KEEP: Duration = Duration::from_secs(60);
-/// Contents remembered.
-const MOST: usize = 1_024;
-/// Contents told in one beat.
-const MOST_TOLD: usize = 8;
-/// How long a crash is told.
-const TELL: Duration = Duration::from_secs(3);
+const RETENTION: Duration = Duration::from_secs(60);
+/// Maximum number of contents remembered.
+const MAX_CONTENTS: usize = 1_024;
+/// Maximum number of contents reported in one heartbeat.
+const MAX_REPORTED: usize = 8;
+/// How long a crash is reported in heartbeats.
+const REPORT_PERIOD: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
@@ -28,14 +30,14 @@
     last: Instant,
 }
 
-/// Suspect contents.
+/// Contents that were running when servers crashed.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
     contents: Map<u64, Entry>,
 }
 
 impl Suspects {
-    /// Notes that a content was running when its server crashed.
+    /// Records that a content was running when its server crashed; returns its number of crashes.
     pub fn record_crash(&mut self, now: Instant, fingerprint: u64) -> u32 {
         self.make_room(now);
         let entry = self.contents.entry(fingerprint).or_insert(Entry { crashes: 0, last: now });
@@ -45,44 +47,44 @@
     }
 
     fn make_room(&mut self, now: Instant) {
-        if self.contents.len() >= MOST {
-            self.contents.retain(|_, e| e.last + KEEP > now && e.crashes > 1);
+        if self.contents.len() >= MAX_CONTENTS {
+            self.contents.retain(|_, e| e.last + RETENTION > now && e.crashes > 1);
         }
     }
 
-    /// Contents that are remembered.
+    /// Number of contents remembered.
     pub fn len(&self) -> usize {
         self.contents.len()
     }
 
-    /// Notes that a content has completed, which clears it.
-    pub fn complete(&mut self, fingerprint: u64) {
+    /// Clears a content that has completed.
+    pub fn clear(&mut self, fingerprint: u64) {
         self.contents.remove(&fingerprint);
     }
 
     /// Whether a content is refused.
-    pub fn refuses(&self, now: Instant, fingerprint: u64) -> bool {
+    pub fn is_refused(&self, now: Instant, fingerprint: u64) -> bool {
         let entry = self.contents.get(&fingerprint);
-        entry.is_some_and(|e| e.crashes >= REFUSED_FROM && e.last + KEEP > now)
+        entry.is_some_and(|e| e.crashes >= MIN_CRASHES_TO_REFUSE && e.last + RETENTION > now)
     }
 
-    /// Whether any content is suspect.
+    /// Whether no content is suspect.
     pub fn is_empty(&self) -> bool {
         self.contents.is_empty()
     }
 
-    /// Recent crashes, for the other hosts.
+    /// Recent crashes, to be reported to the other hosts.
     pub fn recent(&self, now: Instant) -> Vec<Suspect> {
-        let recent = self.contents.iter().filter(|(_, e)| e.last + TELL > now && e.crashes > 1);
-        let told = recent.map(|(f, e)| Suspect { fingerprint: *f, crashes: e.crashes });
-        told.take(MOST_TOLD).collect()
+        let crashed = self.contents.iter().filter(|(_, e)| e.last + REPORT_PERIOD > now && e.crashes > 1);
+        let reported = crashed.map(|(f, e)| Suspect { fingerprint: *f, crashes: e.crashes });
+        reported.take(MAX_REPORTED).collect()
     }
 
-    /// Takes in what another host told.
-    pub fn merge(&mut self, now: Instant, told: &[Suspect]) {
-        for suspect in told {
+    /// Merges the crashes that another host reported.
+    pub fn merge(&mut self, now: Instant, reported: &[Suspect]) {
+        for suspect in reported {
             self.make_room(now);
-            if self.contents.len() >= MOST && !self.contents.contains_key(&suspect.fingerprint) {
+            if self.contents.len() >= MAX_CONTENTS && !self.contents.contains_key(&suspect.fingerprint) {
                 continue;
             }
             let entry = self.contents.entry(suspect.fingerprint).or_insert(Entry { crashes: 0, last: now });
--- a/src/relay/verdict.rs
+++ b/src/relay/verdict.rs
@@ -1,32 +1,32 @@
-//! What became of one attempt at a backend server, and whether the request may be sent once more.
+//! How an attempt at a backend server failed, and whether the request may be sent again.
 
 use crate::{error::Ran, util::Instant};
 
-/// Why an attempt did not give the answer.
+/// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Failure {
-    /// No connection could be made.
+    /// No connection was established.
     Connect,
     /// The connection was closed before the request was written.
     Unsent,
-    /// The backend server says that it did not run the request.
+    /// The backend server states that it did not run the request.
     Refused,
-    /// Another backend server stands at the address.
+    /// A different backend server answers at the address.
     Moved,
     /// The connection broke after the request was written.
     Broken,
-    /// The answer belongs to another request or is not in the protocol.
+    /// The answer belongs to another request or violates the protocol.
     Garbled,
-    /// Nothing came for so long that the server is taken for silent.
+    /// The backend server sent nothing within the attempt's timeout.
     Silent,
-    /// The request's time was over first; that says nothing about the server.
+    /// The deadline of the request passed first, which says nothing about the backend server.
     Late,
-    /// The backend server answered with an error of its own.
+    /// The backend server itself answered with an error.
     Errored,
 }
 
 impl Failure {
-    /// Every failure.
+    /// All failures.
     pub const ALL: [Failure; 9] = [
         Failure::Connect,
         Failure::Unsent,
@@ -39,7 +39,7 @@
         Failure::Errored,
     ];
 
-    /// Name in logs and counters.
+    /// Label in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Failure::Connect => "connect",
@@ -54,8 +54,7 @@
         }
     }
 
-    /// What is known about the run: only a request that was not written, and a backend server's own word, prove that
-    /// it did not run.
+    /// Whether the request has run. It provably has not if it was not written, or if a backend server says so.
     pub fn ran(self) -> Ran {
         match self {
             Failure::Connect | Failure::Unsent | Failure::Refused | Failure::Moved => Ran::No,
@@ -64,36 +63,36 @@
         }
     }
 
-    /// Whether the request reached a backend server, so that sending it again counts against the budget.
-    pub fn arrived(self) -> bool {
+    /// Whether the request reached a backend server, so that sending it again counts against the retry budget.
+    pub fn reached_server(self) -> bool {
         !matches!(self, Failure::Connect | Failure::Unsent)
     }
 }
 
-/// Sends to backend servers that refused or could not be reached, for one attempt of a caller.
-const MOST_UNRUN: u32 = 4;
+/// Maximum number of attempts of a request that failed before the request ran.
+const MAX_UNEXECUTED_ATTEMPTS: u32 = 4;
 
-/// Why a request is not sent once more.
+/// Why a request is not sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stop {
-    /// It may have run and must not run twice.
+    /// It may have run and is not idempotent.
     NotRepeatable,
-    /// It was at as many backend servers as it may.
+    /// It has used up its attempts.
     Attempts,
-    /// The fleet's budget of retries is spent.
+    /// The fleet's retry budget is exhausted.
     Budget,
-    /// Its time is over.
+    /// Its deadline has passed.
     Deadline,
-    /// Its content has crashed servers.
+    /// Its content has crashed backend servers.
     Suspect,
 }
 
 impl Stop {
-    /// Every reason.
+    /// All reasons.
     pub const ALL: [Stop; 5] =
         [Stop::NotRepeatable, Stop::Attempts, Stop::Budget, Stop::Deadline, Stop::Suspect];
 
-    /// Name in logs and counters.
+    /// Label in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Stop::NotRepeatable => "not_repeatable",
@@ -105,33 +104,33 @@
     }
 }
 
-/// The attempts of one request so far.
+/// The attempts of a request so far.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
     repeatable: bool,
-    most: u32,
+    max_runs: u32,
     deadline: Instant,
     may_have_run: u32,
-    unrun: u32,
+    unexecuted: u32,
 }
 
 impl Attempts {
-    /// No attempt so far, of `most` that may run.
-    pub fn new(repeatable: bool, most: u32, deadline: Instant) -> Self {
-        Self { repeatable, most: most.max(1), deadline, may_have_run: 0, unrun: 0 }
+    /// No attempts yet; at most `max_runs` may end with the request possibly run.
+    pub fn new(repeatable: bool, max_runs: u32, deadline: Instant) -> Self {
+        Self { repeatable, max_runs: max_runs.max(1), deadline, may_have_run: 0, unexecuted: 0 }
     }
 
-    /// Whether no attempt so far can have run.
+    /// Whether no attempt so far can have run the request.
     pub fn cannot_have_run(&self) -> bool {
         self.may_have_run == 0
     }
 
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub fn made(&self) -> u32 {
-        self.may_have_run + self.unrun
+        self.may_have_run + self.unexecuted
     }
 
-    /// Notes a failed attempt and decides whether another one may follow. `spend` takes a retry from the budget.
+    /// Records a failed attempt and decides whether another may follow. `spend` takes a retry from the budget.
     ///
     /// # Errors
     /// Why no further attempt may follow.
@@ -142,19 +141,19 @@
         spend: impl FnOnce() -> bool,
     ) -> Result<(), Stop> {
         match failure.ran() {
-            Ran::No => self.unrun += 1,
+            Ran::No => self.unexecuted += 1,
             Ran::Unknown | Ran::Yes => self.may_have_run += 1,
         }
         if self.may_have_run > 0 && !self.repeatable {
             return Err(Stop::NotRepeatable);
         }
-        if self.may_have_run >= self.most || self.unrun >= MOST_UNRUN {
+        if self.may_have_run >= self.max_runs || self.unexecuted >= MAX_UNEXECUTED_ATTEMPTS {
             return Err(Stop::Attempts);
         }
         if now >= self.deadline {
             return Err(Stop::Deadline);
         }
-        if failure.arrived() && !spend() {
+        if failure.reached_server() && !spend() {
             return Err(Stop::Budget);
         }
         Ok(())
--- a/src/relay/warmup.rs
+++ b/src/relay/warmup.rs
@@ -1,61 +1,64 @@
-//! How much work cold backend servers get.
+//! Limits how many requests cold backend servers get.
 //!
-//! A server that has just started is cold for some seconds: it is slow, and crashes when it gets much more than a few requests
-//! a second from all hosts together. The hosts can't count these together in time, so that each keeps to a limit that holds
-//! for all whatever the others know:
+//! A server that has just started is cold for some seconds: it is slow, and it crashes if all hosts together send
+//! it much more than a few requests a second. Hosts cannot add up their requests quickly enough, so that each
+//! follows rules that keep the sum within the limit regardless of what the others know:
 //!
-//! - While another server has room, a cold one gets nothing.
-//! - Else it gets requests from a few hosts, the first by rendezvous hashing, each of them at a fixed rate. Hosts whose views
-//!   differ may take themselves for one of these; the rate leaves room for several times as many.
-//! - A host that has started feeds none until it knows the others and what it has forgotten counts no more.
+//! - While another server has a free slot, a cold one gets no requests.
+//! - Otherwise it gets requests from a few hosts, the first by rendezvous hashing, each at a fixed rate. Hosts
+//!   whose views of the fleet differ may count themselves among the first; the rate leaves room for several times
+//!   as many.
+//! - A host that has started sends none until it knows the other hosts and the requests that it sent before its
+//!   restart no longer matter.
 //!
-//! A server that could not be reached and is not told to have started since may be back without its entry: it counts as cold
-//! for as long after its first answer.
+//! A server that was unreachable may have restarted before its new entry arrives. Unless it is known to have
+//! started since, it counts as cold for the same period after its first answer.
 
 use std::time::Duration;
 
 use super::backends::Tag;
 use crate::util::{Instant, Map};
 
-/// Hosts that send to a cold server: with one, its loss would leave the server without work until all are warm.
+/// Hosts that send requests to a cold server. With only one, losing it would leave the server without requests
+/// until all servers are warm.
 pub const COLD_SENDERS: usize = 2;
-/// Part of what a cold server bears that its feeders send together. A partition in which all hosts have restarted makes a set
-/// of feeders on each side, and each set may send as much.
-const PART: f64 = 0.45;
-/// Least rate of one feeder, in requests a second: a server that is said to bear none is never cold for longer than this
-/// leaves alone.
-const LEAST_PER_SECOND: f64 = 0.01;
-/// How long a look at who feeds a server holds.
-const LOOK: Duration = Duration::from_millis(250);
+/// Fraction of a cold server's limit that its senders use together. In a partition in which all hosts have
+/// restarted, each side has its own set of senders, and each set may send as much.
+const USED_FRACTION: f64 = 0.45;
+/// Minimum rate of one sender, in requests a second. It keeps the interval finite for servers configured with a
+/// limit of zero; the interval is then longer than any server is cold.
+const MIN_RATE_PER_SECOND: f64 = 0.01;
+/// How long the result of the check whether this host is a sender is cached.
+const SENDER_CHECK_TTL: Duration = Duration::from_millis(250);
 
-/// What cold servers of a service bear.
+/// Limit on the requests to cold servers of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLimit {
     /// How long a server is cold after a start.
     pub duration: Duration,
-    /// Requests a second that it bears from all hosts.
+    /// Requests a second that it can take from all hosts together.
     pub per_second: f64,
 }
 
 impl ColdLimit {
-    /// Time between two requests of one feeder.
+    /// Minimum time between two requests of one sender.
     fn interval(self) -> Duration {
-        let per_second = (self.per_second * PART / COLD_SENDERS as f64).max(LEAST_PER_SECOND);
+        let per_second = (self.per_second * USED_FRACTION / COLD_SENDERS as f64).max(MIN_RATE_PER_SECOND);
         Duration::from_secs_f64(1.0 / per_second)
     }
 }
 
-/// What one host does about cold servers.
+/// This host's requests to cold servers.
 #[derive(Clone, Debug, Default)]
 pub struct Warmup {
-    /// When this host started; it does not know what it sent before.
+    /// When this host started; what it sent before is unknown.
     started: Instant,
-    /// Servers that may have started without a word, and until when they count as cold.
-    doubts: Map<Tag, Instant>,
-    /// When this host may send to a cold server again.
-    next: Map<Tag, Instant>,
-    /// Whether this host feeds a server, and when that was looked at.
-    feeds: Map<Tag, (Instant, bool)>,
+    /// Servers that may have restarted unnoticed, and until when they count as cold.
+    possible_restarts: Map<Tag, Instant>,
+    /// Earliest time of this host's next request to a cold server.
+    next_send: Map<Tag, Instant>,
+    /// Whether this host is a sender for a server, and when that was checked.
+    sender_checks: Map<Tag, (Instant, bool)>,
 }
 
 impl Warmup {
@@ -64,43 +67,45 @@
         Self { started, ..self }
     }
 
-    /// Notes that a server can't be reached, or answers for the first time since.
+    /// Notes that a server is unreachable, or answers again after it was.
     pub fn note_possible_restart(&mut self, now: Instant, tag: Tag, limit: ColdLimit) {
-        self.doubts.insert(tag, now + limit.duration);
+        self.possible_restarts.insert(tag, now + limit.duration);
     }
 
-    /// Whether a server may have started a short time ago, though nothing tells so.
+    /// Whether a server may have restarted recently without its entry having arrived.
     pub fn may_have_restarted(&self, now: Instant, tag: Tag) -> bool {
-        !self.doubts.is_empty() && self.doubts.get(&tag).is_some_and(|until| *until > now)
+        !self.possible_restarts.is_empty()
+            && self.possible_restarts.get(&tag).is_some_and(|until| *until > now)
     }
 
-    /// Whether this host may send a request to a cold server now. `feeds` tells whether it is one of its feeders.
+    /// Whether this host may send a request to a cold server now. `is_sender` decides whether it is one of the
+    /// server's senders.
     pub fn may_send(
         &mut self,
         now: Instant,
         tag: Tag,
         limit: ColdLimit,
-        feeds: impl FnOnce() -> bool,
+        is_sender: impl FnOnce() -> bool,
     ) -> bool {
-        if now < self.started + limit.duration || self.next.get(&tag).is_some_and(|next| *next > now) {
+        if now < self.started + limit.duration || self.next_send.get(&tag).is_some_and(|next| *next > now) {
             return false;
         }
-        let look = self.feeds.entry(tag).or_insert((Instant::ZERO, false));
-        if look.0 + LOOK <= now || look.0.is_zero() {
-            *look = (now, feeds());
+        let check = self.sender_checks.entry(tag).or_insert((Instant::ZERO, false));
+        if check.0 + SENDER_CHECK_TTL <= now || check.0.is_zero() {
+            *check = (now, is_sender());
         }
-        look.1
+        check.1
     }
 
-    /// Notes a request that is sent to a cold server.
-    pub fn sent(&mut self, now: Instant, tag: Tag, limit: ColdLimit) {
-        self.next.insert(tag, now + limit.interval());
+    /// Records a request that is sent to a cold server.
+    pub fn record_send(&mut self, now: Instant, tag: Tag, limit: ColdLimit) {
+        self.next_send.insert(tag, now + limit.interval());
     }
 
-    /// Forgets what is over.
+    /// Removes expired entries.
     pub fn expire(&mut self, now: Instant) {
-        self.doubts.retain(|_, until| *until > now);
-        self.next.retain(|_, next| *next > now);
-        self.feeds.retain(|_, (at, _)| *at + LOOK > now);
+        self.possible_restarts.retain(|_, until| *until > now);
+        self.next_send.retain(|_, next| *next > now);
+        self.sender_checks.retain(|_, (at, _)| *at + SENDER_CHECK_TTL > now);
     }
 }
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -489,14 +489,14 @@
     here.record_crash(ms(0), 2);
     here.record_crash(ms(50), 1);
     there.merge(ms(60), &here.recent(ms(60)));
-    assert!(!there.refuses(ms(61), 1));
+    assert!(!there.is_refused(ms(61), 1));
     there.record_crash(ms(100), 1);
 
     here.merge(ms(110), &there.recent(ms(110)));
 
-    assert!(here.refuses(ms(110), 1) && there.refuses(ms(110), 1));
-    assert!(!here.refuses(ms(110), 2) && !there.refuses(ms(110), 2));
-    assert!(!there.refuses(ms(61_000), 1));
+    assert!(here.is_refused(ms(110), 1) && there.is_refused(ms(110), 1));
+    assert!(!here.is_refused(ms(110), 2) && !there.is_refused(ms(110), 2));
+    assert!(!there.is_refused(ms(61_000), 1));
 }
 
 #[test]
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -85,7 +85,7 @@
             for node in nodes.iter_mut().filter(|_| rng.random_bool(0.7)) {
                 let feeds = || node.peers.is_among_first(TAG, COLD_SENDERS);
                 if node.warmup.may_send(ms(at), TAG, LIMIT, feeds) {
-                    node.warmup.sent(ms(at), TAG, LIMIT);
+                    node.warmup.record_send(ms(at), TAG, LIMIT);
                     sent.push(ms(at));
                 }
             }
