--- a/src/relay.rs
+++ b/src/relay.rs
@@ -304,7 +304,7 @@
 
     /// Backend servers of a service that take new work.
     pub fn servers(&self, service: &str) -> usize {
-        self.state().backends.of(service).count()
+        self.state().backends.available(service).count()
     }
 
     /// Idle connections to backend servers.
--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -320,7 +320,7 @@
     }
 
     /// Backend servers of a service that take new work.
-    pub fn of(&self, service: &str) -> impl Iterator<Item = (BackendKey, &Backend)> {
+    pub fn available(&self, service: &str) -> impl Iterator<Item = (BackendKey, &Backend)> {
         self.arena.iter().filter(move |(_, b)| &*b.service == service && b.takes_work())
     }
 
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -109,7 +109,7 @@
 impl State {
     /// Servers of a service that accept work and are not in an evacuated data centre.
     fn not_evacuated(&self, service: &str) -> impl Iterator<Item = (BackendKey, &Backend)> {
-        self.backends.of(service).filter(|(_, b)| !self.evacuations.covers(&b.data_centre))
+        self.backends.available(service).filter(|(_, b)| !self.evacuations.covers(&b.data_centre))
     }
 
     /// Servers of a service that may get new requests: not in an evacuated data centre and not in a pause that they
@@ -135,13 +135,13 @@
             let keys = if limited && self.is_cold(now, b) { &mut eligible.cold } else { &mut eligible.warm };
             keys.push(key);
         }
-        eligible.has_exclusions = eligible.warm.len() < self.backends.of(service).count();
+        eligible.has_exclusions = eligible.warm.len() < self.backends.available(service).count();
         eligible
     }
 
     /// Mean load of all servers of a service, including those that are not eligible.
     fn mean_load(&self, service: &str) -> f64 {
-        let loads = self.backends.of(service).map(|(_, b)| self.load(b));
+        let loads = self.backends.available(service).map(|(_, b)| self.load(b));
         let (sum, servers) = loads.fold((0, 0), |(sum, n), load| (sum + load, n + 1));
         f64::from(sum) / f64::from(servers.max(1))
     }
@@ -223,7 +223,7 @@
 
     /// The error for a request for which no server could be chosen.
     fn no_server_kind(&self, now: Instant, service: &str, eligible: &Eligible) -> Kind {
-        let listed = self.backends.of(service).next().is_some();
+        let listed = self.backends.available(service).next().is_some();
         match eligible {
             Eligible { warm, cold, .. }
                 if warm.is_empty() && cold.is_empty() && self.first_pause_end(now, service).is_some() =>
--- a/tests/relay_backends.rs
+++ b/tests/relay_backends.rs
@@ -48,7 +48,7 @@
     assert_eq!(left.len(), 1);
     assert_eq!(older, []);
     assert_eq!(again, []);
-    assert_eq!(backends.of("s").count(), 0);
+    assert_eq!(backends.available("s").count(), 0);
     assert_eq!(backends.revision(), rev(9));
 }
 
@@ -63,14 +63,14 @@
     }
     knows.change(ms(10), rev(8), &[], &["x".into()], None);
     misses.change(ms(20), rev(9), &[], &["x".into()], Some(ms(1_700)));
-    assert_eq!(misses.of("s").count(), 1);
+    assert_eq!(misses.available("s").count(), 1);
 
     let changes = misses.changes_since(ms(30), rev(8)).unwrap();
     let from_changes = knows.clone().change(ms(30), changes.as_of(), &changes.puts, &changes.removed, None);
     let from_list = knows.list(ms(30), &misses.snapshot(ms(30)), None);
 
     assert_eq!((from_changes, from_list), (Vec::new(), Vec::new()));
-    assert_eq!(knows.of("s").count(), 0);
+    assert_eq!(knows.available("s").count(), 0);
 }
 
 /// A host that has not heard of the removal yet fetches from one that misses the server. The revision that it gets counts
@@ -88,7 +88,7 @@
     let from_changes = behind.change(ms(30), changes.as_of(), &changes.puts, &changes.removed, None);
 
     assert_eq!((from_changes.len(), from_list.len()), (1, 1));
-    assert_eq!(behind.of("s").count(), 0);
+    assert_eq!(behind.available("s").count(), 0);
 }
 
 /// Another host lacks the last changes only. It gets these, and the whole list where they are not known any more.
@@ -126,7 +126,7 @@
 fn a_server_that_is_gone_is_forgotten_after_its_last_request() {
     let mut backends = Backends::default();
     backends.list(ms(0), &List { revision: 1, items: vec![listed("x", false)], ..List::default() }, None);
-    let key = backends.of("s").next().unwrap().0;
+    let key = backends.available("s").next().unwrap().0;
     backends.start(key);
 
     let gone = backends.change(ms(10), rev(2), &[], &["x".into()], None);
@@ -144,18 +144,18 @@
 #[test]
 fn a_later_start_under_the_same_identifier_is_another_server() {
     let mut backends = known(vec![born(100)]);
-    let (before, tag) = backends.of("s").map(|(key, b)| (key, b.tag)).next().unwrap();
+    let (before, tag) = backends.available("s").map(|(key, b)| (key, b.tag)).next().unwrap();
     backends.start(before);
 
     let changes = backends.change(ms(10), rev(2), &[born(200)], &[], None);
 
-    let (after, b) = backends.of("s").next().unwrap();
+    let (after, b) = backends.available("s").next().unwrap();
     assert_eq!(changes, [(before, Change::Restarted), (after, Change::Seen)]);
     assert_ne!((after, b.tag), (before, tag));
     assert_eq!(b.in_progress, 0);
     assert_eq!(backends.by_tag(tag), None);
     backends.end(before);
-    assert_eq!(backends.of("s").count(), 1);
+    assert_eq!(backends.available("s").count(), 1);
 }
 
 /// The server had left before it started again: the leaving is the earlier start's, and the new one takes work.
@@ -164,10 +164,10 @@
     let mut backends = known(vec![Backend { leaving: true, ..born(100) }]);
 
     backends.change(ms(10), rev(2), &[born(100)], &[], None);
-    let same = backends.of("s").count();
+    let same = backends.available("s").count();
     backends.change(ms(20), rev(3), &[born(200)], &[], None);
 
-    assert_eq!((same, backends.of("s").count()), (0, 1));
+    assert_eq!((same, backends.available("s").count()), (0, 1));
 }
 
 /// A host hears late from another one that knows only the earlier start, or that it left. The newer one stays.
@@ -175,12 +175,12 @@
 fn an_earlier_start_never_replaces_a_later_one() {
     for late in [born(100), Backend { leaving: true, ..born(100) }] {
         let mut backends = known(vec![born(200)]);
-        let key = backends.of("s").next().unwrap().0;
+        let key = backends.available("s").next().unwrap().0;
 
         let changes = backends.change(ms(10), rev(2), &[late], &[], None);
 
         assert_eq!(changes, []);
-        assert_eq!(backends.of("s").next().unwrap().0, key);
+        assert_eq!(backends.available("s").next().unwrap().0, key);
     }
 }
 
@@ -215,7 +215,7 @@
         let key = backends.by_tag(cranberrytally::relay::backends::tag("x", 100)).unwrap();
 
         let lost = backends.change(ms(10), rev(2), &[entry.clone(), unreadable("zzz")], &[], None);
-        let others: Vec<_> = backends.of("s").map(|(_, b)| b.id.clone()).collect();
+        let others: Vec<_> = backends.available("s").map(|(_, b)| b.id.clone()).collect();
         let again = backends.change(ms(20), rev(3), std::slice::from_ref(&entry), &[], None);
         let back = backends.change(ms(900), rev(4), &[born(100)], &[], None);
 
@@ -236,7 +236,7 @@
     let changes = ahead.changes_since(ms(30), behind.revision()).unwrap();
     behind.change(ms(20), changes.as_of(), &changes.puts, &changes.removed, None);
 
-    assert_eq!(behind.of("s").count(), 0);
+    assert_eq!(behind.available("s").count(), 0);
     assert_eq!(behind.digest(), ahead.digest());
 }
 
@@ -255,15 +255,15 @@
                 _ => Backend { born: start, ..listed(&name, false) },
             };
             backends.change(ms(at as u64), rev(at as u64 + 1), &[entry], &[], None);
-            for (_, b) in backends.of("s") {
+            for (_, b) in backends.available("s") {
                 let known = &mut latest[b.id.len() - 1];
                 prop_assert!(b.born >= *known, "{} after {known}", b.born);
                 *known = b.born;
             }
-            let mut ids: Vec<_> = backends.of("s").map(|(_, b)| b.id.clone()).collect();
+            let mut ids: Vec<_> = backends.available("s").map(|(_, b)| b.id.clone()).collect();
             ids.sort();
             ids.dedup();
-            prop_assert_eq!(ids.len(), backends.of("s").count());
+            prop_assert_eq!(ids.len(), backends.available("s").count());
         }
     }
 }
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -59,10 +59,10 @@
 
     assert_eq!(away, Some(s(8)));
     assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Missing]);
-    assert_eq!(backends.of("app").count(), 2);
+    assert_eq!(backends.available("app").count(), 2);
     assert_eq!(backends.expire(s(9) + Duration::from_millis(1_600)).0, []);
     assert_eq!(backends.expire(s(11)).0.len(), 1);
-    assert_eq!(backends.of("app").count(), 1);
+    assert_eq!(backends.available("app").count(), 1);
 }
 
 /// Four seconds after the store came back, a server leaves by having its entry removed. That is no lapse any more:
@@ -80,7 +80,7 @@
     let changes = backends.change(s(13), rev(12), &[], &["b".into()], grace);
 
     assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Left]);
-    assert_eq!(backends.of("app").count(), 1);
+    assert_eq!(backends.available("app").count(), 1);
 }
 
 /// All hosts start again within half a second while the store accepts calls and answers none, and 560 ms after the first
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -244,7 +244,7 @@
 }
 
 fn working(host: &Backends) -> Vec<&str> {
-    let mut ids: Vec<_> = host.of("s").map(|(_, b)| &*b.id).collect();
+    let mut ids: Vec<_> = host.available("s").map(|(_, b)| &*b.id).collect();
     ids.sort_unstable();
     ids
 }
@@ -350,7 +350,7 @@
 #[test]
 fn only_a_word_that_a_server_leaves_is_told_on() {
     let (mut lost, mut told) = (host_that_lost_x(&[]), host_that_lost_x(&[]));
-    let key = |host: &Backends| host.of("s").find(|(_, b)| &*b.id == "x").unwrap().0;
+    let key = |host: &Backends| host.available("s").find(|(_, b)| &*b.id == "x").unwrap().0;
     let (lost_key, told_key) = (key(&lost), key(&told));
 
     lost.lose(lost_key);
@@ -506,7 +506,7 @@
         now += ms(10_000);
         for (host, past) in hosts.iter_mut().zip(&pasts) {
             host.expire(now);
-            let working: BTreeSet<_> = host.of("s").map(|(_, b)| (b.id.to_string(), b.born)).collect();
+            let working: BTreeSet<_> = host.available("s").map(|(_, b)| (b.id.to_string(), b.born)).collect();
             let listed: Vec<_> = store.present.values().map(|b| (b.id.clone(), b.born, b.leaving)).collect();
             for (id, born, leaving) in &listed {
                 let lives = !leaving && !past.has_left(id, *born);
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -121,7 +121,7 @@
     assert_eq!(counted, []);
     assert_eq!(told.puts[0].cold_ms, 1_600);
     assert!(follower.digest() != warm && follower.digest() == other.digest());
-    let until = other.of("s").next().unwrap().1.cold_until;
+    let until = other.available("s").next().unwrap().1.cold_until;
     assert_eq!(until, ms(3_100));
     follower.change(ms(3_200), rev(8), &[cold(0)], &[], None);
     assert_eq!(follower.digest(), warm);
@@ -134,7 +134,7 @@
 
     backends.list(ms(0), &List { revision: 5, items: vec![cold(u32::MAX)], ..List::default() }, None);
 
-    assert!(backends.of("s").next().unwrap().1.cold_until <= ms(60_000));
+    assert!(backends.available("s").next().unwrap().1.cold_until <= ms(60_000));
 }
 
 /// A data centre is taken back with its servers' caches empty. Requests for parts that had been read there would read them
