--- a/benches/relay.rs
+++ b/benches/relay.rs
@@ -36,7 +36,7 @@
         ..Backend::default()
     };
     let mut backends = Backends::default();
-    backends.list(
+    backends.apply_list(
         Duration::ZERO,
         &List { revision: 1, items: (0..n).map(item).collect(), ..List::default() },
         None,
--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -206,7 +206,7 @@
     ///
     /// `grace` is set for a while after the store's return: entries that lapsed while it was away come back only
     /// when their servers have written again, so that a missing one counts as gone only then.
-    pub fn list(
+    pub fn apply_list(
         &mut self,
         now: Instant,
         list: &fleet::Backends,
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -328,7 +328,7 @@
             });
         }
         let changes = match update {
-            BackendsUpdate::List(list) => state.backends.list(now, &list, grace),
+            BackendsUpdate::List(list) => state.backends.apply_list(now, &list, grace),
             BackendsUpdate::Changes { revision, puts, removed } => {
                 state.backends.change(now, revision, &puts, &removed, grace)
             }
--- a/tests/relay_backends.rs
+++ b/tests/relay_backends.rs
@@ -29,7 +29,7 @@
 /// Backend servers as of one list.
 fn known(items: Vec<Backend>) -> Backends {
     let mut backends = Backends::default();
-    backends.list(ms(0), &List { revision: 1, items, ..List::default() }, None);
+    backends.apply_list(ms(0), &List { revision: 1, items, ..List::default() }, None);
     backends
 }
 
@@ -38,12 +38,19 @@
 #[test]
 fn what_is_known_of_a_server_never_goes_back() {
     let mut backends = Backends::default();
-    backends.list(ms(0), &List { revision: 5, items: vec![listed("x", false)], ..List::default() }, None);
+    backends.apply_list(
+        ms(0),
+        &List { revision: 5, items: vec![listed("x", false)], ..List::default() },
+        None,
+    );
 
     let left = backends.change(ms(1), rev(9), &[listed("x", true)], &[], None);
     let older = backends.change(ms(2), rev(7), &[listed("y", false)], &[], None);
-    let again =
-        backends.list(ms(3), &List { revision: 9, items: vec![listed("x", false)], ..List::default() }, None);
+    let again = backends.apply_list(
+        ms(3),
+        &List { revision: 9, items: vec![listed("x", false)], ..List::default() },
+        None,
+    );
 
     assert_eq!(left.len(), 1);
     assert_eq!(older, []);
@@ -59,7 +66,7 @@
 fn a_server_that_one_host_misses_is_not_brought_back_at_another() {
     let (mut misses, mut knows) = (Backends::default(), Backends::default());
     for b in [&mut misses, &mut knows] {
-        b.list(ms(0), &List { revision: 5, items: vec![listed("x", false)], ..List::default() }, None);
+        b.apply_list(ms(0), &List { revision: 5, items: vec![listed("x", false)], ..List::default() }, None);
     }
     knows.change(ms(10), rev(8), &[], &["x".into()], None);
     misses.change(ms(20), rev(9), &[], &["x".into()], Some(ms(1_700)));
@@ -67,7 +74,7 @@
 
     let changes = misses.changes_since(ms(30), rev(8)).unwrap();
     let from_changes = knows.clone().change(ms(30), changes.as_of(), &changes.puts, &changes.removed, None);
-    let from_list = knows.list(ms(30), &misses.snapshot(ms(30)), None);
+    let from_list = knows.apply_list(ms(30), &misses.snapshot(ms(30)), None);
 
     assert_eq!((from_changes, from_list), (Vec::new(), Vec::new()));
     assert_eq!(knows.available("s").count(), 0);
@@ -79,12 +86,12 @@
 fn a_host_behind_hears_of_a_removal_from_one_that_misses_the_server() {
     let (mut misses, mut behind) = (Backends::default(), Backends::default());
     for b in [&mut misses, &mut behind] {
-        b.list(ms(0), &List { revision: 5, items: vec![listed("x", false)], ..List::default() }, None);
+        b.apply_list(ms(0), &List { revision: 5, items: vec![listed("x", false)], ..List::default() }, None);
     }
     misses.change(ms(20), rev(9), &[], &["x".into()], Some(ms(1_700)));
 
     let changes = misses.changes_since(ms(30), behind.revision()).unwrap();
-    let from_list = behind.clone().list(ms(30), &misses.snapshot(ms(30)), None);
+    let from_list = behind.clone().apply_list(ms(30), &misses.snapshot(ms(30)), None);
     let from_changes = behind.change(ms(30), changes.as_of(), &changes.puts, &changes.removed, None);
 
     assert_eq!((from_changes.len(), from_list.len()), (1, 1));
@@ -97,7 +104,7 @@
     let mut ahead = Backends::default();
     let mut behind = Backends::default();
     for b in [&mut ahead, &mut behind] {
-        b.list(
+        b.apply_list(
             ms(0),
             &List { revision: 5, items: vec![listed("x", false), listed("yy", false)], ..List::default() },
             None,
@@ -125,7 +132,11 @@
 #[test]
 fn a_server_that_is_gone_is_forgotten_after_its_last_request() {
     let mut backends = Backends::default();
-    backends.list(ms(0), &List { revision: 1, items: vec![listed("x", false)], ..List::default() }, None);
+    backends.apply_list(
+        ms(0),
+        &List { revision: 1, items: vec![listed("x", false)], ..List::default() },
+        None,
+    );
     let key = backends.available("s").next().unwrap().0;
     backends.start(key);
 
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -51,11 +51,11 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut contact = Contact::new("backends");
     let mut backends = Backends::default();
-    backends.list(s(0), &list(5, &["lives", "gone"]), None);
+    backends.apply_list(s(0), &list(5, &["lives", "gone"]), None);
     contact.failed(s(1), false, &mut rng);
 
     let (away, grace) = contact.answered(s(9));
-    let changes = backends.list(s(9), &list(9, &["lives"]), grace);
+    let changes = backends.apply_list(s(9), &list(9, &["lives"]), grace);
 
     assert_eq!(away, Some(s(8)));
     assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Missing]);
@@ -72,7 +72,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut contact = Contact::new("backends");
     let mut backends = Backends::default();
-    backends.list(s(0), &list(5, &["a", "b"]), None);
+    backends.apply_list(s(0), &list(5, &["a", "b"]), None);
     contact.failed(s(1), false, &mut rng);
     contact.answered(s(9));
 
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -109,7 +109,7 @@
 fn fleet(loads: &[f64]) -> (Backends, Vec<Candidate>) {
     let mut backends = Backends::default();
     let items = (0..loads.len()).map(|i| listed(&"s".repeat(i + 1), false)).collect();
-    backends.list(ms(0), &List { revision: 1, items, ..List::default() }, None);
+    backends.apply_list(ms(0), &List { revision: 1, items, ..List::default() }, None);
     let mut known: Vec<_> = backends.iter().map(|(key, b)| (b.id.len(), key, b.tag)).collect();
     known.sort_by_key(|(len, ..)| *len);
     let candidates = known.into_iter().zip(loads).map(|((_, key, tag), load)| Candidate {
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -235,7 +235,7 @@
 /// A host that has heard of `x` and `yy`, and then of the end of `x` by these words of the first epoch.
 fn host_that_lost_x(words: &[(Option<Backend>, u64)]) -> Backends {
     let mut host = Backends::default();
-    host.list(ms(0), &list(1, 5, &[listed("x", false), listed("yy", false)]), None);
+    host.apply_list(ms(0), &list(1, 5, &[listed("x", false), listed("yy", false)]), None);
     for (put, number) in words {
         let removed = if put.is_none() { vec!["x".to_owned()] } else { Vec::new() };
         host.change(ms(*number), Revision::new(1, *number), put.as_slice(), &removed, None);
@@ -257,7 +257,7 @@
     for words in [vec![draining.clone()], vec![draining, (None, 9)]] {
         let mut host = host_that_lost_x(&words);
 
-        host.list(ms(100), &copy, None);
+        host.apply_list(ms(100), &copy, None);
         host.change(ms(200), Revision::new(2, 7), &[listed("x", false)], &[], None);
         host.expire(ms(20_000));
 
@@ -272,7 +272,7 @@
     let (mut gone, mut writes, mut outlasts) =
         (host_that_lost_x(&[(None, 9)]), host_that_lost_x(&[(None, 9)]), host_that_lost_x(&[(None, 9)]));
     for host in [&mut gone, &mut writes, &mut outlasts] {
-        let changes = host.list(ms(100), &copy, None);
+        let changes = host.apply_list(ms(100), &copy, None);
         assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Unconfirmed]);
         assert_eq!(working(host), ["yy"]);
     }
@@ -293,9 +293,9 @@
 fn a_server_that_the_copy_does_not_have_keeps_its_work_while_it_may_write_again() {
     let mut host = host_that_lost_x(&[]);
 
-    host.list(ms(100), &list(2, 4, &[listed("x", false)]), None);
+    host.apply_list(ms(100), &list(2, 4, &[listed("x", false)]), None);
     let (before, kept) = (working(&host).len(), host.expire(ms(1_700)).0);
-    host.list(ms(1_750), &list(2, 4, &[listed("x", false)]), None);
+    host.apply_list(ms(1_750), &list(2, 4, &[listed("x", false)]), None);
     let after = working(&host).len();
     host.expire(ms(1_900));
 
@@ -307,9 +307,9 @@
 #[test]
 fn who_leaves_is_heard_from_an_older_list_too() {
     let mut host = host_that_lost_x(&[]);
-    host.list(ms(100), &list(2, 4, &[listed("x", false), listed("yy", false)]), None);
+    host.apply_list(ms(100), &list(2, 4, &[listed("x", false), listed("yy", false)]), None);
 
-    host.list(ms(200), &list(1, 9, &[listed("x", true), listed("zzz", false)]), None);
+    host.apply_list(ms(200), &list(1, 9, &[listed("x", true), listed("zzz", false)]), None);
 
     assert_eq!(working(&host), ["yy"]);
     assert_eq!(host.revision(), Revision::new(2, 4));
@@ -323,8 +323,8 @@
     let (mut told_first, mut told_last) = (Backends::default(), Backends::default());
 
     told_first.learn_left(ms(50), &knows.left());
-    told_first.list(ms(100), &copy, None);
-    told_last.list(ms(100), &copy, None);
+    told_first.apply_list(ms(100), &copy, None);
+    told_last.apply_list(ms(100), &copy, None);
     told_last.learn_left(ms(150), &knows.left());
 
     assert_eq!(knows.left(), [Start { id: "x".into(), born: 0 }]);
@@ -336,8 +336,8 @@
 fn hosts_tell_each_other_for_a_while_who_leaves() {
     let mut knows = host_that_lost_x(&[(Some(listed("x", true)), 7)]);
     let mut behind = host_that_lost_x(&[]);
-    knows.list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
-    behind.list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
+    knows.apply_list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
+    behind.apply_list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
 
     let told = knows.left_lately(ms(200));
     behind.hear_left(ms(200), &told);
@@ -415,7 +415,7 @@
         let known = host.revision();
         if whole || known.epoch != self.epoch || !known.is_known() {
             let items: Vec<_> = self.present.values().cloned().collect();
-            host.list(now, &list(self.epoch, self.number(), &items), None);
+            host.apply_list(now, &list(self.epoch, self.number(), &items), None);
             return;
         }
         let mut latest = BTreeMap::new();
@@ -489,7 +489,7 @@
                     let (tags, snapshot) = (hosts[from].left_lately(now), hosts[from].snapshot(now));
                     hosts[to].hear_left(now, &tags);
                     hosts[to].iter().for_each(|(_, b)| pasts[to].note(b));
-                    hosts[to].list(now, &snapshot, None);
+                    hosts[to].apply_list(now, &snapshot, None);
                 }
             }
             for (host, past) in hosts.iter().zip(&mut pasts) {
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -108,7 +108,7 @@
 fn what_an_entry_tells_of_cold_is_told_on_with_its_age() {
     let (mut follower, mut other) = (Backends::default(), Backends::default());
     for b in [&mut follower, &mut other] {
-        b.list(ms(0), &List { revision: 5, items: vec![cold(0)], ..List::default() }, None);
+        b.apply_list(ms(0), &List { revision: 5, items: vec![cold(0)], ..List::default() }, None);
     }
     let warm = follower.digest();
 
@@ -132,7 +132,7 @@
 fn no_entry_keeps_a_server_cold_for_long() {
     let mut backends = Backends::default();
 
-    backends.list(ms(0), &List { revision: 5, items: vec![cold(u32::MAX)], ..List::default() }, None);
+    backends.apply_list(ms(0), &List { revision: 5, items: vec![cold(u32::MAX)], ..List::default() }, None);
 
     assert!(backends.available("s").next().unwrap().1.cold_until <= ms(60_000));
 }
@@ -143,7 +143,7 @@
 fn the_servers_of_a_data_centre_that_is_taken_back_are_named() {
     let other = Backend { id: "yy".into(), data_centre: "b".into(), ..cold(0) };
     let mut backends = Backends::default();
-    backends.list(ms(0), &List { revision: 5, items: vec![cold(0), other], ..List::default() }, None);
+    backends.apply_list(ms(0), &List { revision: 5, items: vec![cold(0), other], ..List::default() }, None);
 
     let never = backends.cool(ms(10), "a", |_| ms(0));
     let named = backends.cool(ms(10), "a", |_| ms(3_000));
