--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -230,7 +230,7 @@
     }
 
     /// Takes changes that lead to `revision`; those of an older revision than known tell only who leaves.
-    pub fn change(
+    pub fn apply_changes(
         &mut self,
         now: Instant,
         revision: Revision,
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -330,7 +330,7 @@
         let changes = match update {
             BackendsUpdate::List(list) => state.backends.apply_list(now, &list, grace),
             BackendsUpdate::Changes { revision, puts, removed } => {
-                state.backends.change(now, revision, &puts, &removed, grace)
+                state.backends.apply_changes(now, revision, &puts, &removed, grace)
             }
         };
         self.note_changes(&mut state, &changes, from);
--- a/tests/relay_backends.rs
+++ b/tests/relay_backends.rs
@@ -44,8 +44,8 @@
         None,
     );
 
-    let left = backends.change(ms(1), rev(9), &[listed("x", true)], &[], None);
-    let older = backends.change(ms(2), rev(7), &[listed("y", false)], &[], None);
+    let left = backends.apply_changes(ms(1), rev(9), &[listed("x", true)], &[], None);
+    let older = backends.apply_changes(ms(2), rev(7), &[listed("y", false)], &[], None);
     let again = backends.apply_list(
         ms(3),
         &List { revision: 9, items: vec![listed("x", false)], ..List::default() },
@@ -68,12 +68,13 @@
     for b in [&mut misses, &mut knows] {
         b.apply_list(ms(0), &List { revision: 5, items: vec![listed("x", false)], ..List::default() }, None);
     }
-    knows.change(ms(10), rev(8), &[], &["x".into()], None);
-    misses.change(ms(20), rev(9), &[], &["x".into()], Some(ms(1_700)));
+    knows.apply_changes(ms(10), rev(8), &[], &["x".into()], None);
+    misses.apply_changes(ms(20), rev(9), &[], &["x".into()], Some(ms(1_700)));
     assert_eq!(misses.available("s").count(), 1);
 
     let changes = misses.changes_since(ms(30), rev(8)).unwrap();
-    let from_changes = knows.clone().change(ms(30), changes.as_of(), &changes.puts, &changes.removed, None);
+    let from_changes =
+        knows.clone().apply_changes(ms(30), changes.as_of(), &changes.puts, &changes.removed, None);
     let from_list = knows.apply_list(ms(30), &misses.snapshot(ms(30)), None);
 
     assert_eq!((from_changes, from_list), (Vec::new(), Vec::new()));
@@ -88,11 +89,11 @@
     for b in [&mut misses, &mut behind] {
         b.apply_list(ms(0), &List { revision: 5, items: vec![listed("x", false)], ..List::default() }, None);
     }
-    misses.change(ms(20), rev(9), &[], &["x".into()], Some(ms(1_700)));
+    misses.apply_changes(ms(20), rev(9), &[], &["x".into()], Some(ms(1_700)));
 
     let changes = misses.changes_since(ms(30), behind.revision()).unwrap();
     let from_list = behind.clone().apply_list(ms(30), &misses.snapshot(ms(30)), None);
-    let from_changes = behind.change(ms(30), changes.as_of(), &changes.puts, &changes.removed, None);
+    let from_changes = behind.apply_changes(ms(30), changes.as_of(), &changes.puts, &changes.removed, None);
 
     assert_eq!((from_changes.len(), from_list.len()), (1, 1));
     assert_eq!(behind.available("s").count(), 0);
@@ -110,19 +111,19 @@
             None,
         );
     }
-    ahead.change(ms(1), rev(7), &[listed("x", true)], &[], None);
-    ahead.change(ms(2), rev(9), &[listed("zzz", false)], &["yy".into()], None);
+    ahead.apply_changes(ms(1), rev(7), &[listed("x", true)], &[], None);
+    ahead.apply_changes(ms(2), rev(9), &[listed("zzz", false)], &["yy".into()], None);
 
     let changes = ahead.changes_since(ms(30), behind.revision()).unwrap();
     let last = ahead.changes_since(ms(30), rev(7)).unwrap();
-    behind.change(ms(3), changes.as_of(), &changes.puts, &changes.removed, None);
+    behind.apply_changes(ms(3), changes.as_of(), &changes.puts, &changes.removed, None);
 
     assert_eq!((changes.puts.len(), changes.removed.len()), (2, 1));
     assert_eq!((last.puts.len(), last.removed.len()), (1, 1));
     assert_eq!(behind.digest(), ahead.digest());
     assert_eq!(ahead.changes_since(ms(30), rev(4)), None);
     for i in 0..600 {
-        ahead.change(ms(4), rev(10 + i), &[listed("x", true)], &[], None);
+        ahead.apply_changes(ms(4), rev(10 + i), &[listed("x", true)], &[], None);
     }
     assert_eq!(ahead.changes_since(ms(30), rev(9)), None);
 }
@@ -140,7 +141,7 @@
     let key = backends.available("s").next().unwrap().0;
     backends.start(key);
 
-    let gone = backends.change(ms(10), rev(2), &[], &["x".into()], None);
+    let gone = backends.apply_changes(ms(10), rev(2), &[], &["x".into()], None);
     let (_, early) = backends.expire(ms(60_000));
     backends.end(key);
     let (_, done) = backends.expire(ms(60_001));
@@ -158,7 +159,7 @@
     let (before, tag) = backends.available("s").map(|(key, b)| (key, b.tag)).next().unwrap();
     backends.start(before);
 
-    let changes = backends.change(ms(10), rev(2), &[born(200)], &[], None);
+    let changes = backends.apply_changes(ms(10), rev(2), &[born(200)], &[], None);
 
     let (after, b) = backends.available("s").next().unwrap();
     assert_eq!(changes, [(before, Change::Restarted), (after, Change::Seen)]);
@@ -174,9 +175,9 @@
 fn a_server_that_left_takes_work_again_only_after_a_new_start() {
     let mut backends = known(vec![Backend { leaving: true, ..born(100) }]);
 
-    backends.change(ms(10), rev(2), &[born(100)], &[], None);
+    backends.apply_changes(ms(10), rev(2), &[born(100)], &[], None);
     let same = backends.available("s").count();
-    backends.change(ms(20), rev(3), &[born(200)], &[], None);
+    backends.apply_changes(ms(20), rev(3), &[born(200)], &[], None);
 
     assert_eq!((same, backends.available("s").count()), (0, 1));
 }
@@ -188,7 +189,7 @@
         let mut backends = known(vec![born(200)]);
         let key = backends.available("s").next().unwrap().0;
 
-        let changes = backends.change(ms(10), rev(2), &[late], &[], None);
+        let changes = backends.apply_changes(ms(10), rev(2), &[late], &[], None);
 
         assert_eq!(changes, []);
         assert_eq!(backends.available("s").next().unwrap().0, key);
@@ -200,10 +201,10 @@
 fn hosts_tell_each_other_of_restarts() {
     let mut ahead = known(vec![born(100)]);
     let mut behind = ahead.clone();
-    ahead.change(ms(10), rev(2), &[born(200)], &[], None);
+    ahead.apply_changes(ms(10), rev(2), &[born(200)], &[], None);
 
     let changes = ahead.changes_since(ms(30), behind.revision()).unwrap();
-    let told = behind.change(ms(20), changes.as_of(), &changes.puts, &changes.removed, None);
+    let told = behind.apply_changes(ms(20), changes.as_of(), &changes.puts, &changes.removed, None);
 
     assert_eq!(told.len(), 2);
     assert_eq!(behind.digest(), ahead.digest());
@@ -225,10 +226,10 @@
         let mut backends = known(vec![born(100), listed("yy", false)]);
         let key = backends.by_tag(cranberrytally::relay::backends::tag("x", 100)).unwrap();
 
-        let lost = backends.change(ms(10), rev(2), &[entry.clone(), unreadable("zzz")], &[], None);
+        let lost = backends.apply_changes(ms(10), rev(2), &[entry.clone(), unreadable("zzz")], &[], None);
         let others: Vec<_> = backends.available("s").map(|(_, b)| b.id.clone()).collect();
-        let again = backends.change(ms(20), rev(3), std::slice::from_ref(&entry), &[], None);
-        let back = backends.change(ms(900), rev(4), &[born(100)], &[], None);
+        let again = backends.apply_changes(ms(20), rev(3), std::slice::from_ref(&entry), &[], None);
+        let back = backends.apply_changes(ms(900), rev(4), &[born(100)], &[], None);
 
         assert_eq!(lost, [(key, Change::Unreadable)], "{entry:?}");
         assert_eq!(others, ["yy".into()], "{entry:?}");
@@ -242,10 +243,10 @@
 fn an_unreadable_entry_is_told_to_other_hosts() {
     let mut ahead = known(vec![born(100)]);
     let mut behind = ahead.clone();
-    ahead.change(ms(10), rev(2), &[unreadable("x")], &[], None);
+    ahead.apply_changes(ms(10), rev(2), &[unreadable("x")], &[], None);
 
     let changes = ahead.changes_since(ms(30), behind.revision()).unwrap();
-    behind.change(ms(20), changes.as_of(), &changes.puts, &changes.removed, None);
+    behind.apply_changes(ms(20), changes.as_of(), &changes.puts, &changes.removed, None);
 
     assert_eq!(behind.available("s").count(), 0);
     assert_eq!(behind.digest(), ahead.digest());
@@ -265,7 +266,7 @@
                 1 => Backend { leaving: true, born: start, ..listed(&name, false) },
                 _ => Backend { born: start, ..listed(&name, false) },
             };
-            backends.change(ms(at as u64), rev(at as u64 + 1), &[entry], &[], None);
+            backends.apply_changes(ms(at as u64), rev(at as u64 + 1), &[entry], &[], None);
             for (_, b) in backends.available("s") {
                 let known = &mut latest[b.id.len() - 1];
                 prop_assert!(b.born >= *known, "{} after {known}", b.born);
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -238,7 +238,7 @@
     host.apply_list(ms(0), &list(1, 5, &[listed("x", false), listed("yy", false)]), None);
     for (put, number) in words {
         let removed = if put.is_none() { vec!["x".to_owned()] } else { Vec::new() };
-        host.change(ms(*number), Revision::new(1, *number), put.as_slice(), &removed, None);
+        host.apply_changes(ms(*number), Revision::new(1, *number), put.as_slice(), &removed, None);
     }
     host
 }
@@ -258,7 +258,7 @@
         let mut host = host_that_lost_x(&words);
 
         host.apply_list(ms(100), &copy, None);
-        host.change(ms(200), Revision::new(2, 7), &[listed("x", false)], &[], None);
+        host.apply_changes(ms(200), Revision::new(2, 7), &[listed("x", false)], &[], None);
         host.expire(ms(20_000));
 
         assert_eq!(working(&host), ["yy"]);
@@ -277,9 +277,9 @@
         assert_eq!(working(host), ["yy"]);
     }
 
-    gone.change(ms(3_000), Revision::new(2, 8), &[], &["x".into()], None);
+    gone.apply_changes(ms(3_000), Revision::new(2, 8), &[], &["x".into()], None);
     gone.expire(ms(20_000));
-    writes.change(ms(300), Revision::new(2, 8), &[listed("x", false)], &[], None);
+    writes.apply_changes(ms(300), Revision::new(2, 8), &[listed("x", false)], &[], None);
     outlasts.expire(ms(5_000));
     let early = working(&outlasts).len();
     outlasts.expire(ms(6_200));
@@ -425,7 +425,7 @@
         let puts: Vec<_> = latest.values().filter_map(|e| (*e).clone()).collect();
         let gone = latest.iter().filter(|(_, e)| e.is_none());
         let gone: Vec<_> = gone.map(|(server, _)| NAMES[*server].to_owned()).collect();
-        host.change(now, Revision::new(self.epoch, self.number()), &puts, &gone, None);
+        host.apply_changes(now, Revision::new(self.epoch, self.number()), &puts, &gone, None);
     }
 }
 
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -112,10 +112,10 @@
     }
     let warm = follower.digest();
 
-    let turned = follower.change(ms(100), rev(6), &[cold(3_000)], &[], None);
-    let counted = follower.change(ms(1_300), rev(7), &[cold(1_800)], &[], None);
+    let turned = follower.apply_changes(ms(100), rev(6), &[cold(3_000)], &[], None);
+    let counted = follower.apply_changes(ms(1_300), rev(7), &[cold(1_800)], &[], None);
     let told = follower.changes_since(ms(1_500), rev(5)).unwrap();
-    other.change(ms(1_500), told.as_of(), &told.puts, &told.removed, None);
+    other.apply_changes(ms(1_500), told.as_of(), &told.puts, &told.removed, None);
 
     assert!(matches!(turned[..], [(_, Change::Cold)]), "{turned:?}");
     assert_eq!(counted, []);
@@ -123,7 +123,7 @@
     assert!(follower.digest() != warm && follower.digest() == other.digest());
     let until = other.available("s").next().unwrap().1.cold_until;
     assert_eq!(until, ms(3_100));
-    follower.change(ms(3_200), rev(8), &[cold(0)], &[], None);
+    follower.apply_changes(ms(3_200), rev(8), &[cold(0)], &[], None);
     assert_eq!(follower.digest(), warm);
 }
 
