--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -254,7 +254,7 @@
     }
 
     /// Counts the backend servers of a data centre as cold for a while, by service; returns those that are.
-    pub fn cool(
+    pub fn mark_cold(
         &mut self,
         now: Instant,
         data_centre: &str,
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -213,7 +213,7 @@
                 let lasts =
                     |service: &str| routes.cold(service).map_or(Duration::ZERO, |limit| limit.duration);
                 state.taken_back = Some(now());
-                let cold = state.backends.cool(now(), data_centre, lasts);
+                let cold = state.backends.mark_cold(now(), data_centre, lasts);
                 cold.into_iter().for_each(|key| state.holders.forget(key));
             }
         }
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -145,8 +145,8 @@
     let mut backends = Backends::default();
     backends.apply_list(ms(0), &List { revision: 5, items: vec![cold(0), other], ..List::default() }, None);
 
-    let never = backends.cool(ms(10), "a", |_| ms(0));
-    let named = backends.cool(ms(10), "a", |_| ms(3_000));
+    let never = backends.mark_cold(ms(10), "a", |_| ms(0));
+    let named = backends.mark_cold(ms(10), "a", |_| ms(3_000));
 
     assert_eq!(never, []);
     assert_eq!(named.iter().map(|key| &*backends.get(*key).unwrap().id).collect::<Vec<_>>(), ["x"]);
