--- a/src/relay/backends/left.rs
+++ b/src/relay/backends/left.rs
@@ -24,7 +24,7 @@
 
     /// Counts a backend server as gone, as when another one answers at its address. That is this host's finding alone, and
     /// not told to others: one wrong answer must not end a server for all.
-    pub fn lose(&mut self, key: BackendKey) -> Option<(BackendKey, Change)> {
+    pub fn mark_replaced(&mut self, key: BackendKey) -> Option<(BackendKey, Change)> {
         let known = self.arena.get_mut(key)?;
         let news = known.takes_work();
         known.state = State::Leaving;
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -349,7 +349,7 @@
     /// Counts a server as gone, as when another one answers at its address.
     pub(crate) fn lose(&self, key: BackendKey, why: &str) {
         let mut state = self.state();
-        if let Some(change) = state.backends.lose(key) {
+        if let Some(change) = state.backends.mark_replaced(key) {
             self.note_changes(&mut state, &[change], why);
         }
     }
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -353,7 +353,7 @@
     let key = |host: &Backends| host.available("s").find(|(_, b)| &*b.id == "x").unwrap().0;
     let (lost_key, told_key) = (key(&lost), key(&told));
 
-    lost.lose(lost_key);
+    lost.mark_replaced(lost_key);
     told.leave(ms(10), told_key);
 
     assert_eq!((working(&lost), working(&told)), (vec!["yy"], vec!["yy"]));
