--- a/src/relay/backends/left.rs
+++ b/src/relay/backends/left.rs
@@ -14,7 +14,7 @@
 
 impl Backends {
     /// Takes in that a backend server leaves, as it or another host says.
-    pub fn leave(&mut self, now: Instant, key: BackendKey) -> Option<(BackendKey, Change)> {
+    pub fn mark_leaving(&mut self, now: Instant, key: BackendKey) -> Option<(BackendKey, Change)> {
         let known = self.arena.get_mut(key)?;
         let news = known.takes_work();
         known.leave(now);
@@ -37,7 +37,7 @@
         let known: Vec<_> = tags.iter().filter_map(|tag| self.by_tag(*tag)).collect();
         let news = |key: &BackendKey| self.arena.get(*key).is_some_and(|b| b.left.is_none());
         let leaving: Vec<_> = known.into_iter().filter(news).collect();
-        leaving.into_iter().filter_map(|key| self.leave(now, key)).collect()
+        leaving.into_iter().filter_map(|key| self.mark_leaving(now, key)).collect()
     }
 
     /// Takes in starts that were seen leaving before this host knew of them.
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -329,7 +329,7 @@
         if read.leaves {
             self.note(Weight::Notable, "told_leaving", req, |l| l.text("backend", id));
             let mut state = self.state();
-            if let Some(change) = state.backends.leave(now(), key) {
+            if let Some(change) = state.backends.mark_leaving(now(), key) {
                 self.metrics.add(Counter::RelayTold, Said::Leaving.as_str(), 1);
                 self.note_changes(&mut state, &[change], "its answer");
             }
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -354,7 +354,7 @@
     let (lost_key, told_key) = (key(&lost), key(&told));
 
     lost.mark_replaced(lost_key);
-    told.leave(ms(10), told_key);
+    told.mark_leaving(ms(10), told_key);
 
     assert_eq!((working(&lost), working(&told)), (vec!["yy"], vec!["yy"]));
     assert_eq!((lost.left_lately(ms(20)).len(), lost.left().len()), (0, 0));
