--- a/src/relay.rs
+++ b/src/relay.rs
@@ -350,7 +350,7 @@
 
 impl<W: Wire> Work<W> {
     pub(crate) fn start(relay: &Arc<Relay<W>>, key: BackendKey) -> Self {
-        relay.state().backends.start(key);
+        relay.state().backends.begin_request(key);
         Self { relay: relay.clone(), key }
     }
 }
--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -301,7 +301,7 @@
     }
 
     /// Counts a request that starts at a backend server.
-    pub fn start(&mut self, key: BackendKey) {
+    pub fn begin_request(&mut self, key: BackendKey) {
         if let Some(b) = self.arena.get_mut(key) {
             b.in_progress += 1;
         }
--- a/tests/relay_backends.rs
+++ b/tests/relay_backends.rs
@@ -139,7 +139,7 @@
         None,
     );
     let key = backends.available("s").next().unwrap().0;
-    backends.start(key);
+    backends.begin_request(key);
 
     let gone = backends.apply_changes(ms(10), rev(2), &[], &["x".into()], None);
     let (_, early) = backends.expire(ms(60_000));
@@ -157,7 +157,7 @@
 fn a_later_start_under_the_same_identifier_is_another_server() {
     let mut backends = known(vec![born(100)]);
     let (before, tag) = backends.available("s").map(|(key, b)| (key, b.tag)).next().unwrap();
-    backends.start(before);
+    backends.begin_request(before);
 
     let changes = backends.apply_changes(ms(10), rev(2), &[born(200)], &[], None);
 
