--- a/src/relay.rs
+++ b/src/relay.rs
@@ -357,7 +357,7 @@
 
 impl<W: Wire> Drop for Work<W> {
     fn drop(&mut self) {
-        self.relay.state().backends.end(self.key);
+        self.relay.state().backends.end_request(self.key);
     }
 }
 
--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -308,7 +308,7 @@
     }
 
     /// Counts a request that ends at a backend server.
-    pub fn end(&mut self, key: BackendKey) {
+    pub fn end_request(&mut self, key: BackendKey) {
         if let Some(b) = self.arena.get_mut(key) {
             b.in_progress = b.in_progress.saturating_sub(1);
         }
--- a/tests/relay_backends.rs
+++ b/tests/relay_backends.rs
@@ -143,7 +143,7 @@
 
     let gone = backends.apply_changes(ms(10), rev(2), &[], &["x".into()], None);
     let (_, early) = backends.expire(ms(60_000));
-    backends.end(key);
+    backends.end_request(key);
     let (_, done) = backends.expire(ms(60_001));
 
     assert_eq!(gone, [(key, Change::Left)]);
@@ -166,7 +166,7 @@
     assert_ne!((after, b.tag), (before, tag));
     assert_eq!(b.in_progress, 0);
     assert_eq!(backends.by_tag(tag), None);
-    backends.end(before);
+    backends.end_request(before);
     assert_eq!(backends.available("s").count(), 1);
 }
 
