--- a/src/relay/backends/left.rs
+++ b/src/relay/backends/left.rs
@@ -61,7 +61,7 @@
     }
 
     /// Tags of servers that were seen leaving lately, the latest first.
-    pub fn left_lately(&self, now: Instant) -> Vec<Tag> {
+    pub fn recently_leaving(&self, now: Instant) -> Vec<Tag> {
         let left = self.arena.values().filter_map(|b| Some((b.left?, b.tag)));
         let mut lately: Vec<_> = left.filter(|(at, _)| *at + LEFT_TOLD > now).collect();
         lately.sort_unstable_by(|a, b| b.cmp(a));
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -60,7 +60,7 @@
             avoided,
             suspects: state.suspects.recent(now),
             evacuations: state.evacuations.told(now),
-            left: state.backends.left_lately(now),
+            left: state.backends.recently_leaving(now),
             confirmed: Some(state.confirmations.told(now)),
             ..Beat::default()
         };
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -339,11 +339,11 @@
     knows.apply_list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
     behind.apply_list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
 
-    let told = knows.left_lately(ms(200));
+    let told = knows.recently_leaving(ms(200));
     behind.hear_left(ms(200), &told);
 
     assert_eq!(working(&behind), ["yy"]);
-    assert_eq!((behind.digest(), knows.left_lately(ms(20_000))), (knows.digest(), Vec::new()));
+    assert_eq!((behind.digest(), knows.recently_leaving(ms(20_000))), (knows.digest(), Vec::new()));
 }
 
 /// One wrong answer at a server's address ending it for all hosts, and for good.
@@ -357,9 +357,9 @@
     told.mark_leaving(ms(10), told_key);
 
     assert_eq!((working(&lost), working(&told)), (vec!["yy"], vec!["yy"]));
-    assert_eq!((lost.left_lately(ms(20)).len(), lost.left().len()), (0, 0));
+    assert_eq!((lost.recently_leaving(ms(20)).len(), lost.left().len()), (0, 0));
     assert!(lost.snapshot(ms(20)).items.iter().all(|item| !item.leaving));
-    assert_eq!((told.left_lately(ms(20)).len(), told.left().len()), (1, 1));
+    assert_eq!((told.recently_leaving(ms(20)).len(), told.left().len()), (1, 1));
 }
 
 /// What the model's store does next, with one of three servers.
@@ -486,7 +486,7 @@
                 }
                 Step::Hear { host, whole } => store.tell(&mut hosts[host], now, whole),
                 Step::Tell { from, to } => {
-                    let (tags, snapshot) = (hosts[from].left_lately(now), hosts[from].snapshot(now));
+                    let (tags, snapshot) = (hosts[from].recently_leaving(now), hosts[from].snapshot(now));
                     hosts[to].hear_left(now, &tags);
                     hosts[to].iter().for_each(|(_, b)| pasts[to].note(b));
                     hosts[to].apply_list(now, &snapshot, None);
