--- a/src/relay/backends/left.rs
+++ b/src/relay/backends/left.rs
@@ -33,7 +33,7 @@
     }
 
     /// Takes in starts that another host has seen leaving, by their tags.
-    pub fn hear_left(&mut self, now: Instant, tags: &[Tag]) -> Vec<(BackendKey, Change)> {
+    pub fn apply_leaving(&mut self, now: Instant, tags: &[Tag]) -> Vec<(BackendKey, Change)> {
         let known: Vec<_> = tags.iter().filter_map(|tag| self.by_tag(*tag)).collect();
         let news = |key: &BackendKey| self.arena.get(*key).is_some_and(|b| b.left.is_none());
         let leaving: Vec<_> = known.into_iter().filter(news).collect();
@@ -46,7 +46,7 @@
             self.ended.note(now, &start.id.as_str().into(), start.born, true, self.revision.epoch);
         }
         let tags: Vec<_> = starts.iter().map(|start| tag(&start.id, start.born)).collect();
-        self.hear_left(now, &tags)
+        self.apply_leaving(now, &tags)
     }
 
     /// Takes from entries of an older revision who leaves: that holds whatever the store has told since.
@@ -57,7 +57,7 @@
     ) -> Vec<(BackendKey, Change)> {
         let leaving = items.iter().filter(|item| item.leaving).map(|item| tag(&item.id, item.born));
         let leaving: Vec<_> = leaving.collect();
-        self.hear_left(now, &leaving)
+        self.apply_leaving(now, &leaving)
     }
 
     /// Tags of servers that were seen leaving lately, the latest first.
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -97,7 +97,7 @@
         state.budget.set_hosts(hosts);
         state.suspects.merge(now, &beat.suspects);
         state.treat_avoided_as_cold(now, &beat.avoided);
-        let left = state.backends.hear_left(now, &beat.left);
+        let left = state.backends.apply_leaving(now, &beat.left);
         self.note_changes(&mut state, &left, &from.to_string());
         if let Some(told) = &beat.evacuations {
             let changes = state.evacuations.hear(now, told);
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -340,7 +340,7 @@
     behind.apply_list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
 
     let told = knows.recently_leaving(ms(200));
-    behind.hear_left(ms(200), &told);
+    behind.apply_leaving(ms(200), &told);
 
     assert_eq!(working(&behind), ["yy"]);
     assert_eq!((behind.digest(), knows.recently_leaving(ms(20_000))), (knows.digest(), Vec::new()));
@@ -487,7 +487,7 @@
                 Step::Hear { host, whole } => store.tell(&mut hosts[host], now, whole),
                 Step::Tell { from, to } => {
                     let (tags, snapshot) = (hosts[from].recently_leaving(now), hosts[from].snapshot(now));
-                    hosts[to].hear_left(now, &tags);
+                    hosts[to].apply_leaving(now, &tags);
                     hosts[to].iter().for_each(|(_, b)| pasts[to].note(b));
                     hosts[to].apply_list(now, &snapshot, None);
                 }
