--- a/src/relay/backends/left.rs
+++ b/src/relay/backends/left.rs
@@ -41,7 +41,11 @@
     }
 
     /// Takes in starts that were seen leaving before this host knew of them.
-    pub fn learn_left(&mut self, now: Instant, starts: &[fleet::Start]) -> Vec<(BackendKey, Change)> {
+    pub fn apply_leaving_starts(
+        &mut self,
+        now: Instant,
+        starts: &[fleet::Start],
+    ) -> Vec<(BackendKey, Change)> {
         for start in starts.iter().filter(|start| !self.by_id.contains_key(start.id.as_str())) {
             self.ended.note(now, &start.id.as_str().into(), start.born, true, self.revision.epoch);
         }
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -125,7 +125,7 @@
     /// Takes in starts of servers that another host has seen leaving.
     pub(crate) fn learn_left(&self, starts: &[Start], from: &str) {
         let mut state = self.state();
-        let changes = state.backends.learn_left(now(), starts);
+        let changes = state.backends.apply_leaving_starts(now(), starts);
         self.note_changes(&mut state, &changes, from);
     }
 
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -322,10 +322,10 @@
     let copy = list(2, 6, &[listed("x", false), listed("yy", false)]);
     let (mut told_first, mut told_last) = (Backends::default(), Backends::default());
 
-    told_first.learn_left(ms(50), &knows.left());
+    told_first.apply_leaving_starts(ms(50), &knows.left());
     told_first.apply_list(ms(100), &copy, None);
     told_last.apply_list(ms(100), &copy, None);
-    told_last.learn_left(ms(150), &knows.left());
+    told_last.apply_leaving_starts(ms(150), &knows.left());
 
     assert_eq!(knows.left(), [Start { id: "x".into(), born: 0 }]);
     assert_eq!((working(&told_first), working(&told_last)), (vec!["yy"], vec!["yy"]));
