--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -253,7 +253,7 @@
             backends: (newer && changes.is_none()).then(|| state.backends.snapshot(now())),
             changes,
             held,
-            left: if ask.wants_held { state.backends.left() } else { Vec::new() },
+            left: if ask.wants_held { state.backends.leaving_starts() } else { Vec::new() },
             busy,
         }
     };
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -322,12 +322,12 @@
     let copy = list(2, 6, &[listed("x", false), listed("yy", false)]);
     let (mut told_first, mut told_last) = (Backends::default(), Backends::default());
 
-    told_first.apply_leaving_starts(ms(50), &knows.left());
+    told_first.apply_leaving_starts(ms(50), &knows.leaving_starts());
     told_first.apply_list(ms(100), &copy, None);
     told_last.apply_list(ms(100), &copy, None);
-    told_last.apply_leaving_starts(ms(150), &knows.left());
+    told_last.apply_leaving_starts(ms(150), &knows.leaving_starts());
 
-    assert_eq!(knows.left(), [Start { id: "x".into(), born: 0 }]);
+    assert_eq!(knows.leaving_starts(), [Start { id: "x".into(), born: 0 }]);
     assert_eq!((working(&told_first), working(&told_last)), (vec!["yy"], vec!["yy"]));
 }
 
@@ -357,9 +357,9 @@
     told.mark_leaving(ms(10), told_key);
 
     assert_eq!((working(&lost), working(&told)), (vec!["yy"], vec!["yy"]));
-    assert_eq!((lost.recently_leaving(ms(20)).len(), lost.left().len()), (0, 0));
+    assert_eq!((lost.recently_leaving(ms(20)).len(), lost.leaving_starts().len()), (0, 0));
     assert!(lost.snapshot(ms(20)).items.iter().all(|item| !item.leaving));
-    assert_eq!((told.recently_leaving(ms(20)).len(), told.left().len()), (1, 1));
+    assert_eq!((told.recently_leaving(ms(20)).len(), told.leaving_starts().len()), (1, 1));
 }
 
 /// What the model's store does next, with one of three servers.
