--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -106,7 +106,7 @@
 
 impl Backend {
     /// Whether it takes new work.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         matches!(self.state, State::Ready | State::Missing { .. })
     }
 
@@ -321,7 +321,7 @@
 
     /// Backend servers of a service that take new work.
     pub fn available(&self, service: &str) -> impl Iterator<Item = (BackendKey, &Backend)> {
-        self.arena.iter().filter(move |(_, b)| &*b.service == service && b.takes_work())
+        self.arena.iter().filter(move |(_, b)| &*b.service == service && b.accepts_work())
     }
 
     /// Digest of the list; the same at hosts that know the same.
@@ -333,6 +333,6 @@
     fn renew_digest(&mut self) {
         let listed = self.arena.iter().filter(|(key, b)| self.by_id.get(&b.id) == Some(key));
         self.digest =
-            listed.fold(0, |sum, (_, b)| sum ^ hash((&*b.id, b.born, b.takes_work(), b.told_cold)) as u32);
+            listed.fold(0, |sum, (_, b)| sum ^ hash((&*b.id, b.born, b.accepts_work(), b.told_cold)) as u32);
     }
 }
--- a/src/relay/backends/intake.rs
+++ b/src/relay/backends/intake.rs
@@ -77,7 +77,7 @@
     /// Sends nothing new to a server whose entry is not its own.
     fn distrust(&mut self, key: BackendKey) -> Option<(BackendKey, Change)> {
         let known = &mut self.arena[key];
-        if !known.takes_work() {
+        if !known.accepts_work() {
             return None;
         }
         known.state = State::Unreadable;
@@ -157,7 +157,7 @@
 
     pub(super) fn drop_entry(&mut self, now: Instant, key: BackendKey) -> Option<(BackendKey, Change)> {
         let known = &mut self.arena[key];
-        let news = known.takes_work();
+        let news = known.accepts_work();
         let left = known.left.is_some();
         self.ended.note(now, &known.id, known.born, left, self.revision.epoch);
         known.state = State::Leaving;
--- a/src/relay/backends/left.rs
+++ b/src/relay/backends/left.rs
@@ -16,7 +16,7 @@
     /// Takes in that a backend server leaves, as it or another host says.
     pub fn mark_leaving(&mut self, now: Instant, key: BackendKey) -> Option<(BackendKey, Change)> {
         let known = self.arena.get_mut(key)?;
-        let news = known.takes_work();
+        let news = known.accepts_work();
         known.leave(now);
         self.renew_digest();
         news.then_some((key, Change::Left))
@@ -26,7 +26,7 @@
     /// not told to others: one wrong answer must not end a server for all.
     pub fn mark_replaced(&mut self, key: BackendKey) -> Option<(BackendKey, Change)> {
         let known = self.arena.get_mut(key)?;
-        let news = known.takes_work();
+        let news = known.accepts_work();
         known.state = State::Leaving;
         self.renew_digest();
         news.then_some((key, Change::Left))
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -495,7 +495,7 @@
             for (host, past) in hosts.iter().zip(&mut pasts) {
                 for (_, b) in host.iter() {
                     past.note(b);
-                    prop_assert!(!b.takes_work() || !past.has_left(&b.id, b.born), "{} works again", b.id);
+                    prop_assert!(!b.accepts_work() || !past.has_left(&b.id, b.born), "{} works again", b.id);
                 }
             }
         }
