--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -137,7 +137,7 @@
     /// Listed for the first time.
     Seen,
     /// Takes no new work from now on.
-    Left,
+    Leaving,
     /// Its entry is missing since the store came back.
     Missing,
     /// Its entry can't be read or is another's.
@@ -155,7 +155,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Change::Seen => "seen",
-            Change::Left => "leaving",
+            Change::Leaving => "leaving",
             Change::Missing => "missing",
             Change::Unreadable => "unreadable",
             Change::Restarted => "restarted",
--- a/src/relay/backends/intake.rs
+++ b/src/relay/backends/intake.rs
@@ -57,7 +57,7 @@
             _ if item.leaving => {
                 let news = known.state != State::Leaving;
                 known.leave(now);
-                news.then_some((key, Change::Left))
+                news.then_some((key, Change::Leaving))
             }
             State::Leaving => None,
             State::Unconfirmed { .. } if item.unconfirmed_ms > 0 || !written => None,
@@ -98,7 +98,7 @@
         let tag = tag(&id, item.born);
         let (state, change) = match past {
             _ if item.leaving => (State::Leaving, Change::Seen),
-            Past::Left => (State::Leaving, Change::Left),
+            Past::Left => (State::Leaving, Change::Leaving),
             _ if item.unconfirmed_ms > 0 => (unconfirmed(now, item), Change::Unconfirmed),
             Past::Removed if !written => (unconfirmed(now, item), Change::Unconfirmed),
             _ => (State::Ready, Change::Seen),
@@ -167,7 +167,7 @@
         if self.by_tag.get(&tag) == Some(&key) {
             self.by_tag.remove(&tag);
         }
-        news.then_some((key, Change::Left))
+        news.then_some((key, Change::Leaving))
     }
 
     /// Counts servers as alive whose entries have outlasted those of dead ones.
--- a/src/relay/backends/left.rs
+++ b/src/relay/backends/left.rs
@@ -19,7 +19,7 @@
         let news = known.accepts_work();
         known.leave(now);
         self.renew_digest();
-        news.then_some((key, Change::Left))
+        news.then_some((key, Change::Leaving))
     }
 
     /// Counts a backend server as gone, as when another one answers at its address. That is this host's finding alone, and
@@ -29,7 +29,7 @@
         let news = known.accepts_work();
         known.state = State::Leaving;
         self.renew_digest();
-        news.then_some((key, Change::Left))
+        news.then_some((key, Change::Leaving))
     }
 
     /// Takes in starts that another host has seen leaving, by their tags.
--- a/tests/relay_backends.rs
+++ b/tests/relay_backends.rs
@@ -146,7 +146,7 @@
     backends.end_request(key);
     let (_, done) = backends.expire(ms(60_001));
 
-    assert_eq!(gone, [(key, Change::Left)]);
+    assert_eq!(gone, [(key, Change::Leaving)]);
     assert_eq!(early, []);
     assert_eq!(done, [key]);
 }
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -79,7 +79,7 @@
     let (_, grace) = contact.answered(s(13));
     let changes = backends.apply_changes(s(13), rev(12), &[], &["b".into()], grace);
 
-    assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Left]);
+    assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Leaving]);
     assert_eq!(backends.available("app").count(), 1);
 }
 
