--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -95,7 +95,7 @@
     /// Requests of this process in progress there.
     pub in_progress: u32,
     /// When its entry was removed.
-    pub gone: Option<Instant>,
+    pub removed_at: Option<Instant>,
     /// When it was first said to leave, by itself, the store or another host.
     left: Option<Instant>,
     /// Until when it is cold, as far as is told.
@@ -282,7 +282,7 @@
             self.renew_digest();
         }
         self.ended.expire(now);
-        let done = |b: &Backend| b.in_progress == 0 && b.gone.is_some_and(|gone| gone + LINGERS <= now);
+        let done = |b: &Backend| b.in_progress == 0 && b.removed_at.is_some_and(|gone| gone + LINGERS <= now);
         let done: Vec<_> = self.arena.iter().filter(|(_, b)| done(b)).map(|(key, _)| key).collect();
         for key in &done {
             self.arena.remove(*key);
--- a/src/relay/backends/intake.rs
+++ b/src/relay/backends/intake.rs
@@ -116,7 +116,7 @@
             slots: item.slots,
             state,
             in_progress: 0,
-            gone: None,
+            removed_at: None,
             left: (state == State::Leaving).then_some(now),
             cold_until: Instant::ZERO,
             told_cold: false,
@@ -161,7 +161,7 @@
         let left = known.left.is_some();
         self.ended.note(now, &known.id, known.born, left, self.revision.epoch);
         known.state = State::Leaving;
-        known.gone = Some(now);
+        known.removed_at = Some(now);
         let (id, tag) = (known.id.clone(), known.tag);
         self.by_id.remove(&id);
         if self.by_tag.get(&tag) == Some(&key) {
--- a/src/relay/backends/left.rs
+++ b/src/relay/backends/left.rs
@@ -74,7 +74,7 @@
 
     /// Starts that were seen leaving, for a host that has just started: a store that was restored may list them as ready.
     pub fn leaving_starts(&self) -> Vec<fleet::Start> {
-        let leaving = self.arena.values().filter(|b| b.left.is_some() && b.gone.is_none());
+        let leaving = self.arena.values().filter(|b| b.left.is_some() && b.removed_at.is_none());
         let leaving = leaving.map(|b| fleet::Start { id: b.id.to_string(), born: b.born });
         leaving.chain(self.ended.left()).take(MOST_STARTS).collect()
     }
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -440,7 +440,7 @@
 
 impl Past {
     fn note(&mut self, b: &Known) {
-        if b.state == State::Leaving && b.gone.is_none() {
+        if b.state == State::Leaving && b.removed_at.is_none() {
             self.left.insert((b.id.to_string(), b.born));
         }
         let last = self.last_start.entry(b.id.to_string()).or_default();
