--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -35,7 +35,7 @@
 /// Names one start of a backend server in messages between hosts.
 pub type Tag = u32;
 /// When a start of a backend server began, in milliseconds since 1970; 0 where it is not told.
-pub type Born = u64;
+pub type StartMs = u64;
 
 /// How long a server whose entry was removed may still be asked for prompt parts; leaving servers serve for two
 /// seconds and more.
@@ -79,7 +79,7 @@
     /// Identifier, which later starts keep.
     pub id: Arc<str>,
     /// When this start began, in milliseconds since 1970; 0 where it is not told.
-    pub born: Born,
+    pub born: StartMs,
     /// Tag of the identifier and the start.
     pub tag: Tag,
     /// Service that it runs.
@@ -166,7 +166,7 @@
 }
 
 /// Tag of one start of a backend server.
-pub fn tag(id: &str, born: Born) -> Tag {
+pub fn tag(id: &str, born: StartMs) -> Tag {
     hash((id, born)) as Tag
 }
 
--- a/src/relay/backends/ended.rs
+++ b/src/relay/backends/ended.rs
@@ -5,7 +5,7 @@
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
-use super::Born;
+use super::StartMs;
 use crate::{
     relay::revision::Epoch,
     schema::fleet::{Backend, Start},
@@ -20,7 +20,7 @@
 /// The end of a start of a server.
 #[derive(Clone, Copy, Debug)]
 struct End {
-    born: Born,
+    born: StartMs,
     left: bool,
     epoch: Epoch,
     at: Instant,
@@ -48,7 +48,7 @@
 
 impl Ended {
     /// Notes that a start has ended, in an epoch of the store; `left` where the server was seen leaving.
-    pub(super) fn note(&mut self, now: Instant, id: &Arc<str>, born: Born, left: bool, epoch: Epoch) {
+    pub(super) fn note(&mut self, now: Instant, id: &Arc<str>, born: StartMs, left: bool, epoch: Epoch) {
         let known = self.by_id.get(id).filter(|end| end.born == born);
         let left = left || known.is_some_and(|end| end.left);
         self.by_id.insert(id.clone(), End { born, left, epoch, at: now });
