--- a/benches/relay.rs
+++ b/benches/relay.rs
@@ -8,7 +8,7 @@
 use cranberrytally::{
     logs::lines::{self, Weight, line},
     relay::{
-        admission::{Admission, Ask, Work},
+        admission::{Admission, AdmissionRequest, ServiceLoad},
         backends::Backends,
         holders::Holders,
         peers::{Own, Peers},
@@ -36,7 +36,7 @@
         ..Backend::default()
     };
     let mut backends = Backends::default();
-    backends.list(
+    backends.apply_list(
         Duration::ZERO,
         &List { revision: 1, items: (0..n).map(item).collect(), ..List::default() },
         None,
@@ -44,10 +44,10 @@
     let candidates = backends.iter().map(|(key, b)| Candidate {
         key,
         tag: b.tag,
-        near: true,
+        local: true,
         load: f64::from(b.tag % 8),
         slots: 64,
-        unsound: false,
+        unhealthy: false,
     });
     let candidates = candidates.collect();
     (backends, candidates)
@@ -96,11 +96,11 @@
     let (service, mut admission): (Arc<str>, _) = ("llm".into(), Admission::default());
     let (objective, left) = (Duration::from_millis(600), Duration::from_secs(10));
     per_round(ROUNDS, |i| {
-        let work = Work { own: 60, all: 300 + (i % 100) as u32, places: 384 };
-        let ask = Ask { route: i % 5, rank: 1, route_rank: 1, objective, left, work };
+        let load = ServiceLoad { own: 60, all: 300 + (i % 100) as u32, slots: 384 };
+        let ask = AdmissionRequest { route: i % 5, rank: 1, route_rank: 1, objective, left, load };
         let now = Duration::from_micros(i * 100);
         let draw = (i % 100) as f64 / 100.0;
-        let _ = std::hint::black_box(admission.ask(now, &service, ask, [draw, draw]));
+        let _ = std::hint::black_box(admission.admit(now, &service, ask, [draw, draw]));
     })
 }
 
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -278,12 +278,12 @@
     /// Notes how long a request waited at a server for the first of its answer.
     pub(crate) fn note_waited(&self, req: &Request, sent: Instant) {
         let now = now();
-        self.state().admission.note(now, &req.service, req.objective(), now - sent);
+        self.state().admission.record_wait(now, &req.service, req.objective(), now - sent);
     }
 
     /// Notes what a server told of its work.
-    pub(crate) fn note_told(&self, service: &Arc<str>, told: admission::Told) {
-        self.state().admission.hear(now(), service, told);
+    pub(crate) fn note_told(&self, service: &Arc<str>, told: admission::ReportedLoad) {
+        self.state().admission.record_load(now(), service, told);
     }
 
     /// Keeps a connection whose answer has been read. A server accepts so many connections from all hosts and resets those
@@ -304,7 +304,7 @@
 
     /// Backend servers of a service that take new work.
     pub fn servers(&self, service: &str) -> usize {
-        self.state().backends.of(service).count()
+        self.state().backends.available(service).count()
     }
 
     /// Idle connections to backend servers.
@@ -320,7 +320,7 @@
     /// Whether a request's content is refused because it crashes servers.
     pub(crate) fn refuses(&self, req: &Request) -> bool {
         let state = self.state();
-        !state.suspects.is_empty() && state.suspects.refuses(now(), req.fingerprint())
+        !state.suspects.is_empty() && state.suspects.is_refused(now(), req.fingerprint())
     }
 
     /// Takes one retry from the budget, if it holds one.
@@ -350,14 +350,14 @@
 
 impl<W: Wire> Work<W> {
     pub(crate) fn start(relay: &Arc<Relay<W>>, key: BackendKey) -> Self {
-        relay.state().backends.start(key);
+        relay.state().backends.begin_request(key);
         Self { relay: relay.clone(), key }
     }
 }
 
 impl<W: Wire> Drop for Work<W> {
     fn drop(&mut self) {
-        self.relay.state().backends.end(self.key);
+        self.relay.state().backends.end_request(self.key);
     }
 }
 
--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -35,7 +35,7 @@
 /// Names one start of a backend server in messages between hosts.
 pub type Tag = u32;
 /// When a start of a backend server began, in milliseconds since 1970; 0 where it is not told.
-pub type Born = u64;
+pub type StartMs = u64;
 
 /// How long a server whose entry was removed may still be asked for prompt parts; leaving servers serve for two
 /// seconds and more.
@@ -79,7 +79,7 @@
     /// Identifier, which later starts keep.
     pub id: Arc<str>,
     /// When this start began, in milliseconds since 1970; 0 where it is not told.
-    pub born: Born,
+    pub born: StartMs,
     /// Tag of the identifier and the start.
     pub tag: Tag,
     /// Service that it runs.
@@ -95,7 +95,7 @@
     /// Requests of this process in progress there.
     pub in_progress: u32,
     /// When its entry was removed.
-    pub gone: Option<Instant>,
+    pub removed_at: Option<Instant>,
     /// When it was first said to leave, by itself, the store or another host.
     left: Option<Instant>,
     /// Until when it is cold, as far as is told.
@@ -106,7 +106,7 @@
 
 impl Backend {
     /// Whether it takes new work.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         matches!(self.state, State::Ready | State::Missing { .. })
     }
 
@@ -137,7 +137,7 @@
     /// Listed for the first time.
     Seen,
     /// Takes no new work from now on.
-    Left,
+    Leaving,
     /// Its entry is missing since the store came back.
     Missing,
     /// Its entry can't be read or is another's.
@@ -155,7 +155,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Change::Seen => "seen",
-            Change::Left => "leaving",
+            Change::Leaving => "leaving",
             Change::Missing => "missing",
             Change::Unreadable => "unreadable",
             Change::Restarted => "restarted",
@@ -166,7 +166,7 @@
 }
 
 /// Tag of one start of a backend server.
-pub fn tag(id: &str, born: Born) -> Tag {
+pub fn tag(id: &str, born: StartMs) -> Tag {
     hash((id, born)) as Tag
 }
 
@@ -206,7 +206,7 @@
     ///
     /// `grace` is set for a while after the store's return: entries that lapsed while it was away come back only
     /// when their servers have written again, so that a missing one counts as gone only then.
-    pub fn list(
+    pub fn apply_list(
         &mut self,
         now: Instant,
         list: &fleet::Backends,
@@ -230,7 +230,7 @@
     }
 
     /// Takes changes that lead to `revision`; those of an older revision than known tell only who leaves.
-    pub fn change(
+    pub fn apply_changes(
         &mut self,
         now: Instant,
         revision: Revision,
@@ -254,7 +254,7 @@
     }
 
     /// Counts the backend servers of a data centre as cold for a while, by service; returns those that are.
-    pub fn cool(
+    pub fn mark_cold(
         &mut self,
         now: Instant,
         data_centre: &str,
@@ -282,7 +282,7 @@
             self.renew_digest();
         }
         self.ended.expire(now);
-        let done = |b: &Backend| b.in_progress == 0 && b.gone.is_some_and(|gone| gone + LINGERS <= now);
+        let done = |b: &Backend| b.in_progress == 0 && b.removed_at.is_some_and(|gone| gone + LINGERS <= now);
         let done: Vec<_> = self.arena.iter().filter(|(_, b)| done(b)).map(|(key, _)| key).collect();
         for key in &done {
             self.arena.remove(*key);
@@ -301,14 +301,14 @@
     }
 
     /// Counts a request that starts at a backend server.
-    pub fn start(&mut self, key: BackendKey) {
+    pub fn begin_request(&mut self, key: BackendKey) {
         if let Some(b) = self.arena.get_mut(key) {
             b.in_progress += 1;
         }
     }
 
     /// Counts a request that ends at a backend server.
-    pub fn end(&mut self, key: BackendKey) {
+    pub fn end_request(&mut self, key: BackendKey) {
         if let Some(b) = self.arena.get_mut(key) {
             b.in_progress = b.in_progress.saturating_sub(1);
         }
@@ -320,8 +320,8 @@
     }
 
     /// Backend servers of a service that take new work.
-    pub fn of(&self, service: &str) -> impl Iterator<Item = (BackendKey, &Backend)> {
-        self.arena.iter().filter(move |(_, b)| &*b.service == service && b.takes_work())
+    pub fn available(&self, service: &str) -> impl Iterator<Item = (BackendKey, &Backend)> {
+        self.arena.iter().filter(move |(_, b)| &*b.service == service && b.accepts_work())
     }
 
     /// Digest of the list; the same at hosts that know the same.
@@ -333,6 +333,6 @@
     fn renew_digest(&mut self) {
         let listed = self.arena.iter().filter(|(key, b)| self.by_id.get(&b.id) == Some(key));
         self.digest =
-            listed.fold(0, |sum, (_, b)| sum ^ hash((&*b.id, b.born, b.takes_work(), b.told_cold)) as u32);
+            listed.fold(0, |sum, (_, b)| sum ^ hash((&*b.id, b.born, b.accepts_work(), b.told_cold)) as u32);
     }
 }
--- a/src/relay/backends/intake.rs
+++ b/src/relay/backends/intake.rs
@@ -57,7 +57,7 @@
             _ if item.leaving => {
                 let news = known.state != State::Leaving;
                 known.leave(now);
-                news.then_some((key, Change::Left))
+                news.then_some((key, Change::Leaving))
             }
             State::Leaving => None,
             State::Unconfirmed { .. } if item.unconfirmed_ms > 0 || !written => None,
@@ -77,7 +77,7 @@
     /// Sends nothing new to a server whose entry is not its own.
     fn distrust(&mut self, key: BackendKey) -> Option<(BackendKey, Change)> {
         let known = &mut self.arena[key];
-        if !known.takes_work() {
+        if !known.accepts_work() {
             return None;
         }
         known.state = State::Unreadable;
@@ -98,7 +98,7 @@
         let tag = tag(&id, item.born);
         let (state, change) = match past {
             _ if item.leaving => (State::Leaving, Change::Seen),
-            Past::Left => (State::Leaving, Change::Left),
+            Past::Left => (State::Leaving, Change::Leaving),
             _ if item.unconfirmed_ms > 0 => (unconfirmed(now, item), Change::Unconfirmed),
             Past::Removed if !written => (unconfirmed(now, item), Change::Unconfirmed),
             _ => (State::Ready, Change::Seen),
@@ -116,7 +116,7 @@
             slots: item.slots,
             state,
             in_progress: 0,
-            gone: None,
+            removed_at: None,
             left: (state == State::Leaving).then_some(now),
             cold_until: Instant::ZERO,
             told_cold: false,
@@ -157,17 +157,17 @@
 
     pub(super) fn drop_entry(&mut self, now: Instant, key: BackendKey) -> Option<(BackendKey, Change)> {
         let known = &mut self.arena[key];
-        let news = known.takes_work();
+        let news = known.accepts_work();
         let left = known.left.is_some();
         self.ended.note(now, &known.id, known.born, left, self.revision.epoch);
         known.state = State::Leaving;
-        known.gone = Some(now);
+        known.removed_at = Some(now);
         let (id, tag) = (known.id.clone(), known.tag);
         self.by_id.remove(&id);
         if self.by_tag.get(&tag) == Some(&key) {
             self.by_tag.remove(&tag);
         }
-        news.then_some((key, Change::Left))
+        news.then_some((key, Change::Leaving))
     }
 
     /// Counts servers as alive whose entries have outlasted those of dead ones.
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -210,9 +210,10 @@
                 revision(l.text("from", from), state.evacuations.revision())
             });
             if let (evacuations::Change::TakenBack(_), Some(routes)) = (change, state.routes.clone()) {
-                let lasts = |service: &str| routes.cold(service).map_or(Duration::ZERO, |limit| limit.lasts);
+                let lasts =
+                    |service: &str| routes.cold(service).map_or(Duration::ZERO, |limit| limit.duration);
                 state.taken_back = Some(now());
-                let cold = state.backends.cool(now(), data_centre, lasts);
+                let cold = state.backends.mark_cold(now(), data_centre, lasts);
                 cold.into_iter().for_each(|key| state.holders.forget(key));
             }
         }
@@ -284,14 +285,14 @@
         let ended = state.evacuations.expire(now);
         self.note_evacuations(&mut state, &ended, "not written again");
         state.warmup.expire(now);
-        self.pool.sweep(|key| state.backends.get(key).is_some_and(|b| b.takes_work()));
+        self.pool.sweep(|key| state.backends.get(key).is_some_and(|b| b.accepts_work()));
     }
 
     /// Leaves a server alone for a while that could not be reached or fell silent.
     pub(crate) fn avoid(&self, key: BackendKey, why: &str) {
         let mut state = self.state();
-        state.doubt(now(), key);
-        let Some(pause) = state.health.lose(now(), key) else { return };
+        state.note_possible_restart(now(), key);
+        let Some(pause) = state.health.record_unreachable(now(), key) else { return };
         let Some(id) = state.backends.get(key).map(|b| b.id.clone()) else { return };
         drop(state);
         line(Weight::Notable, "avoided", |l| l.text("backend", &id).text("why", why).ms("for_ms", pause));
@@ -301,10 +302,10 @@
     /// Notes a whole answer of a server, which ends a pause.
     pub(crate) fn trust(&self, key: BackendKey) {
         let mut state = self.state();
-        if !state.health.succeed(now(), key) {
+        if !state.health.record_success(now(), key) {
             return;
         }
-        state.doubt(now(), key);
+        state.note_possible_restart(now(), key);
         let Some(id) = state.backends.get(key).map(|b| b.id.clone()) else { return };
         drop(state);
         line(Weight::Notable, "taken_back", |l| l.text("backend", &id));
@@ -328,7 +329,7 @@
         if read.leaves {
             self.note(Weight::Notable, "told_leaving", req, |l| l.text("backend", id));
             let mut state = self.state();
-            if let Some(change) = state.backends.leave(now(), key) {
+            if let Some(change) = state.backends.mark_leaving(now(), key) {
                 self.metrics.add(Counter::RelayTold, Said::Leaving.as_str(), 1);
                 self.note_changes(&mut state, &[change], "its answer");
             }
@@ -336,7 +337,7 @@
         if let Some(pause) = read.pause {
             self.note(Weight::Notable, "told_pause", req, |l| l.text("backend", id).ms("for_ms", pause));
             self.metrics.add(Counter::RelayTold, Said::Pause.as_str(), 1);
-            self.state().health.ask_pause(now(), key, pause);
+            self.state().health.record_requested_pause(now(), key, pause);
         }
     }
 
@@ -348,7 +349,7 @@
     /// Counts a server as gone, as when another one answers at its address.
     pub(crate) fn lose(&self, key: BackendKey, why: &str) {
         let mut state = self.state();
-        if let Some(change) = state.backends.lose(key) {
+        if let Some(change) = state.backends.mark_replaced(key) {
             self.note_changes(&mut state, &[change], why);
         }
     }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -9,7 +9,7 @@
 
 use super::{
     Read, Refusal, Relay, Sending, Wire, Work,
-    admission::{Refused, come_back_late},
+    admission::{Refused, late_retry_delay},
     answer::AnswerBody,
     backends::BackendKey,
     outcome::Outcome,
@@ -17,7 +17,7 @@
     pool::Conn,
     request::{EventNumber, Request},
     stream,
-    verdict::{Failure, Stop, Tries},
+    verdict::{Attempts, Failure, Stop},
 };
 use crate::{
     error::{Kind, Ran},
@@ -60,7 +60,7 @@
 pub(crate) struct Run<W: Wire> {
     pub(crate) relay: Arc<Relay<W>>,
     pub(crate) req: Arc<Request>,
-    pub(crate) tries: Tries,
+    pub(crate) tries: Attempts,
     pub(crate) tried: Vec<BackendKey>,
     /// When the attempt in progress was begun.
     pub(crate) sent: Instant,
@@ -90,7 +90,7 @@
 /// Runs a request to its answer.
 pub async fn run<W: Wire>(relay: Arc<Relay<W>>, req: Request) -> Response<AnswerBody> {
     let req = Arc::new(req);
-    let tries = Tries::new(req.route.repeatable, req.route.route.attempts, req.deadline);
+    let tries = Attempts::new(req.route.repeatable, req.route.route.attempts, req.deadline);
     let mut run = Run { relay, req, tries, tried: Vec::new(), sent: now(), begun: 0, outcome: None };
     if run.relay.refuses(&run.req) {
         return run.give_up(Kind::Quarantined, None);
@@ -136,7 +136,7 @@
         if relay.refuses(req) {
             return Err(Stop::Suspect);
         }
-        let may: Vec<_> = relay.state().placeable(now(), &req.service).map(|(key, _)| key).collect();
+        let may: Vec<_> = relay.state().accepting(now(), &req.service).map(|(key, _)| key).collect();
         if !may.is_empty() && may.iter().all(|key| self.tried.contains(key)) {
             // Nobody else can run it: those that refused may have room again in a moment.
             self.tried.clear();
@@ -148,7 +148,7 @@
     /// Decides whether another attempt may follow a failed one, counts it and writes its line.
     fn decide(&mut self, failure: Failure, key: BackendKey) -> Result<(), Stop> {
         let (relay, req) = (self.relay.clone(), self.req.clone());
-        let next = self.tries.fail(now(), failure, || relay.spend(&req));
+        let next = self.tries.record_failure(now(), failure, || relay.spend(&req));
         match next {
             Ok(()) => relay.metrics.add(Counter::RelayRetries, failure.as_str(), 1),
             Err(stop) => relay.metrics.add(Counter::RelayStops, stop.as_str(), 1),
@@ -177,7 +177,7 @@
             Failure::Unsent => {}
             Failure::Late => self.relay.note_waited(&self.req, self.sent),
             Failure::Refused | Failure::Broken | Failure::Garbled | Failure::Errored => {
-                self.relay.state().health.fail(now, key);
+                self.relay.state().health.record_failure(now, key);
             }
         }
     }
@@ -189,7 +189,7 @@
             Ok(conn) => self.relay.keep(key, conn, None),
             Err(_) => {
                 self.relay.note_crash(key);
-                let crashes = self.relay.state().suspects.crash(now(), self.req.fingerprint());
+                let crashes = self.relay.state().suspects.record_crash(now(), self.req.fingerprint());
                 self.relay.note(Weight::Notable, "suspected", &self.req, |l| l.number("crashes", crashes));
             }
         }
@@ -269,15 +269,15 @@
     }
 
     fn note_sent(&self, choice: &Choice, id: &str, stale: usize) {
-        self.relay.metrics.add(Counter::RelayPlacements, choice.why.as_str(), 1);
+        self.relay.metrics.add(Counter::RelayPlacements, choice.reason.as_str(), 1);
         let from = choice.fetch_from.and_then(|key| Some(self.relay.state().backends.get(key)?.id.clone()));
         self.relay.note(Weight::Routine, "sent", &self.req, |l| {
-            let l = l.text("backend", id).text("why", choice.why.as_str());
+            let l = l.text("backend", id).text("why", choice.reason.as_str());
             let l = l.decimal("load", choice.load).decimal("bound", choice.bound);
             let l = l.text("fetches", from.as_deref().unwrap_or("")).number("stale", stale as u64);
             let l = l.number("version", self.req.version).ms("confirmed_ms", self.relay.configuration_age());
             let l = match shared(&self.req.parts).last() {
-                Some(part) => l.text("part", &format!("{:x}", part.id)).number("held", choice.held),
+                Some(part) => l.text("part", &format!("{:x}", part.id)).number("held", choice.cached_tokens),
                 None => l,
             };
             l.ms("after_ms", now() - self.req.arrived).number("attempt", self.tries.made())
@@ -315,7 +315,7 @@
 
     /// How long to wait for a server that says nothing; `None`: until the deadline.
     pub(crate) fn patience(&self) -> Option<Duration> {
-        let others = self.relay.state().placeable(now(), &self.req.service).count() > self.tried.len() + 1;
+        let others = self.relay.state().accepting(now(), &self.req.service).count() > self.tried.len() + 1;
         let may =
             self.req.route.repeatable && others && self.tries.made() + 1 < self.req.route.route.attempts;
         may.then(|| (self.req.objective() * PATIENCE_FACTOR).clamp(PATIENCE.0, PATIENCE.1))
@@ -383,13 +383,13 @@
 
     /// The final answer to a request that is given up.
     pub(crate) fn give_up(&mut self, kind: Kind, last: Option<Failure>) -> Response<AnswerBody> {
-        let ran = if self.tries.is_unrun() { Ran::No } else { Ran::Unknown };
+        let ran = if self.tries.cannot_have_run() { Ran::No } else { Ran::Unknown };
         self.outcome = Some(if ran == Ran::No { Outcome::Refused } else { Outcome::Failed });
         self.relay.metrics.add(Counter::RelayRefusals, kind.answer().code, 1);
         let comes_back = ran == Ran::No && kind != Kind::Quarantined;
         let retry_after = comes_back.then(|| match last {
-            Some(Failure::Refused) => come_back_late(self.req.left(now()), self.relay.draw()),
-            _ => self.relay.back_after(&self.req, kind),
+            Some(Failure::Refused) => late_retry_delay(self.req.left(now()), self.relay.draw()),
+            _ => self.relay.retry_after(&self.req, kind),
         });
         let refusal = Refusal { kind, ran, retry_after };
         self.relay.note(Weight::Notable, "given_up", &self.req, |l| {
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -43,7 +43,7 @@
         let at = state.backends.iter().filter(|(_, b)| b.in_progress > 0);
         let in_progress = at.map(|(_, b)| InProgress { backend: b.tag, requests: b.in_progress }).collect();
         let service: Vec<_> = state.backends.iter().map(|(key, _)| key).collect();
-        let paused = service.iter().filter(|key| state.health.paused(now, **key));
+        let paused = service.iter().filter(|key| state.health.is_backing_off(now, **key));
         let avoided = paused.filter_map(|key| state.backends.get(*key)).map(|b| b.tag).collect();
         let told = state.news.len().min(MOST_NEWS);
         let mut beat = Beat {
@@ -58,9 +58,9 @@
             in_progress,
             held: state.news.drain(..told).collect(),
             avoided,
-            suspects: state.suspects.told(now),
+            suspects: state.suspects.recent(now),
             evacuations: state.evacuations.told(now),
-            left: state.backends.left_lately(now),
+            left: state.backends.recently_leaving(now),
             confirmed: Some(state.confirmations.told(now)),
             ..Beat::default()
         };
@@ -95,9 +95,9 @@
         }
         let hosts = state.peers.hosts();
         state.budget.set_hosts(hosts);
-        state.suspects.hear(now, &beat.suspects);
-        state.doubt_avoided(now, &beat.avoided);
-        let left = state.backends.hear_left(now, &beat.left);
+        state.suspects.merge(now, &beat.suspects);
+        state.treat_avoided_as_cold(now, &beat.avoided);
+        let left = state.backends.apply_leaving(now, &beat.left);
         self.note_changes(&mut state, &left, &from.to_string());
         if let Some(told) = &beat.evacuations {
             let changes = state.evacuations.hear(now, told);
@@ -125,7 +125,7 @@
     /// Takes in starts of servers that another host has seen leaving.
     pub(crate) fn learn_left(&self, starts: &[Start], from: &str) {
         let mut state = self.state();
-        let changes = state.backends.learn_left(now(), starts);
+        let changes = state.backends.apply_leaving_starts(now(), starts);
         self.note_changes(&mut state, &changes, from);
     }
 
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -51,18 +51,18 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut contact = Contact::new("backends");
     let mut backends = Backends::default();
-    backends.list(s(0), &list(5, &["lives", "gone"]), None);
+    backends.apply_list(s(0), &list(5, &["lives", "gone"]), None);
     contact.failed(s(1), false, &mut rng);
 
     let (away, grace) = contact.answered(s(9));
-    let changes = backends.list(s(9), &list(9, &["lives"]), grace);
+    let changes = backends.apply_list(s(9), &list(9, &["lives"]), grace);
 
     assert_eq!(away, Some(s(8)));
     assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Missing]);
-    assert_eq!(backends.of("app").count(), 2);
+    assert_eq!(backends.available("app").count(), 2);
     assert_eq!(backends.expire(s(9) + Duration::from_millis(1_600)).0, []);
     assert_eq!(backends.expire(s(11)).0.len(), 1);
-    assert_eq!(backends.of("app").count(), 1);
+    assert_eq!(backends.available("app").count(), 1);
 }
 
 /// Four seconds after the store came back, a server leaves by having its entry removed. That is no lapse any more:
@@ -72,15 +72,15 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut contact = Contact::new("backends");
     let mut backends = Backends::default();
-    backends.list(s(0), &list(5, &["a", "b"]), None);
+    backends.apply_list(s(0), &list(5, &["a", "b"]), None);
     contact.failed(s(1), false, &mut rng);
     contact.answered(s(9));
 
     let (_, grace) = contact.answered(s(13));
-    let changes = backends.change(s(13), rev(12), &[], &["b".into()], grace);
+    let changes = backends.apply_changes(s(13), rev(12), &[], &["b".into()], grace);
 
-    assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Left]);
-    assert_eq!(backends.of("app").count(), 1);
+    assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Leaving]);
+    assert_eq!(backends.available("app").count(), 1);
 }
 
 /// All hosts start again within half a second while the store accepts calls and answers none, and 560 ms after the first
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -14,11 +14,11 @@
         health::Health,
         holders::Holders,
         leave::{LeaveConfig, Leaving},
-        place::{Bound, Candidate, Choice, Placer, Why},
+        place::{Bound, Candidate, Choice, Placer, Reason},
         request::Part,
         routes::Routes,
         suspects::Suspects,
-        verdict::{Failure, Stop, Tries},
+        verdict::{Attempts, Failure, Stop},
     },
     schema::fleet::{Backends as List, Configuration, Repeat, Route, Share, Workspace},
 };
@@ -109,16 +109,16 @@
 fn fleet(loads: &[f64]) -> (Backends, Vec<Candidate>) {
     let mut backends = Backends::default();
     let items = (0..loads.len()).map(|i| listed(&"s".repeat(i + 1), false)).collect();
-    backends.list(ms(0), &List { revision: 1, items, ..List::default() }, None);
+    backends.apply_list(ms(0), &List { revision: 1, items, ..List::default() }, None);
     let mut known: Vec<_> = backends.iter().map(|(key, b)| (b.id.len(), key, b.tag)).collect();
     known.sort_by_key(|(len, ..)| *len);
     let candidates = known.into_iter().zip(loads).map(|((_, key, tag), load)| Candidate {
         key,
         tag,
-        near: true,
+        local: true,
         load: *load,
         slots: 64,
-        unsound: false,
+        unhealthy: false,
     });
     (backends, candidates.collect())
 }
@@ -142,7 +142,7 @@
     let second = choose(&candidates, &prompt(7, 200), &holders);
 
     assert_eq!(first.key, second.key);
-    assert_eq!(first.why, Why::Home);
+    assert_eq!(first.reason, Reason::Home);
 }
 
 #[test]
@@ -156,7 +156,7 @@
 
     let chosen = choose(&candidates, &prompt(7, 200), &holders);
 
-    assert_eq!((chosen.key, chosen.why, chosen.held), (other, Why::Holder, 10_500));
+    assert_eq!((chosen.key, chosen.reason, chosen.cached_tokens), (other, Reason::Holder, 10_500));
     assert_eq!(chosen.fetch_from, None);
 }
 
@@ -176,7 +176,7 @@
 
     let chosen = choose(&candidates, &prompt(7, 200), &holders);
 
-    assert_eq!((chosen.key, chosen.why, chosen.held), (other, Why::Holder, 10_500));
+    assert_eq!((chosen.key, chosen.reason, chosen.cached_tokens), (other, Reason::Holder, 10_500));
     assert_eq!(chosen.fetch_from, None);
 }
 
@@ -194,7 +194,7 @@
     let chosen = choose(&candidates, &parts, &holders);
 
     assert_ne!(chosen.key, home);
-    assert_eq!(chosen.why, Why::Spilled);
+    assert_eq!(chosen.reason, Reason::Spilled);
     assert_eq!(chosen.fetch_from, Some(home));
 }
 
@@ -255,11 +255,11 @@
     let (_, mut candidates) = fleet(&[2.0; 3]);
     let holders = Holders::default();
     let home = choose(&candidates, &prompt(7, 1), &holders).key;
-    candidates.iter_mut().filter(|c| c.key == home).for_each(|c| c.unsound = true);
+    candidates.iter_mut().filter(|c| c.key == home).for_each(|c| c.unhealthy = true);
 
     let around = choose(&candidates, &prompt(7, 1), &holders);
     let plain = (0..50).all(|_| choose(&candidates, &[], &holders).key != home);
-    candidates.iter_mut().for_each(|c| c.unsound = true);
+    candidates.iter_mut().for_each(|c| c.unhealthy = true);
     let all = choose(&candidates, &[], &holders);
 
     assert_ne!(around.key, home);
@@ -389,28 +389,32 @@
     assert_eq!(cases.len(), Failure::ALL.len());
     for (failure, repeatable, not) in cases {
         for (may, expected) in [(true, repeatable), (false, not)] {
-            let mut tries = Tries::new(may, 2, ms(1_000));
+            let mut tries = Attempts::new(may, 2, ms(1_000));
 
-            assert_eq!(tries.fail(ms(10), failure, || true), expected, "{failure:?}, may be repeated: {may}");
+            assert_eq!(
+                tries.record_failure(ms(10), failure, || true),
+                expected,
+                "{failure:?}, may be repeated: {may}"
+            );
         }
     }
 }
 
 #[test]
 fn attempts_end_at_their_bounds() {
-    let mut runs = Tries::new(true, 2, ms(1_000));
-    let mut refused = Tries::new(false, 1, ms(1_000));
-    let mut budget = Tries::new(true, 2, ms(1_000));
-    let mut late = Tries::new(true, 2, ms(1_000));
-
-    assert_eq!(runs.fail(ms(1), Failure::Broken, || true), Ok(()));
-    assert_eq!(runs.fail(ms(2), Failure::Broken, || true), Err(Stop::Attempts));
-    assert!(!runs.is_unrun());
-    let refusals: Vec<_> = (0..4).map(|_| refused.fail(ms(1), Failure::Refused, || true)).collect();
+    let mut runs = Attempts::new(true, 2, ms(1_000));
+    let mut refused = Attempts::new(false, 1, ms(1_000));
+    let mut budget = Attempts::new(true, 2, ms(1_000));
+    let mut late = Attempts::new(true, 2, ms(1_000));
+
+    assert_eq!(runs.record_failure(ms(1), Failure::Broken, || true), Ok(()));
+    assert_eq!(runs.record_failure(ms(2), Failure::Broken, || true), Err(Stop::Attempts));
+    assert!(!runs.cannot_have_run());
+    let refusals: Vec<_> = (0..4).map(|_| refused.record_failure(ms(1), Failure::Refused, || true)).collect();
     assert_eq!(refusals, [Ok(()), Ok(()), Ok(()), Err(Stop::Attempts)]);
-    assert!(refused.is_unrun());
-    assert_eq!(budget.fail(ms(1), Failure::Refused, || false), Err(Stop::Budget));
-    assert_eq!(late.fail(ms(1_000), Failure::Connect, || true), Err(Stop::Deadline));
+    assert!(refused.cannot_have_run());
+    assert_eq!(budget.record_failure(ms(1), Failure::Refused, || false), Err(Stop::Budget));
+    assert_eq!(late.record_failure(ms(1_000), Failure::Connect, || true), Err(Stop::Deadline));
 }
 
 /// One server fails a third of its requests while the others are well. It is left alone, and tried again once it has
@@ -421,18 +425,18 @@
     let keys: Vec<_> = backends.iter().map(|(key, _)| key).collect();
     let mut health = Health::default();
     for i in 0..30 {
-        health.succeed(ms(i * 10), keys[1]);
-        health.succeed(ms(i * 10), keys[2]);
+        health.record_success(ms(i * 10), keys[1]);
+        health.record_success(ms(i * 10), keys[2]);
         if i % 2 == 0 {
-            health.fail(ms(i * 10), keys[0]);
+            health.record_failure(ms(i * 10), keys[0]);
         } else {
-            health.succeed(ms(i * 10), keys[0]);
+            health.record_success(ms(i * 10), keys[0]);
         }
     }
 
-    assert!(health.unsound(ms(300), keys[0], health.survey(ms(300), &keys)));
-    assert!(!health.unsound(ms(300), keys[1], health.survey(ms(300), &keys)));
-    assert!(!health.unsound(ms(10_000), keys[0], health.survey(ms(10_000), &keys)));
+    assert!(health.is_unhealthy(ms(300), keys[0], health.failure_summary(ms(300), &keys)));
+    assert!(!health.is_unhealthy(ms(300), keys[1], health.failure_summary(ms(300), &keys)));
+    assert!(!health.is_unhealthy(ms(10_000), keys[0], health.failure_summary(ms(10_000), &keys)));
 }
 
 /// A whole service fails. Leaving all of its servers alone would turn a bad service into none.
@@ -442,10 +446,10 @@
     let keys: Vec<_> = backends.iter().map(|(key, _)| key).collect();
     let mut health = Health::default();
     for i in 0..30 {
-        keys.iter().for_each(|key| health.fail(ms(i), *key));
+        keys.iter().for_each(|key| health.record_failure(ms(i), *key));
     }
 
-    assert!(keys.iter().all(|key| !health.unsound(ms(30), *key, health.survey(ms(30), &keys))));
+    assert!(keys.iter().all(|key| !health.is_unhealthy(ms(30), *key, health.failure_summary(ms(30), &keys))));
 }
 
 #[test]
@@ -454,13 +458,13 @@
     let key = backends.iter().next().unwrap().0;
     let mut health = Health::default();
 
-    health.lose(ms(0), key);
-    assert!(health.paused(ms(399), key) && !health.paused(ms(400), key));
-    health.lose(ms(400), key);
-    assert!(health.paused(ms(1_199), key) && !health.paused(ms(1_200), key));
-    health.succeed(ms(1_200), key);
-    health.lose(ms(1_300), key);
-    assert!(!health.paused(ms(1_700), key));
+    health.record_unreachable(ms(0), key);
+    assert!(health.is_backing_off(ms(399), key) && !health.is_backing_off(ms(400), key));
+    health.record_unreachable(ms(400), key);
+    assert!(health.is_backing_off(ms(1_199), key) && !health.is_backing_off(ms(1_200), key));
+    health.record_success(ms(1_200), key);
+    health.record_unreachable(ms(1_300), key);
+    assert!(!health.is_backing_off(ms(1_700), key));
 }
 
 #[test]
@@ -481,18 +485,18 @@
 #[test]
 fn a_content_that_crashed_three_servers_is_refused_everywhere() {
     let (mut here, mut there) = (Suspects::default(), Suspects::default());
-    here.crash(ms(0), 1);
-    here.crash(ms(0), 2);
-    here.crash(ms(50), 1);
-    there.hear(ms(60), &here.told(ms(60)));
-    assert!(!there.refuses(ms(61), 1));
-    there.crash(ms(100), 1);
+    here.record_crash(ms(0), 1);
+    here.record_crash(ms(0), 2);
+    here.record_crash(ms(50), 1);
+    there.merge(ms(60), &here.recent(ms(60)));
+    assert!(!there.is_refused(ms(61), 1));
+    there.record_crash(ms(100), 1);
 
-    here.hear(ms(110), &there.told(ms(110)));
+    here.merge(ms(110), &there.recent(ms(110)));
 
-    assert!(here.refuses(ms(110), 1) && there.refuses(ms(110), 1));
-    assert!(!here.refuses(ms(110), 2) && !there.refuses(ms(110), 2));
-    assert!(!there.refuses(ms(61_000), 1));
+    assert!(here.is_refused(ms(110), 1) && there.is_refused(ms(110), 1));
+    assert!(!here.is_refused(ms(110), 2) && !there.is_refused(ms(110), 2));
+    assert!(!there.is_refused(ms(61_000), 1));
 }
 
 #[test]
@@ -545,11 +549,11 @@
 #[test]
 fn the_bound_keeps_away_from_the_limit_while_servers_get_nothing() {
     for mean in [0.5, 1.0, 5.6, 12.0] {
-        let one_of_many = Bound::default().while_short(mean, mean * 140.0 / 139.0);
+        let one_of_many = Bound::default().with_servers_excluded(mean, mean * 140.0 / 139.0);
         assert!(Bound::default().at(mean) - one_of_many < 0.15, "{mean}: {one_of_many}");
         for open in [1.5, 3.0] {
             let (limit, loads) = (2.0 * mean + 3.0, open * mean);
-            let bound = Bound::default().while_short(mean, loads);
+            let bound = Bound::default().with_servers_excluded(mean, loads);
 
             assert!(bound <= Bound::default().at(mean));
             if loads < limit {
--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -5,7 +5,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use cranberrytally::relay::admission::{Admission, Ask, Refused, Told, Work};
+use cranberrytally::relay::admission::{Admission, AdmissionRequest, Refused, ReportedLoad, ServiceLoad};
 use load::{Load, Second};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
@@ -131,18 +131,18 @@
 }
 
 /// A request while so many requests are in progress at a hundred places, all of them this host's.
-fn ask(left: Duration, own: u32) -> Ask {
-    let work = Work { own, all: own, places: 100 };
-    Ask { route: 1, rank: 1, route_rank: 1, objective: ms(600), left, work }
+fn ask(left: Duration, own: u32) -> AdmissionRequest {
+    let load = ServiceLoad { own, all: own, slots: 100 };
+    AdmissionRequest { route: 1, rank: 1, route_rank: 1, objective: ms(600), left, load }
 }
 
 /// What a host decides that has seen places taken as given and no request before.
 fn decide(first: Duration, own: u32, left: Duration, draws: [f64; 2]) -> Result<(), Refused> {
     let service: Arc<str> = "s".into();
     let mut admission = Admission::default();
-    admission.hear(ms(0), &service, Told { running: 1, waiting: 0, slots: 64 });
-    let _ = admission.ask(ms(0), &service, ask(first, 0), draws);
-    admission.ask(ms(5_000), &service, ask(left, own), draws)
+    admission.record_load(ms(0), &service, ReportedLoad { running: 1, waiting: 0, slots: 64 });
+    let _ = admission.admit(ms(0), &service, ask(first, 0), draws);
+    admission.admit(ms(5_000), &service, ask(left, own), draws)
 }
 
 /// Callers that are refused come back while their answer could still be in time, if they have a chance to be taken, and
@@ -173,10 +173,10 @@
 fn what_servers_told_is_forgotten_within_a_second() {
     let service: Arc<str> = "s".into();
     let mut admission = Admission::default();
-    admission.hear(ms(0), &service, Told { running: 64, waiting: 200, slots: 64 });
+    admission.record_load(ms(0), &service, ReportedLoad { running: 64, waiting: 200, slots: 64 });
 
-    let soon = admission.ask(ms(50), &service, ask(ms(9_000), 10), [0.0, 0.5]);
-    let later = admission.ask(ms(1_000), &service, ask(ms(9_000), 10), [0.0, 0.5]);
+    let soon = admission.admit(ms(50), &service, ask(ms(9_000), 10), [0.0, 0.5]);
+    let later = admission.admit(ms(1_000), &service, ask(ms(9_000), 10), [0.0, 0.5]);
 
     assert!(soon.is_err());
     assert_eq!(later, Ok(()));
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -235,16 +235,16 @@
 /// A host that has heard of `x` and `yy`, and then of the end of `x` by these words of the first epoch.
 fn host_that_lost_x(words: &[(Option<Backend>, u64)]) -> Backends {
     let mut host = Backends::default();
-    host.list(ms(0), &list(1, 5, &[listed("x", false), listed("yy", false)]), None);
+    host.apply_list(ms(0), &list(1, 5, &[listed("x", false), listed("yy", false)]), None);
     for (put, number) in words {
         let removed = if put.is_none() { vec!["x".to_owned()] } else { Vec::new() };
-        host.change(ms(*number), Revision::new(1, *number), put.as_slice(), &removed, None);
+        host.apply_changes(ms(*number), Revision::new(1, *number), put.as_slice(), &removed, None);
     }
     host
 }
 
 fn working(host: &Backends) -> Vec<&str> {
-    let mut ids: Vec<_> = host.of("s").map(|(_, b)| &*b.id).collect();
+    let mut ids: Vec<_> = host.available("s").map(|(_, b)| &*b.id).collect();
     ids.sort_unstable();
     ids
 }
@@ -257,8 +257,8 @@
     for words in [vec![draining.clone()], vec![draining, (None, 9)]] {
         let mut host = host_that_lost_x(&words);
 
-        host.list(ms(100), &copy, None);
-        host.change(ms(200), Revision::new(2, 7), &[listed("x", false)], &[], None);
+        host.apply_list(ms(100), &copy, None);
+        host.apply_changes(ms(200), Revision::new(2, 7), &[listed("x", false)], &[], None);
         host.expire(ms(20_000));
 
         assert_eq!(working(&host), ["yy"]);
@@ -272,14 +272,14 @@
     let (mut gone, mut writes, mut outlasts) =
         (host_that_lost_x(&[(None, 9)]), host_that_lost_x(&[(None, 9)]), host_that_lost_x(&[(None, 9)]));
     for host in [&mut gone, &mut writes, &mut outlasts] {
-        let changes = host.list(ms(100), &copy, None);
+        let changes = host.apply_list(ms(100), &copy, None);
         assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Unconfirmed]);
         assert_eq!(working(host), ["yy"]);
     }
 
-    gone.change(ms(3_000), Revision::new(2, 8), &[], &["x".into()], None);
+    gone.apply_changes(ms(3_000), Revision::new(2, 8), &[], &["x".into()], None);
     gone.expire(ms(20_000));
-    writes.change(ms(300), Revision::new(2, 8), &[listed("x", false)], &[], None);
+    writes.apply_changes(ms(300), Revision::new(2, 8), &[listed("x", false)], &[], None);
     outlasts.expire(ms(5_000));
     let early = working(&outlasts).len();
     outlasts.expire(ms(6_200));
@@ -293,9 +293,9 @@
 fn a_server_that_the_copy_does_not_have_keeps_its_work_while_it_may_write_again() {
     let mut host = host_that_lost_x(&[]);
 
-    host.list(ms(100), &list(2, 4, &[listed("x", false)]), None);
+    host.apply_list(ms(100), &list(2, 4, &[listed("x", false)]), None);
     let (before, kept) = (working(&host).len(), host.expire(ms(1_700)).0);
-    host.list(ms(1_750), &list(2, 4, &[listed("x", false)]), None);
+    host.apply_list(ms(1_750), &list(2, 4, &[listed("x", false)]), None);
     let after = working(&host).len();
     host.expire(ms(1_900));
 
@@ -307,9 +307,9 @@
 #[test]
 fn who_leaves_is_heard_from_an_older_list_too() {
     let mut host = host_that_lost_x(&[]);
-    host.list(ms(100), &list(2, 4, &[listed("x", false), listed("yy", false)]), None);
+    host.apply_list(ms(100), &list(2, 4, &[listed("x", false), listed("yy", false)]), None);
 
-    host.list(ms(200), &list(1, 9, &[listed("x", true), listed("zzz", false)]), None);
+    host.apply_list(ms(200), &list(1, 9, &[listed("x", true), listed("zzz", false)]), None);
 
     assert_eq!(working(&host), ["yy"]);
     assert_eq!(host.revision(), Revision::new(2, 4));
@@ -322,12 +322,12 @@
     let copy = list(2, 6, &[listed("x", false), listed("yy", false)]);
     let (mut told_first, mut told_last) = (Backends::default(), Backends::default());
 
-    told_first.learn_left(ms(50), &knows.left());
-    told_first.list(ms(100), &copy, None);
-    told_last.list(ms(100), &copy, None);
-    told_last.learn_left(ms(150), &knows.left());
+    told_first.apply_leaving_starts(ms(50), &knows.leaving_starts());
+    told_first.apply_list(ms(100), &copy, None);
+    told_last.apply_list(ms(100), &copy, None);
+    told_last.apply_leaving_starts(ms(150), &knows.leaving_starts());
 
-    assert_eq!(knows.left(), [Start { id: "x".into(), born: 0 }]);
+    assert_eq!(knows.leaving_starts(), [Start { id: "x".into(), born: 0 }]);
     assert_eq!((working(&told_first), working(&told_last)), (vec!["yy"], vec!["yy"]));
 }
 
@@ -336,30 +336,30 @@
 fn hosts_tell_each_other_for_a_while_who_leaves() {
     let mut knows = host_that_lost_x(&[(Some(listed("x", true)), 7)]);
     let mut behind = host_that_lost_x(&[]);
-    knows.list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
-    behind.list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
+    knows.apply_list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
+    behind.apply_list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
 
-    let told = knows.left_lately(ms(200));
-    behind.hear_left(ms(200), &told);
+    let told = knows.recently_leaving(ms(200));
+    behind.apply_leaving(ms(200), &told);
 
     assert_eq!(working(&behind), ["yy"]);
-    assert_eq!((behind.digest(), knows.left_lately(ms(20_000))), (knows.digest(), Vec::new()));
+    assert_eq!((behind.digest(), knows.recently_leaving(ms(20_000))), (knows.digest(), Vec::new()));
 }
 
 /// One wrong answer at a server's address ending it for all hosts, and for good.
 #[test]
 fn only_a_word_that_a_server_leaves_is_told_on() {
     let (mut lost, mut told) = (host_that_lost_x(&[]), host_that_lost_x(&[]));
-    let key = |host: &Backends| host.of("s").find(|(_, b)| &*b.id == "x").unwrap().0;
+    let key = |host: &Backends| host.available("s").find(|(_, b)| &*b.id == "x").unwrap().0;
     let (lost_key, told_key) = (key(&lost), key(&told));
 
-    lost.lose(lost_key);
-    told.leave(ms(10), told_key);
+    lost.mark_replaced(lost_key);
+    told.mark_leaving(ms(10), told_key);
 
     assert_eq!((working(&lost), working(&told)), (vec!["yy"], vec!["yy"]));
-    assert_eq!((lost.left_lately(ms(20)).len(), lost.left().len()), (0, 0));
+    assert_eq!((lost.recently_leaving(ms(20)).len(), lost.leaving_starts().len()), (0, 0));
     assert!(lost.snapshot(ms(20)).items.iter().all(|item| !item.leaving));
-    assert_eq!((told.left_lately(ms(20)).len(), told.left().len()), (1, 1));
+    assert_eq!((told.recently_leaving(ms(20)).len(), told.leaving_starts().len()), (1, 1));
 }
 
 /// What the model's store does next, with one of three servers.
@@ -415,7 +415,7 @@
         let known = host.revision();
         if whole || known.epoch != self.epoch || !known.is_known() {
             let items: Vec<_> = self.present.values().cloned().collect();
-            host.list(now, &list(self.epoch, self.number(), &items), None);
+            host.apply_list(now, &list(self.epoch, self.number(), &items), None);
             return;
         }
         let mut latest = BTreeMap::new();
@@ -425,7 +425,7 @@
         let puts: Vec<_> = latest.values().filter_map(|e| (*e).clone()).collect();
         let gone = latest.iter().filter(|(_, e)| e.is_none());
         let gone: Vec<_> = gone.map(|(server, _)| NAMES[*server].to_owned()).collect();
-        host.change(now, Revision::new(self.epoch, self.number()), &puts, &gone, None);
+        host.apply_changes(now, Revision::new(self.epoch, self.number()), &puts, &gone, None);
     }
 }
 
@@ -440,7 +440,7 @@
 
 impl Past {
     fn note(&mut self, b: &Known) {
-        if b.state == State::Leaving && b.gone.is_none() {
+        if b.state == State::Leaving && b.removed_at.is_none() {
             self.left.insert((b.id.to_string(), b.born));
         }
         let last = self.last_start.entry(b.id.to_string()).or_default();
@@ -486,16 +486,16 @@
                 }
                 Step::Hear { host, whole } => store.tell(&mut hosts[host], now, whole),
                 Step::Tell { from, to } => {
-                    let (tags, snapshot) = (hosts[from].left_lately(now), hosts[from].snapshot(now));
-                    hosts[to].hear_left(now, &tags);
+                    let (tags, snapshot) = (hosts[from].recently_leaving(now), hosts[from].snapshot(now));
+                    hosts[to].apply_leaving(now, &tags);
                     hosts[to].iter().for_each(|(_, b)| pasts[to].note(b));
-                    hosts[to].list(now, &snapshot, None);
+                    hosts[to].apply_list(now, &snapshot, None);
                 }
             }
             for (host, past) in hosts.iter().zip(&mut pasts) {
                 for (_, b) in host.iter() {
                     past.note(b);
-                    prop_assert!(!b.takes_work() || !past.has_left(&b.id, b.born), "{} works again", b.id);
+                    prop_assert!(!b.accepts_work() || !past.has_left(&b.id, b.born), "{} works again", b.id);
                 }
             }
         }
@@ -506,7 +506,7 @@
         now += ms(10_000);
         for (host, past) in hosts.iter_mut().zip(&pasts) {
             host.expire(now);
-            let working: BTreeSet<_> = host.of("s").map(|(_, b)| (b.id.to_string(), b.born)).collect();
+            let working: BTreeSet<_> = host.available("s").map(|(_, b)| (b.id.to_string(), b.born)).collect();
             let listed: Vec<_> = store.present.values().map(|b| (b.id.clone(), b.born, b.leaving)).collect();
             for (id, born, leaving) in &listed {
                 let lives = !leaving && !past.has_left(id, *born);
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -12,7 +12,7 @@
         backends::{Backends, Change},
         follow::BackendsUpdate,
         peers::Peers,
-        warmup::{ColdLimit, FEEDERS, Warmup},
+        warmup::{COLD_SENDERS, ColdLimit, Warmup},
     },
     schema::fleet::{Backend, Backends as List, Member},
 };
@@ -22,7 +22,7 @@
 use wire::{Act, Host, Server, configuration, header, ok, request, status};
 
 const TAG: u32 = 77;
-const LIMIT: ColdLimit = ColdLimit { lasts: Duration::from_secs(3), per_second: 11.0 };
+const LIMIT: ColdLimit = ColdLimit { duration: Duration::from_secs(3), per_second: 11.0 };
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -83,9 +83,9 @@
                 nodes[*i] = node(*i, hosts, sides, false, ms(at));
             }
             for node in nodes.iter_mut().filter(|_| rng.random_bool(0.7)) {
-                let feeds = || node.peers.is_among_first(TAG, FEEDERS);
+                let feeds = || node.peers.is_among_first(TAG, COLD_SENDERS);
                 if node.warmup.may_send(ms(at), TAG, LIMIT, feeds) {
-                    node.warmup.sent(ms(at), TAG, LIMIT);
+                    node.warmup.record_send(ms(at), TAG, LIMIT);
                     sent.push(ms(at));
                 }
             }
@@ -108,22 +108,22 @@
 fn what_an_entry_tells_of_cold_is_told_on_with_its_age() {
     let (mut follower, mut other) = (Backends::default(), Backends::default());
     for b in [&mut follower, &mut other] {
-        b.list(ms(0), &List { revision: 5, items: vec![cold(0)], ..List::default() }, None);
+        b.apply_list(ms(0), &List { revision: 5, items: vec![cold(0)], ..List::default() }, None);
     }
     let warm = follower.digest();
 
-    let turned = follower.change(ms(100), rev(6), &[cold(3_000)], &[], None);
-    let counted = follower.change(ms(1_300), rev(7), &[cold(1_800)], &[], None);
+    let turned = follower.apply_changes(ms(100), rev(6), &[cold(3_000)], &[], None);
+    let counted = follower.apply_changes(ms(1_300), rev(7), &[cold(1_800)], &[], None);
     let told = follower.changes_since(ms(1_500), rev(5)).unwrap();
-    other.change(ms(1_500), told.as_of(), &told.puts, &told.removed, None);
+    other.apply_changes(ms(1_500), told.as_of(), &told.puts, &told.removed, None);
 
     assert!(matches!(turned[..], [(_, Change::Cold)]), "{turned:?}");
     assert_eq!(counted, []);
     assert_eq!(told.puts[0].cold_ms, 1_600);
     assert!(follower.digest() != warm && follower.digest() == other.digest());
-    let until = other.of("s").next().unwrap().1.cold_until;
+    let until = other.available("s").next().unwrap().1.cold_until;
     assert_eq!(until, ms(3_100));
-    follower.change(ms(3_200), rev(8), &[cold(0)], &[], None);
+    follower.apply_changes(ms(3_200), rev(8), &[cold(0)], &[], None);
     assert_eq!(follower.digest(), warm);
 }
 
@@ -132,9 +132,9 @@
 fn no_entry_keeps_a_server_cold_for_long() {
     let mut backends = Backends::default();
 
-    backends.list(ms(0), &List { revision: 5, items: vec![cold(u32::MAX)], ..List::default() }, None);
+    backends.apply_list(ms(0), &List { revision: 5, items: vec![cold(u32::MAX)], ..List::default() }, None);
 
-    assert!(backends.of("s").next().unwrap().1.cold_until <= ms(60_000));
+    assert!(backends.available("s").next().unwrap().1.cold_until <= ms(60_000));
 }
 
 /// A data centre is taken back with its servers' caches empty. Requests for parts that had been read there would read them
@@ -143,10 +143,10 @@
 fn the_servers_of_a_data_centre_that_is_taken_back_are_named() {
     let other = Backend { id: "yy".into(), data_centre: "b".into(), ..cold(0) };
     let mut backends = Backends::default();
-    backends.list(ms(0), &List { revision: 5, items: vec![cold(0), other], ..List::default() }, None);
+    backends.apply_list(ms(0), &List { revision: 5, items: vec![cold(0), other], ..List::default() }, None);
 
-    let never = backends.cool(ms(10), "a", |_| ms(0));
-    let named = backends.cool(ms(10), "a", |_| ms(3_000));
+    let never = backends.mark_cold(ms(10), "a", |_| ms(0));
+    let named = backends.mark_cold(ms(10), "a", |_| ms(3_000));
 
     assert_eq!(never, []);
     assert_eq!(named.iter().map(|key| &*backends.get(*key).unwrap().id).collect::<Vec<_>>(), ["x"]);
@@ -249,10 +249,10 @@
 fn a_doubt_lasts_as_long_as_a_start_is_cold() {
     let mut warmup = Warmup::default();
 
-    warmup.doubt(ms(0), TAG, LIMIT);
-    warmup.doubt(ms(2_500), TAG, LIMIT);
+    warmup.note_possible_restart(ms(0), TAG, LIMIT);
+    warmup.note_possible_restart(ms(2_500), TAG, LIMIT);
 
-    assert!(warmup.is_doubted(ms(5_499), TAG));
-    assert!(!warmup.is_doubted(ms(5_500), TAG));
-    assert!(!warmup.is_doubted(ms(2_501), TAG + 1));
+    assert!(warmup.may_have_restarted(ms(5_499), TAG));
+    assert!(!warmup.may_have_restarted(ms(5_500), TAG));
+    assert!(!warmup.may_have_restarted(ms(2_501), TAG + 1));
 }
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use cranberrytally::relay::admission::{Admission, Ask, Told, Work};
+use cranberrytally::relay::admission::{Admission, AdmissionRequest, ReportedLoad, ServiceLoad};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 /// What is played; times in milliseconds.
@@ -153,21 +153,22 @@
         let known = &self.told[0];
         let others: usize = known.iter().take(self.servers.len()).sum();
         let own = self.servers.iter().map(|s| s.of(host)).sum::<usize>();
-        let ask = Ask {
+        let ask = AdmissionRequest {
             route: u64::from(rank),
             rank,
             route_rank: rank,
             objective: ms(self.load.objective),
             left: ms((asked + self.load.deadline).saturating_sub(now)),
-            work: Work {
+            load: ServiceLoad {
                 own: own as u32,
                 all: others as u32,
-                places: (self.servers.len() * self.load.places) as u32,
+                slots: (self.servers.len() * self.load.places) as u32,
             },
         };
         let draws = [self.rng.random(), self.rng.random()];
         let service: Arc<str> = SERVICE.into();
-        let refused = self.hosts[host].ask(ms(now), &service, ask, draws).err().filter(|_| self.load.admits);
+        let refused =
+            self.hosts[host].admit(ms(now), &service, ask, draws).err().filter(|_| self.load.admits);
         if let Some(refused) = refused {
             if asked == now {
                 let back = now + 1 + refused.after.as_millis() as u64;
@@ -191,10 +192,14 @@
             let Some(job) = server.queue.pop_front() else { break };
             server.running.push(job);
             let host = &mut self.hosts[job.host];
-            host.note(ms(now), &service, ms(load.objective), ms(now - job.sent));
+            host.record_wait(ms(now), &service, ms(load.objective), ms(now - job.sent));
             if load.tells {
                 let (running, waiting) = (server.running.len() as u32, server.queue.len() as u32);
-                host.hear(ms(now), &service, Told { running, waiting, slots: load.places as u32 });
+                host.record_load(
+                    ms(now),
+                    &service,
+                    ReportedLoad { running, waiting, slots: load.places as u32 },
+                );
             }
             if now <= job.asked + load.objective {
                 self.seconds[now as usize / 1_000].in_time += 1;
