--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -35,22 +35,22 @@
 
 /// What servers say of themselves in answers; a label of counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum ServerNotice {
     /// One leaves that was not known to.
     Leaving,
     /// One wants nothing for a while.
     Pause,
 }
 
-impl Said {
+impl ServerNotice {
     /// All that they say.
-    pub const ALL: [Said; 2] = [Said::Leaving, Said::Pause];
+    pub const ALL: [ServerNotice; 2] = [ServerNotice::Leaving, ServerNotice::Pause];
 
     /// Label in counters.
     pub fn as_str(self) -> &'static str {
         match self {
-            Said::Leaving => "leaving",
-            Said::Pause => "pause",
+            ServerNotice::Leaving => "leaving",
+            ServerNotice::Pause => "pause",
         }
     }
 }
@@ -329,13 +329,13 @@
             self.note(Weight::Notable, "told_leaving", req, |l| l.text("backend", id));
             let mut state = self.state();
             if let Some(change) = state.backends.leave(now(), key) {
-                self.metrics.add(Counter::RelayTold, Said::Leaving.as_str(), 1);
+                self.metrics.add(Counter::RelayTold, ServerNotice::Leaving.as_str(), 1);
                 self.note_changes(&mut state, &[change], "its answer");
             }
         }
         if let Some(pause) = read.pause {
             self.note(Weight::Notable, "told_pause", req, |l| l.text("backend", id).ms("for_ms", pause));
-            self.metrics.add(Counter::RelayTold, Said::Pause.as_str(), 1);
+            self.metrics.add(Counter::RelayTold, ServerNotice::Pause.as_str(), 1);
             self.state().health.ask_pause(now(), key, pause);
         }
     }
--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -9,7 +9,7 @@
 use cranberrytally::{
     metrics::{Counter, Gauge, Latency},
     relay::{
-        belief::Said,
+        belief::ServerNotice,
         datagram::Fault,
         follow::Asked,
         outcome::Outcome,
@@ -77,7 +77,7 @@
         (Counter::RelayStreams, names(&After::ALL, |a| a.as_str())),
         (Counter::RelayStoreCalls, names(&Asked::ALL, |a| a.as_str())),
         (Counter::RelayDatagrams, names(&Fault::ALL, |f| f.as_str())),
-        (Counter::RelayTold, names(&Said::ALL, |t| t.as_str())),
+        (Counter::RelayTold, names(&ServerNotice::ALL, |t| t.as_str())),
         (Counter::RelayEpochs, names(&Heard::COUNTED, |h| h.as_str())),
     ];
     for (counter, expected) in values {
