--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -12,7 +12,7 @@
     followers::Contact,
     place,
     request::Request,
-    revision::{Epoch, Heard, Revision},
+    revision::{Epoch, EpochCheck, Revision},
     routes::Routes,
 };
 use crate::{
@@ -82,7 +82,7 @@
 
     /// Takes in the epoch of an answer of the store. With a later one all that is followed is listed anew: what was read in
     /// the one before may be undone, and its revisions are given out again.
-    pub(crate) fn hear_epoch(&self, epoch: Epoch, from: &str) -> Heard {
+    pub(crate) fn hear_epoch(&self, epoch: Epoch, from: &str) -> EpochCheck {
         let mut state = self.state();
         let before = state.epochs.known();
         let heard = state.epochs.hear(epoch);
@@ -95,17 +95,17 @@
     pub(super) fn hear_epoch_of_host(&self, state: &mut State, epoch: Epoch, from: &str) -> bool {
         let before = state.epochs.known();
         if !state.epochs.trusts(epoch) {
-            self.note_epoch(Heard::Odd, before, epoch, from);
+            self.note_epoch(EpochCheck::Odd, before, epoch, from);
             return false;
         }
         if state.epochs.hear_host(epoch) {
-            self.note_epoch(Heard::Later, before, epoch, from);
+            self.note_epoch(EpochCheck::Later, before, epoch, from);
         }
         true
     }
 
-    fn note_epoch(&self, heard: Heard, before: Epoch, epoch: Epoch, from: &str) {
-        if heard == Heard::Known {
+    fn note_epoch(&self, heard: EpochCheck, before: Epoch, epoch: Epoch, from: &str) {
+        if heard == EpochCheck::Known {
             return;
         }
         self.metrics.add(Counter::RelayEpochs, heard.as_str(), 1);
@@ -113,7 +113,7 @@
             let l = l.text("heard", heard.as_str()).text("from", from);
             l.number("epoch", epoch).number("known", before)
         });
-        if heard == Heard::Later {
+        if heard == EpochCheck::Later {
             self.restored.notify_waiters();
         }
     }
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -9,7 +9,7 @@
     relay::{
         Relay, Wire, belief,
         confirm::Topic,
-        revision::{Epoch, Heard, Revision},
+        revision::{Epoch, EpochCheck, Revision},
     },
     util::now,
 };
@@ -207,10 +207,10 @@
             Err(e) => return Err(e),
         };
         match (self.hear_epoch(epoch, "store"), answer) {
-            (Heard::Known | Heard::Later, Some(answer)) => Ok(answer),
-            (Heard::Odd, _) => Err(StoreError::Unavailable(format!("an answer of epoch {epoch}"))),
+            (EpochCheck::Known | EpochCheck::Later, Some(answer)) => Ok(answer),
+            (EpochCheck::Odd, _) => Err(StoreError::Unavailable(format!("an answer of epoch {epoch}"))),
             (heard, _) => {
-                if heard == Heard::Earlier {
+                if heard == EpochCheck::Earlier {
                     self.forget_revisions();
                 }
                 Err(StoreError::Restored { epoch })
--- a/src/relay/revision.rs
+++ b/src/relay/revision.rs
@@ -74,7 +74,7 @@
 
 /// What an answer's epoch means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum EpochCheck {
     /// It is the one that is known.
     Known,
     /// A later one, which is known from now on.
@@ -87,18 +87,19 @@
     Earlier,
 }
 
-impl Heard {
+impl EpochCheck {
     /// Every meaning that is counted.
-    pub const COUNTED: [Heard; 4] = [Heard::Later, Heard::Unconfirmed, Heard::Odd, Heard::Earlier];
+    pub const COUNTED: [EpochCheck; 4] =
+        [EpochCheck::Later, EpochCheck::Unconfirmed, EpochCheck::Odd, EpochCheck::Earlier];
 
     /// Name in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
-            Heard::Known => "known",
-            Heard::Later => "later",
-            Heard::Unconfirmed => "unconfirmed",
-            Heard::Odd => "odd",
-            Heard::Earlier => "earlier",
+            EpochCheck::Known => "known",
+            EpochCheck::Later => "later",
+            EpochCheck::Unconfirmed => "unconfirmed",
+            EpochCheck::Odd => "odd",
+            EpochCheck::Earlier => "earlier",
         }
     }
 }
@@ -128,25 +129,25 @@
     }
 
     /// Takes in the epoch that an answer of the store tells.
-    pub fn hear(&mut self, epoch: Epoch) -> Heard {
+    pub fn hear(&mut self, epoch: Epoch) -> EpochCheck {
         let Some(known) = self.known else {
             self.know(epoch);
-            return Heard::Later;
+            return EpochCheck::Later;
         };
         if epoch < known {
             return self.hear_earlier(known, epoch);
         }
         self.earlier = None;
         if epoch == known {
-            return Heard::Known;
+            return EpochCheck::Known;
         }
         if self.told == Some(epoch) {
             self.know(epoch);
-            return Heard::Later;
+            return EpochCheck::Later;
         }
         match self.told.replace(epoch) {
-            None => Heard::Unconfirmed,
-            Some(_) => Heard::Odd,
+            None => EpochCheck::Unconfirmed,
+            Some(_) => EpochCheck::Odd,
         }
     }
 
@@ -155,14 +156,14 @@
             Self { known: Some(epoch), wrong: self.wrong.filter(|wrong| epoch < *wrong), ..Self::default() };
     }
 
-    fn hear_earlier(&mut self, known: Epoch, epoch: Epoch) -> Heard {
+    fn hear_earlier(&mut self, known: Epoch, epoch: Epoch) -> EpochCheck {
         let before = self.earlier.filter(|(earlier, _)| *earlier == epoch).map_or(0, |(_, times)| times);
         if before + 1 < EARLIER {
             self.earlier = Some((epoch, before + 1));
-            return Heard::Odd;
+            return EpochCheck::Odd;
         }
         *self = Self { known: Some(epoch), wrong: Some(known), ..Self::default() };
-        Heard::Earlier
+        EpochCheck::Earlier
     }
 
     /// Whether what another host knows as of an epoch may be true.
--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -14,7 +14,7 @@
         follow::Asked,
         outcome::Outcome,
         place::Why,
-        revision::Heard,
+        revision::EpochCheck,
         stream::After,
         verdict::{Failure, Stop},
     },
@@ -78,7 +78,7 @@
         (Counter::RelayStoreCalls, names(&Asked::ALL, |a| a.as_str())),
         (Counter::RelayDatagrams, names(&Fault::ALL, |f| f.as_str())),
         (Counter::RelayTold, names(&ServerNotice::ALL, |t| t.as_str())),
-        (Counter::RelayEpochs, names(&Heard::COUNTED, |h| h.as_str())),
+        (Counter::RelayEpochs, names(&EpochCheck::COUNTED, |h| h.as_str())),
     ];
     for (counter, expected) in values {
         let heading = format!("\n### `{}_total`", counter.shown().name);
--- a/tests/relay_confirmations.rs
+++ b/tests/relay_confirmations.rs
@@ -10,7 +10,7 @@
         confirm::{Change, Confirmations, Topic, Turn, in_force},
         followers::Contact,
         peers::{Own, Peers},
-        revision::{Epochs, Heard, Revision},
+        revision::{EpochCheck, Epochs, Revision},
     },
     schema::fleet::{Beat, Confirmed, Member},
 };
@@ -302,8 +302,8 @@
     let settled = [epochs.hear(3), epochs.hear(3)];
     let from_host = [epochs.hear_host(9_000_000), epochs.hear_host(4)];
 
-    assert!(odd.iter().all(|heard| *heard == Heard::Odd));
-    assert_eq!(settled, [Heard::Earlier, Heard::Known]);
+    assert!(odd.iter().all(|heard| *heard == EpochCheck::Odd));
+    assert_eq!(settled, [EpochCheck::Earlier, EpochCheck::Known]);
     assert_eq!((from_host, epochs.known()), ([false, true], 4));
 }
 
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -12,7 +12,7 @@
         Relay,
         backends::{Backend as Known, Backends, Change, State},
         follow,
-        revision::{Epochs, Heard, Revision},
+        revision::{EpochCheck, Epochs, Revision},
     },
     schema::fleet::{Backend, Backends as List, Start},
 };
@@ -208,9 +208,9 @@
     let wrong = [epochs.hear(9_000_000), epochs.hear(3), epochs.hear(2)];
     let restored = [epochs.hear(4), epochs.hear(4), epochs.hear(3), epochs.hear(4)];
 
-    assert_eq!(first, Heard::Later);
-    assert_eq!(wrong, [Heard::Unconfirmed, Heard::Known, Heard::Odd]);
-    assert_eq!(restored, [Heard::Odd, Heard::Later, Heard::Odd, Heard::Known]);
+    assert_eq!(first, EpochCheck::Later);
+    assert_eq!(wrong, [EpochCheck::Unconfirmed, EpochCheck::Known, EpochCheck::Odd]);
+    assert_eq!(restored, [EpochCheck::Odd, EpochCheck::Later, EpochCheck::Odd, EpochCheck::Known]);
     assert_eq!(epochs.known(), 4);
     assert!(epochs.hear_host(6) && !epochs.hear_host(5));
     assert_eq!(epochs.known(), 6);
