--- a/src/relay.rs
+++ b/src/relay.rs
@@ -79,7 +79,7 @@
 use peers::{Own, Peers};
 use pool::{Conn, Pool};
 use request::Request;
-use revision::{Epochs, Revision};
+use revision::{EpochTracker, Revision};
 use routes::Routes;
 use suspects::Suspects;
 use warmup::Warmup;
@@ -118,7 +118,7 @@
     pub(crate) peers: Peers,
     pub(crate) suspects: Suspects,
     pub(crate) evacuations: Evacuations,
-    pub(crate) epochs: Epochs,
+    pub(crate) epochs: EpochTracker,
     pub(crate) confirmations: Confirmations,
     /// When a data centre was taken back last.
     pub(crate) taken_back: Option<Instant>,
@@ -180,7 +180,7 @@
             peers: Peers::new(cfg.peer_addr, &cfg.me.data_centre, &cfg.seeds).with_start(now()),
             suspects: Suspects::default(),
             evacuations: Evacuations::default(),
-            epochs: Epochs::default(),
+            epochs: EpochTracker::default(),
             confirmations: Confirmations::new(now(), cfg.in_force, cfg.evacuates),
             taken_back: None,
             warmup: Warmup::default().with_start(now()),
--- a/src/relay/revision.rs
+++ b/src/relay/revision.rs
@@ -107,7 +107,7 @@
 /// The store's epoch as far as it is known. Taken for true at once, a single wrong number would hide all that the store tells
 /// from then on, so that a later one counts once it was told twice.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Epochs {
+pub struct EpochTracker {
     known: Option<Epoch>,
     told: Option<Epoch>,
     /// An earlier one, and how many answers in a row have told it.
@@ -122,7 +122,7 @@
 /// Restores that other hosts may be ahead by; a higher number from them is made up.
 const MOST_AHEAD: Epoch = 16;
 
-impl Epochs {
+impl EpochTracker {
     /// The epoch that is known; 0 before any is.
     pub fn known(&self) -> Epoch {
         self.known.unwrap_or_default()
--- a/tests/relay_confirmations.rs
+++ b/tests/relay_confirmations.rs
@@ -10,7 +10,7 @@
         confirm::{Change, Confirmations, Topic, Turn, in_force},
         followers::Contact,
         peers::{Own, Peers},
-        revision::{EpochCheck, Epochs, Revision},
+        revision::{EpochCheck, EpochTracker, Revision},
     },
     schema::fleet::{Beat, Confirmed, Member},
 };
@@ -295,7 +295,7 @@
 /// A host deaf for good, since it took a wrong number for the store's epoch.
 #[test]
 fn an_earlier_epoch_counts_once_the_store_tells_nothing_else() {
-    let mut epochs = Epochs::default();
+    let mut epochs = EpochTracker::default();
     epochs.hear(9_000_000);
 
     let odd: Vec<_> = (0..7).map(|_| epochs.hear(3)).collect();
@@ -310,7 +310,7 @@
 /// A host that is led to an epoch far from the store's by another host's word.
 #[test]
 fn a_host_is_not_believed_that_tells_of_restores_without_end() {
-    let mut epochs = Epochs::default();
+    let mut epochs = EpochTracker::default();
     epochs.hear(3);
 
     let told = [epochs.hear_host(100), epochs.hear_host(5), epochs.hear_host(21), epochs.hear_host(22)];
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -12,7 +12,7 @@
         Relay,
         backends::{Backend as Known, Backends, Change, State},
         follow,
-        revision::{EpochCheck, Epochs, Revision},
+        revision::{EpochCheck, EpochTracker, Revision},
     },
     schema::fleet::{Backend, Backends as List, Start},
 };
@@ -202,7 +202,7 @@
 /// A host deaf for good after one wrong epoch, or believing a store that has gone back.
 #[test]
 fn a_later_epoch_counts_once_it_was_told_twice() {
-    let mut epochs = Epochs::default();
+    let mut epochs = EpochTracker::default();
 
     let first = epochs.hear(3);
     let wrong = [epochs.hear(9_000_000), epochs.hear(3), epochs.hear(2)];
