--- a/src/relay.rs
+++ b/src/relay.rs
@@ -68,7 +68,7 @@
 use admission::Admission;
 use backends::{BackendKey, Backends};
 use budget::{BudgetConfig, FleetBudget};
-use configurations::Configurations;
+use configurations::ConfigurationHistory;
 use confirm::{Confirmations, Topic};
 use evacuations::Evacuations;
 use followers::Contact;
@@ -110,7 +110,7 @@
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) routes: Option<Arc<Routes>>,
-    pub(crate) configurations: Configurations,
+    pub(crate) configurations: ConfigurationHistory,
     pub(crate) backends: Backends,
     pub(crate) health: Health,
     pub(crate) holders: Holders,
@@ -172,7 +172,7 @@
     pub fn new(cfg: RelayConfig, wire: W) -> Result<Self> {
         let state = State {
             routes: None,
-            configurations: Configurations::default(),
+            configurations: ConfigurationHistory::default(),
             backends: Backends::default(),
             health: Health::default(),
             holders: Holders::default(),
--- a/src/relay/configurations.rs
+++ b/src/relay/configurations.rs
@@ -19,13 +19,13 @@
 
 /// The configurations known lately, the newest last.
 #[derive(Clone, Debug, Default)]
-pub struct Configurations {
+pub struct ConfigurationHistory {
     kept: VecDeque<Arc<Configuration>>,
     /// The changes that were asked for last: all hosts that follow a change lack the same.
     last: Option<ConfigurationChanges>,
 }
 
-impl Configurations {
+impl ConfigurationHistory {
     /// Remembers a newer configuration.
     pub fn note(&mut self, cfg: Arc<Configuration>) {
         self.last = None;
--- a/tests/relay_configurations.rs
+++ b/tests/relay_configurations.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cranberrytally::{
-    relay::configurations::{Configurations, apply, changes},
+    relay::configurations::{ConfigurationHistory, apply, changes},
     schema::fleet::{Configuration, Route, Run, Service, Workspace},
 };
 use proptest::prelude::*;
@@ -53,7 +53,7 @@
 /// A host was away for longer than the others remember, or they have dropped what it knows since all is large.
 #[test]
 fn changes_are_told_from_what_is_remembered() {
-    let mut known = Configurations::default();
+    let mut known = ConfigurationHistory::default();
     for version in 1..=40 {
         known.note(Arc::new(configuration(version, vec![route(1, version as u32)], Vec::new())));
     }
