--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -110,7 +110,11 @@
             },
             grace: Duration::from_secs_f64(bounds.grace_s.clamp(1.0, 3_600.0)),
             evacuates: bounds.evacuation_ms.is_some(),
-            in_force: confirm::in_force([bounds.config_apply_ms, bounds.drain_ms, bounds.evacuation_ms]),
+            in_force: confirm::propagation_bound([
+                bounds.config_apply_ms,
+                bounds.drain_ms,
+                bounds.evacuation_ms,
+            ]),
         })
     }
 
--- a/src/relay/confirm.rs
+++ b/src/relay/confirm.rs
@@ -35,7 +35,7 @@
 const IN_FORCE_LIMITS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(60));
 
 /// The shortest of the times within which changes must be in force, in milliseconds.
-pub fn in_force(bounds_ms: impl IntoIterator<Item = Option<f64>>) -> Duration {
+pub fn propagation_bound(bounds_ms: impl IntoIterator<Item = Option<f64>>) -> Duration {
     let shortest = bounds_ms.into_iter().flatten().filter(|ms| ms.is_finite()).reduce(f64::min);
     let (least, most) = IN_FORCE_LIMITS;
     let within = |ms: f64| (ms / 1_000.0).clamp(least.as_secs_f64(), most.as_secs_f64());
