--- a/src/relay/confirm.rs
+++ b/src/relay/confirm.rs
@@ -69,7 +69,7 @@
 
 /// This host's place among those that could ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turn {
+pub struct CheckOrder {
     /// Whether it follows the store.
     pub follows: bool,
     /// Hosts that were heard lately and come before it.
@@ -172,19 +172,19 @@
     }
 
     /// When this host asks the store, unless something is confirmed before.
-    pub fn asks_at(&self, turn: Turn) -> Instant {
+    pub fn asks_at(&self, turn: CheckOrder) -> Instant {
         let oldest = self.topics().map(|topic| self.at(topic)).min().unwrap_or_default();
         let due = oldest + self.patience(turn);
         self.asked.map_or(due, |asked| due.max(asked + self.part(PAUSE)))
     }
 
-    fn patience(&self, turn: Turn) -> Duration {
+    fn patience(&self, turn: CheckOrder) -> Duration {
         let before = turn.before as f64;
         self.part(match turn {
-            Turn { follows: true, before: 0, .. } => FIRST,
-            Turn { follows: true, .. } => (NEXT + STEP * (before - 1.0)).min(LAST),
+            CheckOrder { follows: true, before: 0, .. } => FIRST,
+            CheckOrder { follows: true, .. } => (NEXT + STEP * (before - 1.0)).min(LAST),
             // Where the store does not answer the others, all would ask in vain.
-            Turn { others_fail: true, .. } => IDLE + IDLE_STEP * before,
+            CheckOrder { others_fail: true, .. } => IDLE + IDLE_STEP * before,
             _ => (IDLE + IDLE_STEP * before).min(IDLE_LAST),
         })
     }
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -6,7 +6,7 @@
 use crate::{
     relay::{
         backends::Tag,
-        confirm::Turn,
+        confirm::CheckOrder,
         followers::{self, Contact, Neighbour},
     },
     schema::fleet::Member,
@@ -63,7 +63,7 @@
 
     /// This host's place among those that could ask the store whether what all know is the newest. Only hosts that were heard
     /// since about the last confirmation count: who hears nobody must ask itself.
-    pub fn turn(&self, now: Instant, contact: Contact) -> Turn {
+    pub fn turn(&self, now: Instant, contact: Contact) -> CheckOrder {
         let lately = self.period() * LATELY;
         let heard = |at: Instant| at + lately >= now;
         let near = || {
@@ -78,7 +78,7 @@
         let follows = contact != Contact::Idle;
         let own = hash(&self.data_centre);
         let centres = self.centres.iter().filter(|(name, c)| follows && heard(c.heard) && hash(name) > own);
-        Turn {
+        CheckOrder {
             follows,
             before: near().filter(is_before).count() + centres.count(),
             others_fail: near().any(|(_, p)| p.contact == Contact::Lost),
--- a/tests/relay_confirmations.rs
+++ b/tests/relay_confirmations.rs
@@ -7,7 +7,7 @@
 
 use cranberrytally::{
     relay::{
-        confirm::{Change, Confirmations, Topic, Turn, in_force},
+        confirm::{Change, CheckOrder, Confirmations, Topic, in_force},
         followers::Contact,
         peers::{Own, Peers},
         revision::{EpochCheck, EpochTracker, Revision},
@@ -34,12 +34,12 @@
     SocketAddr::from(([10, 0, 0, i as u8], 7000))
 }
 
-fn follows(before: usize) -> Turn {
-    Turn { follows: true, before, others_fail: false }
+fn follows(before: usize) -> CheckOrder {
+    CheckOrder { follows: true, before, others_fail: false }
 }
 
-fn idle(before: usize, others_fail: bool) -> Turn {
-    Turn { follows: false, before, others_fail }
+fn idle(before: usize, others_fail: bool) -> CheckOrder {
+    CheckOrder { follows: false, before, others_fail }
 }
 
 /// A host of a fleet whose waiting calls hear nothing and whose hosts can't fetch from each other: it learns only by asking.
