--- a/src/relay/followers.rs
+++ b/src/relay/followers.rs
@@ -54,12 +54,12 @@
 
 /// Decides whether this host follows the store.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Duty {
+pub struct FollowerElection {
     /// Since when too few have followed.
     short_since: Option<Instant>,
 }
 
-impl Duty {
+impl FollowerElection {
     /// Whether this host shall follow, as one of `wanted`.
     pub fn decide(
         &mut self,
--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -13,7 +13,7 @@
 
 use super::{
     backends::Tag,
-    followers::{Contact, Duty},
+    followers::{Contact, FollowerElection},
     revision::Revision,
     routes::Version,
 };
@@ -133,7 +133,7 @@
     number: u64,
     /// Members told so far, in turn.
     told: usize,
-    duty: Duty,
+    duty: FollowerElection,
     /// Whether this host follows the store.
     follows: bool,
     /// When a host was heard or told of that was unknown.
--- a/tests/relay_followers.rs
+++ b/tests/relay_followers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranberrytally::relay::followers::{Contact, Duty, Neighbour, wanted};
+use cranberrytally::relay::followers::{Contact, FollowerElection, Neighbour, wanted};
 use proptest::prelude::*;
 
 const fn ms(n: u64) -> Duration {
@@ -11,13 +11,14 @@
 
 /// A data centre in which each host sees the contact of all others as of the last step.
 struct Centre {
-    hosts: Vec<(Neighbour, Duty)>,
+    hosts: Vec<(Neighbour, FollowerElection)>,
     wanted: usize,
 }
 
 impl Centre {
     fn new(hosts: usize, wanted: usize) -> Self {
-        let host = |rank| (Neighbour { rank: rank as u64, contact: Contact::Idle }, Duty::default());
+        let host =
+            |rank| (Neighbour { rank: rank as u64, contact: Contact::Idle }, FollowerElection::default());
         Self { hosts: (0..hosts).map(host).collect(), wanted }
     }
 
@@ -93,7 +94,7 @@
 fn a_host_does_not_wait_for_ever_for_those_before_it() {
     let me = Neighbour { rank: 0, contact: Contact::Idle };
     let idle = [3, 2, 1].map(|rank| Neighbour { rank, contact: Contact::Idle });
-    let mut duty = Duty::default();
+    let mut duty = FollowerElection::default();
 
     let decided: Vec<_> = (0..=30).map(|s| duty.decide(ms(1_000 * s), me, idle, 1)).collect();
 
