--- a/src/relay/contact.rs
+++ b/src/relay/contact.rs
@@ -29,7 +29,7 @@
 
 /// Contact of one follower.
 #[derive(Clone, Debug)]
-pub struct Contact {
+pub struct StoreRetry {
     what: &'static str,
     lost: Option<Instant>,
     back: Option<Instant>,
@@ -37,7 +37,7 @@
     patience: Duration,
 }
 
-impl Contact {
+impl StoreRetry {
     /// A follower of `what` that has not called yet.
     pub fn new(what: &'static str) -> Self {
         let backoff = Backoff::new(WAITS.0, WAITS.1);
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -22,7 +22,7 @@
 use super::{
     Relay, Wire,
     confirm::Topic,
-    contact::Contact,
+    contact::StoreRetry,
     followers::Contact as OwnContact,
     revision::{Epoch, Revision},
 };
@@ -151,12 +151,12 @@
 
 /// Follows the configuration until the task is ended.
 pub async fn follow_configuration<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
-    let mut contact = Contact::new("configuration");
+    let mut contact = StoreRetry::new("configuration");
     let (mut after, mut started, mut whole) = (None, false, false);
     loop {
         started |= relay.routes().is_some();
         if started && rest(&relay).await {
-            contact = Contact::new("configuration");
+            contact = StoreRetry::new("configuration");
         }
         let copy = !started && !relay.is_seed();
         let call =
@@ -200,12 +200,12 @@
 
 /// Follows the backend servers until the task is ended.
 pub async fn follow_backends<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
-    let mut contact = Contact::new("backends");
+    let mut contact = StoreRetry::new("backends");
     let (mut list, mut whole) = (true, false);
     loop {
         let started = relay.state().listed;
         if started && rest(&relay).await {
-            contact = Contact::new("backends");
+            contact = StoreRetry::new("backends");
         }
         let after = (!list).then(|| relay.state().backends.revision());
         let copy = !started && !relay.is_seed();
@@ -348,7 +348,7 @@
 }
 
 /// Notes an answer; returns how long entries that may have lapsed still count.
-fn regain(contact: &mut Contact) -> Option<Duration> {
+fn regain(contact: &mut StoreRetry) -> Option<Duration> {
     let now = now();
     let (away, grace) = contact.answered(now);
     if let Some(away) = away {
@@ -357,7 +357,7 @@
     grace
 }
 
-async fn lose(contact: &mut Contact, e: &StoreError) {
+async fn lose(contact: &mut StoreRetry, e: &StoreError) {
     let lost = contact.failed(now(), *e == StoreError::TimedOut, &mut rand::rng());
     if lost.first {
         line(Weight::Notable, "store_lost", |l| {
--- a/src/relay/follow/evacuations.rs
+++ b/src/relay/follow/evacuations.rs
@@ -8,7 +8,7 @@
 use super::{Asked, Call, GATHER, Store, StoreError, lose, regain, rest, start::is_told};
 use crate::{
     logs::lines::{Weight, line},
-    relay::{Relay, Wire, confirm::Topic, contact::Contact},
+    relay::{Relay, Wire, confirm::Topic, contact::StoreRetry},
     util::now,
 };
 
@@ -21,12 +21,12 @@
         return;
     }
     is_told(&relay, TOLD, Relay::knows_evacuations).await;
-    let mut contact = Contact::new("evacuations");
+    let mut contact = StoreRetry::new("evacuations");
     let mut list = !relay.knows_evacuations();
     loop {
         let started = relay.knows_evacuations();
         if started && rest(&relay).await {
-            contact = Contact::new("evacuations");
+            contact = StoreRetry::new("evacuations");
         }
         let after = (!list).then(|| relay.state().evacuations.revision());
         let copy = !started && !relay.is_seed();
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -7,7 +7,7 @@
     relay::{
         Relay,
         backends::{Backends, Change},
-        contact::Contact,
+        contact::StoreRetry,
         evacuations::Update,
         follow::{self, BackendsUpdate, Call, Hosts, Store, StoreError},
         pool,
@@ -49,7 +49,7 @@
 #[test]
 fn entries_that_lapsed_count_until_their_servers_could_have_written_again() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut contact = Contact::new("backends");
+    let mut contact = StoreRetry::new("backends");
     let mut backends = Backends::default();
     backends.list(s(0), &list(5, &["lives", "gone"]), None);
     contact.failed(s(1), false, &mut rng);
@@ -70,7 +70,7 @@
 #[test]
 fn an_entry_that_is_removed_later_counts_as_gone_at_once() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut contact = Contact::new("backends");
+    let mut contact = StoreRetry::new("backends");
     let mut backends = Backends::default();
     backends.list(s(0), &list(5, &["a", "b"]), None);
     contact.failed(s(1), false, &mut rng);
@@ -93,7 +93,7 @@
     let starts = (0..6).map(|n| Duration::from_millis(90 * n));
 
     let calls_after_return = starts.map(|start| {
-        let mut contact = Contact::new("configuration");
+        let mut contact = StoreRetry::new("configuration");
         let mut at = start;
         while at < back {
             at += contact.patience();
@@ -111,7 +111,7 @@
 #[test]
 fn a_slow_store_is_given_more_time_with_each_call() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut contact = Contact::new("configuration");
+    let mut contact = StoreRetry::new("configuration");
     let first = contact.patience();
 
     contact.failed(s(1), true, &mut rng);
