--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -23,7 +23,7 @@
     Relay, Wire,
     confirm::Topic,
     contact::StoreRetry,
-    followers::Contact as OwnContact,
+    followers::Contact as FollowState,
     revision::{Epoch, Revision},
 };
 use crate::{
@@ -226,7 +226,7 @@
                 let revision = Some(update.revision()).filter(|_| !copy);
                 relay.update_backends(update, grace, "store");
                 relay.note_answer(Topic::Backends, call, asked, revision);
-                relay.note_contact(OwnContact::Follows);
+                relay.note_contact(FollowState::Follows);
                 if news || soon {
                     tokio::time::sleep(relay.gather()).await;
                 }
@@ -248,7 +248,7 @@
             Err(e) => {
                 // A watch would answer only at the next change, and what lapsed meanwhile would count from then on.
                 list = true;
-                relay.note_contact(OwnContact::Lost);
+                relay.note_contact(FollowState::Lost);
                 lose(&mut contact, &e).await;
             }
         }
@@ -292,13 +292,13 @@
         let state = &mut *state;
         let on_duty = state.leaving.is_none() && state.peers.is_on_duty(now(), state.contact);
         if !on_duty && state.peers.is_settled() {
-            state.contact = OwnContact::Idle;
+            state.contact = FollowState::Idle;
         }
         on_duty
     }
 
     /// Notes whether the store has answered this host, and tells the others where that has changed: they step in or rest.
-    fn note_contact(&self, contact: OwnContact) {
+    fn note_contact(&self, contact: FollowState) {
         let mut state = self.state();
         if !state.peers.is_settled() {
             return;
