--- a/src/relay.rs
+++ b/src/relay.rs
@@ -71,7 +71,7 @@
 use configurations::ConfigurationHistory;
 use confirm::{Confirmations, Topic};
 use evacuations::Evacuations;
-use followers::Contact;
+use followers::FollowState;
 use health::Health;
 use holders::Holders;
 use leave::Leaving;
@@ -126,7 +126,7 @@
     pub(crate) admission: Admission,
     pub(crate) leaving: Option<Leaving>,
     /// What this host has to do with the store.
-    pub(crate) contact: Contact,
+    pub(crate) contact: FollowState,
     /// Whether it has read a copy of the configuration, which may be seconds old.
     pub(crate) copied: bool,
     pub(crate) listed: bool,
@@ -186,7 +186,7 @@
             warmup: Warmup::default().with_start(now()),
             admission: Admission::default(),
             leaving: None,
-            contact: Contact::Idle,
+            contact: FollowState::Idle,
             copied: false,
             listed: false,
             news: Vec::new(),
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -9,7 +9,7 @@
     confirm::{self, Topic},
     evacuations,
     follow::Hosts,
-    followers::Contact,
+    followers::FollowState,
     place,
     request::Request,
     revision::{Epoch, EpochCheck, Revision},
@@ -61,10 +61,10 @@
         let state = self.state();
         match state.contact {
             _ if state.confirmations.is_old(now(), Topic::Configuration) => true,
-            Contact::Follows => false,
-            Contact::Lost => true,
+            FollowState::Follows => false,
+            FollowState::Lost => true,
             // What it knows is as of a copy, or was told by hosts that may be gone.
-            Contact::Idle => {
+            FollowState::Idle => {
                 (state.copied || state.peers.is_settled()) && !state.peers.some_follow_store(now())
             }
         }
@@ -358,8 +358,8 @@
     pub fn wake(&self, slept: Duration) {
         line(Weight::Notable, "woken", |l| l.ms("slept_ms", slept));
         let mut state = self.state();
-        if state.contact == Contact::Follows {
-            state.contact = Contact::Lost;
+        if state.contact == FollowState::Follows {
+            state.contact = FollowState::Lost;
         }
         drop(state);
         self.woken.notify_waiters();
@@ -369,7 +369,7 @@
     /// nobody keeps those that are entered beside itself: they may be cut off from it alone.
     pub(crate) fn hosts_to_enter(&self, entered: &Hosts) -> Option<Hosts> {
         let state = self.state();
-        if state.contact != Contact::Follows {
+        if state.contact != FollowState::Follows {
             return None;
         }
         let me = &self.cfg.me;
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -23,7 +23,7 @@
     Relay, Wire,
     confirm::Topic,
     contact::StoreRetry,
-    followers::Contact as FollowState,
+    followers::FollowState,
     revision::{Epoch, Revision},
 };
 use crate::{
--- a/src/relay/followers.rs
+++ b/src/relay/followers.rs
@@ -17,7 +17,7 @@
 
 /// What a host has to do with the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Contact {
+pub enum FollowState {
     /// It leaves the store to others.
     #[default]
     Idle,
@@ -27,13 +27,13 @@
     Lost,
 }
 
-impl Contact {
+impl FollowState {
     /// Name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Contact::Idle => "idle",
-            Contact::Follows => "follows",
-            Contact::Lost => "lost",
+            FollowState::Idle => "idle",
+            FollowState::Follows => "follows",
+            FollowState::Lost => "lost",
         }
     }
 }
@@ -44,7 +44,7 @@
     /// Its place in the order, the highest first.
     pub rank: u64,
     /// Its contact.
-    pub contact: Contact,
+    pub contact: FollowState,
 }
 
 /// Hosts of each data centre that shall follow the store.
@@ -72,12 +72,12 @@
         for host in near {
             let before = usize::from(host.rank > me.rank);
             match host.contact {
-                Contact::Follows => {
+                FollowState::Follows => {
                     follow += 1;
                     follow_before += before;
                 }
-                Contact::Idle => idle_before += before,
-                Contact::Lost => lost += 1,
+                FollowState::Idle => idle_before += before,
+                FollowState::Lost => lost += 1,
             }
         }
         let short = wanted.saturating_sub(follow);
@@ -85,10 +85,10 @@
             self.short_since = None;
         }
         match me.contact {
-            Contact::Follows => follow_before < wanted,
-            Contact::Lost => short > 0,
-            Contact::Idle if short == 0 => false,
-            Contact::Idle => {
+            FollowState::Follows => follow_before < wanted,
+            FollowState::Lost => short > 0,
+            FollowState::Idle if short == 0 => false,
+            FollowState::Idle => {
                 let since = *self.short_since.get_or_insert(now);
                 // The first that loses the store is replaced at once: it may be cut off alone.
                 let before = idle_before + usize::saturating_sub(lost, 1);
--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -13,7 +13,7 @@
 
 use super::{
     backends::Tag,
-    followers::{Contact, FollowerElection},
+    followers::{FollowState, FollowerElection},
     revision::Revision,
     routes::Version,
 };
@@ -58,7 +58,7 @@
     /// Revision of its backend servers.
     pub backends: Revision,
     backends_digest: u32,
-    contact: Contact,
+    contact: FollowState,
     start: u64,
     number: u64,
     heard: Option<Instant>,
@@ -227,9 +227,9 @@
         (peer.start, peer.number, peer.heard) = (beat.start, beat.number, Some(now));
         peer.ready = beat.ready;
         peer.contact = match beat {
-            Beat { follows_store: true, .. } => Contact::Follows,
-            Beat { lost_store: true, .. } => Contact::Lost,
-            _ => Contact::Idle,
+            Beat { follows_store: true, .. } => FollowState::Follows,
+            Beat { lost_store: true, .. } => FollowState::Lost,
+            _ => FollowState::Idle,
         };
         peer.configuration = beat.configuration;
         (peer.backends, peer.backends_digest) = (beat.backends_as_of(), beat.backends_digest);
@@ -291,7 +291,7 @@
             if peer.ready || !peer.loads.is_empty() || !avoided.is_empty() {
                 lost.push((*addr, std::mem::take(&mut peer.loads), avoided));
             }
-            (peer.ready, peer.contact, peer.ahead) = (false, Contact::Idle, None);
+            (peer.ready, peer.contact, peer.ahead) = (false, FollowState::Idle, None);
         }
         for (_, loads, avoided) in &lost {
             self.count(loads, &Map::default());
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -7,7 +7,7 @@
     relay::{
         backends::Tag,
         confirm::CheckOrder,
-        followers::{self, Contact, Neighbour},
+        followers::{self, FollowState, Neighbour},
     },
     schema::fleet::Member,
     util::{Instant, Set, hash},
@@ -27,7 +27,7 @@
 impl Peers {
     /// Whether this host, with its contact to the store, follows it now. Before it knows the others only a seed does: after a
     /// start of all hosts nobody else would see what changes until they have decided.
-    pub fn is_on_duty(&mut self, now: Instant, contact: Contact) -> bool {
+    pub fn is_on_duty(&mut self, now: Instant, contact: FollowState) -> bool {
         // Who follows the store already tells this host what changes, and in a large fleet some soon do.
         let can_wait = !self.seed && (!self.is_small() || self.some_follow_store(now));
         let first = if self.seed || self.is_alone(now) { SETTLE.start } else { SETTLE_HEARD };
@@ -38,7 +38,7 @@
 
     /// Decides whether this host, with its contact to the store, follows it from now on: every one in a small fleet, else a
     /// few of each data centre.
-    pub fn decide_duty(&mut self, now: Instant, contact: Contact) -> bool {
+    pub fn decide_duty(&mut self, now: Instant, contact: FollowState) -> bool {
         self.follows = match self.me {
             Some(me) if !self.is_small() => {
                 let me = Neighbour { rank: hash(me), contact };
@@ -63,7 +63,7 @@
 
     /// This host's place among those that could ask the store whether what all know is the newest. Only hosts that were heard
     /// since about the last confirmation count: who hears nobody must ask itself.
-    pub fn turn(&self, now: Instant, contact: Contact) -> CheckOrder {
+    pub fn turn(&self, now: Instant, contact: FollowState) -> CheckOrder {
         let lately = self.period() * LATELY;
         let heard = |at: Instant| at + lately >= now;
         let near = || {
@@ -73,15 +73,15 @@
         let me = self.me.map_or(0, hash);
         let is_before = |(addr, p): &(&SocketAddr, &Peer)| {
             let is_higher = p.contact == contact && hash(addr) > me;
-            is_higher || contact == Contact::Lost && p.contact == Contact::Follows
+            is_higher || contact == FollowState::Lost && p.contact == FollowState::Follows
         };
-        let follows = contact != Contact::Idle;
+        let follows = contact != FollowState::Idle;
         let own = hash(&self.data_centre);
         let centres = self.centres.iter().filter(|(name, c)| follows && heard(c.heard) && hash(name) > own);
         CheckOrder {
             follows,
             before: near().filter(is_before).count() + centres.count(),
-            others_fail: near().any(|(_, p)| p.contact == Contact::Lost),
+            others_fail: near().any(|(_, p)| p.contact == FollowState::Lost),
         }
     }
 
@@ -125,6 +125,6 @@
     pub fn some_follow_store(&self, now: Instant) -> bool {
         let limit = self.lost();
         let heard = |p: &&Peer| p.heard.is_some_and(|heard| heard + limit >= now);
-        self.peers.values().filter(heard).any(|p| p.contact == Contact::Follows)
+        self.peers.values().filter(heard).any(|p| p.contact == FollowState::Follows)
     }
 }
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -6,7 +6,7 @@
     Relay, State, Wire,
     confirm::Topic,
     datagram::Fault,
-    followers::Contact,
+    followers::FollowState,
     peers::{Own, Scope},
 };
 use crate::{
@@ -53,8 +53,8 @@
             backends: own.backends.number,
             backends_epoch: own.backends.epoch,
             backends_digest: own.digest,
-            follows_store: state.contact == Contact::Follows,
-            lost_store: state.contact == Contact::Lost,
+            follows_store: state.contact == FollowState::Follows,
+            lost_store: state.contact == FollowState::Lost,
             in_progress,
             held: state.news.drain(..told).collect(),
             avoided,
--- a/tests/relay_followers.rs
+++ b/tests/relay_followers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranberrytally::relay::followers::{Contact, FollowerElection, Neighbour, wanted};
+use cranberrytally::relay::followers::{FollowState, FollowerElection, Neighbour, wanted};
 use proptest::prelude::*;
 
 const fn ms(n: u64) -> Duration {
@@ -18,7 +18,7 @@
 impl Centre {
     fn new(hosts: usize, wanted: usize) -> Self {
         let host =
-            |rank| (Neighbour { rank: rank as u64, contact: Contact::Idle }, FollowerElection::default());
+            |rank| (Neighbour { rank: rank as u64, contact: FollowState::Idle }, FollowerElection::default());
         Self { hosts: (0..hosts).map(host).collect(), wanted }
     }
 
@@ -28,14 +28,14 @@
         for (i, (host, duty)) in self.hosts.iter_mut().enumerate() {
             let others = seen.iter().copied().filter(|other| other.rank != host.rank);
             host.contact = match duty.decide(now, *host, others, self.wanted) {
-                true if reaches(i) => Contact::Follows,
-                true => Contact::Lost,
-                false => Contact::Idle,
+                true if reaches(i) => FollowState::Follows,
+                true => FollowState::Lost,
+                false => FollowState::Idle,
             };
         }
     }
 
-    fn count(&self, contact: Contact) -> usize {
+    fn count(&self, contact: FollowState) -> usize {
         self.hosts.iter().filter(|(host, _)| host.contact == contact).count()
     }
 }
@@ -46,12 +46,12 @@
 fn an_outage_of_the_store_makes_few_hosts_call_it() {
     let mut centre = Centre::new(59, 1);
     centre.step(ms(0), |_| true);
-    assert_eq!(centre.count(Contact::Follows), 1);
+    assert_eq!(centre.count(FollowState::Follows), 1);
 
     let mut most = 0;
     for step in 1..=32 {
         centre.step(ms(250 * step), |_| false);
-        most = most.max(centre.count(Contact::Lost));
+        most = most.max(centre.count(FollowState::Lost));
     }
 
     assert!((2..=6).contains(&most), "{most} hosts called the store");
@@ -69,7 +69,7 @@
         centre.step(ms(250 * step), |_| true);
     }
 
-    assert_eq!((centre.count(Contact::Follows), centre.count(Contact::Lost)), (1, 0));
+    assert_eq!((centre.count(FollowState::Follows), centre.count(FollowState::Lost)), (1, 0));
 }
 
 /// The host that follows the store is cut off from it alone. Another one steps in at once, and the first gives up: each of
@@ -78,22 +78,22 @@
 fn a_follower_that_is_cut_off_is_replaced_at_once() {
     let mut centre = Centre::new(59, 1);
     centre.step(ms(0), |_| true);
-    let cut = centre.hosts.iter().position(|(host, _)| host.contact == Contact::Follows).unwrap();
+    let cut = centre.hosts.iter().position(|(host, _)| host.contact == FollowState::Follows).unwrap();
 
     centre.step(ms(250), |i| i != cut);
     centre.step(ms(500), |i| i != cut);
     centre.step(ms(750), |i| i != cut);
 
-    assert_eq!((centre.count(Contact::Follows), centre.count(Contact::Lost)), (1, 0));
-    assert_eq!(centre.hosts[cut].0.contact, Contact::Idle);
+    assert_eq!((centre.count(FollowState::Follows), centre.count(FollowState::Lost)), (1, 0));
+    assert_eq!(centre.hosts[cut].0.contact, FollowState::Idle);
 }
 
 /// The first hosts in the order don't step in, as where they see others that this host does not. It waits for them for a
 /// while and then does it itself.
 #[test]
 fn a_host_does_not_wait_for_ever_for_those_before_it() {
-    let me = Neighbour { rank: 0, contact: Contact::Idle };
-    let idle = [3, 2, 1].map(|rank| Neighbour { rank, contact: Contact::Idle });
+    let me = Neighbour { rank: 0, contact: FollowState::Idle };
+    let idle = [3, 2, 1].map(|rank| Neighbour { rank, contact: FollowState::Idle });
     let mut duty = FollowerElection::default();
 
     let decided: Vec<_> = (0..=30).map(|s| duty.decide(ms(1_000 * s), me, idle, 1)).collect();
@@ -122,10 +122,10 @@
             centre.step(ms(4_000 * step), |i| reaches[i]);
         }
 
-        prop_assert!(centre.count(Contact::Follows) >= 1);
-        prop_assert!(centre.count(Contact::Follows) <= wanted.min(can));
+        prop_assert!(centre.count(FollowState::Follows) >= 1);
+        prop_assert!(centre.count(FollowState::Follows) <= wanted.min(can));
         if can >= wanted {
-            prop_assert_eq!(centre.count(Contact::Lost), 0);
+            prop_assert_eq!(centre.count(FollowState::Lost), 0);
         }
     }
 }
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -11,7 +11,7 @@
     relay::{
         configurations,
         follow::BackendsUpdate,
-        followers::Contact,
+        followers::FollowState,
         peers::{Own, Peers, Scope},
         revision::Revision,
     },
@@ -173,7 +173,7 @@
 #[test]
 fn news_are_fetched_from_the_own_data_centre_if_it_has_them_soon() {
     let mut peers = large();
-    assert!(!peers.decide_duty(ms(10), Contact::Idle), "two of its data centre follow");
+    assert!(!peers.decide_duty(ms(10), FollowState::Idle), "two of its data centre follow");
     let next = |i, centre| Beat { configuration: 6, ..beat(i, centre, 2) };
     peers.hear(ms(100), addr(4), &next(4, "b"), OWN);
     let before = peers.ahead(ms(400), OWN, &mut rng());
@@ -268,16 +268,16 @@
 /// follow already, and those have lost the store.
 fn followers(follow: &[u8], lost: &[u8]) -> Vec<u8> {
     let contact = |i: u8| match (follow.contains(&i), lost.contains(&i)) {
-        (true, _) => Contact::Follows,
-        (_, true) => Contact::Lost,
-        _ => Contact::Idle,
+        (true, _) => FollowState::Follows,
+        (_, true) => FollowState::Lost,
+        _ => FollowState::Idle,
     };
     let decides = |me: &u8| {
         let mut peers = Peers::new(addr(*me), "a", &[]);
         for i in (0..60).filter(|i| i != me) {
             let centre = ["a", "b", "c"][usize::from(i) % 3];
-            let follows_store = contact(i) == Contact::Follows;
-            let lost_store = contact(i) == Contact::Lost;
+            let follows_store = contact(i) == FollowState::Follows;
+            let lost_store = contact(i) == FollowState::Lost;
             peers.hear(ms(0), addr(i), &Beat { follows_store, lost_store, ..beat(i, centre, 1) }, OWN);
         }
         peers.decide_duty(ms(10), contact(*me))
@@ -308,7 +308,7 @@
         peers.hear(ms(0), addr(i), &leaves, OWN);
     }
 
-    assert!(peers.decide_duty(ms(10), Contact::Idle));
+    assert!(peers.decide_duty(ms(10), FollowState::Idle));
 }
 
 /// All hosts were killed while the store was away. After its return the entries of servers come back one by one, and callers
@@ -319,7 +319,7 @@
     let seeds = [addr(1), addr(2)];
     let mut peers = [1, 9].map(|i| Peers::new(addr(i), "a", &seeds).with_start(ms(50_000)));
 
-    let duty = |peers: &mut [Peers; 2], at| peers.each_mut().map(|p| p.is_on_duty(at, Contact::Idle));
+    let duty = |peers: &mut [Peers; 2], at| peers.each_mut().map(|p| p.is_on_duty(at, FollowState::Idle));
     let first = duty(&mut peers, ms(50_010));
     let early = duty(&mut peers, ms(50_900));
     let settled = duty(&mut peers, ms(51_100));
@@ -340,7 +340,7 @@
     tell(&mut heard, false, 50_100);
     (0..8).for_each(|n| tell(&mut told, true, 50_100 + 500 * n));
 
-    let at = |peers: &mut Peers, at| peers.is_on_duty(ms(at), Contact::Idle);
+    let at = |peers: &mut Peers, at| peers.is_on_duty(ms(at), FollowState::Idle);
     let alones = [at(&mut alone, 50_900), at(&mut alone, 51_100)];
     tell(&mut heard, false, 51_900);
     let heards = [at(&mut heard, 51_950), at(&mut heard, 52_100)];
