--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -13,7 +13,7 @@
 mod hosts;
 mod start;
 
-pub use call::{Asked, Call};
+pub use call::{Call, StoreCall};
 pub use confirm::keep_confirmed;
 pub use evacuations::follow_evacuations;
 pub use hosts::{Hosts, follow_hosts};
@@ -162,7 +162,7 @@
         let call =
             Call { after, epoch: relay.epoch(), patience: contact.patience(), whole, copy, at_once: false };
         let asked = relay.begin(call);
-        let answer = relay.ask_store(Asked::configuration(call), after, store.configuration(call)).await;
+        let answer = relay.ask_store(StoreCall::configuration(call), after, store.configuration(call)).await;
         match relay.check_epoch(answer, |(revision, _)| revision.epoch) {
             Ok((revision, cfg)) => {
                 started = true;
@@ -212,7 +212,7 @@
         let call =
             Call { after, epoch: relay.epoch(), patience: contact.patience(), whole, copy, at_once: false };
         let asked = relay.begin(call);
-        let answer = relay.ask_store(Asked::backends(call), after, store.backends(call)).await;
+        let answer = relay.ask_store(StoreCall::backends(call), after, store.backends(call)).await;
         match relay.check_epoch(answer, |update| update.revision().epoch) {
             Ok(mut update) => {
                 list = copy;
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -33,7 +33,7 @@
 
 /// What a call asks for; a label in logs and counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum StoreCall {
     /// The configuration as of some seconds ago.
     ConfigurationCopy,
     /// The configuration.
@@ -64,76 +64,76 @@
     Enter,
 }
 
-impl Asked {
+impl StoreCall {
     /// Everything that is asked for.
-    pub const ALL: [Asked; 14] = [
-        Asked::ConfigurationCopy,
-        Asked::ConfigurationList,
-        Asked::ConfigurationWatch,
-        Asked::ConfigurationCheck,
-        Asked::BackendsCopy,
-        Asked::BackendsList,
-        Asked::BackendsWatch,
-        Asked::BackendsCheck,
-        Asked::EvacuationsCopy,
-        Asked::EvacuationsList,
-        Asked::EvacuationsWatch,
-        Asked::EvacuationsCheck,
-        Asked::Hosts,
-        Asked::Enter,
+    pub const ALL: [StoreCall; 14] = [
+        StoreCall::ConfigurationCopy,
+        StoreCall::ConfigurationList,
+        StoreCall::ConfigurationWatch,
+        StoreCall::ConfigurationCheck,
+        StoreCall::BackendsCopy,
+        StoreCall::BackendsList,
+        StoreCall::BackendsWatch,
+        StoreCall::BackendsCheck,
+        StoreCall::EvacuationsCopy,
+        StoreCall::EvacuationsList,
+        StoreCall::EvacuationsWatch,
+        StoreCall::EvacuationsCheck,
+        StoreCall::Hosts,
+        StoreCall::Enter,
     ];
 
     /// Name in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
-            Asked::ConfigurationCopy => "configuration_copy",
-            Asked::ConfigurationList => "configuration_list",
-            Asked::ConfigurationWatch => "configuration_watch",
-            Asked::ConfigurationCheck => "configuration_check",
-            Asked::BackendsCopy => "backends_copy",
-            Asked::BackendsList => "backends_list",
-            Asked::BackendsWatch => "backends_watch",
-            Asked::BackendsCheck => "backends_check",
-            Asked::EvacuationsCopy => "evacuations_copy",
-            Asked::EvacuationsList => "evacuations_list",
-            Asked::EvacuationsWatch => "evacuations_watch",
-            Asked::EvacuationsCheck => "evacuations_check",
-            Asked::Hosts => "hosts",
-            Asked::Enter => "enter",
+            StoreCall::ConfigurationCopy => "configuration_copy",
+            StoreCall::ConfigurationList => "configuration_list",
+            StoreCall::ConfigurationWatch => "configuration_watch",
+            StoreCall::ConfigurationCheck => "configuration_check",
+            StoreCall::BackendsCopy => "backends_copy",
+            StoreCall::BackendsList => "backends_list",
+            StoreCall::BackendsWatch => "backends_watch",
+            StoreCall::BackendsCheck => "backends_check",
+            StoreCall::EvacuationsCopy => "evacuations_copy",
+            StoreCall::EvacuationsList => "evacuations_list",
+            StoreCall::EvacuationsWatch => "evacuations_watch",
+            StoreCall::EvacuationsCheck => "evacuations_check",
+            StoreCall::Hosts => "hosts",
+            StoreCall::Enter => "enter",
         }
     }
 
     /// What is waited for, in a call that waits.
     fn waits_for(self) -> Option<Topic> {
         match self {
-            Asked::ConfigurationWatch => Some(Topic::Configuration),
-            Asked::BackendsWatch => Some(Topic::Backends),
-            Asked::EvacuationsWatch => Some(Topic::Evacuations),
+            StoreCall::ConfigurationWatch => Some(Topic::Configuration),
+            StoreCall::BackendsWatch => Some(Topic::Backends),
+            StoreCall::EvacuationsWatch => Some(Topic::Evacuations),
             _ => None,
         }
     }
 
     pub(super) fn configuration(call: Call) -> Self {
         match call {
-            Call { after: Some(_), .. } => Asked::ConfigurationWatch,
-            Call { copy: true, .. } => Asked::ConfigurationCopy,
-            _ => Asked::ConfigurationList,
+            Call { after: Some(_), .. } => StoreCall::ConfigurationWatch,
+            Call { copy: true, .. } => StoreCall::ConfigurationCopy,
+            _ => StoreCall::ConfigurationList,
         }
     }
 
     pub(super) fn evacuations(call: Call) -> Self {
         match call {
-            Call { after: Some(_), .. } => Asked::EvacuationsWatch,
-            Call { copy: true, .. } => Asked::EvacuationsCopy,
-            _ => Asked::EvacuationsList,
+            Call { after: Some(_), .. } => StoreCall::EvacuationsWatch,
+            Call { copy: true, .. } => StoreCall::EvacuationsCopy,
+            _ => StoreCall::EvacuationsList,
         }
     }
 
     pub(super) fn backends(call: Call) -> Self {
         match call {
-            Call { after: Some(_), .. } => Asked::BackendsWatch,
-            Call { copy: true, .. } => Asked::BackendsCopy,
-            _ => Asked::BackendsList,
+            Call { after: Some(_), .. } => StoreCall::BackendsWatch,
+            Call { copy: true, .. } => StoreCall::BackendsCopy,
+            _ => StoreCall::BackendsList,
         }
     }
 }
@@ -144,7 +144,7 @@
     /// revision of before, so that everything is listed again.
     pub(super) async fn ask_store<T>(
         &self,
-        asked: Asked,
+        asked: StoreCall,
         after: Option<Revision>,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
--- a/src/relay/follow/confirm.rs
+++ b/src/relay/follow/confirm.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use super::{Asked, BackendsUpdate, Call, Store, StoreError};
+use super::{BackendsUpdate, Call, Store, StoreCall, StoreError};
 use crate::{
     logs::lines::{Weight, line},
     relay::{
@@ -67,7 +67,7 @@
     for _ in 0..MOST_CALLS {
         let after = relay.state().confirmations.as_of(Topic::Configuration);
         let call = call(after, relay.epoch());
-        let answer = relay.ask_store(Asked::ConfigurationCheck, None, store.configuration(call)).await;
+        let answer = relay.ask_store(StoreCall::ConfigurationCheck, None, store.configuration(call)).await;
         match relay.check_epoch(answer, |(revision, _)| revision.epoch) {
             Ok((revision, cfg)) => {
                 let changed = after.is_some() && cfg.is_some();
@@ -100,7 +100,7 @@
         return Ok(());
     }
     let call = call(Some(known), relay.epoch());
-    let answer = relay.ask_store(Asked::BackendsCheck, None, store.backends(call)).await;
+    let answer = relay.ask_store(StoreCall::BackendsCheck, None, store.backends(call)).await;
     let update = match relay.check_epoch(answer, |update| update.revision().epoch) {
         Ok(update) => update,
         Err(StoreError::HistoryGone | StoreError::Restored { .. }) => {
@@ -130,7 +130,7 @@
     let known = relay.state().evacuations.revision();
     let after = Some(known).filter(|known| known.is_known() && *known != Revision::COPY);
     let call = call(after, relay.epoch());
-    let answer = relay.ask_store(Asked::EvacuationsCheck, None, store.evacuations(call)).await;
+    let answer = relay.ask_store(StoreCall::EvacuationsCheck, None, store.evacuations(call)).await;
     match relay.check_epoch(answer, |update| update.revision().epoch) {
         Ok(update) => {
             let (revision, is_news) = (update.revision(), is_change(&update));
--- a/src/relay/follow/evacuations.rs
+++ b/src/relay/follow/evacuations.rs
@@ -5,7 +5,7 @@
 
 use std::{ops::Range, sync::Arc, time::Duration};
 
-use super::{Asked, Call, GATHER, Store, StoreError, lose, regain, rest, start::is_told};
+use super::{Call, GATHER, Store, StoreCall, StoreError, lose, regain, rest, start::is_told};
 use crate::{
     logs::lines::{Weight, line},
     relay::{Relay, Wire, confirm::Topic, contact::StoreRetry},
@@ -39,7 +39,7 @@
             at_once: false,
         };
         let asked = relay.begin(call);
-        let answer = relay.ask_store(Asked::evacuations(call), after, store.evacuations(call)).await;
+        let answer = relay.ask_store(StoreCall::evacuations(call), after, store.evacuations(call)).await;
         match relay.check_epoch(answer, |update| update.revision().epoch) {
             Ok(mut update) => {
                 list = copy;
--- a/src/relay/follow/hosts.rs
+++ b/src/relay/follow/hosts.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 
-use super::{Asked, Store, StoreError};
+use super::{Store, StoreCall, StoreError};
 use crate::{
     logs::lines::{Weight, line},
     relay::{Relay, Wire},
@@ -38,7 +38,7 @@
             entered = Hosts::default();
         }
         if relay.is_alone() {
-            match relay.ask_store(Asked::Hosts, None, store.hosts()).await {
+            match relay.ask_store(StoreCall::Hosts, None, store.hosts()).await {
                 Ok(mut hosts) => {
                     relay.learn(&hosts.some);
                     hosts.some.retain(|m| m.data_centre == centre);
@@ -48,7 +48,7 @@
             }
         }
         let Some(hosts) = relay.hosts_to_enter(&entered) else { continue };
-        match relay.ask_store(Asked::Enter, None, store.enter(&centre, &hosts)).await {
+        match relay.ask_store(StoreCall::Enter, None, store.enter(&centre, &hosts)).await {
             Ok(()) => entered = hosts,
             Err(e) => note_hosts(&e),
         }
--- a/src/relay/follow/start.rs
+++ b/src/relay/follow/start.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 
-use super::{Asked, Hosts, Store, hosts::note_hosts};
+use super::{Hosts, Store, StoreCall, hosts::note_hosts};
 use crate::{
     relay::{Relay, Wire},
     util::now,
@@ -20,7 +20,7 @@
 
 /// Times in which the hosts that are entered take turns to read so many bytes: they may all have started together.
 pub(super) async fn turns<W: Wire>(relay: &Relay<W>, store: &mut impl Store, bytes: u64) -> Range<Duration> {
-    let hosts = match relay.ask_store(Asked::Hosts, None, store.hosts()).await {
+    let hosts = match relay.ask_store(StoreCall::Hosts, None, store.hosts()).await {
         Ok(hosts) => hosts,
         Err(e) => {
             note_hosts(&e);
--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -11,7 +11,7 @@
     relay::{
         belief::ServerNotice,
         datagram::Fault,
-        follow::Asked,
+        follow::StoreCall,
         outcome::Outcome,
         place::Why,
         revision::EpochCheck,
@@ -75,7 +75,7 @@
         (Counter::RelayStops, names(&Stop::ALL, |s| s.as_str())),
         (Counter::RelayPlacements, names(&Why::ALL, |w| w.as_str())),
         (Counter::RelayStreams, names(&After::ALL, |a| a.as_str())),
-        (Counter::RelayStoreCalls, names(&Asked::ALL, |a| a.as_str())),
+        (Counter::RelayStoreCalls, names(&StoreCall::ALL, |a| a.as_str())),
         (Counter::RelayDatagrams, names(&Fault::ALL, |f| f.as_str())),
         (Counter::RelayTold, names(&ServerNotice::ALL, |t| t.as_str())),
         (Counter::RelayEpochs, names(&EpochCheck::COUNTED, |h| h.as_str())),
