--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -158,7 +158,7 @@
     ) -> Result<(Revision, Vec<Object<T>>), StoreError> {
         let stale = if call.copy { "?staleOk=1" } else { "" };
         let target = format!("/objects/{kind}{stale}");
-        let (epoch, mut all): (_, Page<T>) = self.call(&target, call.patience, most, call.epoch).await?;
+        let (epoch, mut all): (_, Page<T>) = self.call(&target, call.timeout, most, call.epoch).await?;
         let mut more = all.has_more;
         if more && !call.whole {
             return Err(StoreError::Long);
@@ -167,7 +167,7 @@
             let after: String = form_urlencoded::byte_serialize(last.metadata.name.as_bytes()).collect();
             let stale = if call.copy { "&staleOk=1" } else { "" };
             let target = format!("/objects/{kind}?after={after}{stale}");
-            let (of_page, page): (_, Page<T>) = self.call(&target, call.patience, MOST_PAGE, epoch).await?;
+            let (of_page, page): (_, Page<T>) = self.call(&target, call.timeout, MOST_PAGE, epoch).await?;
             if of_page != epoch {
                 return Err(StoreError::Restored { epoch: of_page });
             }
@@ -187,7 +187,7 @@
         let wait = if call.at_once { NO_WAIT } else { WAIT };
         let target = format!("/objects/{kind}?watch={}&waitMs={}", after.number, wait.as_millis());
         let (epoch, changes): (_, Changes<T>) =
-            self.call(&target, wait + call.patience, MOST_PAGE, after.epoch).await?;
+            self.call(&target, wait + call.timeout, MOST_PAGE, after.epoch).await?;
         // Of another epoch they are not the changes since that revision, whatever their numbers.
         if epoch != after.epoch {
             return Err(StoreError::Restored { epoch });
--- a/src/relay/contact.rs
+++ b/src/relay/contact.rs
@@ -34,14 +34,14 @@
     lost: Option<Instant>,
     back: Option<Instant>,
     backoff: Backoff,
-    patience: Duration,
+    timeout: Duration,
 }
 
 impl StoreRetry {
     /// A follower of `what` that has not called yet.
     pub fn new(what: &'static str) -> Self {
         let backoff = Backoff::new(WAITS.0, WAITS.1);
-        Self { what, lost: None, back: None, backoff, patience: PATIENCE.0 }
+        Self { what, lost: None, back: None, backoff, timeout: PATIENCE.0 }
     }
 
     /// What is followed.
@@ -50,8 +50,8 @@
     }
 
     /// How long to wait for the next answer, beside the wait of a watch.
-    pub fn patience(&self) -> Duration {
-        self.patience
+    pub fn timeout(&self) -> Duration {
+        self.timeout
     }
 
     /// Notes an answer; returns how long the store was away, and while entries that lapsed in an outage may come
@@ -71,7 +71,7 @@
     /// twice the time.
     pub fn failed(&mut self, now: Instant, timed_out: bool, rng: &mut impl Rng) -> Lost {
         if timed_out {
-            self.patience = (self.patience * 2).min(PATIENCE.1);
+            self.timeout = (self.timeout * 2).min(PATIENCE.1);
         }
         let first = self.lost.is_none();
         self.lost.get_or_insert(now);
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -160,7 +160,7 @@
         }
         let copy = !started && !relay.is_seed();
         let call =
-            Call { after, epoch: relay.epoch(), patience: contact.patience(), whole, copy, at_once: false };
+            Call { after, epoch: relay.epoch(), timeout: contact.timeout(), whole, copy, at_once: false };
         let asked = relay.begin(call);
         let answer = relay.ask_store(StoreCall::configuration(call), after, store.configuration(call)).await;
         match relay.check_epoch(answer, |(revision, _)| revision.epoch) {
@@ -210,7 +210,7 @@
         let after = (!list).then(|| relay.state().backends.revision());
         let copy = !started && !relay.is_seed();
         let call =
-            Call { after, epoch: relay.epoch(), patience: contact.patience(), whole, copy, at_once: false };
+            Call { after, epoch: relay.epoch(), timeout: contact.timeout(), whole, copy, at_once: false };
         let asked = relay.begin(call);
         let answer = relay.ask_store(StoreCall::backends(call), after, store.backends(call)).await;
         match relay.check_epoch(answer, |update| update.revision().epoch) {
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -22,7 +22,7 @@
     /// Epoch of the store that is known, as of which an answer is that tells none.
     pub epoch: Epoch,
     /// Time for an answer, beside the time for which the store lets a call wait for a change.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Whether a list is read to its end, though it takes many calls.
     pub whole: bool,
     /// Whether a list may be some seconds old, which costs a tenth.
--- a/src/relay/follow/evacuations.rs
+++ b/src/relay/follow/evacuations.rs
@@ -33,7 +33,7 @@
         let call = Call {
             after,
             epoch: relay.epoch(),
-            patience: contact.patience(),
+            timeout: contact.timeout(),
             whole: true,
             copy,
             at_once: false,
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -24,7 +24,7 @@
     Call {
         after: after.map(rev),
         epoch: 0,
-        patience: Duration::from_secs(2),
+        timeout: Duration::from_secs(2),
         whole: true,
         copy: false,
         at_once: false,
@@ -217,18 +217,18 @@
 async fn an_answer_that_has_begun_is_waited_for() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut store = StoreClient::new(listener.local_addr().unwrap());
-    let patience = Duration::from_millis(200);
+    let timeout = Duration::from_millis(200);
     let answering = async {
         let (mut stream, _) = listener.accept().await.unwrap();
         wire::read_request(&mut stream).await.unwrap();
         let body = format!(r#"{{"items":[{}],"hasMore":false,"currentRev":9}}"#, server("i-1", "ready"));
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         stream.write_all(head.as_bytes()).await.unwrap();
-        tokio::time::sleep(patience * 2).await;
+        tokio::time::sleep(timeout * 2).await;
         stream.write_all(body.as_bytes()).await.unwrap();
     };
 
-    let (update, ()) = tokio::join!(store.backends(Call { patience, ..call(None) }), answering);
+    let (update, ()) = tokio::join!(store.backends(Call { timeout, ..call(None) }), answering);
 
     assert!(matches!(update, Ok(BackendsUpdate::List(_))), "{update:?}");
 }
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -96,7 +96,7 @@
         let mut contact = StoreRetry::new("configuration");
         let mut at = start;
         while at < back {
-            at += contact.patience();
+            at += contact.timeout();
             at += contact.failed(at, true, &mut rng).wait;
         }
         at
@@ -112,18 +112,18 @@
 fn a_slow_store_is_given_more_time_with_each_call() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut contact = StoreRetry::new("configuration");
-    let first = contact.patience();
+    let first = contact.timeout();
 
     contact.failed(s(1), true, &mut rng);
     contact.failed(s(2), true, &mut rng);
     contact.failed(s(3), false, &mut rng);
     contact.answered(s(4));
 
-    assert_eq!(contact.patience(), first * 4, "a refusal or an answer changes nothing");
+    assert_eq!(contact.timeout(), first * 4, "a refusal or an answer changes nothing");
     for n in 0..9 {
         contact.failed(s(5 + n), true, &mut rng);
     }
-    assert_eq!(contact.patience(), s(2));
+    assert_eq!(contact.timeout(), s(2));
 }
 
 /// A store that fails once and then answers; it tells with which revision it is asked.
