--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -160,7 +160,7 @@
         let target = format!("/objects/{kind}{stale}");
         let (epoch, mut all): (_, Page<T>) = self.call(&target, call.timeout, most, call.epoch).await?;
         let mut more = all.has_more;
-        if more && !call.whole {
+        if more && !call.allow_large {
             return Err(StoreError::Long);
         }
         while let Some(last) = all.items.last().filter(|_| more) {
@@ -245,7 +245,7 @@
     async fn configuration(&mut self, call: Call) -> Result<(Revision, Option<Configuration>), StoreError> {
         let (revision, objects) = match call.after {
             None => {
-                let most = if call.whole { MOST_PAGE } else { SHORT_PAGE };
+                let most = if call.allow_large { MOST_PAGE } else { SHORT_PAGE };
                 self.list(CONFIGURATION, call, most).await?
             }
             Some(after) => {
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -152,15 +152,21 @@
 /// Follows the configuration until the task is ended.
 pub async fn follow_configuration<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
     let mut contact = StoreRetry::new("configuration");
-    let (mut after, mut started, mut whole) = (None, false, false);
+    let (mut after, mut started, mut allow_large) = (None, false, false);
     loop {
         started |= relay.routes().is_some();
         if started && rest(&relay).await {
             contact = StoreRetry::new("configuration");
         }
         let copy = !started && !relay.is_seed();
-        let call =
-            Call { after, epoch: relay.epoch(), timeout: contact.timeout(), whole, copy, at_once: false };
+        let call = Call {
+            after,
+            epoch: relay.epoch(),
+            timeout: contact.timeout(),
+            allow_large,
+            copy,
+            at_once: false,
+        };
         let asked = relay.begin(call);
         let answer = relay.ask_store(StoreCall::configuration(call), after, store.configuration(call)).await;
         match relay.check_epoch(answer, |(revision, _)| revision.epoch) {
@@ -188,7 +194,7 @@
             Err(StoreError::Large { bytes }) => {
                 let turns = turns(&relay, &mut store, bytes).await;
                 is_told(&relay, turns, |relay| relay.routes().is_some()).await;
-                whole = true;
+                allow_large = true;
             }
             Err(e) => {
                 after = None;
@@ -201,7 +207,7 @@
 /// Follows the backend servers until the task is ended.
 pub async fn follow_backends<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
     let mut contact = StoreRetry::new("backends");
-    let (mut list, mut whole) = (true, false);
+    let (mut list, mut allow_large) = (true, false);
     loop {
         let started = relay.state().listed;
         if started && rest(&relay).await {
@@ -209,8 +215,14 @@
         }
         let after = (!list).then(|| relay.state().backends.revision());
         let copy = !started && !relay.is_seed();
-        let call =
-            Call { after, epoch: relay.epoch(), timeout: contact.timeout(), whole, copy, at_once: false };
+        let call = Call {
+            after,
+            epoch: relay.epoch(),
+            timeout: contact.timeout(),
+            allow_large,
+            copy,
+            at_once: false,
+        };
         let asked = relay.begin(call);
         let answer = relay.ask_store(StoreCall::backends(call), after, store.backends(call)).await;
         match relay.check_epoch(answer, |update| update.revision().epoch) {
@@ -238,12 +250,12 @@
             Err(StoreError::Restored { .. } | StoreError::Deaf) => list = true,
             Err(StoreError::Long) => {
                 list = !is_told(&relay, LONG_LIST, |relay| relay.state().listed).await;
-                whole = true;
+                allow_large = true;
             }
             Err(StoreError::Large { bytes }) => {
                 let turns = turns(&relay, &mut store, bytes).await;
                 list = !is_told(&relay, turns, |relay| relay.state().listed).await;
-                whole = true;
+                allow_large = true;
             }
             Err(e) => {
                 // A watch would answer only at the next change, and what lapsed meanwhile would count from then on.
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -24,7 +24,7 @@
     /// Time for an answer, beside the time for which the store lets a call wait for a change.
     pub timeout: Duration,
     /// Whether a list is read to its end, though it takes many calls.
-    pub whole: bool,
+    pub allow_large: bool,
     /// Whether a list may be some seconds old, which costs a tenth.
     pub copy: bool,
     /// Whether changes are told at once, also where there are none.
--- a/src/relay/follow/evacuations.rs
+++ b/src/relay/follow/evacuations.rs
@@ -34,7 +34,7 @@
             after,
             epoch: relay.epoch(),
             timeout: contact.timeout(),
-            whole: true,
+            allow_large: true,
             copy,
             at_once: false,
         };
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -25,7 +25,7 @@
         after: after.map(rev),
         epoch: 0,
         timeout: Duration::from_secs(2),
-        whole: true,
+        allow_large: true,
         copy: false,
         at_once: false,
     }
@@ -145,7 +145,7 @@
     let page = format!(r#"{{"items":[{}],"hasMore":true,"currentRev":9}}"#, server("i-1", "ready"));
     let (mut store, server) = store(vec![reply("200 OK", &page)]).await;
 
-    let e = store.backends(Call { whole: false, ..call(None) }).await.unwrap_err();
+    let e = store.backends(Call { allow_large: false, ..call(None) }).await.unwrap_err();
 
     assert_eq!(e, StoreError::Long);
     assert_eq!(server.seen().len(), 1);
@@ -187,7 +187,7 @@
     assert!(page.len() > 64 << 10);
     let (mut store, _) = store(vec![reply("200 OK", &page)]).await;
 
-    let e = store.backends(Call { whole: false, copy: true, ..call(None) }).await.unwrap_err();
+    let e = store.backends(Call { allow_large: false, copy: true, ..call(None) }).await.unwrap_err();
 
     assert_eq!(e, StoreError::Long);
 }
@@ -203,7 +203,7 @@
     );
     let (mut store, server) = store(vec![reply("200 OK", &page)]).await;
 
-    let first = store.configuration(Call { whole: false, copy: true, ..call(None) }).await;
+    let first = store.configuration(Call { allow_large: false, copy: true, ..call(None) }).await;
     let second = store.configuration(Call { copy: true, ..call(None) }).await;
 
     assert!(matches!(first, Err(StoreError::Large { bytes }) if bytes > 70 << 10), "{first:?}");
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -215,7 +215,7 @@
         self.0.send(call).unwrap();
         match call.after {
             Some(_) => pending().await,
-            None if call.whole => Ok(BackendsUpdate::List(list(5, &["a"]))),
+            None if call.allow_large => Ok(BackendsUpdate::List(list(5, &["a"]))),
             None => Err(StoreError::Long),
         }
     }
@@ -254,8 +254,8 @@
     let seeds = [seeds_calls.recv().await.unwrap(), seeds_calls.recv().await.unwrap()];
 
     tasks.iter().for_each(|task| task.abort());
-    assert_eq!(((first.after, first.whole), second.after), ((None, false), Some(rev(7))));
-    assert_eq!(seeds.map(|call| (call.after, call.whole)), [(None, false), (None, true)]);
+    assert_eq!(((first.after, first.allow_large), second.after), ((None, false), Some(rev(7))));
+    assert_eq!(seeds.map(|call| (call.after, call.allow_large)), [(None, false), (None, true)]);
 }
 
 /// A store whose configuration is long; it tells how it is asked.
@@ -269,7 +269,7 @@
         self.0.send(call).unwrap();
         match call {
             Call { after: Some(_), .. } => pending().await,
-            Call { whole: false, .. } => Err(StoreError::Large { bytes: 1_000_000 }),
+            Call { allow_large: false, .. } => Err(StoreError::Large { bytes: 1_000_000 }),
             _ => Ok((rev(5), Some(fleet::Configuration { version: 3, ..fleet::Configuration::default() }))),
         }
     }
@@ -318,12 +318,12 @@
     let tolds_next = tolds.recv().await.unwrap();
 
     tasks.iter().for_each(|task| task.abort());
-    let asked = |calls: [Call; 2]| calls.map(|call| (call.whole, call.copy));
+    let asked = |calls: [Call; 2]| calls.map(|call| (call.allow_large, call.copy));
     assert_eq!(asked(first), [(false, false), (true, false)], "a seed");
     assert_eq!(asked(last), [(false, true), (true, true)], "a host that nobody told");
-    assert_eq!((tolds_first.whole, tolds_first.copy), (false, true));
+    assert_eq!((tolds_first.allow_large, tolds_first.copy), (false, true));
     assert_eq!(told.routes().unwrap().version(), 4);
-    assert!(tolds_next.whole && !tolds_next.copy, "it follows the store itself now: {tolds_next:?}");
+    assert!(tolds_next.allow_large && !tolds_next.copy, "it follows the store itself now: {tolds_next:?}");
 }
 
 /// A store that answers lists, lets watches of the configuration wait, and ends those of the servers at once.
