--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -156,7 +156,7 @@
         call: Call,
         most: usize,
     ) -> Result<(Revision, Vec<Object<T>>), StoreError> {
-        let stale = if call.copy { "?staleOk=1" } else { "" };
+        let stale = if call.stale_ok { "?staleOk=1" } else { "" };
         let target = format!("/objects/{kind}{stale}");
         let (epoch, mut all): (_, Page<T>) = self.call(&target, call.timeout, most, call.epoch).await?;
         let mut more = all.has_more;
@@ -165,7 +165,7 @@
         }
         while let Some(last) = all.items.last().filter(|_| more) {
             let after: String = form_urlencoded::byte_serialize(last.metadata.name.as_bytes()).collect();
-            let stale = if call.copy { "&staleOk=1" } else { "" };
+            let stale = if call.stale_ok { "&staleOk=1" } else { "" };
             let target = format!("/objects/{kind}?after={after}{stale}");
             let (of_page, page): (_, Page<T>) = self.call(&target, call.timeout, MOST_PAGE, epoch).await?;
             if of_page != epoch {
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -158,13 +158,13 @@
         if started && rest(&relay).await {
             contact = StoreRetry::new("configuration");
         }
-        let copy = !started && !relay.is_seed();
+        let stale_ok = !started && !relay.is_seed();
         let call = Call {
             after,
             epoch: relay.epoch(),
             timeout: contact.timeout(),
             allow_large,
-            copy,
+            stale_ok,
             at_once: false,
         };
         let asked = relay.begin(call);
@@ -172,8 +172,8 @@
         match relay.check_epoch(answer, |(revision, _)| revision.epoch) {
             Ok((revision, cfg)) => {
                 started = true;
-                let revision = Some(revision).filter(|_| !copy);
-                relay.state().copied |= copy;
+                let revision = Some(revision).filter(|_| !stale_ok);
+                relay.state().copied |= stale_ok;
                 regain(&mut contact);
                 let news = after.is_some() && cfg.is_some();
                 let soon = after.is_some() && now() < asked + GATHER;
@@ -214,28 +214,28 @@
             contact = StoreRetry::new("backends");
         }
         let after = (!list).then(|| relay.state().backends.revision());
-        let copy = !started && !relay.is_seed();
+        let stale_ok = !started && !relay.is_seed();
         let call = Call {
             after,
             epoch: relay.epoch(),
             timeout: contact.timeout(),
             allow_large,
-            copy,
+            stale_ok,
             at_once: false,
         };
         let asked = relay.begin(call);
         let answer = relay.ask_store(StoreCall::backends(call), after, store.backends(call)).await;
         match relay.check_epoch(answer, |update| update.revision().epoch) {
             Ok(mut update) => {
-                list = copy;
-                if copy {
+                list = stale_ok;
+                if stale_ok {
                     update.take_for_copy();
                 }
                 let grace = regain(&mut contact);
                 let news = matches!(&update, BackendsUpdate::Changes { puts, removed, .. }
                     if !puts.is_empty() || !removed.is_empty());
                 let soon = after.is_some() && now() < asked + GATHER;
-                let revision = Some(update.revision()).filter(|_| !copy);
+                let revision = Some(update.revision()).filter(|_| !stale_ok);
                 relay.update_backends(update, grace, "store");
                 relay.note_answer(Topic::Backends, call, asked, revision);
                 relay.note_contact(FollowState::Follows);
@@ -271,7 +271,7 @@
     /// Notes the start of a call by a follower; returns when that was.
     fn begin(&self, call: Call) -> Instant {
         let now = now();
-        if call.after.is_none() && !call.copy {
+        if call.after.is_none() && !call.stale_ok {
             self.state().confirmations.note_asked(now);
         }
         now
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -26,7 +26,7 @@
     /// Whether a list is read to its end, though it takes many calls.
     pub allow_large: bool,
     /// Whether a list may be some seconds old, which costs a tenth.
-    pub copy: bool,
+    pub stale_ok: bool,
     /// Whether changes are told at once, also where there are none.
     pub at_once: bool,
 }
@@ -116,7 +116,7 @@
     pub(super) fn configuration(call: Call) -> Self {
         match call {
             Call { after: Some(_), .. } => StoreCall::ConfigurationWatch,
-            Call { copy: true, .. } => StoreCall::ConfigurationCopy,
+            Call { stale_ok: true, .. } => StoreCall::ConfigurationCopy,
             _ => StoreCall::ConfigurationList,
         }
     }
@@ -124,7 +124,7 @@
     pub(super) fn evacuations(call: Call) -> Self {
         match call {
             Call { after: Some(_), .. } => StoreCall::EvacuationsWatch,
-            Call { copy: true, .. } => StoreCall::EvacuationsCopy,
+            Call { stale_ok: true, .. } => StoreCall::EvacuationsCopy,
             _ => StoreCall::EvacuationsList,
         }
     }
@@ -132,7 +132,7 @@
     pub(super) fn backends(call: Call) -> Self {
         match call {
             Call { after: Some(_), .. } => StoreCall::BackendsWatch,
-            Call { copy: true, .. } => StoreCall::BackendsCopy,
+            Call { stale_ok: true, .. } => StoreCall::BackendsCopy,
             _ => StoreCall::BackendsList,
         }
     }
--- a/src/relay/follow/evacuations.rs
+++ b/src/relay/follow/evacuations.rs
@@ -29,26 +29,26 @@
             contact = StoreRetry::new("evacuations");
         }
         let after = (!list).then(|| relay.state().evacuations.revision());
-        let copy = !started && !relay.is_seed();
+        let stale_ok = !started && !relay.is_seed();
         let call = Call {
             after,
             epoch: relay.epoch(),
             timeout: contact.timeout(),
             allow_large: true,
-            copy,
+            stale_ok,
             at_once: false,
         };
         let asked = relay.begin(call);
         let answer = relay.ask_store(StoreCall::evacuations(call), after, store.evacuations(call)).await;
         match relay.check_epoch(answer, |update| update.revision().epoch) {
             Ok(mut update) => {
-                list = copy;
-                if copy {
+                list = stale_ok;
+                if stale_ok {
                     update.take_for_copy();
                 }
                 regain(&mut contact);
                 relay.update_evacuations(&update, "store");
-                let revision = Some(update.revision()).filter(|_| !copy);
+                let revision = Some(update.revision()).filter(|_| !stale_ok);
                 relay.note_answer(Topic::Evacuations, call, asked, revision);
                 if after.is_some() && now() < asked + GATHER {
                     tokio::time::sleep(GATHER).await;
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -26,7 +26,7 @@
         epoch: 0,
         timeout: Duration::from_secs(2),
         allow_large: true,
-        copy: false,
+        stale_ok: false,
         at_once: false,
     }
 }
@@ -165,10 +165,10 @@
         reply("200 OK", &configurations),
     ];
     let (mut store, server) = store(acts).await;
-    let copy = Call { copy: true, ..call(None) };
+    let stale_ok = Call { stale_ok: true, ..call(None) };
 
-    store.backends(copy).await.unwrap();
-    store.configuration(copy).await.unwrap();
+    store.backends(stale_ok).await.unwrap();
+    store.configuration(stale_ok).await.unwrap();
 
     let seen = server.seen();
     let targets: Vec<_> = seen.iter().map(|r| target(r)).collect();
@@ -187,7 +187,7 @@
     assert!(page.len() > 64 << 10);
     let (mut store, _) = store(vec![reply("200 OK", &page)]).await;
 
-    let e = store.backends(Call { allow_large: false, copy: true, ..call(None) }).await.unwrap_err();
+    let e = store.backends(Call { allow_large: false, stale_ok: true, ..call(None) }).await.unwrap_err();
 
     assert_eq!(e, StoreError::Long);
 }
@@ -203,8 +203,8 @@
     );
     let (mut store, server) = store(vec![reply("200 OK", &page)]).await;
 
-    let first = store.configuration(Call { allow_large: false, copy: true, ..call(None) }).await;
-    let second = store.configuration(Call { copy: true, ..call(None) }).await;
+    let first = store.configuration(Call { allow_large: false, stale_ok: true, ..call(None) }).await;
+    let second = store.configuration(Call { stale_ok: true, ..call(None) }).await;
 
     assert!(matches!(first, Err(StoreError::Large { bytes }) if bytes > 70 << 10), "{first:?}");
     assert_eq!(second.unwrap().1.map(|cfg| cfg.version), Some(7));
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -318,12 +318,15 @@
     let tolds_next = tolds.recv().await.unwrap();
 
     tasks.iter().for_each(|task| task.abort());
-    let asked = |calls: [Call; 2]| calls.map(|call| (call.allow_large, call.copy));
+    let asked = |calls: [Call; 2]| calls.map(|call| (call.allow_large, call.stale_ok));
     assert_eq!(asked(first), [(false, false), (true, false)], "a seed");
     assert_eq!(asked(last), [(false, true), (true, true)], "a host that nobody told");
-    assert_eq!((tolds_first.allow_large, tolds_first.copy), (false, true));
+    assert_eq!((tolds_first.allow_large, tolds_first.stale_ok), (false, true));
     assert_eq!(told.routes().unwrap().version(), 4);
-    assert!(tolds_next.allow_large && !tolds_next.copy, "it follows the store itself now: {tolds_next:?}");
+    assert!(
+        tolds_next.allow_large && !tolds_next.stale_ok,
+        "it follows the store itself now: {tolds_next:?}"
+    );
 }
 
 /// A store that answers lists, lets watches of the configuration wait, and ends those of the servers at once.
