--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -184,7 +184,7 @@
         after: Revision,
         call: Call,
     ) -> Result<(Revision, Vec<Change<T>>), StoreError> {
-        let wait = if call.at_once { NO_WAIT } else { WAIT };
+        let wait = if call.no_wait { NO_WAIT } else { WAIT };
         let target = format!("/objects/{kind}?watch={}&waitMs={}", after.number, wait.as_millis());
         let (epoch, changes): (_, Changes<T>) =
             self.call(&target, wait + call.timeout, MOST_PAGE, after.epoch).await?;
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -165,7 +165,7 @@
             timeout: contact.timeout(),
             allow_large,
             stale_ok,
-            at_once: false,
+            no_wait: false,
         };
         let asked = relay.begin(call);
         let answer = relay.ask_store(StoreCall::configuration(call), after, store.configuration(call)).await;
@@ -221,7 +221,7 @@
             timeout: contact.timeout(),
             allow_large,
             stale_ok,
-            at_once: false,
+            no_wait: false,
         };
         let asked = relay.begin(call);
         let answer = relay.ask_store(StoreCall::backends(call), after, store.backends(call)).await;
@@ -281,7 +281,7 @@
     /// brings is as of its end.
     fn note_answer(&self, topic: Topic, call: Call, asked: Instant, revision: Option<Revision>) {
         let Some(revision) = revision else { return };
-        let at = if call.after.is_some() && !call.at_once { now() } else { asked };
+        let at = if call.after.is_some() && !call.no_wait { now() } else { asked };
         let confirmations = &mut self.state().confirmations;
         confirmations.confirm(topic, at);
         confirmations.note_answer(topic, Some(revision));
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -28,7 +28,7 @@
     /// Whether a list may be some seconds old, which costs a tenth.
     pub stale_ok: bool,
     /// Whether changes are told at once, also where there are none.
-    pub at_once: bool,
+    pub no_wait: bool,
 }
 
 /// What a call asks for; a label in logs and counters.
--- a/src/relay/follow/confirm.rs
+++ b/src/relay/follow/confirm.rs
@@ -154,7 +154,7 @@
 
 /// A call that is answered at once.
 fn call(after: Option<Revision>, epoch: Epoch) -> Call {
-    Call { after, epoch, timeout: PATIENCE, allow_large: true, stale_ok: false, at_once: true }
+    Call { after, epoch, timeout: PATIENCE, allow_large: true, stale_ok: false, no_wait: true }
 }
 
 impl<W: Wire> Relay<W> {
--- a/src/relay/follow/evacuations.rs
+++ b/src/relay/follow/evacuations.rs
@@ -36,7 +36,7 @@
             timeout: contact.timeout(),
             allow_large: true,
             stale_ok,
-            at_once: false,
+            no_wait: false,
         };
         let asked = relay.begin(call);
         let answer = relay.ask_store(StoreCall::evacuations(call), after, store.evacuations(call)).await;
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -27,7 +27,7 @@
         timeout: Duration::from_secs(2),
         allow_large: true,
         stale_ok: false,
-        at_once: false,
+        no_wait: false,
     }
 }
 
