--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -196,7 +196,7 @@
     /// Takes what is known for that of a copy, which any list replaces.
     pub fn forget_revision(&mut self) {
         if self.revision.is_known() {
-            self.revision = Revision::COPY;
+            self.revision = Revision::STALE_READ;
             self.logged_from = self.revision;
             self.log.clear();
         }
@@ -215,7 +215,7 @@
         if list.as_of() < self.revision {
             return self.hear_leaving(now, &list.items);
         }
-        let knows = self.revision.is_known() && self.revision != Revision::COPY;
+        let knows = self.revision.is_known() && self.revision != Revision::STALE_READ;
         let restored = knows && list.epoch > self.revision.epoch;
         let grace = if restored { grace.max(Some(GRACE)) } else { grace };
         self.revision = list.as_of();
--- a/src/relay/evacuations.rs
+++ b/src/relay/evacuations.rs
@@ -64,7 +64,7 @@
     /// Takes a list for one of a copy, after which nothing is waited for.
     pub(crate) fn take_for_copy(&mut self) {
         if let Update::List(list) = self {
-            (list.epoch, list.revision) = (Revision::COPY.epoch, Revision::COPY.number);
+            (list.epoch, list.revision) = (Revision::STALE_READ.epoch, Revision::STALE_READ.number);
         }
     }
 
@@ -101,7 +101,7 @@
     /// Takes what is known for that of a copy, which any list replaces.
     pub fn forget_revision(&mut self) {
         if self.is_known() {
-            self.revision = Revision::COPY;
+            self.revision = Revision::STALE_READ;
         }
     }
 
@@ -189,7 +189,7 @@
             return;
         }
         let restored =
-            self.is_known() && self.revision != Revision::COPY && revision.epoch > self.revision.epoch;
+            self.is_known() && self.revision != Revision::STALE_READ && revision.epoch > self.revision.epoch;
         self.revision = revision;
         let old = std::mem::replace(&mut self.data_centres, data_centres);
         if restored {
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -105,7 +105,7 @@
     /// Takes a list for one of a copy, after which nothing is waited for.
     fn take_for_copy(&mut self) {
         if let BackendsUpdate::List(list) = self {
-            (list.epoch, list.revision) = (Revision::COPY.epoch, Revision::COPY.number);
+            (list.epoch, list.revision) = (Revision::STALE_READ.epoch, Revision::STALE_READ.number);
         }
     }
 
--- a/src/relay/follow/confirm.rs
+++ b/src/relay/follow/confirm.rs
@@ -95,7 +95,7 @@
     asked: Instant,
 ) -> Result<(), StoreError> {
     let known = relay.state().backends.revision();
-    if !known.is_known() || known == Revision::COPY {
+    if !known.is_known() || known == Revision::STALE_READ {
         // Whoever reads the list for the first time does so as a follower, or is told.
         return Ok(());
     }
@@ -128,7 +128,7 @@
     asked: Instant,
 ) -> Result<(), StoreError> {
     let known = relay.state().evacuations.revision();
-    let after = Some(known).filter(|known| known.is_known() && *known != Revision::COPY);
+    let after = Some(known).filter(|known| known.is_known() && *known != Revision::STALE_READ);
     let call = call(after, relay.epoch());
     let answer = relay.ask_store(StoreCall::EvacuationsCheck, None, store.evacuations(call)).await;
     match relay.check_epoch(answer, |update| update.revision().epoch) {
--- a/src/relay/revision.rs
+++ b/src/relay/revision.rs
@@ -21,7 +21,7 @@
 impl Revision {
     /// Revision of what was read in a copy of the store. A copy is some seconds old, and after a restore it may be of the epoch
     /// before, under higher numbers: what anybody has read since is later.
-    pub const COPY: Self = Self { epoch: 0, number: 1 };
+    pub const STALE_READ: Self = Self { epoch: 0, number: 1 };
 
     /// Later than any.
     pub const LATEST: Self = Self { epoch: Epoch::MAX, number: u64::MAX };
