--- a/src/platform.rs
+++ b/src/platform.rs
@@ -92,7 +92,7 @@
     }
     tokio::spawn(mesh::serve_fetches(relay.clone(), inbound::listen(peer_addr).await?));
     tokio::spawn(mesh::hear_beats(relay.clone(), socket.clone()));
-    tokio::spawn(mesh::send_beats(relay.clone(), socket));
+    tokio::spawn(mesh::send_heartbeats(relay.clone(), socket));
     tokio::spawn(mesh::keep_house(relay.clone()));
     tokio::spawn(mesh::keep_up(relay.clone()));
     tokio::spawn(follow::follow_configuration(relay.clone(), StoreClient::new(settings.store)));
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -46,7 +46,7 @@
 const SETTLE: Duration = Duration::from_millis(20);
 
 /// Sends beats, at the period or sooner when there is something to tell.
-pub async fn send_beats<W: Wire>(relay: Arc<Relay<W>>, socket: Arc<UdpSocket>) {
+pub async fn send_heartbeats<W: Wire>(relay: Arc<Relay<W>>, socket: Arc<UdpSocket>) {
     loop {
         send_to(&relay, &socket, relay.targets()).await;
         let due = tokio::time::Instant::now() + relay.state().peers.period();
--- a/tests/support/relay.rs
+++ b/tests/support/relay.rs
@@ -63,7 +63,7 @@
     let relay = Arc::new(Relay::new(cfg, PlatformWire).unwrap());
     tokio::spawn(mesh::serve_fetches(relay.clone(), listener));
     tokio::spawn(mesh::hear_beats(relay.clone(), socket.clone()));
-    tokio::spawn(mesh::send_beats(relay.clone(), socket));
+    tokio::spawn(mesh::send_heartbeats(relay.clone(), socket));
     tokio::spawn(mesh::keep_house(relay.clone()));
     tokio::spawn(mesh::keep_up(relay.clone()));
     (relay, at)
