--- a/src/platform.rs
+++ b/src/platform.rs
@@ -91,7 +91,7 @@
         tokio::spawn(answer_small(relay.clone(), inbound::listen(directory).await?));
     }
     tokio::spawn(mesh::serve_fetches(relay.clone(), inbound::listen(peer_addr).await?));
-    tokio::spawn(mesh::hear_beats(relay.clone(), socket.clone()));
+    tokio::spawn(mesh::receive_heartbeats(relay.clone(), socket.clone()));
     tokio::spawn(mesh::send_heartbeats(relay.clone(), socket));
     tokio::spawn(mesh::keep_house(relay.clone()));
     tokio::spawn(mesh::keep_up(relay.clone()));
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -87,7 +87,7 @@
 }
 
 /// Takes beats in.
-pub async fn hear_beats<W: Wire>(relay: Arc<Relay<W>>, socket: Arc<UdpSocket>) {
+pub async fn receive_heartbeats<W: Wire>(relay: Arc<Relay<W>>, socket: Arc<UdpSocket>) {
     let mut buf = vec![0; MOST_BYTES + 1];
     loop {
         let (n, from) = match socket.recv_from(&mut buf).await {
--- a/tests/support/relay.rs
+++ b/tests/support/relay.rs
@@ -62,7 +62,7 @@
     cfg.me.callers = format!("{name}:80");
     let relay = Arc::new(Relay::new(cfg, PlatformWire).unwrap());
     tokio::spawn(mesh::serve_fetches(relay.clone(), listener));
-    tokio::spawn(mesh::hear_beats(relay.clone(), socket.clone()));
+    tokio::spawn(mesh::receive_heartbeats(relay.clone(), socket.clone()));
     tokio::spawn(mesh::send_heartbeats(relay.clone(), socket));
     tokio::spawn(mesh::keep_house(relay.clone()));
     tokio::spawn(mesh::keep_up(relay.clone()));
