--- a/src/platform.rs
+++ b/src/platform.rs
@@ -93,7 +93,7 @@
     tokio::spawn(mesh::serve_fetches(relay.clone(), inbound::listen(peer_addr).await?));
     tokio::spawn(mesh::receive_heartbeats(relay.clone(), socket.clone()));
     tokio::spawn(mesh::send_heartbeats(relay.clone(), socket));
-    tokio::spawn(mesh::keep_house(relay.clone()));
+    tokio::spawn(mesh::run_maintenance(relay.clone()));
     tokio::spawn(mesh::keep_up(relay.clone()));
     tokio::spawn(follow::follow_configuration(relay.clone(), StoreClient::new(settings.store)));
     tokio::spawn(follow::follow_backends(relay.clone(), StoreClient::new(settings.store)));
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -118,7 +118,7 @@
 }
 
 /// Does the housekeeping, and notices when the host was suspended.
-pub async fn keep_house<W: Wire>(relay: Arc<Relay<W>>) {
+pub async fn run_maintenance<W: Wire>(relay: Arc<Relay<W>>) {
     let mut last = now();
     loop {
         tokio::time::sleep(TICK).await;
--- a/tests/support/relay.rs
+++ b/tests/support/relay.rs
@@ -64,7 +64,7 @@
     tokio::spawn(mesh::serve_fetches(relay.clone(), listener));
     tokio::spawn(mesh::receive_heartbeats(relay.clone(), socket.clone()));
     tokio::spawn(mesh::send_heartbeats(relay.clone(), socket));
-    tokio::spawn(mesh::keep_house(relay.clone()));
+    tokio::spawn(mesh::run_maintenance(relay.clone()));
     tokio::spawn(mesh::keep_up(relay.clone()));
     (relay, at)
 }
