--- a/src/platform.rs
+++ b/src/platform.rs
@@ -94,7 +94,7 @@
     tokio::spawn(mesh::receive_heartbeats(relay.clone(), socket.clone()));
     tokio::spawn(mesh::send_heartbeats(relay.clone(), socket));
     tokio::spawn(mesh::run_maintenance(relay.clone()));
-    tokio::spawn(mesh::keep_up(relay.clone()));
+    tokio::spawn(mesh::fetch_updates(relay.clone()));
     tokio::spawn(follow::follow_configuration(relay.clone(), StoreClient::new(settings.store)));
     tokio::spawn(follow::follow_backends(relay.clone(), StoreClient::new(settings.store)));
     tokio::spawn(follow::follow_evacuations(relay.clone(), StoreClient::new(settings.store)));
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -131,7 +131,7 @@
 }
 
 /// Fetches what other hosts have had for a while and this one lacks.
-pub async fn keep_up<W: Wire>(relay: Arc<Relay<W>>) {
+pub async fn fetch_updates<W: Wire>(relay: Arc<Relay<W>>) {
     let (mut wants_held, mut wants_whole, mut at_once) = (true, false, false);
     loop {
         // What a peer tells wakes this up; a pause keeps a run of changes to one fetch.
--- a/tests/support/relay.rs
+++ b/tests/support/relay.rs
@@ -65,6 +65,6 @@
     tokio::spawn(mesh::receive_heartbeats(relay.clone(), socket.clone()));
     tokio::spawn(mesh::send_heartbeats(relay.clone(), socket));
     tokio::spawn(mesh::run_maintenance(relay.clone()));
-    tokio::spawn(mesh::keep_up(relay.clone()));
+    tokio::spawn(mesh::fetch_updates(relay.clone()));
     (relay, at)
 }
