--- a/src/platform.rs
+++ b/src/platform.rs
@@ -99,7 +99,7 @@
     tokio::spawn(follow::follow_backends(relay.clone(), StoreClient::new(settings.store)));
     tokio::spawn(follow::follow_evacuations(relay.clone(), StoreClient::new(settings.store)));
     tokio::spawn(follow::keep_confirmed(relay.clone(), StoreClient::new(settings.store)));
-    tokio::spawn(follow::follow_hosts(relay.clone(), StoreClient::new(settings.store)));
+    tokio::spawn(follow::sync_hosts(relay.clone(), StoreClient::new(settings.store)));
     Ok(())
 }
 
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -16,7 +16,7 @@
 pub use call::{Call, StoreCall};
 pub use confirm::keep_confirmed;
 pub use evacuations::follow_evacuations;
-pub use hosts::{Hosts, follow_hosts};
+pub use hosts::{Hosts, sync_hosts};
 use start::{is_told, turns};
 
 use super::{
--- a/src/relay/follow/hosts.rs
+++ b/src/relay/follow/hosts.rs
@@ -25,7 +25,7 @@
 
 /// Keeps some hosts of the data centre entered in the store, and looks for hosts there while none is heard: the seeds may
 /// all be gone. Those that follow the store write, so that the calls don't grow with the hosts.
-pub async fn follow_hosts<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
+pub async fn sync_hosts<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
     let centre = relay.cfg.me.data_centre.clone();
     let (mut entered, mut epoch) = (Hosts::default(), relay.epoch());
     // Hosts that start together don't call together: the store takes some hundred writes a second.
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -186,7 +186,7 @@
     let (first, seed) = host("host-1", &[]).await;
     let (_second, _) = host("host-2", &[seed]).await;
     let following = tokio::spawn(follow::follow_backends(first.clone(), StoreClient::new(store.addr())));
-    let entering = tokio::spawn(follow::follow_hosts(first, StoreClient::new(store.addr())));
+    let entering = tokio::spawn(follow::sync_hosts(first, StoreClient::new(store.addr())));
     until("the entry", || store.is_present("hosts", "a")).await;
 
     store.restore(&copy);
