--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -49,7 +49,7 @@
 }
 
 /// An attempt without an answer.
-pub(crate) enum Gone {
+pub(crate) enum AttemptError {
     /// It was made and failed.
     Failed((Failure, BackendKey)),
     /// There is no server to send it to.
@@ -116,8 +116,8 @@
                     Ok(response) => return response,
                     Err(failed) => failed,
                 },
-                Err(Gone::Failed(failed)) => failed,
-                Err(Gone::NoServer(kind)) => return self.give_up(kind, None),
+                Err(AttemptError::Failed(failed)) => failed,
+                Err(AttemptError::NoServer(kind)) => return self.give_up(kind, None),
             };
             if let Err(stop) = self.fail(failure, key).await {
                 return self.give_up(kind(failure, stop), Some(failure));
@@ -196,18 +196,19 @@
     }
 
     /// Makes one attempt, up to the head of the answer.
-    pub(crate) async fn attempt(&mut self, after: Option<EventNumber>) -> Result<Answered<W>, Gone> {
-        let choice = self.relay.choose(&self.req, &self.tried).map_err(Gone::NoServer)?;
+    pub(crate) async fn attempt(&mut self, after: Option<EventNumber>) -> Result<Answered<W>, AttemptError> {
+        let choice = self.relay.choose(&self.req, &self.tried).map_err(AttemptError::NoServer)?;
         let key = choice.key;
         self.begun += 1;
         self.sent = now();
         let work = Work::start(&self.relay, key);
-        let (mut conn, result) = self.send(&choice, after).await.map_err(|f| Gone::Failed((f, key)))?;
+        let (mut conn, result) =
+            self.send(&choice, after).await.map_err(|f| AttemptError::Failed((f, key)))?;
         let (head, body) = match result {
             Ok(response) => response.into_parts(),
             Err(failure) => {
                 conn.close();
-                return Err(Gone::Failed((failure, key)));
+                return Err(AttemptError::Failed((failure, key)));
             }
         };
         let read = self.relay.wire.read(&self.req, &head);
@@ -219,7 +220,7 @@
             if matches!(failure, Failure::Refused | Failure::Moved) && !read.closes {
                 self.recycle(body, conn, key, read.keeps).await;
             }
-            return Err(Gone::Failed((failure, key)));
+            return Err(AttemptError::Failed((failure, key)));
         }
         conn.reused = true;
         self.relay.note_read(&self.req, key);
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -14,7 +14,7 @@
     events::{Splitter, Whole},
     outcome::Outcome,
     request::EventNumber,
-    run::{Answered, Gone, Run},
+    run::{Answered, AttemptError, Run},
     verdict::Failure,
 };
 use crate::{
@@ -158,8 +158,8 @@
                     return true;
                 }
                 Ok(answered) => (failure, key) = (Failure::Errored, answered.work.key),
-                Err(Gone::Failed(failed)) => (failure, key) = failed,
-                Err(Gone::NoServer(_)) => return false,
+                Err(AttemptError::Failed(failed)) => (failure, key) = failed,
+                Err(AttemptError::NoServer(_)) => return false,
             }
         }
         false
