--- a/src/relay/events.rs
+++ b/src/relay/events.rs
@@ -9,7 +9,7 @@
 
 /// Whole events, as they are passed on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Whole {
+pub struct CompleteEvents {
     /// Their bytes.
     pub bytes: Bytes,
     /// Number of the first one that has a number.
@@ -26,7 +26,7 @@
 
 impl Splitter {
     /// Adds bytes and takes the whole events out; `None` while there are none.
-    pub fn push(&mut self, bytes: Bytes) -> Option<Whole> {
+    pub fn push(&mut self, bytes: Bytes) -> Option<CompleteEvents> {
         if self.buf.is_empty() && bytes.ends_with(b"\n\n") {
             return Some(whole(bytes));
         }
@@ -51,10 +51,10 @@
     }
 }
 
-fn whole(bytes: Bytes) -> Whole {
+fn whole(bytes: Bytes) -> CompleteEvents {
     let numbers = || bytes.split(|b| *b == b'\n').filter_map(number);
     let (first, last) = (numbers().next(), numbers().next_back());
-    Whole { first, last, bytes }
+    CompleteEvents { first, last, bytes }
 }
 
 fn number(line: &[u8]) -> Option<EventNumber> {
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -11,7 +11,7 @@
     Wire,
     answer::{AnswerBody, Cut},
     backends::BackendKey,
-    events::{Splitter, Whole},
+    events::{CompleteEvents, Splitter},
     outcome::Outcome,
     request::EventNumber,
     run::{Answered, AttemptError, Run},
@@ -190,7 +190,7 @@
 
     /// Guards against a server that goes on at another event than asked: the caller would miss events or read some
     /// twice.
-    fn accept(&mut self, whole: Whole) -> Result<Bytes, Failure> {
+    fn accept(&mut self, whole: CompleteEvents) -> Result<Bytes, Failure> {
         if std::mem::take(&mut self.resumed) && self.last.is_some() && whole.first != self.last.map(|n| n + 1)
         {
             return Err(Failure::Garbled);
