--- a/src/relay/datagram.rs
+++ b/src/relay/datagram.rs
@@ -17,7 +17,7 @@
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum DropReason {
     /// It is larger than any that is sent.
     Size,
     /// Its bytes are no beat.
@@ -28,17 +28,18 @@
     Old,
 }
 
-impl Fault {
+impl DropReason {
     /// Every reason.
-    pub const ALL: [Fault; 4] = [Fault::Size, Fault::Garbage, Fault::Future, Fault::Old];
+    pub const ALL: [DropReason; 4] =
+        [DropReason::Size, DropReason::Garbage, DropReason::Future, DropReason::Old];
 
     /// Name in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
-            Fault::Size => "size",
-            Fault::Garbage => "garbage",
-            Fault::Future => "future",
-            Fault::Old => "old",
+            DropReason::Size => "size",
+            DropReason::Garbage => "garbage",
+            DropReason::Future => "future",
+            DropReason::Old => "old",
         }
     }
 }
@@ -47,18 +48,18 @@
 ///
 /// # Errors
 /// Why it is not believed.
-pub fn decode(buf: &[u8], wall_ms: u64) -> Result<Beat, Fault> {
+pub fn decode(buf: &[u8], wall_ms: u64) -> Result<Beat, DropReason> {
     if buf.len() > MOST_BYTES {
-        return Err(Fault::Size);
+        return Err(DropReason::Size);
     }
-    let Ok((beat, rest)) = postcard::take_from_bytes::<Beat>(buf) else { return Err(Fault::Garbage) };
+    let Ok((beat, rest)) = postcard::take_from_bytes::<Beat>(buf) else { return Err(DropReason::Garbage) };
     if !rest.is_empty() {
-        return Err(Fault::Garbage);
+        return Err(DropReason::Garbage);
     }
     let latest = wall_ms.saturating_add(MOST_AHEAD_MS);
     let most = latest.saturating_sub(beat.start) / LEAST_INTERVAL_MS;
     if beat.start > latest || beat.number > most {
-        return Err(Fault::Future);
+        return Err(DropReason::Future);
     }
     Ok(beat)
 }
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -5,7 +5,7 @@
 use super::{
     Relay, State, Wire,
     confirm::Topic,
-    datagram::Fault,
+    datagram::DropReason,
     followers::FollowState,
     peers::{Own, Scope},
 };
@@ -78,14 +78,14 @@
     ///
     /// # Errors
     /// When it has come before, or later than a newer one.
-    pub(crate) fn hear(&self, from: SocketAddr, beat: &Beat) -> Result<bool, Fault> {
+    pub(crate) fn hear(&self, from: SocketAddr, beat: &Beat) -> Result<bool, DropReason> {
         let now = now();
         let mut state = self.state();
         let own = state.own();
         let beat = &trusted(&state, beat);
         let heard = state.peers.hear(now, from, beat, own);
         if heard.old {
-            return Err(Fault::Old);
+            return Err(DropReason::Old);
         }
         if state.peers.is_any_ahead(now, own) {
             self.behind.notify_one();
--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -10,7 +10,7 @@
     metrics::{Counter, Gauge, Latency},
     relay::{
         belief::ServerNotice,
-        datagram::Fault,
+        datagram::DropReason,
         follow::StoreCall,
         outcome::Outcome,
         place::Why,
@@ -76,7 +76,7 @@
         (Counter::RelayPlacements, names(&Why::ALL, |w| w.as_str())),
         (Counter::RelayStreams, names(&After::ALL, |a| a.as_str())),
         (Counter::RelayStoreCalls, names(&StoreCall::ALL, |a| a.as_str())),
-        (Counter::RelayDatagrams, names(&Fault::ALL, |f| f.as_str())),
+        (Counter::RelayDatagrams, names(&DropReason::ALL, |f| f.as_str())),
         (Counter::RelayTold, names(&ServerNotice::ALL, |t| t.as_str())),
         (Counter::RelayEpochs, names(&EpochCheck::COUNTED, |h| h.as_str())),
     ];
--- a/tests/relay_datagrams.rs
+++ b/tests/relay_datagrams.rs
@@ -4,7 +4,7 @@
 
 use cranberrytally::{
     relay::{
-        datagram::{Fault, MOST_BYTES, decode, encode},
+        datagram::{DropReason, MOST_BYTES, decode, encode},
         peers::{Own, Peers},
         suspects::Suspects,
     },
@@ -23,7 +23,7 @@
     Beat { start, number, ready: true, configuration: 5, backends: 9, ..Beat::default() }
 }
 
-fn read(beat: &Beat) -> Result<Beat, Fault> {
+fn read(beat: &Beat) -> Result<Beat, DropReason> {
     decode(&encode(beat).unwrap(), NOW_MS)
 }
 
@@ -35,10 +35,10 @@
     assert!(read(&beat(start, 40_000)).is_ok(), "eleven a second for an hour");
     assert!(read(&beat(NOW_MS + HOUR_MS / 2, 1)).is_ok(), "a clock that is ahead");
 
-    assert_eq!(read(&beat(NOW_MS + 2 * HOUR_MS, 1)), Err(Fault::Future));
-    assert_eq!(read(&beat(u64::MAX, 1)), Err(Fault::Future));
-    assert_eq!(read(&beat(start, u64::MAX)), Err(Fault::Future));
-    assert_eq!(read(&beat(start, 10_000_000)), Err(Fault::Future));
+    assert_eq!(read(&beat(NOW_MS + 2 * HOUR_MS, 1)), Err(DropReason::Future));
+    assert_eq!(read(&beat(u64::MAX, 1)), Err(DropReason::Future));
+    assert_eq!(read(&beat(start, u64::MAX)), Err(DropReason::Future));
+    assert_eq!(read(&beat(start, 10_000_000)), Err(DropReason::Future));
 }
 
 #[test]
@@ -93,7 +93,7 @@
     fn any_bytes_are_read_or_dropped(bytes in proptest::collection::vec(any::<u8>(), 0..2 * MOST_BYTES)) {
         match decode(&bytes, NOW_MS) {
             Ok(beat) => prop_assert!(beat.start <= NOW_MS + HOUR_MS),
-            Err(fault) => prop_assert_eq!(fault == Fault::Size, bytes.len() > MOST_BYTES),
+            Err(fault) => prop_assert_eq!(fault == DropReason::Size, bytes.len() > MOST_BYTES),
         }
     }
 
