--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -18,7 +18,7 @@
 
 use slotmap::{SlotMap, new_key_type};
 
-use super::{contact::GRACE, revision::Revision};
+use super::{contact::MISSING_ENTRY_GRACE, revision::Revision};
 use crate::{
     schema::fleet,
     util::{Instant, Map, Set, hash},
@@ -217,7 +217,7 @@
         }
         let knows = self.revision.is_known() && self.revision != Revision::STALE_READ;
         let restored = knows && list.epoch > self.revision.epoch;
-        let grace = if restored { grace.max(Some(GRACE)) } else { grace };
+        let grace = if restored { grace.max(Some(MISSING_ENTRY_GRACE)) } else { grace };
         self.revision = list.as_of();
         self.log.clear();
         self.logged_from = self.revision;
--- a/src/relay/contact.rs
+++ b/src/relay/contact.rs
@@ -14,7 +14,7 @@
 const PATIENCE: (Duration, Duration) = (Duration::from_millis(400), Duration::from_millis(2_000));
 /// How long entries that are missing after the store's return, or its restore, still count: live servers write again within two
 /// seconds, and a server that left must get no new work two seconds after the store said so.
-pub(super) const GRACE: Duration = Duration::from_millis(1_700);
+pub(super) const MISSING_ENTRY_GRACE: Duration = Duration::from_millis(1_700);
 /// An outage shorter than this lets no entry lapse.
 const SHORT_OUTAGE: Duration = Duration::from_millis(500);
 
@@ -63,7 +63,8 @@
         }
         self.backoff.reset();
         let over = self.back.map(|back| now.saturating_sub(back));
-        let grace = over.and_then(|over| GRACE.checked_sub(over)).filter(|left| !left.is_zero());
+        let grace =
+            over.and_then(|over| MISSING_ENTRY_GRACE.checked_sub(over)).filter(|left| !left.is_zero());
         (away, grace)
     }
 
