--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -106,7 +106,7 @@
 impl State {
     /// Servers of a service that take work, but for those in evacuated data centres.
     fn in_force(&self, service: &str) -> impl Iterator<Item = (BackendKey, &Backend)> {
-        self.backends.of(service).filter(|(_, b)| !self.evacuations.covers(&b.data_centre))
+        self.backends.of(service).filter(|(_, b)| !self.evacuations.contains(&b.data_centre))
     }
 
     /// Servers of a service that may get something new: none in an evacuated data centre, and none that has asked for a pause.
--- a/src/relay/evacuations.rs
+++ b/src/relay/evacuations.rs
@@ -106,7 +106,7 @@
     }
 
     /// Whether the backend servers of a data centre get nothing new.
-    pub fn covers(&self, data_centre: &str) -> bool {
+    pub fn contains(&self, data_centre: &str) -> bool {
         let told = !self.data_centres.is_empty() && self.data_centres.contains(data_centre);
         told || !self.kept.is_empty() && self.kept.contains_key(data_centre)
     }
@@ -141,7 +141,7 @@
             let named = told.data_centres.iter().take(MOST);
             self.replace(now, told.as_of(), named.map(|name| name.as_str().into()).collect());
             for kept in told.kept.iter().take(MOST) {
-                if !self.covers(&kept.data_centre) {
+                if !self.contains(&kept.data_centre) {
                     let left = Duration::from_millis(kept.left_ms.into()).min(KEPT);
                     self.kept.insert(kept.data_centre.as_str().into(), now + left);
                 }
--- a/tests/relay_evacuations.rs
+++ b/tests/relay_evacuations.rs
@@ -43,10 +43,10 @@
 
     assert_eq!(begun, [Change::Evacuated("b".into())]);
     assert_eq!((late, same), (Vec::new(), Vec::new()));
-    assert!(known.covers("b") && !known.covers("a"));
+    assert!(known.contains("b") && !known.contains("a"));
     assert_eq!(known.told(NOW), Some(told(5, &["b"])));
     assert_eq!(known.hear(NOW, &told(7, &["a"])).len(), 2);
-    assert!(known.covers("a") && !known.covers("b"));
+    assert!(known.contains("a") && !known.contains("b"));
 }
 
 proptest! {
@@ -81,7 +81,7 @@
             for host in hosts.iter().filter(|h| h.is_known()) {
                 let want = &store[host.revision().number as usize - 1];
                 for name in names {
-                    prop_assert_eq!(host.covers(name), want.data_centres.iter().any(|d| d == name));
+                    prop_assert_eq!(host.contains(name), want.data_centres.iter().any(|d| d == name));
                 }
             }
         }
@@ -164,12 +164,14 @@
     let taken_back = ended.update(later(5), &changed(5, false));
     let expired = forgotten.expire(later(32));
 
-    assert!(starts.covers("a") && starts.covers("b"), "a host that starts is told");
+    assert!(starts.contains("a") && starts.contains("b"), "a host that starts is told");
     assert_eq!(starts.expire(later(32)), [Change::TakenBack("b".into())]);
     assert_eq!((again, written.expire(later(60))), (Vec::new(), Vec::new()));
     assert_eq!(
         (taken_back, expired),
         (vec![Change::TakenBack("b".into())], vec![Change::TakenBack("b".into())])
     );
-    assert!(written.covers("b") && !ended.covers("b") && !forgotten.covers("b") && forgotten.covers("a"));
+    assert!(
+        written.contains("b") && !ended.contains("b") && !forgotten.contains("b") && forgotten.contains("a")
+    );
 }
