--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -134,7 +134,7 @@
             seeds: self.seeds.iter().map(peer).collect(),
             budget: self.budget,
             bound: Bound::default(),
-            leave: LeaveConfig { grace: self.grace, outlive: OUTLIVE },
+            leave: LeaveConfig { grace: self.grace, address_ttl: OUTLIVE },
             evacuates: self.evacuates,
             in_force: self.in_force,
         }
--- a/src/relay/leave.rs
+++ b/src/relay/leave.rs
@@ -13,7 +13,7 @@
     /// Time from the signal until the process is killed.
     pub grace: Duration,
     /// How long callers may keep an address that is not handed out any more.
-    pub outlive: Duration,
+    pub address_ttl: Duration,
 }
 
 /// Requests that arrive this soon are taken whatever their deadline: callers have not heard yet.
@@ -41,7 +41,7 @@
 
     /// Whether the process may stop: callers have moved and nothing is in progress, or the kill is near.
     pub fn may_stop(&self, now: Instant, in_progress: usize) -> bool {
-        let moved = now >= self.since + self.cfg.outlive;
+        let moved = now >= self.since + self.cfg.address_ttl;
         let late = now + MARGIN >= self.since + self.cfg.grace;
         (moved && in_progress == 0) || late
     }
--- a/tests/support/relay.rs
+++ b/tests/support/relay.rs
@@ -28,7 +28,7 @@
         seeds: Vec::new(),
         budget: BudgetConfig::default(),
         bound: Bound::default(),
-        leave: LeaveConfig { grace: Duration::from_secs(8), outlive: Duration::from_secs(3) },
+        leave: LeaveConfig { grace: Duration::from_secs(8), address_ttl: Duration::from_secs(3) },
         evacuates: false,
         in_force: Duration::from_secs(2),
     }
