--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -43,7 +43,7 @@
             Some(me) if !self.is_small() => {
                 let me = Neighbour { rank: hash(me), contact };
                 let near = self.neighbours(now);
-                self.duty.decide(now, me, near, followers::wanted(self.data_centres()))
+                self.duty.decide(now, me, near, followers::followers_per_data_centre(self.data_centres()))
             }
             _ => true,
         };
