--- a/src/relay/followers.rs
+++ b/src/relay/followers.rs
@@ -48,7 +48,7 @@
 }
 
 /// Hosts of each data centre that shall follow the store.
-pub fn wanted(data_centres: usize) -> usize {
+pub fn followers_per_data_centre(data_centres: usize) -> usize {
     AT_LEAST.div_ceil(data_centres.max(1))
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl FollowerElection {
-    /// Whether this host shall follow, as one of `wanted`.
+    /// Whether this host shall follow, as one of `followers_per_data_centre`.
     pub fn decide(
         &mut self,
         now: Instant,
--- a/tests/relay_followers.rs
+++ b/tests/relay_followers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranberrytally::relay::followers::{FollowState, FollowerElection, Neighbour, wanted};
+use cranberrytally::relay::followers::{FollowState, FollowerElection, Neighbour, followers_per_data_centre};
 use proptest::prelude::*;
 
 const fn ms(n: u64) -> Duration {
@@ -104,7 +104,7 @@
 
 #[test]
 fn a_fleet_has_a_few_followers_however_many_data_centres_it_has() {
-    assert_eq!([1, 2, 3, 5, 15].map(wanted), [4, 2, 2, 1, 1]);
+    assert_eq!([1, 2, 3, 5, 15].map(followers_per_data_centre), [4, 2, 2, 1, 1]);
 }
 
 proptest! {
