--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -16,7 +16,7 @@
         Read, Refusal, Sending, Wire,
         admission::Told,
         answer::AnswerBody,
-        inbound::Ask,
+        inbound::RequestHead,
         request::{Part, Request},
         verdict::Failure,
     },
@@ -30,10 +30,10 @@
 pub struct PlatformWire;
 
 impl Wire for PlatformWire {
-    fn ask(&self, head: &request::Parts) -> Ask {
+    fn ask(&self, head: &request::Parts) -> RequestHead {
         let headers = &head.headers;
         let host = text(headers, &header::HOST).or_else(|| head.uri.host());
-        Ask {
+        RequestHead {
             id: text(headers, &names::ATTEMPT_ID).unwrap_or_default().into(),
             host: host.unwrap_or_default().into(),
             key: text(headers, &names::KEY).map(Into::into),
--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -47,7 +47,7 @@
 
 /// What the head of a request says, as an adapter reads it.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct RequestHead {
     /// Identifier of the attempt.
     pub id: Arc<str>,
     /// Host name that the caller gives.
@@ -226,7 +226,7 @@
 
 /// Finds the route and the caller. A host that may have missed a change refuses, provably not run, what it does not
 /// know, rather than telling a caller that it does not exist.
-fn check<W: Wire>(relay: &Relay<W>, ask: &Ask, head: &request::Parts) -> Result<Checked, Kind> {
+fn check<W: Wire>(relay: &Relay<W>, ask: &RequestHead, head: &request::Parts) -> Result<Checked, Kind> {
     let Some(routes) = relay.routes() else { return Err(Kind::NotReady) };
     let version = routes.version();
     let or_stale = |kind| if relay.is_stale() { Kind::NotReady } else { kind };
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -9,7 +9,7 @@
 use super::{
     admission::Told,
     answer::AnswerBody,
-    inbound::Ask,
+    inbound::RequestHead,
     request::{EventNumber, Request},
     verdict::Failure,
 };
@@ -59,7 +59,7 @@
 /// Translates between the pipeline and one interface.
 pub trait Wire: Send + Sync + 'static {
     /// Reads the head of a request.
-    fn ask(&self, head: &request::Parts) -> Ask;
+    fn ask(&self, head: &request::Parts) -> RequestHead;
 
     /// The headers of a request that are passed on.
     fn forwarded(&self, headers: HeaderMap) -> HeaderMap;
