--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -30,7 +30,7 @@
 pub struct PlatformWire;
 
 impl Wire for PlatformWire {
-    fn ask(&self, head: &request::Parts) -> RequestHead {
+    fn parse_request(&self, head: &request::Parts) -> RequestHead {
         let headers = &head.headers;
         let host = text(headers, &header::HOST).or_else(|| head.uri.host());
         RequestHead {
--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -185,7 +185,7 @@
 ) -> Result<Request, (Arc<str>, Kind)> {
     let arrived = now();
     let (head, body) = req.into_parts();
-    let ask = relay.wire.ask(&head);
+    let ask = relay.wire.parse_request(&head);
     let id = ask.id.clone();
     if !relay.has_run_for(START) {
         wait_for_start(relay).await;
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -59,7 +59,7 @@
 /// Translates between the pipeline and one interface.
 pub trait Wire: Send + Sync + 'static {
     /// Reads the head of a request.
-    fn ask(&self, head: &request::Parts) -> RequestHead;
+    fn parse_request(&self, head: &request::Parts) -> RequestHead;
 
     /// The headers of a request that are passed on.
     fn forwarded(&self, headers: HeaderMap) -> HeaderMap;
