--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -13,7 +13,7 @@
 use crate::{
     error::{Kind, Ran},
     relay::{
-        Read, Refusal, Sending, Wire,
+        Refusal, ResponseHead, Sending, Wire,
         admission::Told,
         answer::AnswerBody,
         inbound::RequestHead,
@@ -80,9 +80,9 @@
         out
     }
 
-    fn read(&self, req: &Request, head: &response::Parts) -> Read {
+    fn read(&self, req: &Request, head: &response::Parts) -> ResponseHead {
         let headers = &head.headers;
-        Read {
+        ResponseHead {
             failure: failure(req, head),
             keeps: text(headers, &names::KEEP_ALIVE).and_then(keeps),
             closes: text(headers, &header::CONNECTION).is_some_and(|v| v.eq_ignore_ascii_case("close")),
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use super::{
-    Read, Relay, State, Wire,
+    Relay, ResponseHead, State, Wire,
     backends::{BackendKey, Change},
     configurations,
     confirm::{self, Topic},
@@ -319,7 +319,7 @@
 
     /// Takes in what a server says of itself in an answer: that it leaves, whatever the store knows of it, or that it wants
     /// nothing from this host for a while.
-    pub(crate) fn hear_backend(&self, req: &Request, key: BackendKey, read: &Read) {
+    pub(crate) fn hear_backend(&self, req: &Request, key: BackendKey, read: &ResponseHead) {
         if !read.leaves && read.pause.is_none() {
             return;
         }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 
 use super::{
-    Read, Refusal, Relay, Sending, Wire, Work,
+    Refusal, Relay, ResponseHead, Sending, Wire, Work,
     admission::{Refused, come_back_late},
     answer::AnswerBody,
     backends::BackendKey,
@@ -42,7 +42,7 @@
 /// The head of an answer, its body and what it holds.
 pub(crate) struct Answered<W: Wire> {
     pub(crate) head: response::Parts,
-    pub(crate) read: Read,
+    pub(crate) read: ResponseHead,
     pub(crate) body: Incoming,
     pub(crate) conn: Conn,
     pub(crate) work: Work<W>,
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -30,7 +30,7 @@
 
 /// What the head of a backend server's answer says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Read {
+pub struct ResponseHead {
     /// Why it is not the answer, if it isn't.
     pub failure: Option<Failure>,
     /// How long it keeps an idle connection, if it tells.
@@ -68,7 +68,7 @@
     fn attempt(&self, req: &Request, sending: &Sending<'_>) -> http::Request<Full<Bytes>>;
 
     /// Reads the head of a backend server's answer.
-    fn read(&self, req: &Request, head: &response::Parts) -> Read;
+    fn read(&self, req: &Request, head: &response::Parts) -> ResponseHead;
 
     /// Head and body of an answer with headers that only concern one connection taken out.
     fn pass(&self, head: response::Parts, body: AnswerBody) -> Response<AnswerBody>;
