--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -80,7 +80,7 @@
         out
     }
 
-    fn read(&self, req: &Request, head: &response::Parts) -> ResponseHead {
+    fn parse_response(&self, req: &Request, head: &response::Parts) -> ResponseHead {
         let headers = &head.headers;
         ResponseHead {
             failure: failure(req, head),
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -211,7 +211,7 @@
                 return Err(AttemptError::Failed((failure, key)));
             }
         };
-        let read = self.relay.wire.read(&self.req, &head);
+        let read = self.relay.wire.parse_response(&self.req, &head);
         if let Some(told) = read.told {
             self.relay.note_told(&self.req.service, told);
         }
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -68,7 +68,7 @@
     fn attempt(&self, req: &Request, sending: &Sending<'_>) -> http::Request<Full<Bytes>>;
 
     /// Reads the head of a backend server's answer.
-    fn read(&self, req: &Request, head: &response::Parts) -> ResponseHead;
+    fn parse_response(&self, req: &Request, head: &response::Parts) -> ResponseHead;
 
     /// Head and body of an answer with headers that only concern one connection taken out.
     fn pass(&self, head: response::Parts, body: AnswerBody) -> Response<AnswerBody>;
