--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -37,7 +37,7 @@
             id: text(headers, &names::ATTEMPT_ID).unwrap_or_default().into(),
             host: host.unwrap_or_default().into(),
             key: text(headers, &names::KEY).map(Into::into),
-            waits: number(headers, &names::DEADLINE).map(Duration::from_millis),
+            timeout: number(headers, &names::DEADLINE).map(Duration::from_millis),
             parts: text(headers, &names::PREFIX).map(parts).unwrap_or_default(),
             after: number(headers, &names::LAST_EVENT),
         }
--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -55,7 +55,7 @@
     /// Key, if it gives one.
     pub key: Option<Arc<str>>,
     /// How long the caller waits.
-    pub waits: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Parts of the prompt.
     pub parts: Vec<Part>,
     /// Event after which a stream shall go on.
