--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -195,7 +195,7 @@
     let Checked { version, route, caller } = checked.map_err(|kind| (id.clone(), kind))?;
     let Some(service) = route.service(relay.draw()) else { return Err((id, Kind::NoEngine)) };
     let timeout = Duration::from_millis(route.route.timeout_ms.into());
-    let deadline = arrived + ask.waits.map_or(timeout, |waits| waits.min(timeout));
+    let deadline = arrived + ask.timeout.map_or(timeout, |waits| waits.min(timeout));
     if !relay.takes(deadline) {
         return Err((id, Kind::Leaving));
     }
