--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -84,7 +84,7 @@
         let headers = &head.headers;
         ResponseHead {
             failure: failure(req, head),
-            keeps: text(headers, &names::KEEP_ALIVE).and_then(keeps),
+            keep_alive: text(headers, &names::KEEP_ALIVE).and_then(keeps),
             closes: text(headers, &header::CONNECTION).is_some_and(|v| v.eq_ignore_ascii_case("close")),
             told: text(headers, &names::LOAD).and_then(told),
             leaves: leaves(head),
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -34,7 +34,7 @@
     /// Why it is not the answer, if it isn't.
     pub failure: Option<Failure>,
     /// How long it keeps an idle connection, if it tells.
-    pub keeps: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     /// Whether it closes the connection after this answer.
     pub closes: bool,
     /// The work at the server, if it tells.
