--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -218,7 +218,7 @@
         self.relay.hear_backend(&self.req, key, &read);
         if let Some(failure) = read.failure {
             if matches!(failure, Failure::Refused | Failure::Moved) && !read.closes {
-                self.recycle(body, conn, key, read.keeps).await;
+                self.recycle(body, conn, key, read.keep_alive).await;
             }
             return Err(AttemptError::Failed((failure, key)));
         }
@@ -336,7 +336,7 @@
             Err(_) => return Err((Failure::Late, key)),
         };
         if !read.closes {
-            self.relay.keep(key, conn, read.keeps);
+            self.relay.keep(key, conn, read.keep_alive);
         }
         drop(work);
         if head.status.is_server_error() && self.may_repeat_error() {
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -209,7 +209,7 @@
             let key = answered.work.key;
             run.relay.trust(key);
             if !answered.read.closes {
-                run.relay.keep(key, answered.conn, answered.read.keeps);
+                run.relay.keep(key, answered.conn, answered.read.keep_alive);
             }
         }
         run.relay.note(Weight::Routine, "answered", &run.req, |l| {
