--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -86,7 +86,7 @@
             failure: failure(req, head),
             keep_alive: text(headers, &names::KEEP_ALIVE).and_then(keeps),
             closes: text(headers, &header::CONNECTION).is_some_and(|v| v.eq_ignore_ascii_case("close")),
-            told: text(headers, &names::LOAD).and_then(told),
+            load: text(headers, &names::LOAD).and_then(told),
             leaves: leaves(head),
             pause: pause(head),
         }
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -38,7 +38,7 @@
     /// Whether it closes the connection after this answer.
     pub closes: bool,
     /// The work at the server, if it tells.
-    pub told: Option<Told>,
+    pub load: Option<Told>,
     /// Whether the server says that it leaves.
     pub leaves: bool,
     /// For how long it wants nothing from this host, if it has turned the request away and tells so.
