--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -212,7 +212,7 @@
             }
         };
         let read = self.relay.wire.parse_response(&self.req, &head);
-        if let Some(told) = read.told {
+        if let Some(told) = read.load {
             self.relay.note_told(&self.req.service, told);
         }
         self.relay.hear_backend(&self.req, key, &read);
