--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -87,7 +87,7 @@
             keep_alive: text(headers, &names::KEEP_ALIVE).and_then(keeps),
             closes: text(headers, &header::CONNECTION).is_some_and(|v| v.eq_ignore_ascii_case("close")),
             load: text(headers, &names::LOAD).and_then(told),
-            leaves: leaves(head),
+            leaving: leaves(head),
             pause: pause(head),
         }
     }
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -40,7 +40,7 @@
     /// The work at the server, if it tells.
     pub load: Option<Told>,
     /// Whether the server says that it leaves.
-    pub leaves: bool,
+    pub leaving: bool,
     /// For how long it wants nothing from this host, if it has turned the request away and tells so.
     pub pause: Option<Duration>,
 }
