--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -320,12 +320,12 @@
     /// Takes in what a server says of itself in an answer: that it leaves, whatever the store knows of it, or that it wants
     /// nothing from this host for a while.
     pub(crate) fn hear_backend(&self, req: &Request, key: BackendKey, read: &ResponseHead) {
-        if !read.leaves && read.pause.is_none() {
+        if !read.leaving && read.pause.is_none() {
             return;
         }
         let id = self.id_of(key);
         let id = id.as_deref().unwrap_or("gone");
-        if read.leaves {
+        if read.leaving {
             self.note(Weight::Notable, "told_leaving", req, |l| l.text("backend", id));
             let mut state = self.state();
             if let Some(change) = state.backends.leave(now(), key) {
