--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -51,7 +51,7 @@
         headers
     }
 
-    fn attempt(&self, req: &Request, sending: &Sending<'_>) -> HttpRequest<Full<Bytes>> {
+    fn backend_request(&self, req: &Request, sending: &Sending<'_>) -> HttpRequest<Full<Bytes>> {
         let mut out = HttpRequest::new(Full::new(req.body.clone()));
         *out.method_mut() = req.method.clone();
         *out.uri_mut() = req.target.clone();
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -65,7 +65,7 @@
     fn forwarded(&self, headers: HeaderMap) -> HeaderMap;
 
     /// The request as a backend server takes it.
-    fn attempt(&self, req: &Request, sending: &Sending<'_>) -> http::Request<Full<Bytes>>;
+    fn backend_request(&self, req: &Request, sending: &Sending<'_>) -> http::Request<Full<Bytes>>;
 
     /// Reads the head of a backend server's answer.
     fn parse_response(&self, req: &Request, head: &response::Parts) -> ResponseHead;
