--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -257,7 +257,7 @@
                 return Err(Failure::Unsent);
             }
             let sending = Sending { backend: &id, left, after, fetch_from: from };
-            let req = self.relay.wire.attempt(&self.req, &sending);
+            let req = self.relay.wire.backend_request(&self.req, &sending);
             self.note_sent(choice, &id, stale);
             let reused = conn.reused;
             let result = self.wait(&mut conn, req).await;
