--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    fn forwarded(&self, mut headers: HeaderMap) -> HeaderMap {
+    fn forwarded_headers(&self, mut headers: HeaderMap) -> HeaderMap {
         strip(&mut headers);
         names::OWN.iter().for_each(|name| while_removed(&mut headers, name));
         headers.remove(header::CONTENT_LENGTH);
--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -205,7 +205,7 @@
         caller,
         method: head.method.clone(),
         target: head.uri.clone(),
-        headers: relay.wire.forwarded(head.headers),
+        headers: relay.wire.forwarded_headers(head.headers),
         body,
         parts: if route.route.prompts { ask.parts } else { Vec::new() },
         after: if route.stream { ask.after } else { None },
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -62,7 +62,7 @@
     fn parse_request(&self, head: &request::Parts) -> RequestHead;
 
     /// The headers of a request that are passed on.
-    fn forwarded(&self, headers: HeaderMap) -> HeaderMap;
+    fn forwarded_headers(&self, headers: HeaderMap) -> HeaderMap;
 
     /// The request as a backend server takes it.
     fn backend_request(&self, req: &Request, sending: &Sending<'_>) -> http::Request<Full<Bytes>>;
