--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    fn pass(&self, mut head: response::Parts, body: AnswerBody) -> Response<AnswerBody> {
+    fn caller_response(&self, mut head: response::Parts, body: AnswerBody) -> Response<AnswerBody> {
         strip(&mut head.headers);
         head.headers.remove(header::CONTENT_LENGTH);
         head.version = Version::HTTP_11;
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -71,7 +71,7 @@
     fn parse_response(&self, req: &Request, head: &response::Parts) -> ResponseHead;
 
     /// Head and body of an answer with headers that only concern one connection taken out.
-    fn pass(&self, head: response::Parts, body: AnswerBody) -> Response<AnswerBody>;
+    fn caller_response(&self, head: response::Parts, body: AnswerBody) -> Response<AnswerBody>;
 
     /// The answer to a request that is given up.
     fn refuse(&self, refusal: &Refusal) -> Response<AnswerBody>;
