--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -110,7 +110,7 @@
         let item = events.next(&mut run).await?;
         Some((item, (run, events, None, guard)))
     });
-    relay.wire.pass(head, AnswerBody::Events(Box::pin(body)))
+    relay.wire.caller_response(head, AnswerBody::Events(Box::pin(body)))
 }
 
 impl<W: Wire> Events<W> {
