--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -13,7 +13,7 @@
 use crate::{
     error::{Kind, Ran},
     relay::{
-        Refusal, ResponseHead, Sending, Wire,
+        AttemptContext, Refusal, ResponseHead, Wire,
         admission::Told,
         answer::AnswerBody,
         inbound::RequestHead,
@@ -51,7 +51,7 @@
         headers
     }
 
-    fn backend_request(&self, req: &Request, sending: &Sending<'_>) -> HttpRequest<Full<Bytes>> {
+    fn backend_request(&self, req: &Request, sending: &AttemptContext<'_>) -> HttpRequest<Full<Bytes>> {
         let mut out = HttpRequest::new(Full::new(req.body.clone()));
         *out.method_mut() = req.method.clone();
         *out.uri_mut() = req.target.clone();
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -83,7 +83,7 @@
 use routes::Routes;
 use suspects::Suspects;
 use warmup::Warmup;
-pub use wire::{Refusal, ResponseHead, Sending, Wire};
+pub use wire::{AttemptContext, Refusal, ResponseHead, Wire};
 
 /// Settings of a relaying host.
 #[derive(Clone, Debug)]
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 
 use super::{
-    Refusal, Relay, ResponseHead, Sending, Wire, Work,
+    AttemptContext, Refusal, Relay, ResponseHead, Wire, Work,
     admission::{Refused, come_back_late},
     answer::AnswerBody,
     backends::BackendKey,
@@ -256,7 +256,7 @@
             if left.is_zero() {
                 return Err(Failure::Unsent);
             }
-            let sending = Sending { backend: &id, left, after, fetch_from: from };
+            let sending = AttemptContext { backend: &id, left, after, fetch_from: from };
             let req = self.relay.wire.backend_request(&self.req, &sending);
             self.note_sent(choice, &id, stale);
             let reused = conn.reused;
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -17,7 +17,7 @@
 
 /// What an attempt tells its backend server beside the request itself.
 #[derive(Clone, Copy, Debug)]
-pub struct Sending<'a> {
+pub struct AttemptContext<'a> {
     /// Identifier of the server that is meant.
     pub backend: &'a str,
     /// Time that is left.
@@ -65,7 +65,7 @@
     fn forwarded_headers(&self, headers: HeaderMap) -> HeaderMap;
 
     /// The request as a backend server takes it.
-    fn backend_request(&self, req: &Request, sending: &Sending<'_>) -> http::Request<Full<Bytes>>;
+    fn backend_request(&self, req: &Request, sending: &AttemptContext<'_>) -> http::Request<Full<Bytes>>;
 
     /// Reads the head of a backend server's answer.
     fn parse_response(&self, req: &Request, head: &response::Parts) -> ResponseHead;
