--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -219,7 +219,7 @@
 }
 
 impl Store for StoreClient {
-    async fn enter(&mut self, data_centre: &str, hosts: &Hosts) -> Result<(), StoreError> {
+    async fn register_hosts(&mut self, data_centre: &str, hosts: &Hosts) -> Result<(), StoreError> {
         let spec = RawHosts { members: hosts.some.clone(), count: hosts.count };
         let object = serde_json::json!({ "metadata": { "name": data_centre }, "spec": spec });
         let body = Bytes::from(object.to_string());
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -139,7 +139,7 @@
     ) -> impl Future<Output = Result<super::evacuations::Update, StoreError>> + Send;
 
     /// Enters some hosts of a data centre, in place of those entered before.
-    fn enter(
+    fn register_hosts(
         &mut self,
         data_centre: &str,
         hosts: &Hosts,
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -415,7 +415,7 @@
     for (name, acts, expected) in cases {
         let (mut store, server) = store(acts).await;
 
-        store.enter("a 1", &hosts).await.unwrap();
+        store.register_hosts("a 1", &hosts).await.unwrap();
 
         let seen: Vec<_> =
             server.seen().iter().map(|r| r.split(" HTTP").next().unwrap().to_owned()).collect();
@@ -423,7 +423,7 @@
         assert!(server.seen()[0].contains("10.0.0.1:7000") && server.seen()[0].contains("59"));
     }
     let (mut store, _) = store(vec![reply("503 Service Unavailable", "{}")]).await;
-    store.enter("a 1", &hosts).await.unwrap_err();
+    store.register_hosts("a 1", &hosts).await.unwrap_err();
 }
 
 /// The hosts that are entered are read from an old copy, which costs a tenth. An entry that can't be read spoils no other.
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -154,7 +154,7 @@
         pending().await
     }
 
-    async fn enter(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
+    async fn register_hosts(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
         Ok(())
     }
 
@@ -224,7 +224,7 @@
         pending().await
     }
 
-    async fn enter(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
+    async fn register_hosts(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
         Ok(())
     }
 
@@ -282,7 +282,7 @@
         pending().await
     }
 
-    async fn enter(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
+    async fn register_hosts(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
         Ok(())
     }
 
@@ -358,7 +358,7 @@
         pending().await
     }
 
-    async fn enter(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
+    async fn register_hosts(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
         Ok(())
     }
 
