--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -80,7 +80,7 @@
         StoreCall::EvacuationsWatch,
         StoreCall::EvacuationsCheck,
         StoreCall::Hosts,
-        StoreCall::Enter,
+        StoreCall::Register,
     ];
 
     /// Name in logs and counters.
@@ -99,7 +99,7 @@
             StoreCall::EvacuationsWatch => "evacuations_watch",
             StoreCall::EvacuationsCheck => "evacuations_check",
             StoreCall::Hosts => "hosts",
-            StoreCall::Enter => "enter",
+            StoreCall::Register => "enter",
         }
     }
 
--- a/src/relay/follow/hosts.rs
+++ b/src/relay/follow/hosts.rs
@@ -48,7 +48,7 @@
             }
         }
         let Some(hosts) = relay.hosts_to_enter(&entered) else { continue };
-        match relay.ask_store(StoreCall::Enter, None, store.register_hosts(&centre, &hosts)).await {
+        match relay.ask_store(StoreCall::Register, None, store.register_hosts(&centre, &hosts)).await {
             Ok(()) => entered = hosts,
             Err(e) => note_hosts(&e),
         }
