--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -61,7 +61,7 @@
     /// The hosts that are entered.
     Hosts,
     /// To enter hosts.
-    Enter,
+    Register,
 }
 
 impl StoreCall {
