--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -220,7 +220,7 @@
 
 impl Store for StoreClient {
     async fn register_hosts(&mut self, data_centre: &str, hosts: &Hosts) -> Result<(), StoreError> {
-        let spec = RawHosts { members: hosts.some.clone(), count: hosts.count };
+        let spec = RawHosts { members: hosts.sample.clone(), count: hosts.count };
         let object = serde_json::json!({ "metadata": { "name": data_centre }, "spec": spec });
         let body = Bytes::from(object.to_string());
         let name: String = form_urlencoded::byte_serialize(data_centre.as_bytes()).collect();
@@ -239,7 +239,7 @@
         let (_, page): (_, Page<RawHosts>) = self.call(&target, ANSWER, MOST_PAGE, Epoch::default()).await?;
         let all: Vec<_> = page.items.into_iter().filter_map(|o| o.spec).collect();
         let count = all.iter().map(|raw| raw.count).sum();
-        Ok(Hosts { some: all.into_iter().flat_map(|raw| raw.members).collect(), count })
+        Ok(Hosts { sample: all.into_iter().flat_map(|raw| raw.members).collect(), count })
     }
 
     async fn configuration(&mut self, call: Call) -> Result<(Revision, Option<Configuration>), StoreError> {
