--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -373,17 +373,17 @@
             return None;
         }
         let me = &self.cfg.me;
-        let mut some = vec![me.clone()];
+        let mut sample = vec![me.clone()];
         if state.peers.is_alone(now()) {
-            let others = entered.some.iter().filter(|m| m.peers != me.peers);
-            some.extend(others.take(MOST_ENTERED - 1).cloned());
-            return (!entered.some.contains(me)).then_some(Hosts { count: some.len(), some });
+            let others = entered.sample.iter().filter(|m| m.peers != me.peers);
+            sample.extend(others.take(MOST_ENTERED - 1).cloned());
+            return (!entered.sample.contains(me)).then_some(Hosts { count: sample.len(), sample });
         }
-        some.extend(state.peers.near_ready(MOST_ENTERED - 1));
-        let left = entered.some.iter().filter(|m| some.contains(m)).count();
+        sample.extend(state.peers.near_ready(MOST_ENTERED - 1));
+        let left = entered.sample.iter().filter(|m| sample.contains(m)).count();
         let count = state.peers.near_hosts();
         let grown = count >= entered.count * 2;
-        (grown || left * 2 < entered.some.len()).then_some(Hosts { some, count })
+        (grown || left * 2 < entered.sample.len()).then_some(Hosts { sample, count })
     }
 
     /// Seeks hosts of which the store tells.
--- a/src/relay/follow/hosts.rs
+++ b/src/relay/follow/hosts.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Hosts {
     /// Some of them.
-    pub some: Vec<Member>,
+    pub sample: Vec<Member>,
     /// How many there are.
     pub count: usize,
 }
@@ -40,9 +40,9 @@
         if relay.is_alone() {
             match relay.ask_store(StoreCall::Hosts, None, store.hosts()).await {
                 Ok(mut hosts) => {
-                    relay.learn(&hosts.some);
-                    hosts.some.retain(|m| m.data_centre == centre);
-                    entered = Hosts { count: hosts.some.len(), ..hosts };
+                    relay.learn(&hosts.sample);
+                    hosts.sample.retain(|m| m.data_centre == centre);
+                    entered = Hosts { count: hosts.sample.len(), ..hosts };
                 }
                 Err(e) => note_hosts(&e),
             }
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -411,7 +411,7 @@
             vec!["PUT /objects/hosts/a+1", "POST /objects/hosts"],
         ),
     ];
-    let hosts = Hosts { some: vec![member()], count: 59 };
+    let hosts = Hosts { sample: vec![member()], count: 59 };
     for (name, acts, expected) in cases {
         let (mut store, server) = store(acts).await;
 
@@ -438,7 +438,7 @@
 
     let hosts = store.hosts().await.unwrap();
 
-    assert_eq!(hosts, Hosts { some: vec![member()], count: 59 });
+    assert_eq!(hosts, Hosts { sample: vec![member()], count: 59 });
     assert_eq!(target(&server.seen()[0]), "/objects/hosts?staleOk=1");
 }
 
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -159,7 +159,7 @@
     }
 
     async fn hosts(&mut self) -> Result<Hosts, StoreError> {
-        Ok(Hosts { some: Vec::new(), count: 100 })
+        Ok(Hosts { sample: Vec::new(), count: 100 })
     }
 }
 
@@ -229,7 +229,7 @@
     }
 
     async fn hosts(&mut self) -> Result<Hosts, StoreError> {
-        Ok(Hosts { some: Vec::new(), count: 100 })
+        Ok(Hosts { sample: Vec::new(), count: 100 })
     }
 }
 
@@ -287,7 +287,7 @@
     }
 
     async fn hosts(&mut self) -> Result<Hosts, StoreError> {
-        Ok(Hosts { some: Vec::new(), count: 100 })
+        Ok(Hosts { sample: Vec::new(), count: 100 })
     }
 }
 
