--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -141,7 +141,7 @@
 ) -> Response<AnswerBody> {
     let mut response = match admit(&relay, req, limits).await {
         Ok(req) => {
-            let _entered = relay.enter();
+            let _entered = relay.track_request();
             run::run(relay.clone(), req).await
         }
         Err((id, kind)) => {
--- a/src/relay/stop.rs
+++ b/src/relay/stop.rs
@@ -55,7 +55,7 @@
     }
 
     /// Counts a request in progress until the guard is dropped.
-    pub fn enter(self: &Arc<Self>) -> Entered<W> {
+    pub fn track_request(self: &Arc<Self>) -> Entered<W> {
         self.state().in_progress += 1;
         Entered(self.clone())
     }
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -102,7 +102,7 @@
     events: Events<W>,
 ) -> Response<AnswerBody> {
     let relay = run.relay.clone();
-    let guard = relay.enter();
+    let guard = relay.track_request();
     let body = unfold((run, events, first, guard), |(mut run, mut events, first, guard)| async move {
         if let Some(bytes) = first {
             return Some((Ok(bytes), (run, events, None, guard)));
