--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -299,7 +299,7 @@
     }
 
     /// Notes a whole answer of a server, which ends a pause.
-    pub(crate) fn trust(&self, key: BackendKey) {
+    pub(crate) fn record_backend_success(&self, key: BackendKey) {
         let mut state = self.state();
         if !state.health.succeed(now(), key) {
             return;
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -351,7 +351,7 @@
             }
         } else if head.status.is_success() {
             self.relay.note_waited(&self.req, self.sent);
-            self.relay.trust(key);
+            self.relay.record_backend_success(key);
         }
         Ok(self.deliver(head, bytes))
     }
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -207,7 +207,7 @@
         run.outcome = Some(Outcome::Answered);
         if let Some(answered) = self.answered.take() {
             let key = answered.work.key;
-            run.relay.trust(key);
+            run.relay.record_backend_success(key);
             if !answered.read.closes {
                 run.relay.keep(key, answered.conn, answered.read.keep_alive);
             }
