--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -294,7 +294,7 @@
     ) -> Result<Response<Incoming>, Failure> {
         let head = conn.send(req);
         tokio::pin!(head);
-        let (limit, over) = self.limit(self.patience());
+        let (limit, over) = self.limit(self.silence_timeout());
         let started = now();
         let result = match tokio::time::timeout(limit, &mut head).await {
             Ok(result) => result.map_err(|(failure, _)| failure),
@@ -306,16 +306,16 @@
     }
 
     /// How long to wait with this patience, and what has happened when that time is over.
-    pub(crate) fn limit(&self, patience: Option<Duration>) -> (Duration, Failure) {
+    pub(crate) fn limit(&self, silence_timeout: Option<Duration>) -> (Duration, Failure) {
         let left = self.req.left(now());
-        match patience {
-            Some(patience) if patience < left => (patience, Failure::Silent),
+        match silence_timeout {
+            Some(silence_timeout) if silence_timeout < left => (silence_timeout, Failure::Silent),
             _ => (left, Failure::Late),
         }
     }
 
     /// How long to wait for a server that says nothing; `None`: until the deadline.
-    pub(crate) fn patience(&self) -> Option<Duration> {
+    pub(crate) fn silence_timeout(&self) -> Option<Duration> {
         let others = self.relay.state().placeable(now(), &self.req.service).count() > self.tried.len() + 1;
         let may =
             self.req.route.repeatable && others && self.tries.made() + 1 < self.req.route.route.attempts;
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -79,7 +79,7 @@
         resumed: false,
         ended: false,
     };
-    let limit = run.limit(run.patience());
+    let limit = run.limit(run.silence_timeout());
     match events.read(run, limit).await {
         Ok(Next::Events(bytes)) => {
             run.relay.metrics.record(Latency::FirstEvent, "stream", now() - run.req.arrived);
