--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -294,7 +294,7 @@
     ) -> Result<Response<Incoming>, Failure> {
         let head = conn.send(req);
         tokio::pin!(head);
-        let (limit, over) = self.limit(self.silence_timeout());
+        let (limit, over) = self.wait_limit(self.silence_timeout());
         let started = now();
         let result = match tokio::time::timeout(limit, &mut head).await {
             Ok(result) => result.map_err(|(failure, _)| failure),
@@ -306,7 +306,7 @@
     }
 
     /// How long to wait with this patience, and what has happened when that time is over.
-    pub(crate) fn limit(&self, silence_timeout: Option<Duration>) -> (Duration, Failure) {
+    pub(crate) fn wait_limit(&self, silence_timeout: Option<Duration>) -> (Duration, Failure) {
         let left = self.req.left(now());
         match silence_timeout {
             Some(silence_timeout) if silence_timeout < left => (silence_timeout, Failure::Silent),
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -79,7 +79,7 @@
         resumed: false,
         ended: false,
     };
-    let limit = run.limit(run.silence_timeout());
+    let limit = run.wait_limit(run.silence_timeout());
     match events.read(run, limit).await {
         Ok(Next::Events(bytes)) => {
             run.relay.metrics.record(Latency::FirstEvent, "stream", now() - run.req.arrived);
@@ -120,7 +120,7 @@
         }
         loop {
             let pause = run.req.route.repeatable.then_some(PAUSE);
-            let limit = run.limit(pause);
+            let limit = run.wait_limit(pause);
             let failure = match self.read(run, limit).await {
                 Ok(Next::Events(bytes)) => return Some(Ok(bytes)),
                 Ok(Next::End) => return None,
