--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -65,7 +65,7 @@
     /// When the attempt in progress was begun.
     pub(crate) sent: Instant,
     /// Attempts that were begun, the one in progress included.
-    pub(crate) begun: u32,
+    pub(crate) attempts_started: u32,
     /// What became of the request, once that is settled.
     pub(crate) outcome: Option<Outcome>,
 }
@@ -78,7 +78,7 @@
         let took = now() - self.req.arrived;
         if outcome == Outcome::CallerLeft {
             self.relay.note(Weight::Notable, "caller_left", &self.req, |l| {
-                l.ms("after_ms", took).number("attempts", self.begun)
+                l.ms("after_ms", took).number("attempts", self.attempts_started)
             });
         }
         let metrics = &self.relay.metrics;
@@ -91,7 +91,8 @@
 pub async fn run<W: Wire>(relay: Arc<Relay<W>>, req: Request) -> Response<AnswerBody> {
     let req = Arc::new(req);
     let tries = Tries::new(req.route.repeatable, req.route.route.attempts, req.deadline);
-    let mut run = Run { relay, req, tries, tried: Vec::new(), sent: now(), begun: 0, outcome: None };
+    let mut run =
+        Run { relay, req, tries, tried: Vec::new(), sent: now(), attempts_started: 0, outcome: None };
     if run.relay.refuses(&run.req) {
         return run.give_up(Kind::Quarantined, None);
     }
@@ -199,7 +200,7 @@
     pub(crate) async fn attempt(&mut self, after: Option<EventNumber>) -> Result<Answered<W>, AttemptError> {
         let choice = self.relay.choose(&self.req, &self.tried).map_err(AttemptError::NoServer)?;
         let key = choice.key;
-        self.begun += 1;
+        self.attempts_started += 1;
         self.sent = now();
         let work = Work::start(&self.relay, key);
         let (mut conn, result) =
@@ -364,7 +365,7 @@
         self.outcome = Some(Outcome::Answered);
         self.relay.note(Weight::Routine, "answered", &self.req, |l| {
             let l = l.number("status", head.status.as_u16()).number("bytes", bytes.len() as u64);
-            l.ms("after_ms", now() - self.req.arrived).number("attempts", self.begun)
+            l.ms("after_ms", now() - self.req.arrived).number("attempts", self.attempts_started)
         });
         self.relay.wire.caller_response(head, AnswerBody::Whole(bytes))
     }
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -213,7 +213,7 @@
             }
         }
         run.relay.note(Weight::Routine, "answered", &run.req, |l| {
-            let l = l.number("events", self.last.unwrap_or(0)).number("attempts", run.begun);
+            let l = l.number("events", self.last.unwrap_or(0)).number("attempts", run.attempts_started);
             l.ms("after_ms", now() - run.req.arrived)
         });
         Ok(Next::End)
