--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -196,7 +196,7 @@
     let Some(service) = route.service(relay.draw()) else { return Err((id, Kind::NoEngine)) };
     let timeout = Duration::from_millis(route.route.timeout_ms.into());
     let deadline = arrived + ask.timeout.map_or(timeout, |waits| waits.min(timeout));
-    if !relay.takes(deadline) {
+    if !relay.accepts(deadline) {
         return Err((id, Kind::Leaving));
     }
     let request = Request {
--- a/src/relay/leave.rs
+++ b/src/relay/leave.rs
@@ -35,7 +35,7 @@
     }
 
     /// Whether a request with this deadline is still taken.
-    pub fn takes(&self, now: Instant, deadline: Instant) -> bool {
+    pub fn accepts(&self, now: Instant, deadline: Instant) -> bool {
         now < self.since + TAKES_ALL || deadline + MARGIN <= self.since + self.cfg.grace
     }
 
--- a/src/relay/stop.rs
+++ b/src/relay/stop.rs
@@ -22,9 +22,9 @@
     }
 
     /// Whether a request that ends at `deadline` can still be taken.
-    pub fn takes(&self, deadline: Instant) -> bool {
+    pub fn accepts(&self, deadline: Instant) -> bool {
         let open = !*self.closing.borrow();
-        open && self.state().leaving.is_none_or(|l| l.takes(now(), deadline))
+        open && self.state().leaving.is_none_or(|l| l.accepts(now(), deadline))
     }
 
     /// Takes no more requests and closes the connections of callers as they become idle. From here on a request that
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -468,7 +468,7 @@
     let leaving = Leaving::new(ms(0), LeaveConfig { grace: ms(8_000), address_ttl: ms(3_300) });
     let cases = [(0, 15_000, true), (2_499, 20_000, true), (2_500, 15_000, false), (6_000, 7_000, true)];
     for (now, deadline, takes) in cases {
-        assert_eq!(leaving.takes(ms(now), ms(deadline)), takes, "{now} {deadline}");
+        assert_eq!(leaving.accepts(ms(now), ms(deadline)), takes, "{now} {deadline}");
     }
     assert!(!leaving.may_stop(ms(3_299), 0));
     assert!(leaving.may_stop(ms(3_300), 0));
