--- a/tests/relay_input.rs
+++ b/tests/relay_input.rs
@@ -140,7 +140,7 @@
     assert_eq!(status(&answer), 200);
     assert_eq!(header(&answer, "connection").as_deref(), Some("close"));
     assert!(!host.relay.is_ready());
-    assert!(!host.relay.takes(Duration::ZERO));
+    assert!(!host.relay.accepts(Duration::ZERO));
     wire::until("all connections are closed", || host.relay.connections() == 0).await;
 }
 
