--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -1,4 +1,5 @@
-//! Changes of what this host believes: the configuration in force, the backend servers, the other hosts. Each has a line.
+//! Applies changes to this host's view of the configuration, the backend servers, the evacuations and the other hosts,
+//! and logs each change.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,28 +23,29 @@
     util::{Instant, now},
 };
 
-/// Changes of backend servers that have a line each; of a longer list only the number is told beside them, since a start
-/// before ten thousand servers would spend a second's lines on them.
-const MOST_BACKEND_LINES: usize = 128;
-/// Hosts of a data centre that are entered in the store. They are replaced once half of them are gone.
-const MOST_ENTERED: usize = 16;
+/// Maximum number of backend server changes that are logged individually. Of a longer list only the count is logged in
+/// addition: at startup with ten thousand servers it would use up a second's quota of log lines.
+const MAX_BACKEND_LOG_LINES: usize = 128;
+/// Maximum number of hosts per data centre that are registered in the store. They are replaced once half of them are
+/// gone.
+const MAX_REGISTERED_HOSTS: usize = 16;
 
-/// Tells a revision of the store and its epoch in a line.
-pub(super) fn revision(l: Line, revision: Revision) -> Line {
+/// Adds a store revision and its epoch to a log line.
+pub(super) fn with_revision(l: Line, revision: Revision) -> Line {
     l.number("epoch", revision.epoch).number("revision", revision.number)
 }
 
-/// What servers say of themselves in answers; a label of counters.
+/// Notices that backend servers send about themselves in responses; a label of counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerNotice {
-    /// One leaves that was not known to.
+    /// The server is leaving, which was not known before.
     Leaving,
-    /// One wants nothing for a while.
+    /// The server asks for a pause in new requests.
     Pause,
 }
 
 impl ServerNotice {
-    /// All that they say.
+    /// Every notice.
     pub const ALL: [ServerNotice; 2] = [ServerNotice::Leaving, ServerNotice::Pause];
 
     /// Label in counters.
@@ -56,69 +58,70 @@
 }
 
 impl<W: Wire> Relay<W> {
-    /// Whether what is known may be old: the store does not answer, or nobody has confirmed the configuration for a while.
+    /// Whether this host's view may be outdated: the store does not answer, or the configuration has not been confirmed
+    /// recently.
     pub fn is_stale(&self) -> bool {
         let state = self.state();
         match state.contact {
-            _ if state.confirmations.is_old(now(), Topic::Configuration) => true,
+            _ if state.confirmations.is_stale(now(), Topic::Configuration) => true,
             FollowState::Follows => false,
             FollowState::Lost => true,
-            // What it knows is as of a copy, or was told by hosts that may be gone.
+            // Its state comes from a stale read of the store, or from hosts that may be gone.
             FollowState::Idle => {
                 (state.copied || state.peers.is_settled()) && !state.peers.some_follow_store(now())
             }
         }
     }
 
-    /// Time since it was known that there is no newer configuration.
+    /// Time since the configuration was last confirmed to be the newest.
     pub fn configuration_age(&self) -> Duration {
         self.state().confirmations.age(now(), Topic::Configuration)
     }
 
-    /// The store's epoch as far as it is known.
+    /// The current epoch of the store, as far as it is known.
     pub(crate) fn epoch(&self) -> Epoch {
-        self.state().epochs.known()
+        self.state().epochs.current()
     }
 
-    /// Takes in the epoch of an answer of the store. With a later one all that is followed is listed anew: what was read in
-    /// the one before may be undone, and its revisions are given out again.
-    pub(crate) fn hear_epoch(&self, epoch: Epoch, from: &str) -> EpochCheck {
+    /// Processes the epoch of an answer of the store. A newer epoch makes the followers list everything again: state
+    /// read in the previous epoch may have been rolled back, and its revision numbers are reused.
+    pub(crate) fn observe_epoch(&self, epoch: Epoch, from: &str) -> EpochCheck {
         let mut state = self.state();
-        let before = state.epochs.known();
-        let heard = state.epochs.hear(epoch);
+        let before = state.epochs.current();
+        let check = state.epochs.observe(epoch);
         drop(state);
-        self.note_epoch(heard, before, epoch, from);
-        heard
+        self.report_epoch(check, before, epoch, from);
+        check
     }
 
-    /// Takes in the epoch as of which another host knows the store; returns whether that may be true.
-    pub(super) fn hear_epoch_of_host(&self, state: &mut State, epoch: Epoch, from: &str) -> bool {
-        let before = state.epochs.known();
-        if !state.epochs.trusts(epoch) {
-            self.note_epoch(EpochCheck::Odd, before, epoch, from);
+    /// Processes the store epoch that another host reports. Returns whether it is plausible.
+    pub(super) fn observe_peer_epoch(&self, state: &mut State, epoch: Epoch, from: &str) -> bool {
+        let before = state.epochs.current();
+        if !state.epochs.is_plausible(epoch) {
+            self.report_epoch(EpochCheck::Rejected, before, epoch, from);
             return false;
         }
-        if state.epochs.hear_host(epoch) {
-            self.note_epoch(EpochCheck::Later, before, epoch, from);
+        if state.epochs.observe_peer(epoch) {
+            self.report_epoch(EpochCheck::Newer, before, epoch, from);
         }
         true
     }
 
-    fn note_epoch(&self, heard: EpochCheck, before: Epoch, epoch: Epoch, from: &str) {
-        if heard == EpochCheck::Known {
+    fn report_epoch(&self, check: EpochCheck, before: Epoch, epoch: Epoch, from: &str) {
+        if check == EpochCheck::Current {
             return;
         }
-        self.metrics.add(Counter::RelayEpochs, heard.as_str(), 1);
+        self.metrics.add(Counter::RelayEpochs, check.as_str(), 1);
         line(Weight::Notable, "store_epoch", |l| {
-            let l = l.text("heard", heard.as_str()).text("from", from);
+            let l = l.text("heard", check.as_str()).text("from", from);
             l.number("epoch", epoch).number("known", before)
         });
-        if heard == EpochCheck::Later {
+        if check == EpochCheck::Newer {
             self.restored.notify_waiters();
         }
     }
 
-    /// Puts a configuration in force, if it is newer than the one known. Returns whether it was.
+    /// Applies a configuration if it is newer than the current one. Returns whether it was applied.
     pub fn set_configuration(&self, cfg: Configuration, from: &str) -> bool {
         let mut state = self.state();
         if state.routes.as_ref().is_some_and(|r| r.version() >= cfg.version) {
@@ -129,7 +132,7 @@
             l.number("routes", cfg.routes.len() as u64).number("workspaces", cfg.workspaces.len() as u64)
         });
         let cfg = Arc::new(cfg);
-        state.configurations.note(cfg.clone());
+        state.configurations.push(cfg.clone());
         state.routes = Some(Arc::new(Routes::new(cfg)));
         if state.peers.tells_news() {
             self.tell.notify_one();
@@ -139,9 +142,9 @@
         true
     }
 
-    /// Puts what another host told of a newer configuration in force. Returns whether what it leads from is not known here,
-    /// so that the whole is needed.
-    pub(crate) fn change_configuration(&self, changes: &ConfigurationChanges, from: &str) -> bool {
+    /// Applies configuration changes received from another host. Returns whether the full configuration is needed
+    /// instead, since the version that the changes start from is not the one that is known here.
+    pub(crate) fn apply_configuration_changes(&self, changes: &ConfigurationChanges, from: &str) -> bool {
         let Some(routes) = self.routes() else { return true };
         if routes.version() >= changes.version {
             return false;
@@ -161,72 +164,78 @@
         }
     }
 
-    /// Takes in changes of the backend servers.
-    pub(crate) fn note_changes(&self, state: &mut State, changes: &[(BackendKey, Change)], from: &str) {
-        if changes.len() > MOST_BACKEND_LINES {
+    /// Logs changes of the backend servers, drops outdated state of restarted and cold ones, and passes the changes on.
+    pub(crate) fn on_backend_changes(&self, state: &mut State, changes: &[(BackendKey, Change)], from: &str) {
+        if changes.len() > MAX_BACKEND_LOG_LINES {
             line(Weight::Notable, "backends", |l| {
                 let l = l.number("changes", changes.len() as u64).text("from", from);
-                revision(l, state.backends.revision())
+                with_revision(l, state.backends.revision())
             });
         }
         for (key, _) in changes.iter().filter(|(_, change)| *change == Change::Restarted) {
-            self.forget(state, *key);
+            self.forget_backend(state, *key);
         }
         for (key, _) in changes.iter().filter(|(_, change)| *change == Change::Cold) {
             state.holders.forget(*key);
         }
-        for (key, change) in changes.iter().take(MOST_BACKEND_LINES) {
+        for (key, change) in changes.iter().take(MAX_BACKEND_LOG_LINES) {
             let Some(backend) = state.backends.get(*key) else { continue };
             line(Weight::Notable, "backend", |l| {
                 let l = l.text("backend", &backend.id).text("change", change.as_str()).text("from", from);
-                let l = revision(l.text("service", &backend.service), state.backends.revision());
+                let l = with_revision(l.text("service", &backend.service), state.backends.revision());
                 let l = l.number("born", backend.born);
                 let l = l.ms("cold_ms", backend.cold_until.saturating_sub(now()));
                 l.text("address", &backend.addr.to_string())
             });
         }
         if !changes.is_empty() {
-            self.tell_news(state);
+            self.gossip_change(state);
         }
     }
 
-    /// Takes in what the store tells of evacuated data centres.
+    /// Applies an update of the evacuated data centres from the store.
     pub fn update_evacuations(&self, update: &evacuations::Update, from: &str) {
         let mut state = self.state();
         let changes = state.evacuations.update(now(), update);
-        self.note_evacuations(&mut state, &changes, from);
+        self.on_evacuation_changes(&mut state, &changes, from);
         if !changes.is_empty() {
-            self.tell_news(&state);
+            self.gossip_change(&state);
         }
     }
 
-    /// Writes a line for each data centre that was evacuated or taken back. The servers of one that is taken back may be cold
-    /// before their entries tell so, and a cold one has nothing cached: requests sent there for their parts read them again.
-    pub(crate) fn note_evacuations(&self, state: &mut State, changes: &[evacuations::Change], from: &str) {
+    /// Logs each data centre that was evacuated or taken back. The servers of one that is taken back may be cold before
+    /// their entries say so. A cold server has nothing cached, so its prompt parts are forgotten.
+    pub(crate) fn on_evacuation_changes(
+        &self,
+        state: &mut State,
+        changes: &[evacuations::Change],
+        from: &str,
+    ) {
         for change in changes {
             let data_centre = change.data_centre();
             line(Weight::Notable, "evacuation", |l| {
                 let l = l.text("data_centre", data_centre).text("change", change.as_str());
-                revision(l.text("from", from), state.evacuations.revision())
+                with_revision(l.text("from", from), state.evacuations.revision())
             });
             if let (evacuations::Change::TakenBack(_), Some(routes)) = (change, state.routes.clone()) {
-                let lasts = |service: &str| routes.cold(service).map_or(Duration::ZERO, |limit| limit.lasts);
+                let cold_period =
+                    |service: &str| routes.cold(service).map_or(Duration::ZERO, |limit| limit.lasts);
                 state.taken_back = Some(now());
-                let cold = state.backends.cool(now(), data_centre, lasts);
+                let cold = state.backends.cool(now(), data_centre, cold_period);
                 cold.into_iter().for_each(|key| state.holders.forget(key));
             }
         }
     }
 
-    /// Sends a beat at once that tells of something newer.
-    fn tell_news(&self, state: &State) {
+    /// Triggers an early heartbeat to spread a change, if this host is one of those that do so.
+    fn gossip_change(&self, state: &State) {
         if state.peers.tells_news() {
             self.tell.notify_one();
         }
     }
 
-    /// Notes that a server has read a request's prompt.
-    pub(crate) fn note_read(&self, req: &Request, key: BackendKey) {
+    /// Records that a server has read a request's prompt.
+    pub(crate) fn record_prompt_parts(&self, req: &Request, key: BackendKey) {
         let now = now();
         let mut state = self.state();
         let Some(tag) = state.backends.get(key).map(|b| b.tag) else { return };
@@ -237,28 +246,28 @@
         }
     }
 
-    /// Ends what is believed of a start of a server: what it has cached, how it fares, and the connections to it.
-    fn forget(&self, state: &mut State, key: BackendKey) {
+    /// Drops the state kept about one run of a server: its cached prompt parts, its health, and the connections to it.
+    fn forget_backend(&self, state: &mut State, key: BackendKey) {
         state.health.forget(key);
         state.holders.forget(key);
         self.pool.clear(key);
     }
 
-    /// Shows how long ago each topic was confirmed, with a line where that has grown long, and where it has been since.
-    fn show_confirmed(&self, state: &mut State, now: Instant) {
+    /// Exports the confirmation age of each topic, and logs topics that became stale or were confirmed again.
+    fn report_confirmations(&self, state: &mut State, now: Instant) {
         for topic in state.confirmations.topics() {
             let age = state.confirmations.age(now, topic);
             self.metrics.set(Gauge::RelayUnconfirmed, topic.as_str(), age.as_secs_f64());
         }
-        let versions = state.own();
+        let own = state.own();
         for change in state.confirmations.changes(now) {
             let fill = |l: Line, topic: Topic, after| {
                 let l = l.text("kind", topic.as_str()).ms("after_ms", after);
                 let l = l.text("contact", state.contact.as_str()).flag("alone", state.peers.is_alone(now));
-                revision(l.number("version", versions.configuration), versions.backends)
+                with_revision(l.number("version", own.configuration), own.backends)
             };
             match change {
-                confirm::Change::Old(topic, age) => {
+                confirm::Change::Stale(topic, age) => {
                     line(Weight::Notable, "unconfirmed", |l| fill(l, topic, age));
                 }
                 confirm::Change::Renewed(topic, after) => {
@@ -268,27 +277,27 @@
         }
     }
 
-    /// Housekeeping: expires peers and servers, closes idle connections.
-    pub(crate) fn tick(&self) {
+    /// Periodic housekeeping: expires peers, servers and evacuations, and closes idle connections.
+    pub(crate) fn run_housekeeping(&self) {
         let now = now();
         let mut state = self.state();
-        self.show_confirmed(&mut state, now);
-        for lost in state.peers.expire(now) {
-            line(Weight::Notable, "peer", |l| l.text("peer", &lost.to_string()).text("change", "lost"));
+        self.report_confirmations(&mut state, now);
+        for expired in state.peers.expire(now) {
+            line(Weight::Notable, "peer", |l| l.text("peer", &expired.to_string()).text("change", "lost"));
         }
         let (changes, forgotten) = state.backends.expire(now);
-        self.note_changes(&mut state, &changes, "grace over");
+        self.on_backend_changes(&mut state, &changes, "grace period expired");
         for key in forgotten {
-            self.forget(&mut state, key);
+            self.forget_backend(&mut state, key);
         }
         let ended = state.evacuations.expire(now);
-        self.note_evacuations(&mut state, &ended, "not written again");
+        self.on_evacuation_changes(&mut state, &ended, "not written again after a restore");
         state.warmup.expire(now);
         self.pool.sweep(|key| state.backends.get(key).is_some_and(|b| b.takes_work()));
     }
 
-    /// Leaves a server alone for a while that could not be reached or fell silent.
-    pub(crate) fn avoid(&self, key: BackendKey, why: &str) {
+    /// Sends nothing to a server for a while that could not be reached or stopped responding.
+    pub(crate) fn avoid_backend(&self, key: BackendKey, why: &str) {
         let mut state = self.state();
         state.doubt(now(), key);
         let Some(pause) = state.health.lose(now(), key) else { return };
@@ -298,7 +307,7 @@
         self.tell.notify_one();
     }
 
-    /// Notes a whole answer of a server, which ends a pause.
+    /// Records a complete answer of a server, which ends a period in which it was avoided.
     pub(crate) fn record_backend_success(&self, key: BackendKey) {
         let mut state = self.state();
         if !state.health.succeed(now(), key) {
@@ -310,52 +319,52 @@
         line(Weight::Notable, "taken_back", |l| l.text("backend", &id));
     }
 
-    /// Leaves a server alone that has crashed. What it had cached is gone with it, also where it is back before its entry
-    /// tells of the new start.
-    pub(crate) fn note_crash(&self, key: BackendKey) {
+    /// Avoids a server that has crashed. Its cache is lost, even if the server is back before its store entry shows the
+    /// restart.
+    pub(crate) fn record_crash(&self, key: BackendKey) {
         self.state().holders.forget(key);
-        self.avoid(key, "crashed");
+        self.avoid_backend(key, "crashed");
     }
 
-    /// Takes in what a server says of itself in an answer: that it leaves, whatever the store knows of it, or that it wants
-    /// nothing from this host for a while.
-    pub(crate) fn hear_backend(&self, req: &Request, key: BackendKey, read: &ResponseHead) {
-        if !read.leaving && read.pause.is_none() {
+    /// Applies the notices in a server's response: that it is leaving, whatever the store says about it, or that it
+    /// wants no requests from this host for a while.
+    pub(crate) fn apply_server_notices(&self, req: &Request, key: BackendKey, head: &ResponseHead) {
+        if !head.leaving && head.pause.is_none() {
             return;
         }
-        let id = self.id_of(key);
+        let id = self.backend_id(key);
         let id = id.as_deref().unwrap_or("gone");
-        if read.leaving {
+        if head.leaving {
             self.note(Weight::Notable, "told_leaving", req, |l| l.text("backend", id));
             let mut state = self.state();
             if let Some(change) = state.backends.leave(now(), key) {
                 self.metrics.add(Counter::RelayTold, ServerNotice::Leaving.as_str(), 1);
-                self.note_changes(&mut state, &[change], "its answer");
+                self.on_backend_changes(&mut state, &[change], "its response");
             }
         }
-        if let Some(pause) = read.pause {
+        if let Some(pause) = head.pause {
             self.note(Weight::Notable, "told_pause", req, |l| l.text("backend", id).ms("for_ms", pause));
             self.metrics.add(Counter::RelayTold, ServerNotice::Pause.as_str(), 1);
             self.state().health.ask_pause(now(), key, pause);
         }
     }
 
-    /// Identifier of a server, unless it is gone and forgotten.
-    pub(crate) fn id_of(&self, key: BackendKey) -> Option<Arc<str>> {
+    /// Identifier of a server, unless it was removed.
+    pub(crate) fn backend_id(&self, key: BackendKey) -> Option<Arc<str>> {
         self.state().backends.get(key).map(|b| b.id.clone())
     }
 
-    /// Counts a server as gone, as when another one answers at its address.
-    pub(crate) fn lose(&self, key: BackendKey, why: &str) {
+    /// Marks a server as gone, for example when another one answers at its address.
+    pub(crate) fn mark_backend_gone(&self, key: BackendKey, why: &str) {
         let mut state = self.state();
         if let Some(change) = state.backends.lose(key) {
-            self.note_changes(&mut state, &[change], why);
+            self.on_backend_changes(&mut state, &[change], why);
         }
     }
 
-    /// Lists everything at the store again, as after the host was suspended: what it knows may be old, and the connections
-    /// on which it waits may have gone silent.
-    pub fn wake(&self, slept: Duration) {
+    /// Makes the followers list everything again after the host was suspended: its state may be outdated, and the
+    /// connections of pending watches may be dead.
+    pub fn on_resume_from_suspend(&self, slept: Duration) {
         line(Weight::Notable, "woken", |l| l.ms("slept_ms", slept));
         let mut state = self.state();
         if state.contact == FollowState::Follows {
@@ -365,9 +374,10 @@
         self.woken.notify_waiters();
     }
 
-    /// Hosts of the data centre to enter in the store, in place of those `entered`; `None` while these do. A host that hears
-    /// nobody keeps those that are entered beside itself: they may be cut off from it alone.
-    pub(crate) fn hosts_to_enter(&self, entered: &Hosts) -> Option<Hosts> {
+    /// Hosts of the data centre to register in the store in place of `registered`, or `None` while those are good
+    /// enough. A host that hears no other host keeps the registered ones in addition to itself: it may be the only one
+    /// that is cut off from them.
+    pub(crate) fn hosts_to_register(&self, registered: &Hosts) -> Option<Hosts> {
         let state = self.state();
         if state.contact != FollowState::Follows {
             return None;
@@ -375,19 +385,19 @@
         let me = &self.cfg.me;
         let mut sample = vec![me.clone()];
         if state.peers.is_alone(now()) {
-            let others = entered.sample.iter().filter(|m| m.peers != me.peers);
-            sample.extend(others.take(MOST_ENTERED - 1).cloned());
-            return (!entered.sample.contains(me)).then_some(Hosts { count: sample.len(), sample });
+            let others = registered.sample.iter().filter(|m| m.peers != me.peers);
+            sample.extend(others.take(MAX_REGISTERED_HOSTS - 1).cloned());
+            return (!registered.sample.contains(me)).then_some(Hosts { count: sample.len(), sample });
         }
-        sample.extend(state.peers.near_ready(MOST_ENTERED - 1));
-        let left = entered.sample.iter().filter(|m| sample.contains(m)).count();
+        sample.extend(state.peers.near_ready(MAX_REGISTERED_HOSTS - 1));
+        let remaining = registered.sample.iter().filter(|m| sample.contains(m)).count();
         let count = state.peers.near_hosts();
-        let grown = count >= entered.count * 2;
-        (grown || left * 2 < entered.sample.len()).then_some(Hosts { sample, count })
+        let has_doubled = count >= registered.count * 2;
+        (has_doubled || remaining * 2 < registered.sample.len()).then_some(Hosts { sample, count })
     }
 
-    /// Seeks hosts of which the store tells.
-    pub fn learn(&self, hosts: &[Member]) {
+    /// Adds hosts that are registered in the store as candidate peers.
+    pub fn add_hosts(&self, hosts: &[Member]) {
         self.state().peers.learn_members(now(), hosts);
     }
 }
--- a/src/relay/configurations.rs
+++ b/src/relay/configurations.rs
@@ -1,8 +1,8 @@
-//! The configurations known lately, and what has changed between two of them.
+//! Keeps recent configurations and computes the differences between them.
 //!
-//! A host that lacks the newest configuration is told what has changed since the one it knows: most changes touch one route
-//! or workspace of thousands, and whole configurations would fill a host's link for each of them. The result is checked by
-//! a digest; where it does not fit, the whole configuration is asked for.
+//! A host whose configuration is outdated receives only what has changed since its version: most changes touch one
+//! route or workspace of thousands, and sending the full configuration for each of them would fill a host's link. The
+//! result is verified by a digest; if that does not match, the full configuration is requested.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -12,47 +12,50 @@
     util::{Map, hash},
 };
 
-/// Configurations remembered: as many as come in a second or two while all change at once.
-const MOST_KEPT: usize = 8;
-/// Routes and workspaces remembered in all of them: a few configurations of thousands of routes, 2 to 3 MB.
-const MOST_ITEMS: usize = 8_192;
+/// Maximum number of configurations kept: as many as arrive in a second or two when all of it changes at once.
+const MAX_CONFIGURATIONS: usize = 8;
+/// Maximum number of routes and workspaces in all kept configurations together: a few configurations with thousands of
+/// routes, 2 to 3 MB.
+const MAX_ITEMS: usize = 8_192;
 
-/// The configurations known lately, the newest last.
+/// The most recent configurations, the newest last.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationHistory {
-    kept: VecDeque<Arc<Configuration>>,
-    /// The changes that were asked for last: all hosts that follow a change lack the same.
-    last: Option<ConfigurationChanges>,
+    configurations: VecDeque<Arc<Configuration>>,
+    /// The difference that was requested last: hosts that fall behind by the same change request the same one.
+    cached_diff: Option<ConfigurationChanges>,
 }
 
 impl ConfigurationHistory {
-    /// Remembers a newer configuration.
-    pub fn note(&mut self, cfg: Arc<Configuration>) {
-        self.last = None;
-        self.kept.push_back(cfg);
-        while self.kept.len() > MOST_KEPT || self.kept.len() > 1 && self.items() > MOST_ITEMS {
-            self.kept.pop_front();
+    /// Adds a newer configuration.
+    pub fn push(&mut self, cfg: Arc<Configuration>) {
+        self.cached_diff = None;
+        self.configurations.push_back(cfg);
+        while self.configurations.len() > MAX_CONFIGURATIONS
+            || self.configurations.len() > 1 && self.items() > MAX_ITEMS
+        {
+            self.configurations.pop_front();
         }
     }
 
     fn items(&self) -> usize {
-        self.kept.iter().map(|cfg| cfg.routes.len() + cfg.workspaces.len()).sum()
+        self.configurations.iter().map(|cfg| cfg.routes.len() + cfg.workspaces.len()).sum()
     }
 
-    /// What has changed from a version to the newest, if that version is remembered.
-    pub fn changes_since(&mut self, from: Version) -> Option<ConfigurationChanges> {
-        if self.last.as_ref().is_none_or(|last| last.from != from) {
-            let old = self.kept.iter().find(|cfg| cfg.version == from)?;
-            self.last = Some(changes(old, self.kept.back()?));
+    /// The difference from a version to the newest configuration, if that version is still kept.
+    pub fn diff_from(&mut self, from: Version) -> Option<ConfigurationChanges> {
+        if self.cached_diff.as_ref().is_none_or(|last| last.from != from) {
+            let old = self.configurations.iter().find(|cfg| cfg.version == from)?;
+            self.cached_diff = Some(diff(old, self.configurations.back()?));
         }
-        self.last.clone()
+        self.cached_diff.clone()
     }
 }
 
-/// What leads from one configuration to another.
-pub fn changes(old: &Configuration, new: &Configuration) -> ConfigurationChanges {
-    let (routes, new_routes) = runs(&old.routes, &new.routes, |r| (&r.host, &r.prefix));
-    let (workspaces, new_workspaces) = runs(&old.workspaces, &new.workspaces, |w| (&w.name, &w.name));
+/// Computes the changes that lead from one configuration to another.
+pub fn diff(old: &Configuration, new: &Configuration) -> ConfigurationChanges {
+    let (routes, new_routes) = diff_list(&old.routes, &new.routes, |r| (&r.host, &r.prefix));
+    let (workspaces, new_workspaces) = diff_list(&old.workspaces, &new.workspaces, |w| (&w.name, &w.name));
     ConfigurationChanges {
         from: old.version,
         version: new.version,
@@ -66,37 +69,37 @@
     }
 }
 
-/// Applies changes; `None` where they don't lead from this configuration to the one that they were made of.
+/// Applies changes; `None` if they were made for another base version or the digest of the result does not match.
 pub fn apply(old: &Configuration, changes: &ConfigurationChanges) -> Option<Configuration> {
     if old.version != changes.from {
         return None;
     }
     let new = Configuration {
         version: changes.version,
-        routes: join(&old.routes, &changes.routes, &changes.new_routes)?,
+        routes: patch_list(&old.routes, &changes.routes, &changes.new_routes)?,
         services: changes.services.clone(),
         limits: changes.limits,
-        workspaces: join(&old.workspaces, &changes.workspaces, &changes.new_workspaces)?,
+        workspaces: patch_list(&old.workspaces, &changes.workspaces, &changes.new_workspaces)?,
     };
     (digest(&new) == changes.digest).then_some(new)
 }
 
-/// Tells the new list as runs of the old one, each followed by some items that are new.
-fn runs<'a, T: Clone + PartialEq>(
+/// Encodes the new list as runs of the old one, each followed by a number of new items.
+fn diff_list<'a, T: Clone + PartialEq>(
     old: &'a [T],
     new: &'a [T],
     key: impl Fn(&'a T) -> (&'a String, &'a String),
 ) -> (Vec<Run>, Vec<T>) {
-    let at: Map<_, usize> = old.iter().enumerate().map(|(i, item)| (key(item), i)).collect();
+    let positions: Map<_, usize> = old.iter().enumerate().map(|(i, item)| (key(item), i)).collect();
     let (mut runs, mut added) = (vec![Run::default()], Vec::new());
     for item in new {
-        let last = runs.last_mut().expect("there is a first run");
+        let last = runs.last_mut().expect("the list of runs is never empty");
         let next = (last.start + last.kept) as usize;
         if last.new == 0 && old.get(next) == Some(item) {
             last.kept += 1;
             continue;
         }
-        match at.get(&key(item)).filter(|i| old[**i] == *item) {
+        match positions.get(&key(item)).filter(|i| old[**i] == *item) {
             Some(i) => runs.push(Run { start: *i as u32, kept: 1, new: 0 }),
             None => {
                 last.new += 1;
@@ -107,8 +110,8 @@
     (runs, added)
 }
 
-/// Puts a list together; `None` where a run reaches beyond the old list or the new items don't suffice.
-fn join<T: Clone>(old: &[T], runs: &[Run], added: &[T]) -> Option<Vec<T>> {
+/// Rebuilds a list from runs; `None` if a run exceeds the old list or the number of new items does not match.
+fn patch_list<T: Clone>(old: &[T], runs: &[Run], added: &[T]) -> Option<Vec<T>> {
     let mut all = Vec::new();
     let mut added = added.iter();
     for run in runs {
@@ -122,6 +125,7 @@
 }
 
 fn digest(cfg: &Configuration) -> u64 {
-    // A configuration is plain data, which always has a form in bytes; were there none, nothing would be taken for equal.
+    // A configuration is plain data and can always be serialized. If that failed, the random digest would match
+    // nothing.
     postcard::to_allocvec(cfg).map_or_else(|_| rand::random(), hash)
 }
--- a/src/relay/confirm.rs
+++ b/src/relay/confirm.rs
@@ -1,48 +1,52 @@
-//! How sure this host is that what it knows from the store is the newest, and when it asks again.
+//! Tracks how fresh this host's view of the store is, and decides when to query the store again.
 //!
-//! A call that waits at the store for a change proves nothing while it waits: its answer may be lost, or the store may have
-//! forgotten it. So each topic has the moment as of which it was last confirmed: by an answer of the store, or by another host that
-//! knows the same and was sure then. Once that is a part of the bound ago, a host asks the store over a connection of its own.
-//! Hosts take turns: the first asks and tells the others in its beats, the next ones ask only where it does not.
+//! A pending watch proves nothing: its answer may be lost, or the store may have dropped it. So each topic records the
+//! moment up to which its state is confirmed to be current, either by an answer of the store or by another host that
+//! has the same state and had it confirmed then. When that moment is a given fraction of the propagation bound in the
+//! past, the host queries the store over a separate connection. The hosts are ordered: the first one queries and
+//! reports the result in its heartbeats, and the others query only if it does not.
 
 use std::time::Duration;
 
 use super::revision::Revision;
 use crate::{schema::fleet::Confirmed, util::Instant};
 
-/// Parts of the bound after which the first of the hosts that follow the store asks it, and the next ones.
-const FIRST: f64 = 3.0 / 8.0;
-const NEXT: f64 = 7.0 / 16.0;
-/// Part of the bound for each host more in the order, and the part by which all of them ask.
-const STEP: f64 = 1.0 / 64.0;
-const LAST: f64 = 1.0 / 2.0;
-/// The same for hosts that leave the store to others: they ask where all of those fail.
-const IDLE: f64 = 5.0 / 8.0;
-const IDLE_STEP: f64 = 1.0 / 8.0;
-const IDLE_LAST: f64 = 7.0 / 8.0;
-/// Part of the bound between two calls that could confirm something.
-const PAUSE: f64 = 3.0 / 8.0;
-/// Part of the bound after which what is known counts as old.
-const OLD: f64 = 1.0 / 2.0;
-/// Part of the bound by which a confirmation must be later than the one known to be told on at once.
-const NEWS: f64 = 1.0 / 8.0;
-/// Age that is told of what is older, and of what was never confirmed.
-const MOST_TOLD: Duration = Duration::from_secs(60);
-
-/// Time within which changes are in force where the settings name none, and its limits: the store is asked several times within
-/// it.
-const IN_FORCE: Duration = Duration::from_secs(2);
-const IN_FORCE_LIMITS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(60));
-
-/// The shortest of the times within which changes must be in force, in milliseconds.
+/// Fractions of the propagation bound after which the followers of the store query it: the first one in the order, and
+/// the second one.
+const FIRST_FOLLOWER_FRACTION: f64 = 3.0 / 8.0;
+const NEXT_FOLLOWER_FRACTION: f64 = 7.0 / 16.0;
+/// Added for each further follower, and the fraction after which all followers query.
+const FOLLOWER_STEP_FRACTION: f64 = 1.0 / 64.0;
+const LAST_FOLLOWER_FRACTION: f64 = 1.0 / 2.0;
+/// The same for hosts that do not follow the store: they query when all followers have failed.
+const FIRST_IDLE_FRACTION: f64 = 5.0 / 8.0;
+const IDLE_STEP_FRACTION: f64 = 1.0 / 8.0;
+const LAST_IDLE_FRACTION: f64 = 7.0 / 8.0;
+/// Minimum interval between two queries that could confirm something, as a fraction of the bound.
+const MIN_CHECK_INTERVAL_FRACTION: f64 = 3.0 / 8.0;
+/// Age of a confirmation, as a fraction of the bound, above which the topic is stale.
+const STALE_AGE_FRACTION: f64 = 1.0 / 2.0;
+/// How much newer than the known confirmation a received one must be, as a fraction of the bound, to be forwarded at
+/// once.
+const MIN_ADVANCE_FRACTION: f64 = 1.0 / 8.0;
+/// Cap on the age reported to other hosts; also reported for a topic that was never confirmed.
+const MAX_REPORTED_AGE: Duration = Duration::from_secs(60);
+
+/// Time within which a change must take effect on every host if the settings give none, and its limits. The store is
+/// queried several times within it.
+const DEFAULT_PROPAGATION_BOUND: Duration = Duration::from_secs(2);
+const PROPAGATION_BOUND_LIMITS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(60));
+
+/// The propagation bound: the shortest of the configured limits (in milliseconds) on how long a change may take to
+/// reach every host.
 pub fn propagation_bound(bounds_ms: impl IntoIterator<Item = Option<f64>>) -> Duration {
     let shortest = bounds_ms.into_iter().flatten().filter(|ms| ms.is_finite()).reduce(f64::min);
-    let (least, most) = IN_FORCE_LIMITS;
+    let (least, most) = PROPAGATION_BOUND_LIMITS;
     let within = |ms: f64| (ms / 1_000.0).clamp(least.as_secs_f64(), most.as_secs_f64());
-    shortest.map_or(IN_FORCE, |ms| Duration::from_secs_f64(within(ms)))
+    shortest.map_or(DEFAULT_PROPAGATION_BOUND, |ms| Duration::from_secs_f64(within(ms)))
 }
 
-/// What is followed at the store.
+/// A kind of state that is read from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Topic {
     /// The configuration.
@@ -57,7 +61,7 @@
     /// Every topic.
     pub const ALL: [Topic; 3] = [Topic::Configuration, Topic::Backends, Topic::Evacuations];
 
-    /// Name in logs and gauges.
+    /// Name in logs and gauge labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Topic::Configuration => "configuration",
@@ -67,92 +71,92 @@
     }
 }
 
-/// This host's place among those that could ask.
+/// This host's position in the order in which hosts query the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CheckOrder {
-    /// Whether it follows the store.
+    /// Whether this host follows the store.
     pub follows: bool,
-    /// Hosts that were heard lately and come before it.
+    /// Number of recently heard hosts that come earlier in the order.
     pub before: usize,
-    /// Whether hosts that were heard lately say that the store does not answer them.
+    /// Whether any recently heard host reports that the store does not answer it.
     pub others_fail: bool,
 }
 
-/// A topic whose last confirmation has grown old, or has been renewed since.
+/// A transition of a topic between confirmed and stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The last confirmation is so long ago that what is known may be old.
-    Old(Topic, Duration),
-    /// It was confirmed again, after so long.
+    /// The topic became stale; holds the age of its last confirmation.
+    Stale(Topic, Duration),
+    /// The topic was confirmed again; holds the time since its last confirmation before it became stale.
     Renewed(Topic, Duration),
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Confirmation {
-    /// Moment up to which all changes are known; `None` before anything was confirmed.
+    /// Moment up to which all changes are known; `None` before the first confirmation.
     at: Option<Instant>,
-    /// Revision of the store's last answer, unless nothing leads on from there.
-    as_of: Option<Revision>,
-    /// Revision after which a call waits for a change.
-    waits: Option<Revision>,
-    /// Since when it counts as old.
-    old: Option<Instant>,
+    /// Revision of the store's last answer, unless no watch can continue from it.
+    revision: Option<Revision>,
+    /// Revision after which a pending watch waits for changes.
+    watch_after: Option<Revision>,
+    /// Time of the last confirmation, set while the topic is stale.
+    stale_since: Option<Instant>,
 }
 
-/// Up to which moment all changes of each topic are known.
+/// Per topic, the moment up to which all changes are known.
 #[derive(Clone, Debug)]
 pub struct Confirmations {
     bound: Duration,
     started: Instant,
-    asked: Option<Instant>,
+    last_check: Option<Instant>,
     topics: [Confirmation; 3],
     evacuates: bool,
 }
 
 impl Confirmations {
-    /// Of a host that starts and knows nothing; `bound` is the time after which a change is in force.
+    /// Creates the state of a host that has just started; `bound` is the time within which a change must take effect.
     pub fn new(started: Instant, bound: Duration, evacuates: bool) -> Self {
-        Self { bound, started, asked: None, topics: Default::default(), evacuates }
+        Self { bound, started, last_check: None, topics: Default::default(), evacuates }
     }
 
-    /// The topics that this host follows.
+    /// The topics that this host tracks.
     pub fn topics(&self) -> impl Iterator<Item = Topic> + use<> {
         let evacuates = self.evacuates;
         Topic::ALL.into_iter().filter(move |topic| *topic != Topic::Evacuations || evacuates)
     }
 
-    /// Notes that all changes of a topic up to a moment are known.
+    /// Records that all changes of a topic up to a moment are known.
     pub fn confirm(&mut self, topic: Topic, at: Instant) {
         let known = &mut self.topics[topic as usize].at;
         *known = (*known).max(Some(at));
     }
 
-    /// Notes the revision of an answer of the store, from which a call can go on; `None` once nothing does.
-    pub fn note_answer(&mut self, topic: Topic, as_of: Option<Revision>) {
-        self.topics[topic as usize].as_of = as_of;
+    /// Records the revision of the store's last answer, from which the next query can continue; `None` if it can't.
+    pub fn record_revision(&mut self, topic: Topic, revision: Option<Revision>) {
+        self.topics[topic as usize].revision = revision;
     }
 
-    /// Revision of the store's last answer.
-    pub fn as_of(&self, topic: Topic) -> Option<Revision> {
-        self.topics[topic as usize].as_of
+    /// Revision of the store's last answer about a topic.
+    pub fn last_revision(&self, topic: Topic) -> Option<Revision> {
+        self.topics[topic as usize].revision
     }
 
-    /// Notes that a call waits for a change after a revision, or that none does any more.
-    pub fn note_wait(&mut self, topic: Topic, after: Option<Revision>) {
-        self.topics[topic as usize].waits = after;
+    /// Records the revision after which a watch is pending, or `None` when the watch has ended.
+    pub fn record_watch(&mut self, topic: Topic, after: Option<Revision>) {
+        self.topics[topic as usize].watch_after = after;
     }
 
-    /// Whether a call waits that should have brought the changes up to a revision.
-    pub fn waits_in_vain(&self, topic: Topic, changed: Revision) -> bool {
-        self.topics[topic as usize].waits.is_some_and(|after| after < changed)
+    /// Whether a pending watch should already have returned the changes up to `changed`.
+    pub fn is_watch_behind(&self, topic: Topic, changed: Revision) -> bool {
+        self.topics[topic as usize].watch_after.is_some_and(|after| after < changed)
     }
 
-    /// Notes that the store was asked for something that would be answered at once.
-    pub fn note_asked(&mut self, now: Instant) {
-        self.asked = Some(now);
+    /// Records that a query was sent that the store answers without waiting for a change.
+    pub fn record_check(&mut self, now: Instant) {
+        self.last_check = Some(now);
     }
 
-    /// Time since all changes of a topic were known; since the start where they never were.
+    /// Time since the last confirmation of a topic, or since the start if it was never confirmed.
     pub fn age(&self, now: Instant, topic: Topic) -> Duration {
         now.saturating_sub(self.at(topic))
     }
@@ -161,44 +165,49 @@
         self.topics[topic as usize].at.unwrap_or(self.started)
     }
 
-    /// Whether a call waits for a change of a topic.
-    pub fn waits(&self, topic: Topic) -> bool {
-        self.topics[topic as usize].waits.is_some()
+    /// Whether a watch is pending for a topic.
+    pub fn is_watching(&self, topic: Topic) -> bool {
+        self.topics[topic as usize].watch_after.is_some()
     }
 
-    /// Whether a change that must be in force may be unknown here.
-    pub fn is_old(&self, now: Instant, topic: Topic) -> bool {
-        self.age(now, topic) > self.part(OLD)
+    /// Whether this host may have missed a change of the topic for longer than is allowed.
+    pub fn is_stale(&self, now: Instant, topic: Topic) -> bool {
+        self.age(now, topic) > self.fraction(STALE_AGE_FRACTION)
     }
 
-    /// When this host asks the store, unless something is confirmed before.
-    pub fn asks_at(&self, turn: CheckOrder) -> Instant {
+    /// When this host queries the store next, unless a confirmation arrives earlier.
+    pub fn next_check_at(&self, order: CheckOrder) -> Instant {
         let oldest = self.topics().map(|topic| self.at(topic)).min().unwrap_or_default();
-        let due = oldest + self.patience(turn);
-        self.asked.map_or(due, |asked| due.max(asked + self.part(PAUSE)))
-    }
-
-    fn patience(&self, turn: CheckOrder) -> Duration {
-        let before = turn.before as f64;
-        self.part(match turn {
-            CheckOrder { follows: true, before: 0, .. } => FIRST,
-            CheckOrder { follows: true, .. } => (NEXT + STEP * (before - 1.0)).min(LAST),
-            // Where the store does not answer the others, all would ask in vain.
-            CheckOrder { others_fail: true, .. } => IDLE + IDLE_STEP * before,
-            _ => (IDLE + IDLE_STEP * before).min(IDLE_LAST),
+        let due = oldest + self.check_delay(order);
+        self.last_check
+            .map_or(due, |last_check| due.max(last_check + self.fraction(MIN_CHECK_INTERVAL_FRACTION)))
+    }
+
+    fn check_delay(&self, order: CheckOrder) -> Duration {
+        let before = order.before as f64;
+        self.fraction(match order {
+            CheckOrder { follows: true, before: 0, .. } => FIRST_FOLLOWER_FRACTION,
+            CheckOrder { follows: true, .. } => {
+                (NEXT_FOLLOWER_FRACTION + FOLLOWER_STEP_FRACTION * (before - 1.0)).min(LAST_FOLLOWER_FRACTION)
+            }
+            // While the store does not answer other hosts, this host would query in vain, so its delay is not capped.
+            CheckOrder { others_fail: true, .. } => FIRST_IDLE_FRACTION + IDLE_STEP_FRACTION * before,
+            _ => (FIRST_IDLE_FRACTION + IDLE_STEP_FRACTION * before).min(LAST_IDLE_FRACTION),
         })
     }
 
-    fn part(&self, part: f64) -> Duration {
-        self.bound.mul_f64(part)
+    fn fraction(&self, fraction: f64) -> Duration {
+        self.bound.mul_f64(fraction)
     }
 
-    /// What the others are told.
-    pub fn told(&self, now: Instant) -> Confirmed {
-        // What was never confirmed, as what was read in a copy, confirms nothing at others.
-        let age =
-            |topic: Topic| self.topics[topic as usize].at.map_or(MOST_TOLD, |at| now.saturating_sub(at));
-        let ms = |topic| age(topic).min(MOST_TOLD).as_millis() as u32;
+    /// The confirmation ages that are sent to other hosts.
+    pub fn summary(&self, now: Instant) -> Confirmed {
+        // A topic that was never confirmed, such as one read from a stale copy, must not confirm anything on other
+        // hosts.
+        let age = |topic: Topic| {
+            self.topics[topic as usize].at.map_or(MAX_REPORTED_AGE, |at| now.saturating_sub(at))
+        };
+        let ms = |topic| age(topic).min(MAX_REPORTED_AGE).as_millis() as u32;
         Confirmed {
             configuration_ms: ms(Topic::Configuration),
             backends_ms: ms(Topic::Backends),
@@ -207,36 +216,36 @@
         }
     }
 
-    /// Takes in what another host told at a moment of a topic of which it knows nothing that is newer. Returns whether that is
-    /// news worth telling on.
-    pub fn hear(&mut self, sent: Instant, topic: Topic, told: &Confirmed) -> bool {
+    /// Merges a report that another host sent at `sent` about a topic of which it has nothing newer than this host.
+    /// Returns whether the confirmation advanced enough to be forwarded.
+    pub fn merge(&mut self, sent: Instant, topic: Topic, report: &Confirmed) -> bool {
         let ms = match topic {
-            Topic::Configuration => told.configuration_ms,
-            Topic::Backends => told.backends_ms,
-            Topic::Evacuations => told.evacuations_ms,
+            Topic::Configuration => report.configuration_ms,
+            Topic::Backends => report.backends_ms,
+            Topic::Evacuations => report.evacuations_ms,
         };
         let age = Duration::from_millis(ms.into());
-        if age >= MOST_TOLD {
+        if age >= MAX_REPORTED_AGE {
             return false;
         }
         let (at, before) = (sent.saturating_sub(age), self.at(topic));
         self.confirm(topic, at);
-        at > before + self.part(NEWS)
+        at > before + self.fraction(MIN_ADVANCE_FRACTION)
     }
 
-    /// Topics that have grown old or were renewed since the last call.
+    /// Topics that became stale or were confirmed again since the last call.
     pub fn changes(&mut self, now: Instant) -> Vec<Change> {
         let mut changes = Vec::new();
         for topic in self.topics() {
-            let is_old = self.is_old(now, topic);
-            let (age, known) = (self.age(now, topic), &mut self.topics[topic as usize]);
-            match known.old {
-                None if is_old => {
-                    known.old = Some(now.saturating_sub(age));
-                    changes.push(Change::Old(topic, age));
+            let is_stale = self.is_stale(now, topic);
+            let (age, confirmation) = (self.age(now, topic), &mut self.topics[topic as usize]);
+            match confirmation.stale_since {
+                None if is_stale => {
+                    confirmation.stale_since = Some(now.saturating_sub(age));
+                    changes.push(Change::Stale(topic, age));
                 }
-                Some(since) if !is_old => {
-                    known.old = None;
+                Some(since) if !is_stale => {
+                    confirmation.stale_since = None;
                     changes.push(Change::Renewed(topic, now.saturating_sub(since)));
                 }
                 _ => {}
--- a/src/relay/contact.rs
+++ b/src/relay/contact.rs
@@ -1,4 +1,5 @@
-//! Contact of one follower with the store: when to call again, and what an outage means for entries that lapse.
+//! Retry state of one follower of the store: call timeouts, backoff, and the grace period for missing entries after an
+//! outage.
 
 use std::time::Duration;
 
@@ -6,76 +7,77 @@
 
 use crate::{objects::backoff::Backoff, util::Instant};
 
-/// First and longest wait after a failed call. A call costs, also one that is refused; a second is well within the
-/// time in which a change must be in force.
-const WAITS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(1_000));
-/// First and longest time for an answer, beside the wait of a watch. A calm store answers in a few milliseconds, a slow one
-/// in some hundred. A host that starts while the store is silent waits its first call out, so that this one is short.
-const PATIENCE: (Duration, Duration) = (Duration::from_millis(400), Duration::from_millis(2_000));
-/// How long entries that are missing after the store's return, or its restore, still count: live servers write again within two
-/// seconds, and a server that left must get no new work two seconds after the store said so.
+/// Shortest and longest backoff after a failed call. Even a refused call has a cost; one second is well within the time
+/// in which a change must take effect.
+const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(1_000));
+/// Shortest and longest call timeout, excluding the time for which the store holds a watch open. A healthy store
+/// answers in a few milliseconds, a slow one in a few hundred. The first timeout is short because a host that starts
+/// during an outage has to wait it out.
+const CALL_TIMEOUT: (Duration, Duration) = (Duration::from_millis(400), Duration::from_millis(2_000));
+/// How long entries that are missing after an outage or a restore of the store remain valid. Live servers rewrite their
+/// entries within two seconds, and a server that left must get no new work two seconds after the store reported it.
 pub(super) const MISSING_ENTRY_GRACE: Duration = Duration::from_millis(1_700);
-/// An outage shorter than this lets no entry lapse.
-const SHORT_OUTAGE: Duration = Duration::from_millis(500);
+/// Longest outage in which no entry can expire.
+const MAX_HARMLESS_OUTAGE: Duration = Duration::from_millis(500);
 
-/// A failed call.
+/// A failed call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lost {
-    /// Whether it is the first since the last answer.
+pub struct FailedCall {
+    /// Whether it is the first failure since the last answer.
     pub first: bool,
-    /// Wait before the next call.
+    /// Backoff before the next call.
     pub wait: Duration,
 }
 
-/// Contact of one follower.
+/// Retry state of one follower.
 #[derive(Clone, Debug)]
 pub struct StoreRetry {
-    what: &'static str,
-    lost: Option<Instant>,
-    back: Option<Instant>,
+    topic: &'static str,
+    failing_since: Option<Instant>,
+    recovered_at: Option<Instant>,
     backoff: Backoff,
     timeout: Duration,
 }
 
 impl StoreRetry {
-    /// A follower of `what` that has not called yet.
-    pub fn new(what: &'static str) -> Self {
-        let backoff = Backoff::new(WAITS.0, WAITS.1);
-        Self { what, lost: None, back: None, backoff, timeout: PATIENCE.0 }
+    /// Creates the state of a follower of `topic` that has not called yet.
+    pub fn new(topic: &'static str) -> Self {
+        let backoff = Backoff::new(BACKOFF.0, BACKOFF.1);
+        Self { topic, failing_since: None, recovered_at: None, backoff, timeout: CALL_TIMEOUT.0 }
     }
 
-    /// What is followed.
-    pub fn what(&self) -> &'static str {
-        self.what
+    /// The topic that is followed.
+    pub fn topic(&self) -> &'static str {
+        self.topic
     }
 
-    /// How long to wait for the next answer, beside the wait of a watch.
+    /// Timeout of the next call, excluding the time for which the store holds a watch open.
     pub fn timeout(&self) -> Duration {
         self.timeout
     }
 
-    /// Notes an answer; returns how long the store was away, and while entries that lapsed in an outage may come
-    /// back, how long they still count.
-    pub fn answered(&mut self, now: Instant) -> (Option<Duration>, Option<Duration>) {
-        let away = self.lost.take().map(|lost| now.saturating_sub(lost));
-        if away.is_some_and(|away| away > SHORT_OUTAGE) {
-            self.back = Some(now);
+    /// Records an answer. Returns the length of the outage that it ends, if any, and the rest of the grace period
+    /// during which entries that are missing after an outage remain valid.
+    pub fn record_answer(&mut self, now: Instant) -> (Option<Duration>, Option<Duration>) {
+        let outage = self.failing_since.take().map(|lost| now.saturating_sub(lost));
+        if outage.is_some_and(|outage| outage > MAX_HARMLESS_OUTAGE) {
+            self.recovered_at = Some(now);
         }
         self.backoff.reset();
-        let over = self.back.map(|back| now.saturating_sub(back));
-        let grace =
-            over.and_then(|over| MISSING_ENTRY_GRACE.checked_sub(over)).filter(|left| !left.is_zero());
-        (away, grace)
+        let elapsed = self.recovered_at.map(|back| now.saturating_sub(back));
+        let grace = elapsed
+            .and_then(|elapsed| MISSING_ENTRY_GRACE.checked_sub(elapsed))
+            .filter(|left| !left.is_zero());
+        (outage, grace)
     }
 
-    /// Notes a call without an answer. One that has timed out may have met a slow store, so that the next one is given
-    /// twice the time.
-    pub fn failed(&mut self, now: Instant, timed_out: bool, rng: &mut impl Rng) -> Lost {
+    /// Records a failed call. After a timeout the next timeout is doubled, since the store may only be slow.
+    pub fn record_failure(&mut self, now: Instant, timed_out: bool, rng: &mut impl Rng) -> FailedCall {
         if timed_out {
-            self.timeout = (self.timeout * 2).min(PATIENCE.1);
+            self.timeout = (self.timeout * 2).min(CALL_TIMEOUT.1);
         }
-        let first = self.lost.is_none();
-        self.lost.get_or_insert(now);
-        Lost { first, wait: self.backoff.wait(rng) }
+        let first = self.failing_since.is_none();
+        self.failing_since.get_or_insert(now);
+        FailedCall { first, wait: self.backoff.wait(rng) }
     }
 }
--- a/src/relay/evacuations.rs
+++ b/src/relay/evacuations.rs
@@ -1,10 +1,11 @@
-//! Data centres that an operator has evacuated: their backend servers get nothing new until they are taken back.
+//! Data centres that an operator has evacuated: their backend servers get no new work until they are taken back.
 //!
-//! The store's entries are the source. Each host holds the set as of one revision of the store; of two sets the later one
-//! holds, whoever tells it, so that an outage of the store changes nothing and a host that starts learns it from the others.
+//! The store's entries are the source. Each host holds the set as of one revision of the store. Of two sets the one
+//! with the later revision wins, whichever host it comes from, so an outage of the store changes nothing and a starting
+//! host can learn the set from its peers.
 //!
-//! A store that was restored may have lost an evacuation that is in force. It is kept until the operator has had time to write
-//! it again, or takes the data centre back.
+//! A store that was restored may lack an evacuation that is in force. Such an evacuation is retained
+//! until the operator has had time to write it again, or takes the data centre back.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,18 +15,18 @@
     util::{Instant, Map, Set},
 };
 
-/// Evacuated data centres that are remembered; more are made up by somebody.
-const MOST: usize = 64;
+/// Maximum number of evacuated data centres accepted from a peer; a longer list is not genuine.
+const MAX_EVACUATIONS: usize = 64;
 
-/// How long an evacuation stays in force that a restored store does not have.
-const KEPT: Duration = Duration::from_secs(30);
+/// How long an evacuation that is missing from a restored store stays in force.
+const RESTORE_GRACE: Duration = Duration::from_secs(30);
 
-/// A change of what is evacuated.
+/// A change of the set of evacuated data centres.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing new goes there from now on.
+    /// The data centre gets no new work from now on.
     Evacuated(Arc<str>),
-    /// It takes work again; its backend servers may be cold.
+    /// The data centre takes work again; its backend servers may be cold.
     TakenBack(Arc<str>),
 }
 
@@ -46,29 +47,29 @@
     }
 }
 
-/// What the store tells of evacuated data centres.
+/// An update of the evacuated data centres from the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// All of them.
+    /// The full list.
     List(fleet::Evacuations),
-    /// What has changed.
+    /// Changes since an earlier revision.
     Changes {
         /// Revision that the changes lead to.
         revision: Revision,
-        /// Each data centre and whether it is evacuated now, in order.
+        /// Each changed data centre and whether it is evacuated now, in order.
         changes: Vec<(String, bool)>,
     },
 }
 
 impl Update {
-    /// Takes a list for one of a copy, after which nothing is waited for.
-    pub(crate) fn take_for_copy(&mut self) {
+    /// Marks a list as a stale read, which any later list replaces and from which no watch continues.
+    pub(crate) fn mark_stale(&mut self) {
         if let Update::List(list) = self {
             (list.epoch, list.revision) = (Revision::STALE_READ.epoch, Revision::STALE_READ.number);
         }
     }
 
-    /// Revision as of which it tells.
+    /// Revision of the store that the update leads to.
     pub fn revision(&self) -> Revision {
         match self {
             Update::List(list) => list.as_of(),
@@ -81,40 +82,40 @@
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     revision: Revision,
-    /// Those that the store tells.
+    /// Those listed in the store.
     data_centres: Set<Arc<str>>,
-    /// Those that it has lost, and until when they stay evacuated.
-    kept: Map<Arc<str>, Instant>,
+    /// Those that a restored store lacks, and until when they stay evacuated.
+    retained: Map<Arc<str>, Instant>,
 }
 
 impl Evacuations {
-    /// Whether anything has been told yet.
+    /// Whether any update has been received.
     pub fn is_known(&self) -> bool {
         self.revision.is_known()
     }
 
-    /// Revision of the store up to which the set is known.
+    /// Revision of the store as of which the set is known.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Takes what is known for that of a copy, which any list replaces.
+    /// Treats the known set as a stale read, so that any list replaces it.
     pub fn forget_revision(&mut self) {
         if self.is_known() {
             self.revision = Revision::STALE_READ;
         }
     }
 
-    /// Whether the backend servers of a data centre get nothing new.
+    /// Whether a data centre is evacuated.
     pub fn contains(&self, data_centre: &str) -> bool {
-        let told = !self.data_centres.is_empty() && self.data_centres.contains(data_centre);
-        told || !self.kept.is_empty() && self.kept.contains_key(data_centre)
+        let is_listed = !self.data_centres.is_empty() && self.data_centres.contains(data_centre);
+        is_listed || !self.retained.is_empty() && self.retained.contains_key(data_centre)
     }
 
-    /// Takes in what the store told; what is older than known changes nothing.
+    /// Applies an update from the store; one that is not newer than the known set changes nothing.
     pub fn update(&mut self, now: Instant, update: &Update) -> Vec<Change> {
         match update {
-            Update::List(list) => self.hear(now, list),
+            Update::List(list) => self.merge(now, list),
             Update::Changes { revision, changes } => {
                 let mut data_centres = self.data_centres.clone();
                 for (name, evacuated) in changes {
@@ -124,47 +125,47 @@
                         data_centres.remove(name.as_str());
                     }
                 }
-                let before = self.in_force();
+                let before = self.evacuated();
                 if *revision > self.revision {
-                    self.kept.retain(|kept, _| !changes.iter().any(|(name, _)| **name == **kept));
+                    self.retained.retain(|kept, _| !changes.iter().any(|(name, _)| **name == **kept));
                 }
                 self.replace(now, *revision, data_centres);
-                self.changes_since(&before)
+                self.diff_from(&before)
             }
         }
     }
 
-    /// Takes in the set that another host holds.
-    pub fn hear(&mut self, now: Instant, told: &fleet::Evacuations) -> Vec<Change> {
-        let before = self.in_force();
-        if told.as_of() > self.revision {
-            let named = told.data_centres.iter().take(MOST);
-            self.replace(now, told.as_of(), named.map(|name| name.as_str().into()).collect());
-            for kept in told.kept.iter().take(MOST) {
+    /// Merges the set that another host holds; the one with the later revision wins.
+    pub fn merge(&mut self, now: Instant, received: &fleet::Evacuations) -> Vec<Change> {
+        let before = self.evacuated();
+        if received.as_of() > self.revision {
+            let named = received.data_centres.iter().take(MAX_EVACUATIONS);
+            self.replace(now, received.as_of(), named.map(|name| name.as_str().into()).collect());
+            for kept in received.kept.iter().take(MAX_EVACUATIONS) {
                 if !self.contains(&kept.data_centre) {
-                    let left = Duration::from_millis(kept.left_ms.into()).min(KEPT);
-                    self.kept.insert(kept.data_centre.as_str().into(), now + left);
+                    let left = Duration::from_millis(kept.left_ms.into()).min(RESTORE_GRACE);
+                    self.retained.insert(kept.data_centre.as_str().into(), now + left);
                 }
             }
         }
-        self.changes_since(&before)
+        self.diff_from(&before)
     }
 
-    /// Ends evacuations that a restored store has lost and that nobody has written again.
+    /// Ends retained evacuations that were not written again in time.
     pub fn expire(&mut self, now: Instant) -> Vec<Change> {
-        if self.kept.is_empty() {
+        if self.retained.is_empty() {
             return Vec::new();
         }
-        let before = self.in_force();
-        self.kept.retain(|_, until| *until > now);
-        self.changes_since(&before)
+        let before = self.evacuated();
+        self.retained.retain(|_, until| *until > now);
+        self.diff_from(&before)
     }
 
-    /// The set for another host, once it is known.
-    pub fn told(&self, now: Instant) -> Option<fleet::Evacuations> {
+    /// The set to send to other hosts, once it is known.
+    pub fn snapshot(&self, now: Instant) -> Option<fleet::Evacuations> {
         let left_ms = |until: &Instant| until.saturating_sub(now).as_millis() as u32;
         let kept = self
-            .kept
+            .retained
             .iter()
             .map(|(name, until)| fleet::Kept { data_centre: name.to_string(), left_ms: left_ms(until) });
         let kept = kept.collect();
@@ -173,13 +174,13 @@
         self.is_known().then_some(fleet::Evacuations { epoch, revision: number, data_centres, kept })
     }
 
-    /// All that are evacuated.
-    fn in_force(&self) -> Set<Arc<str>> {
-        self.data_centres.iter().chain(self.kept.keys()).cloned().collect()
+    /// All evacuated data centres, listed and retained.
+    fn evacuated(&self) -> Set<Arc<str>> {
+        self.data_centres.iter().chain(self.retained.keys()).cloned().collect()
     }
 
-    fn changes_since(&self, before: &Set<Arc<str>>) -> Vec<Change> {
-        let now = self.in_force();
+    fn diff_from(&self, before: &Set<Arc<str>>) -> Vec<Change> {
+        let now = self.evacuated();
         let begun = now.difference(before).cloned().map(Change::Evacuated);
         begun.chain(before.difference(&now).cloned().map(Change::TakenBack)).collect()
     }
@@ -193,8 +194,8 @@
         self.revision = revision;
         let old = std::mem::replace(&mut self.data_centres, data_centres);
         if restored {
-            self.kept.extend(old.into_iter().map(|name| (name, now + KEPT)));
+            self.retained.extend(old.into_iter().map(|name| (name, now + RESTORE_GRACE)));
         }
-        self.kept.retain(|name, _| !self.data_centres.contains(name));
+        self.retained.retain(|name, _| !self.data_centres.contains(name));
     }
 }
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -103,7 +103,7 @@
     }
 
     /// Takes a list for one of a copy, after which nothing is waited for.
-    fn take_for_copy(&mut self) {
+    fn mark_stale(&mut self) {
         if let BackendsUpdate::List(list) = self {
             (list.epoch, list.revision) = (Revision::STALE_READ.epoch, Revision::STALE_READ.number);
         }
@@ -181,7 +181,7 @@
                 if let Some(cfg) = cfg {
                     relay.set_configuration(cfg, "store");
                 }
-                relay.note_answer(Topic::Configuration, call, asked, revision);
+                relay.record_answer(Topic::Configuration, call, asked, revision);
                 if news || soon {
                     tokio::time::sleep(GATHER).await;
                 }
@@ -229,7 +229,7 @@
             Ok(mut update) => {
                 list = stale_ok;
                 if stale_ok {
-                    update.take_for_copy();
+                    update.mark_stale();
                 }
                 let grace = regain(&mut contact);
                 let news = matches!(&update, BackendsUpdate::Changes { puts, removed, .. }
@@ -237,7 +237,7 @@
                 let soon = after.is_some() && now() < asked + GATHER;
                 let revision = Some(update.revision()).filter(|_| !stale_ok);
                 relay.update_backends(update, grace, "store");
-                relay.note_answer(Topic::Backends, call, asked, revision);
+                relay.record_answer(Topic::Backends, call, asked, revision);
                 relay.note_contact(FollowState::Follows);
                 if news || soon {
                     tokio::time::sleep(relay.gather()).await;
@@ -272,19 +272,19 @@
     fn begin(&self, call: Call) -> Instant {
         let now = now();
         if call.after.is_none() && !call.stale_ok {
-            self.state().confirmations.note_asked(now);
+            self.state().confirmations.record_check(now);
         }
         now
     }
 
     /// Notes that the store has answered a call of `asked` as of a revision; none is noted of a copy. What a waiting call
     /// brings is as of its end.
-    fn note_answer(&self, topic: Topic, call: Call, asked: Instant, revision: Option<Revision>) {
+    fn record_answer(&self, topic: Topic, call: Call, asked: Instant, revision: Option<Revision>) {
         let Some(revision) = revision else { return };
         let at = if call.after.is_some() && !call.no_wait { now() } else { asked };
         let confirmations = &mut self.state().confirmations;
         confirmations.confirm(topic, at);
-        confirmations.note_answer(topic, Some(revision));
+        confirmations.record_revision(topic, Some(revision));
     }
 
     /// Whether this host is one of those that the settings name to all others.
@@ -327,7 +327,7 @@
         let now = now();
         update.distrust_after(wall_ms() + MOST_AHEAD_MS);
         let mut state = self.state();
-        if !self.hear_epoch_of_host(&mut state, update.revision().epoch, from) {
+        if !self.observe_peer_epoch(&mut state, update.revision().epoch, from) {
             return;
         }
         state.listed = true;
@@ -345,7 +345,7 @@
                 state.backends.change(now, revision, &puts, &removed, grace)
             }
         };
-        self.note_changes(&mut state, &changes, from);
+        self.on_backend_changes(&mut state, &changes, from);
     }
 }
 
@@ -362,18 +362,18 @@
 /// Notes an answer; returns how long entries that may have lapsed still count.
 fn regain(contact: &mut StoreRetry) -> Option<Duration> {
     let now = now();
-    let (away, grace) = contact.answered(now);
+    let (away, grace) = contact.record_answer(now);
     if let Some(away) = away {
-        line(Weight::Notable, "store_back", |l| l.text("kind", contact.what()).ms("away_ms", away));
+        line(Weight::Notable, "store_back", |l| l.text("kind", contact.topic()).ms("away_ms", away));
     }
     grace
 }
 
 async fn lose(contact: &mut StoreRetry, e: &StoreError) {
-    let lost = contact.failed(now(), *e == StoreError::TimedOut, &mut rand::rng());
+    let lost = contact.record_failure(now(), *e == StoreError::TimedOut, &mut rand::rng());
     if lost.first {
         line(Weight::Notable, "store_lost", |l| {
-            l.text("kind", contact.what()).text("why", &format!("{e:?}"))
+            l.text("kind", contact.topic()).text("why", &format!("{e:?}"))
         });
     }
     tokio::time::sleep(lost.wait).await;
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -152,7 +152,7 @@
         let begun = now();
         let waits_for = asked.waits_for();
         if let Some(topic) = waits_for {
-            self.state().confirmations.note_wait(topic, after);
+            self.state().confirmations.record_watch(topic, after);
         }
         let answer = tokio::select! {
             answer = call => answer,
@@ -161,11 +161,11 @@
             () = self.found_deaf(waits_for) => Err(StoreError::Deaf),
         };
         if let Some(topic) = waits_for {
-            self.state().confirmations.note_wait(topic, None);
+            self.state().confirmations.record_watch(topic, None);
         }
         line(Weight::Routine, "store_called", |l| {
             let l = l.text("call", asked.as_str()).flag("answered", answer.is_ok());
-            let l = if let Some(after) = after { belief::revision(l, after) } else { l };
+            let l = if let Some(after) = after { belief::with_revision(l, after) } else { l };
             l.ms("after_ms", now().saturating_sub(begun))
         });
         answer
@@ -206,11 +206,11 @@
             Err(StoreError::Restored { epoch }) => (epoch, None),
             Err(e) => return Err(e),
         };
-        match (self.hear_epoch(epoch, "store"), answer) {
-            (EpochCheck::Known | EpochCheck::Later, Some(answer)) => Ok(answer),
-            (EpochCheck::Odd, _) => Err(StoreError::Unavailable(format!("an answer of epoch {epoch}"))),
+        match (self.observe_epoch(epoch, "store"), answer) {
+            (EpochCheck::Current | EpochCheck::Newer, Some(answer)) => Ok(answer),
+            (EpochCheck::Rejected, _) => Err(StoreError::Unavailable(format!("an answer of epoch {epoch}"))),
             (heard, _) => {
-                if heard == EpochCheck::Earlier {
+                if heard == EpochCheck::RolledBack {
                     self.forget_revisions();
                 }
                 Err(StoreError::Restored { epoch })
@@ -224,7 +224,7 @@
         state.backends.forget_revision();
         state.evacuations.forget_revision();
         for topic in Topic::ALL {
-            state.confirmations.note_answer(topic, None);
+            state.confirmations.record_revision(topic, None);
             self.deaf[topic as usize].notify_waiters();
         }
     }
--- a/src/relay/follow/confirm.rs
+++ b/src/relay/follow/confirm.rs
@@ -26,7 +26,7 @@
 /// Keeps sure that what is known is the newest, until the task is ended.
 pub async fn keep_confirmed<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
     loop {
-        let left = relay.asks_at().saturating_sub(now());
+        let left = relay.next_check_at().saturating_sub(now());
         if !left.is_zero() {
             tokio::time::sleep(left.clamp(LOOKS.0, LOOKS.1)).await;
             continue;
@@ -44,7 +44,7 @@
 /// Asks for the configuration; of the other topics only where the store has changed since they were told.
 async fn ask<W: Wire>(relay: &Relay<W>, store: &mut impl Store) -> Result<(), StoreError> {
     let asked = now();
-    relay.state().confirmations.note_asked(asked);
+    relay.state().confirmations.record_check(asked);
     let newest = ask_configuration(relay, store, asked).await?;
     let topics: Vec<_> = relay.state().confirmations.topics().collect();
     for topic in topics {
@@ -65,7 +65,7 @@
     asked: Instant,
 ) -> Result<Revision, StoreError> {
     for _ in 0..MOST_CALLS {
-        let after = relay.state().confirmations.as_of(Topic::Configuration);
+        let after = relay.state().confirmations.last_revision(Topic::Configuration);
         let call = call(after, relay.epoch());
         let answer = relay.ask_store(StoreCall::ConfigurationCheck, None, store.configuration(call)).await;
         match relay.check_epoch(answer, |(revision, _)| revision.epoch) {
@@ -74,14 +74,14 @@
                 if let Some(cfg) = cfg {
                     relay.set_configuration(cfg, "store");
                 }
-                relay.note_answer(Topic::Configuration, call, asked, Some(revision));
+                relay.record_answer(Topic::Configuration, call, asked, Some(revision));
                 if changed {
                     relay.end_deaf(Topic::Configuration, revision).await;
                 }
                 return Ok(revision);
             }
             Err(StoreError::HistoryGone | StoreError::Restored { .. }) => {
-                relay.state().confirmations.note_answer(Topic::Configuration, None);
+                relay.state().confirmations.record_revision(Topic::Configuration, None);
             }
             Err(e) => return Err(e),
         }
@@ -113,12 +113,12 @@
     let is_news = matches!(&update, BackendsUpdate::Changes { puts, removed, .. }
         if !puts.is_empty() || !removed.is_empty());
     // A follower takes news in itself: only it knows of an outage in which entries may have lapsed.
-    if is_news && relay.state().confirmations.waits(Topic::Backends) {
+    if is_news && relay.state().confirmations.is_watching(Topic::Backends) {
         relay.end_deaf(Topic::Backends, revision).await;
         return Ok(());
     }
     relay.update_backends(update, None, "store");
-    relay.note_answer(Topic::Backends, call, asked, Some(revision));
+    relay.record_answer(Topic::Backends, call, asked, Some(revision));
     Ok(())
 }
 
@@ -135,7 +135,7 @@
         Ok(update) => {
             let (revision, is_news) = (update.revision(), is_change(&update));
             relay.update_evacuations(&update, "store");
-            relay.note_answer(Topic::Evacuations, call, asked, Some(revision));
+            relay.record_answer(Topic::Evacuations, call, asked, Some(revision));
             if is_news {
                 relay.end_deaf(Topic::Evacuations, revision).await;
             }
@@ -159,9 +159,9 @@
 
 impl<W: Wire> Relay<W> {
     /// When this host asks the store, as far as is known now.
-    fn asks_at(&self) -> Instant {
+    fn next_check_at(&self) -> Instant {
         let state = self.state();
-        state.confirmations.asks_at(state.peers.turn(now(), state.contact))
+        state.confirmations.next_check_at(state.peers.turn(now(), state.contact))
     }
 
     /// Whether a topic is known as of a revision of the store, so that nothing of it has changed up to there.
@@ -178,7 +178,7 @@
     /// Ends a call that waits for changes of a topic, if it does not bring those up to a revision that another call has told.
     async fn end_deaf(&self, topic: Topic, changed: Revision) {
         tokio::time::sleep(SETTLE).await;
-        if !self.state().confirmations.waits_in_vain(topic, changed) {
+        if !self.state().confirmations.is_watch_behind(topic, changed) {
             return;
         }
         line(Weight::Notable, "watch_deaf", |l| {
--- a/src/relay/follow/evacuations.rs
+++ b/src/relay/follow/evacuations.rs
@@ -44,12 +44,12 @@
             Ok(mut update) => {
                 list = stale_ok;
                 if stale_ok {
-                    update.take_for_copy();
+                    update.mark_stale();
                 }
                 regain(&mut contact);
                 relay.update_evacuations(&update, "store");
                 let revision = Some(update.revision()).filter(|_| !stale_ok);
-                relay.note_answer(Topic::Evacuations, call, asked, revision);
+                relay.record_answer(Topic::Evacuations, call, asked, revision);
                 if after.is_some() && now() < asked + GATHER {
                     tokio::time::sleep(GATHER).await;
                 }
--- a/src/relay/follow/hosts.rs
+++ b/src/relay/follow/hosts.rs
@@ -27,7 +27,7 @@
 /// all be gone. Those that follow the store write, so that the calls don't grow with the hosts.
 pub async fn sync_hosts<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
     let centre = relay.cfg.me.data_centre.clone();
-    let (mut entered, mut epoch) = (Hosts::default(), relay.epoch());
+    let (mut registered, mut epoch) = (Hosts::default(), relay.epoch());
     // Hosts that start together don't call together: the store takes some hundred writes a second.
     let apart = rand::rng().random_range(Duration::ZERO..LONELY);
     tokio::time::sleep(apart).await;
@@ -35,21 +35,21 @@
         tokio::time::sleep(LONELY).await;
         // A store that was restored may have lost the entry, or hold an old one.
         if std::mem::replace(&mut epoch, relay.epoch()) != epoch {
-            entered = Hosts::default();
+            registered = Hosts::default();
         }
         if relay.is_alone() {
             match relay.ask_store(StoreCall::Hosts, None, store.hosts()).await {
                 Ok(mut hosts) => {
-                    relay.learn(&hosts.sample);
+                    relay.add_hosts(&hosts.sample);
                     hosts.sample.retain(|m| m.data_centre == centre);
-                    entered = Hosts { count: hosts.sample.len(), ..hosts };
+                    registered = Hosts { count: hosts.sample.len(), ..hosts };
                 }
                 Err(e) => note_hosts(&e),
             }
         }
-        let Some(hosts) = relay.hosts_to_enter(&entered) else { continue };
+        let Some(hosts) = relay.hosts_to_register(&registered) else { continue };
         match relay.ask_store(StoreCall::Register, None, store.register_hosts(&centre, &hosts)).await {
-            Ok(()) => entered = hosts,
+            Ok(()) => registered = hosts,
             Err(e) => note_hosts(&e),
         }
     }
--- a/src/relay/follow/start.rs
+++ b/src/relay/follow/start.rs
@@ -27,7 +27,7 @@
             Hosts::default()
         }
     };
-    relay.learn(&hosts.sample);
+    relay.add_hosts(&hosts.sample);
     let all = bytes as f64 * hosts.count as f64 / LINK_BYTES_PER_SECOND;
     Duration::ZERO..Duration::from_secs_f64(all.min(MOST_TURNS.as_secs_f64())).max(LOOK)
 }
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -124,9 +124,9 @@
         tokio::time::sleep(TICK).await;
         let slept = now().saturating_sub(std::mem::replace(&mut last, now()));
         if slept > SUSPENDED {
-            relay.wake(slept);
+            relay.on_resume_from_suspend(slept);
         }
-        relay.tick();
+        relay.run_housekeeping();
     }
 }
 
@@ -184,7 +184,7 @@
 fn take<W: Wire>(relay: &Relay<W>, peer: SocketAddr, fetched: Fetched) -> bool {
     let from = peer.to_string();
     let changes = fetched.configuration_changes.as_ref();
-    let wants_whole = changes.is_some_and(|changes| relay.change_configuration(changes, &from));
+    let wants_whole = changes.is_some_and(|changes| relay.apply_configuration_changes(changes, &from));
     if let Some(cfg) = fetched.configuration {
         relay.set_configuration(cfg, &from);
     }
@@ -242,7 +242,7 @@
         let mut state = relay.state();
         let routes = state.routes.clone().filter(|r| r.version() > ask.configuration);
         let configuration_changes =
-            routes.as_ref().and_then(|_| state.configurations.changes_since(ask.configuration));
+            routes.as_ref().and_then(|_| state.configurations.diff_from(ask.configuration));
         let whole = routes.filter(|_| configuration_changes.is_none());
         let known = ask.backends_as_of();
         let newer = state.listed && state.backends.revision() > known;
--- a/src/relay/revision.rs
+++ b/src/relay/revision.rs
@@ -1,32 +1,32 @@
 //! Revisions of the store across its restores.
 //!
-//! A store that is restored from a copy goes back to an earlier revision and gives the numbers after it out again, for other
-//! changes. It counts its restores: a number means something only together with that epoch, and all revisions of a later
-//! epoch are later than those of one before.
+//! A store that is restored from a copy goes back to an earlier revision and reuses the revision numbers after it for
+//! other changes. It counts its restores as epochs: a number is meaningful only together with its epoch, and every
+//! revision of a later epoch is later than all revisions of earlier epochs.
 
 use crate::schema::fleet;
 
-/// How often the store was restored, as it counts.
+/// Number of restores that the store has counted.
 pub type Epoch = u64;
 
 /// Revision of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision {
-    /// Epoch in which the store gave the number; compared first.
+    /// Epoch in which the store assigned the number; compared first.
     pub epoch: Epoch,
-    /// The number; 0 before anything is known.
+    /// Revision number; 0 before anything is known.
     pub number: u64,
 }
 
 impl Revision {
-    /// Revision of what was read in a copy of the store. A copy is some seconds old, and after a restore it may be of the epoch
-    /// before, under higher numbers: what anybody has read since is later.
+    /// Revision assigned to state from a stale read. The store's copy is some seconds old, and after a restore it may
+    /// belong to the previous epoch, under higher numbers. So it counts as older than any other state.
     pub const STALE_READ: Self = Self { epoch: 0, number: 1 };
 
-    /// Later than any.
+    /// Later than any other revision.
     pub const LATEST: Self = Self { epoch: Epoch::MAX, number: u64::MAX };
 
-    /// A revision of an epoch.
+    /// Creates a revision from an epoch and a number.
     pub fn new(epoch: Epoch, number: u64) -> Self {
         Self { epoch, number }
     }
@@ -38,7 +38,7 @@
 }
 
 impl fleet::Backends {
-    /// Revision of the store as of which it tells.
+    /// Revision of the store as of which the state is known.
     pub fn as_of(&self) -> Revision {
         Revision::new(self.epoch, self.revision)
     }
@@ -52,14 +52,14 @@
 }
 
 impl fleet::Evacuations {
-    /// Revision of the store as of which it tells.
+    /// Revision of the store as of which the state is known.
     pub fn as_of(&self) -> Revision {
         Revision::new(self.epoch, self.revision)
     }
 }
 
 impl fleet::Fetch {
-    /// Revision of the asker's backend servers.
+    /// Revision of the requesting host's backend servers.
     pub fn backends_as_of(&self) -> Revision {
         Revision::new(self.backends_epoch, self.backends)
     }
@@ -72,111 +72,115 @@
     }
 }
 
-/// What an answer's epoch means.
+/// Result of comparing the epoch of an answer with the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EpochCheck {
-    /// It is the one that is known.
-    Known,
-    /// A later one, which is known from now on.
-    Later,
-    /// A later one that was told for the first time; asking again settles it.
+    /// It is the current epoch.
+    Current,
+    /// It is a later epoch, which is current from now on.
+    Newer,
+    /// It is a later epoch that was seen for the first time; asking the store again confirms it.
     Unconfirmed,
-    /// An earlier one, or a later one that differs from the one told before: the answer is not to be used.
-    Odd,
-    /// An earlier one that the store has told for so long that the known one must be wrong; it is known from now on.
-    Earlier,
+    /// It is an earlier epoch, or a later one that differs from the unconfirmed one; the answer must not be used.
+    Rejected,
+    /// It is an earlier epoch that the store has answered with so often that the current one must be wrong; it is
+    /// current from now on.
+    RolledBack,
 }
 
 impl EpochCheck {
-    /// Every meaning that is counted.
+    /// The results that are counted.
     pub const COUNTED: [EpochCheck; 4] =
-        [EpochCheck::Later, EpochCheck::Unconfirmed, EpochCheck::Odd, EpochCheck::Earlier];
+        [EpochCheck::Newer, EpochCheck::Unconfirmed, EpochCheck::Rejected, EpochCheck::RolledBack];
 
     /// Name in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
-            EpochCheck::Known => "known",
-            EpochCheck::Later => "later",
+            EpochCheck::Current => "known",
+            EpochCheck::Newer => "later",
             EpochCheck::Unconfirmed => "unconfirmed",
-            EpochCheck::Odd => "odd",
-            EpochCheck::Earlier => "earlier",
+            EpochCheck::Rejected => "odd",
+            EpochCheck::RolledBack => "earlier",
         }
     }
 }
 
-/// The store's epoch as far as it is known. Taken for true at once, a single wrong number would hide all that the store tells
-/// from then on, so that a later one counts once it was told twice.
+/// Tracks the store's current epoch. A later epoch is accepted only after two answers have carried it: accepted at
+/// once, a single wrong number would hide everything that the store reports afterwards.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EpochTracker {
-    known: Option<Epoch>,
-    told: Option<Epoch>,
-    /// An earlier one, and how many answers in a row have told it.
-    earlier: Option<(Epoch, u32)>,
-    /// One that was known and is not the store's.
-    wrong: Option<Epoch>,
+    current: Option<Epoch>,
+    candidate: Option<Epoch>,
+    /// An earlier epoch, and the number of consecutive answers that carried it.
+    rollback: Option<(Epoch, u32)>,
+    /// An epoch that was current and proved not to be the store's.
+    invalid: Option<Epoch>,
 }
 
-/// Answers in a row of the same earlier epoch after which the known one is wrong. After a restore some may come late: as many as
-/// there are calls under way.
-const EARLIER: u32 = 8;
-/// Restores that other hosts may be ahead by; a higher number from them is made up.
-const MOST_AHEAD: Epoch = 16;
+/// Consecutive answers with the same earlier epoch after which the current one is considered wrong. After a restore as
+/// many answers of the previous epoch may arrive late as calls were in flight.
+const ROLLBACK_ANSWERS: u32 = 8;
+/// Maximum number of epochs by which another host may be ahead; a higher one is not genuine.
+const MAX_EPOCH_LEAD: Epoch = 16;
 
 impl EpochTracker {
-    /// The epoch that is known; 0 before any is.
-    pub fn known(&self) -> Epoch {
-        self.known.unwrap_or_default()
+    /// The current epoch; 0 before any is known.
+    pub fn current(&self) -> Epoch {
+        self.current.unwrap_or_default()
     }
 
-    /// Takes in the epoch that an answer of the store tells.
-    pub fn hear(&mut self, epoch: Epoch) -> EpochCheck {
-        let Some(known) = self.known else {
-            self.know(epoch);
-            return EpochCheck::Later;
+    /// Processes the epoch of an answer of the store.
+    pub fn observe(&mut self, epoch: Epoch) -> EpochCheck {
+        let Some(current) = self.current else {
+            self.adopt(epoch);
+            return EpochCheck::Newer;
         };
-        if epoch < known {
-            return self.hear_earlier(known, epoch);
+        if epoch < current {
+            return self.observe_earlier(current, epoch);
         }
-        self.earlier = None;
-        if epoch == known {
-            return EpochCheck::Known;
+        self.rollback = None;
+        if epoch == current {
+            return EpochCheck::Current;
         }
-        if self.told == Some(epoch) {
-            self.know(epoch);
-            return EpochCheck::Later;
+        if self.candidate == Some(epoch) {
+            self.adopt(epoch);
+            return EpochCheck::Newer;
         }
-        match self.told.replace(epoch) {
+        match self.candidate.replace(epoch) {
             None => EpochCheck::Unconfirmed,
-            Some(_) => EpochCheck::Odd,
+            Some(_) => EpochCheck::Rejected,
         }
     }
 
-    fn know(&mut self, epoch: Epoch) {
-        *self =
-            Self { known: Some(epoch), wrong: self.wrong.filter(|wrong| epoch < *wrong), ..Self::default() };
+    fn adopt(&mut self, epoch: Epoch) {
+        *self = Self {
+            current: Some(epoch),
+            invalid: self.invalid.filter(|invalid| epoch < *invalid),
+            ..Self::default()
+        };
     }
 
-    fn hear_earlier(&mut self, known: Epoch, epoch: Epoch) -> EpochCheck {
-        let before = self.earlier.filter(|(earlier, _)| *earlier == epoch).map_or(0, |(_, times)| times);
-        if before + 1 < EARLIER {
-            self.earlier = Some((epoch, before + 1));
-            return EpochCheck::Odd;
+    fn observe_earlier(&mut self, current: Epoch, epoch: Epoch) -> EpochCheck {
+        let before = self.rollback.filter(|(earlier, _)| *earlier == epoch).map_or(0, |(_, times)| times);
+        if before + 1 < ROLLBACK_ANSWERS {
+            self.rollback = Some((epoch, before + 1));
+            return EpochCheck::Rejected;
         }
-        *self = Self { known: Some(epoch), wrong: Some(known), ..Self::default() };
-        EpochCheck::Earlier
+        *self = Self { current: Some(epoch), invalid: Some(current), ..Self::default() };
+        EpochCheck::RolledBack
     }
 
-    /// Whether what another host knows as of an epoch may be true.
-    pub fn trusts(&self, epoch: Epoch) -> bool {
-        let is_possible = self.known.is_none_or(|known| epoch <= known.saturating_add(MOST_AHEAD));
-        is_possible && self.wrong.is_none_or(|wrong| epoch < wrong)
+    /// Whether an epoch reported by another host is plausible.
+    pub fn is_plausible(&self, epoch: Epoch) -> bool {
+        let is_possible = self.current.is_none_or(|current| epoch <= current.saturating_add(MAX_EPOCH_LEAD));
+        is_possible && self.invalid.is_none_or(|invalid| epoch < invalid)
     }
 
-    /// Takes in the epoch that another host knows; returns whether it is later.
-    pub fn hear_host(&mut self, epoch: Epoch) -> bool {
-        let later = self.trusts(epoch) && self.known.is_none_or(|known| epoch > known);
+    /// Processes the epoch that another host reports; returns whether it is later than the current one.
+    pub fn observe_peer(&mut self, epoch: Epoch) -> bool {
+        let later = self.is_plausible(epoch) && self.current.is_none_or(|current| epoch > current);
         if later {
-            self.know(epoch);
+            self.adopt(epoch);
         }
         later
     }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -154,7 +154,7 @@
             Ok(()) => relay.metrics.add(Counter::RelayRetries, failure.as_str(), 1),
             Err(stop) => relay.metrics.add(Counter::RelayStops, stop.as_str(), 1),
         }
-        let backend = relay.id_of(key);
+        let backend = relay.backend_id(key);
         relay.note(Weight::Notable, "attempt_failed", &req, |l| {
             let l = l.text("failure", failure.as_str()).text("backend", backend.as_deref().unwrap_or("gone"));
             let l = l.number("attempt", self.tries.made()).ms("after_ms", now() - req.arrived);
@@ -167,12 +167,12 @@
         self.tried.push(key);
         let now = now();
         match failure {
-            Failure::Moved => self.relay.lose(key, "another server answers at its address"),
+            Failure::Moved => self.relay.mark_backend_gone(key, "another server answers at its address"),
             Failure::Connect | Failure::Silent => {
                 if failure == Failure::Silent {
                     self.relay.note_waited(&self.req, self.sent);
                 }
-                self.relay.avoid(key, failure.as_str());
+                self.relay.avoid_backend(key, failure.as_str());
                 self.relay.pool.clear(key);
             }
             Failure::Unsent => {}
@@ -189,7 +189,7 @@
         match Conn::connect(addr, self.req.left(now())).await {
             Ok(conn) => self.relay.keep(key, conn, None),
             Err(_) => {
-                self.relay.note_crash(key);
+                self.relay.record_crash(key);
                 let crashes = self.relay.state().suspects.crash(now(), self.req.fingerprint());
                 self.relay.note(Weight::Notable, "suspected", &self.req, |l| l.number("crashes", crashes));
             }
@@ -216,7 +216,7 @@
         if let Some(told) = read.load {
             self.relay.note_told(&self.req.service, told);
         }
-        self.relay.hear_backend(&self.req, key, &read);
+        self.relay.apply_server_notices(&self.req, key, &read);
         if let Some(failure) = read.failure {
             if matches!(failure, Failure::Refused | Failure::Moved) && !read.closes {
                 self.recycle(body, conn, key, read.keep_alive).await;
@@ -224,7 +224,7 @@
             return Err(AttemptError::Failed((failure, key)));
         }
         conn.reused = true;
-        self.relay.note_read(&self.req, key);
+        self.relay.record_prompt_parts(&self.req, key);
         Ok(Answered { head, read, body, conn, work })
     }
 
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -59,9 +59,9 @@
             held: state.news.drain(..told).collect(),
             avoided,
             suspects: state.suspects.told(now),
-            evacuations: state.evacuations.told(now),
+            evacuations: state.evacuations.snapshot(now),
             left: state.backends.left_lately(now),
-            confirmed: Some(state.confirmations.told(now)),
+            confirmed: Some(state.confirmations.summary(now)),
             ..Beat::default()
         };
         state.peers.number(&mut beat, &self.cfg.me, full);
@@ -98,10 +98,10 @@
         state.suspects.hear(now, &beat.suspects);
         state.doubt_avoided(now, &beat.avoided);
         let left = state.backends.hear_left(now, &beat.left);
-        self.note_changes(&mut state, &left, &from.to_string());
+        self.on_backend_changes(&mut state, &left, &from.to_string());
         if let Some(told) = &beat.evacuations {
-            let changes = state.evacuations.hear(now, told);
-            self.note_evacuations(&mut state, &changes, &from.to_string());
+            let changes = state.evacuations.merge(now, told);
+            self.on_evacuation_changes(&mut state, &changes, &from.to_string());
         }
         if heard.joined {
             line(Weight::Notable, "peer", |l| {
@@ -126,7 +126,7 @@
     pub(crate) fn learn_left(&self, starts: &[Start], from: &str) {
         let mut state = self.state();
         let changes = state.backends.learn_left(now(), starts);
-        self.note_changes(&mut state, &changes, from);
+        self.on_backend_changes(&mut state, &changes, from);
     }
 
     /// Takes in holders of prompt parts that another host told.
@@ -152,20 +152,20 @@
     let is_known = |e: &Evacuations| e.epoch == known.epoch && e.as_of() <= known;
     let mut news = false;
     if beat.configuration <= own.configuration {
-        news |= state.confirmations.hear(sent, Topic::Configuration, told);
+        news |= state.confirmations.merge(sent, Topic::Configuration, told);
     }
     if is_passed || is_same {
-        news |= state.confirmations.hear(sent, Topic::Backends, told);
+        news |= state.confirmations.merge(sent, Topic::Backends, told);
     }
     if beat.evacuations.as_ref().is_some_and(is_known) {
-        news |= state.confirmations.hear(sent, Topic::Evacuations, told);
+        news |= state.confirmations.merge(sent, Topic::Evacuations, told);
     }
     news && beat.centre.is_some()
 }
 
 /// A beat without what it tells as of an epoch that can't be the store's: its sender would seem to be ahead for good.
 fn trusted<'a>(state: &State, beat: &'a Beat) -> Cow<'a, Beat> {
-    let is_true = |epoch| state.epochs.trusts(epoch);
+    let is_true = |epoch| state.epochs.is_plausible(epoch);
     if is_true(beat.backends_epoch) && beat.evacuations.as_ref().is_none_or(|told| is_true(told.epoch)) {
         return Cow::Borrowed(beat);
     }
--- a/tests/relay_configurations.rs
+++ b/tests/relay_configurations.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cranberrytally::{
-    relay::configurations::{ConfigurationHistory, apply, changes},
+    relay::configurations::{ConfigurationHistory, apply, diff},
     schema::fleet::{Configuration, Route, Run, Service, Workspace},
 };
 use proptest::prelude::*;
@@ -43,7 +43,7 @@
 fn a_small_change_of_a_large_configuration_takes_few_bytes() {
     let (old, new) = (large(1, 2_000), large(2, 3_000));
 
-    let told = postcard::to_allocvec(&changes(&old, &new)).unwrap();
+    let told = postcard::to_allocvec(&diff(&old, &new)).unwrap();
     let whole = postcard::to_allocvec(&new).unwrap();
 
     assert!(told.len() < 300 && whole.len() > 50_000, "{} of {} bytes", told.len(), whole.len());
@@ -55,20 +55,20 @@
 fn changes_are_told_from_what_is_remembered() {
     let mut known = ConfigurationHistory::default();
     for version in 1..=40 {
-        known.note(Arc::new(configuration(version, vec![route(1, version as u32)], Vec::new())));
+        known.push(Arc::new(configuration(version, vec![route(1, version as u32)], Vec::new())));
     }
 
-    let told = known.changes_since(39).unwrap();
+    let told = known.diff_from(39).unwrap();
     assert_eq!((told.from, told.version), (39, 40));
-    assert!(known.changes_since(34).is_some());
-    assert!(known.changes_since(1).is_none());
-    assert!(known.changes_since(41).is_none());
+    assert!(known.diff_from(34).is_some());
+    assert!(known.diff_from(1).is_none());
+    assert!(known.diff_from(41).is_none());
 
     let routes = |n: u32| (0..n).map(|i| route(0, i)).collect::<Vec<_>>();
     for version in 41..=44 {
-        known.note(Arc::new(configuration(version, routes(20_000), Vec::new())));
+        known.push(Arc::new(configuration(version, routes(20_000), Vec::new())));
     }
-    assert!(known.changes_since(43).is_none(), "all of it is too much to remember");
+    assert!(known.diff_from(43).is_none(), "all of it is too much to remember");
 }
 
 /// A peer tells changes that lead from another content, reach beyond the list, or lack items. Nothing is put in force.
@@ -76,7 +76,7 @@
 fn changes_that_do_not_fit_are_not_applied() {
     let old = configuration(1, vec![route(1, 1), route(2, 2)], vec![workspace(1, 1)]);
     let new = configuration(2, vec![route(2, 2), route(3, 3)], vec![workspace(1, 2)]);
-    let good = changes(&old, &new);
+    let good = diff(&old, &new);
     assert_eq!(apply(&old, &good), Some(new));
 
     let other = configuration(1, vec![route(1, 7), route(2, 7)], vec![workspace(1, 1)]);
@@ -110,6 +110,6 @@
         let old = configuration(1, old.0, old.1);
         let new = configuration(2, new.0, new.1);
 
-        prop_assert_eq!(apply(&old, &changes(&old, &new)), Some(new));
+        prop_assert_eq!(apply(&old, &diff(&old, &new)), Some(new));
     }
 }
--- a/tests/relay_confirmations.rs
+++ b/tests/relay_confirmations.rs
@@ -7,7 +7,7 @@
 
 use cranberrytally::{
     relay::{
-        confirm::{Change, CheckOrder, Confirmations, Topic, in_force},
+        confirm::{Change, CheckOrder, Confirmations, Topic, propagation_bound},
         followers::FollowState,
         peers::{Own, Peers},
         revision::{EpochCheck, EpochTracker, Revision},
@@ -141,8 +141,8 @@
                 host.next_beat = now;
             }
             let turn = host.peers.turn(now, FollowState::Follows);
-            if host.asks.is_none() && host.confirmations.asks_at(turn) <= now {
-                host.confirmations.note_asked(now);
+            if host.asks.is_none() && host.confirmations.next_check_at(turn) <= now {
+                host.confirmations.record_check(now);
                 let is_lost = !lost_last[i] && rng.random_ratio(1, days.lost);
                 lost_last[i] = is_lost;
                 let ends = now + if is_lost { GIVEN_UP } else { ANSWER };
@@ -160,7 +160,7 @@
                     configuration: host.version,
                     follows_store: true,
                     sender: Some(member),
-                    confirmed: Some(host.confirmations.told(now)),
+                    confirmed: Some(host.confirmations.summary(now)),
                     ..Beat::default()
                 };
                 for to in (0..days.hosts).filter(|to| *to != i && !days.cuts.contains(&(i, *to))) {
@@ -181,7 +181,7 @@
                 let sent = now.saturating_sub(heard.late);
                 let told = beat.confirmed.unwrap();
                 for topic in Topic::ALL {
-                    host.confirmations.hear(sent, topic, &told);
+                    host.confirmations.merge(sent, topic, &told);
                 }
             }
         }
@@ -212,13 +212,13 @@
     sure.confirm(Topic::Configuration, ms(10_000));
     sure.confirm(Topic::Backends, ms(10_000));
 
-    let due: Vec<_> = [0, 1, 2, 300].map(|before| sure.asks_at(follows(before)) - ms(10_000)).into();
-    let told = sure.told(ms(10_760));
-    sure.hear(ms(10_760), Topic::Configuration, &told);
-    sure.note_asked(ms(10_760));
+    let due: Vec<_> = [0, 1, 2, 300].map(|before| sure.next_check_at(follows(before)) - ms(10_000)).into();
+    let told = sure.summary(ms(10_760));
+    sure.merge(ms(10_760), Topic::Configuration, &told);
+    sure.record_check(ms(10_760));
 
     assert_eq!(due, [ms(750), ms(875), Duration::from_micros(906_250), ms(1_000)]);
-    assert_eq!(sure.asks_at(follows(0)), ms(11_510), "not again at once, whatever the answer");
+    assert_eq!(sure.next_check_at(follows(0)), ms(11_510), "not again at once, whatever the answer");
 }
 
 /// Three hundred hosts calling a store that is away, since none of them is sure any more.
@@ -226,8 +226,8 @@
 fn hosts_that_leave_the_store_to_others_ask_late_and_few_at_a_time_while_it_fails() {
     let unsure = Confirmations::new(ms(0), BOUND, false);
 
-    let while_it_fails = [0, 1, 20].map(|before| unsure.asks_at(idle(before, true)));
-    let else_by = [0, 1, 20].map(|before| unsure.asks_at(idle(before, false)));
+    let while_it_fails = [0, 1, 20].map(|before| unsure.next_check_at(idle(before, true)));
+    let else_by = [0, 1, 20].map(|before| unsure.next_check_at(idle(before, false)));
 
     assert_eq!(while_it_fails, [ms(1_250), ms(1_500), ms(6_250)]);
     assert_eq!(else_by, [ms(1_250), ms(1_500), ms(1_750)]);
@@ -239,9 +239,9 @@
     let (copied, mut other) =
         (Confirmations::new(ms(0), BOUND, false), Confirmations::new(ms(0), BOUND, false));
 
-    let is_news = other.hear(ms(5_000), Topic::Configuration, &copied.told(ms(5_000)));
+    let is_news = other.merge(ms(5_000), Topic::Configuration, &copied.summary(ms(5_000)));
 
-    assert!(!is_news && other.is_old(ms(5_000), Topic::Configuration));
+    assert!(!is_news && other.is_stale(ms(5_000), Topic::Configuration));
 }
 
 /// A host that stood still taking beats that waited in its socket meanwhile for fresh ones.
@@ -274,7 +274,7 @@
     sure.confirm(Topic::Configuration, ms(3_000));
     let renewed = [sure.changes(ms(3_100)), sure.changes(ms(3_200))];
 
-    assert_eq!(old, [vec![], vec![Change::Old(Topic::Configuration, ms(1_100))], vec![]]);
+    assert_eq!(old, [vec![], vec![Change::Stale(Topic::Configuration, ms(1_100))], vec![]]);
     assert_eq!(renewed, [vec![Change::Renewed(Topic::Configuration, ms(3_100))], vec![]]);
 }
 
@@ -282,11 +282,11 @@
 #[test]
 fn the_shortest_bound_counts_within_reason() {
     let bounds = [
-        in_force([Some(3_000.0), None, Some(2_500.0)]),
-        in_force([None, None, None]),
-        in_force([Some(f64::NAN), Some(4_000.0), None]),
-        in_force([Some(-5.0), None, None]),
-        in_force([Some(1e300), None, None]),
+        propagation_bound([Some(3_000.0), None, Some(2_500.0)]),
+        propagation_bound([None, None, None]),
+        propagation_bound([Some(f64::NAN), Some(4_000.0), None]),
+        propagation_bound([Some(-5.0), None, None]),
+        propagation_bound([Some(1e300), None, None]),
     ];
 
     assert_eq!(bounds, [ms(2_500), ms(2_000), ms(4_000), ms(500), ms(60_000)]);
@@ -296,14 +296,14 @@
 #[test]
 fn an_earlier_epoch_counts_once_the_store_tells_nothing_else() {
     let mut epochs = EpochTracker::default();
-    epochs.hear(9_000_000);
+    epochs.observe(9_000_000);
 
-    let odd: Vec<_> = (0..7).map(|_| epochs.hear(3)).collect();
-    let settled = [epochs.hear(3), epochs.hear(3)];
-    let from_host = [epochs.hear_host(9_000_000), epochs.hear_host(4)];
+    let odd: Vec<_> = (0..7).map(|_| epochs.observe(3)).collect();
+    let settled = [epochs.observe(3), epochs.observe(3)];
+    let from_host = [epochs.observe_peer(9_000_000), epochs.observe_peer(4)];
 
-    assert!(odd.iter().all(|heard| *heard == EpochCheck::Odd));
-    assert_eq!(settled, [EpochCheck::Earlier, EpochCheck::Known]);
+    assert!(odd.iter().all(|heard| *heard == EpochCheck::Rejected));
+    assert_eq!(settled, [EpochCheck::RolledBack, EpochCheck::Current]);
     assert_eq!((from_host, epochs.known()), ([false, true], 4));
 }
 
@@ -311,9 +311,10 @@
 #[test]
 fn a_host_is_not_believed_that_tells_of_restores_without_end() {
     let mut epochs = EpochTracker::default();
-    epochs.hear(3);
+    epochs.observe(3);
 
-    let told = [epochs.hear_host(100), epochs.hear_host(5), epochs.hear_host(21), epochs.hear_host(22)];
+    let told =
+        [epochs.observe_peer(100), epochs.observe_peer(5), epochs.observe_peer(21), epochs.observe_peer(22)];
 
     assert_eq!((told, epochs.known()), ([false, true, true, true], 22));
 }
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -52,9 +52,9 @@
     let mut contact = StoreRetry::new("backends");
     let mut backends = Backends::default();
     backends.list(s(0), &list(5, &["lives", "gone"]), None);
-    contact.failed(s(1), false, &mut rng);
+    contact.record_failure(s(1), false, &mut rng);
 
-    let (away, grace) = contact.answered(s(9));
+    let (away, grace) = contact.record_answer(s(9));
     let changes = backends.list(s(9), &list(9, &["lives"]), grace);
 
     assert_eq!(away, Some(s(8)));
@@ -73,10 +73,10 @@
     let mut contact = StoreRetry::new("backends");
     let mut backends = Backends::default();
     backends.list(s(0), &list(5, &["a", "b"]), None);
-    contact.failed(s(1), false, &mut rng);
-    contact.answered(s(9));
+    contact.record_failure(s(1), false, &mut rng);
+    contact.record_answer(s(9));
 
-    let (_, grace) = contact.answered(s(13));
+    let (_, grace) = contact.record_answer(s(13));
     let changes = backends.change(s(13), rev(12), &[], &["b".into()], grace);
 
     assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Left]);
@@ -97,7 +97,7 @@
         let mut at = start;
         while at < back {
             at += contact.timeout();
-            at += contact.failed(at, true, &mut rng).wait;
+            at += contact.record_failure(at, true, &mut rng).wait;
         }
         at
     });
@@ -114,14 +114,14 @@
     let mut contact = StoreRetry::new("configuration");
     let first = contact.timeout();
 
-    contact.failed(s(1), true, &mut rng);
-    contact.failed(s(2), true, &mut rng);
-    contact.failed(s(3), false, &mut rng);
-    contact.answered(s(4));
+    contact.record_failure(s(1), true, &mut rng);
+    contact.record_failure(s(2), true, &mut rng);
+    contact.record_failure(s(3), false, &mut rng);
+    contact.record_answer(s(4));
 
     assert_eq!(contact.timeout(), first * 4, "a refusal or an answer changes nothing");
     for n in 0..9 {
-        contact.failed(s(5 + n), true, &mut rng);
+        contact.record_failure(s(5 + n), true, &mut rng);
     }
     assert_eq!(contact.timeout(), s(2));
 }
@@ -191,7 +191,7 @@
         calls.recv().await;
     }
 
-    relay.wake(s(4));
+    relay.on_resume_from_suspend(s(4));
     let stale = relay.is_stale();
     let after = calls.recv().await;
 
@@ -374,9 +374,9 @@
     let relay = Arc::new(Relay::new(relay_config("host-1"), PlatformWire).unwrap());
     let before = relay.is_stale();
     let following = tokio::spawn(follow::follow_configuration(relay.clone(), Calm));
-    let until = async |what: &dyn Fn() -> bool| {
+    let until = async |topic: &dyn Fn() -> bool| {
         let waiting = async {
-            while !what() {
+            while !topic() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
--- a/tests/relay_evacuations.rs
+++ b/tests/relay_evacuations.rs
@@ -35,17 +35,17 @@
 fn the_later_word_holds_whoever_tells_it() {
     let mut known = Evacuations::default();
     assert!(!known.is_known());
-    assert_eq!(known.told(NOW), None);
+    assert_eq!(known.snapshot(NOW), None);
 
     let begun = known.update(NOW, &changed(5, "b", true));
-    let late = known.hear(NOW, &told(4, &[]));
-    let same = known.hear(NOW, &told(5, &["a"]));
+    let late = known.merge(NOW, &told(4, &[]));
+    let same = known.merge(NOW, &told(5, &["a"]));
 
     assert_eq!(begun, [Change::Evacuated("b".into())]);
     assert_eq!((late, same), (Vec::new(), Vec::new()));
     assert!(known.contains("b") && !known.contains("a"));
-    assert_eq!(known.told(NOW), Some(told(5, &["b"])));
-    assert_eq!(known.hear(NOW, &told(7, &["a"])).len(), 2);
+    assert_eq!(known.snapshot(NOW), Some(told(5, &["b"])));
+    assert_eq!(known.merge(NOW, &told(7, &["a"])).len(), 2);
     assert!(known.contains("a") && !known.contains("b"));
 }
 
@@ -73,10 +73,10 @@
             let word = if from_store {
                 Some(store[revision % store.len()].clone())
             } else {
-                hosts[revision % 4].told(NOW)
+                hosts[revision % 4].snapshot(NOW)
             };
             if let Some(word) = word {
-                hosts[host].hear(NOW, &word);
+                hosts[host].merge(NOW, &word);
             }
             for host in hosts.iter().filter(|h| h.is_known()) {
                 let want = &store[host.revision().number as usize - 1];
@@ -147,8 +147,8 @@
     let later = |seconds| NOW + Duration::from_secs(seconds);
     let lost = || {
         let mut known = Evacuations::default();
-        known.hear(NOW, &told(9, &["a", "b"]));
-        let changes = known.hear(later(1), &restored(4, &["a"]));
+        known.merge(NOW, &told(9, &["a", "b"]));
+        let changes = known.merge(later(1), &restored(4, &["a"]));
         assert_eq!(changes, []);
         known
     };
@@ -159,7 +159,7 @@
         revision: Revision::new(2, number),
         changes: vec![("b".into(), evacuated)],
     };
-    starts.hear(later(21), &lost().told(later(21)).unwrap());
+    starts.merge(later(21), &lost().snapshot(later(21)).unwrap());
     let again = written.update(later(5), &changed(5, true));
     let taken_back = ended.update(later(5), &changed(5, false));
     let expired = forgotten.expire(later(32));
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -204,16 +204,19 @@
 fn a_later_epoch_counts_once_it_was_told_twice() {
     let mut epochs = EpochTracker::default();
 
-    let first = epochs.hear(3);
-    let wrong = [epochs.hear(9_000_000), epochs.hear(3), epochs.hear(2)];
-    let restored = [epochs.hear(4), epochs.hear(4), epochs.hear(3), epochs.hear(4)];
-
-    assert_eq!(first, EpochCheck::Later);
-    assert_eq!(wrong, [EpochCheck::Unconfirmed, EpochCheck::Known, EpochCheck::Odd]);
-    assert_eq!(restored, [EpochCheck::Odd, EpochCheck::Later, EpochCheck::Odd, EpochCheck::Known]);
-    assert_eq!(epochs.known(), 4);
-    assert!(epochs.hear_host(6) && !epochs.hear_host(5));
-    assert_eq!(epochs.known(), 6);
+    let first = epochs.observe(3);
+    let wrong = [epochs.observe(9_000_000), epochs.observe(3), epochs.observe(2)];
+    let restored = [epochs.observe(4), epochs.observe(4), epochs.observe(3), epochs.observe(4)];
+
+    assert_eq!(first, EpochCheck::Newer);
+    assert_eq!(wrong, [EpochCheck::Unconfirmed, EpochCheck::Current, EpochCheck::Rejected]);
+    assert_eq!(
+        restored,
+        [EpochCheck::Rejected, EpochCheck::Newer, EpochCheck::Rejected, EpochCheck::Current]
+    );
+    assert_eq!(epochs.current(), 4);
+    assert!(epochs.observe_peer(6) && !epochs.observe_peer(5));
+    assert_eq!(epochs.current(), 6);
 }
 
 /// A number of before a restore taken for later than one after it.
