--- a/src/platform.rs
+++ b/src/platform.rs
@@ -91,15 +91,15 @@
         tokio::spawn(answer_small(relay.clone(), inbound::listen(directory).await?));
     }
     tokio::spawn(mesh::serve_fetches(relay.clone(), inbound::listen(peer_addr).await?));
-    tokio::spawn(mesh::hear_beats(relay.clone(), socket.clone()));
-    tokio::spawn(mesh::send_beats(relay.clone(), socket));
-    tokio::spawn(mesh::keep_house(relay.clone()));
-    tokio::spawn(mesh::keep_up(relay.clone()));
+    tokio::spawn(mesh::receive_heartbeats(relay.clone(), socket.clone()));
+    tokio::spawn(mesh::send_heartbeats(relay.clone(), socket));
+    tokio::spawn(mesh::run_maintenance(relay.clone()));
+    tokio::spawn(mesh::fetch_updates(relay.clone()));
     tokio::spawn(follow::follow_configuration(relay.clone(), StoreClient::new(settings.store)));
     tokio::spawn(follow::follow_backends(relay.clone(), StoreClient::new(settings.store)));
     tokio::spawn(follow::follow_evacuations(relay.clone(), StoreClient::new(settings.store)));
     tokio::spawn(follow::keep_confirmed(relay.clone(), StoreClient::new(settings.store)));
-    tokio::spawn(follow::follow_hosts(relay.clone(), StoreClient::new(settings.store)));
+    tokio::spawn(follow::sync_hosts(relay.clone(), StoreClient::new(settings.store)));
     Ok(())
 }
 
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -156,18 +156,18 @@
         call: Call,
         most: usize,
     ) -> Result<(Revision, Vec<Object<T>>), StoreError> {
-        let stale = if call.copy { "?staleOk=1" } else { "" };
+        let stale = if call.stale_ok { "?staleOk=1" } else { "" };
         let target = format!("/objects/{kind}{stale}");
-        let (epoch, mut all): (_, Page<T>) = self.call(&target, call.patience, most, call.epoch).await?;
+        let (epoch, mut all): (_, Page<T>) = self.call(&target, call.timeout, most, call.epoch).await?;
         let mut more = all.has_more;
-        if more && !call.whole {
+        if more && !call.allow_large {
             return Err(StoreError::Long);
         }
         while let Some(last) = all.items.last().filter(|_| more) {
             let after: String = form_urlencoded::byte_serialize(last.metadata.name.as_bytes()).collect();
-            let stale = if call.copy { "&staleOk=1" } else { "" };
+            let stale = if call.stale_ok { "&staleOk=1" } else { "" };
             let target = format!("/objects/{kind}?after={after}{stale}");
-            let (of_page, page): (_, Page<T>) = self.call(&target, call.patience, MOST_PAGE, epoch).await?;
+            let (of_page, page): (_, Page<T>) = self.call(&target, call.timeout, MOST_PAGE, epoch).await?;
             if of_page != epoch {
                 return Err(StoreError::Restored { epoch: of_page });
             }
@@ -184,10 +184,10 @@
         after: Revision,
         call: Call,
     ) -> Result<(Revision, Vec<Change<T>>), StoreError> {
-        let wait = if call.at_once { NO_WAIT } else { WAIT };
+        let wait = if call.no_wait { NO_WAIT } else { WAIT };
         let target = format!("/objects/{kind}?watch={}&waitMs={}", after.number, wait.as_millis());
         let (epoch, changes): (_, Changes<T>) =
-            self.call(&target, wait + call.patience, MOST_PAGE, after.epoch).await?;
+            self.call(&target, wait + call.timeout, MOST_PAGE, after.epoch).await?;
         // Of another epoch they are not the changes since that revision, whatever their numbers.
         if epoch != after.epoch {
             return Err(StoreError::Restored { epoch });
@@ -219,8 +219,8 @@
 }
 
 impl Store for StoreClient {
-    async fn enter(&mut self, data_centre: &str, hosts: &Hosts) -> Result<(), StoreError> {
-        let spec = RawHosts { members: hosts.some.clone(), count: hosts.count };
+    async fn register_hosts(&mut self, data_centre: &str, hosts: &Hosts) -> Result<(), StoreError> {
+        let spec = RawHosts { members: hosts.sample.clone(), count: hosts.count };
         let object = serde_json::json!({ "metadata": { "name": data_centre }, "spec": spec });
         let body = Bytes::from(object.to_string());
         let name: String = form_urlencoded::byte_serialize(data_centre.as_bytes()).collect();
@@ -239,13 +239,13 @@
         let (_, page): (_, Page<RawHosts>) = self.call(&target, ANSWER, MOST_PAGE, Epoch::default()).await?;
         let all: Vec<_> = page.items.into_iter().filter_map(|o| o.spec).collect();
         let count = all.iter().map(|raw| raw.count).sum();
-        Ok(Hosts { some: all.into_iter().flat_map(|raw| raw.members).collect(), count })
+        Ok(Hosts { sample: all.into_iter().flat_map(|raw| raw.members).collect(), count })
     }
 
     async fn configuration(&mut self, call: Call) -> Result<(Revision, Option<Configuration>), StoreError> {
         let (revision, objects) = match call.after {
             None => {
-                let most = if call.whole { MOST_PAGE } else { SHORT_PAGE };
+                let most = if call.allow_large { MOST_PAGE } else { SHORT_PAGE };
                 self.list(CONFIGURATION, call, most).await?
             }
             Some(after) => {
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -13,10 +13,10 @@
 use crate::{
     error::{Kind, Ran},
     relay::{
-        Read, Refusal, Sending, Wire,
+        AttemptContext, Refusal, ResponseHead, Wire,
         admission::ReportedLoad,
         answer::AnswerBody,
-        inbound::Ask,
+        inbound::RequestHead,
         request::{Part, Request},
         verdict::Failure,
     },
@@ -30,20 +30,20 @@
 pub struct PlatformWire;
 
 impl Wire for PlatformWire {
-    fn ask(&self, head: &request::Parts) -> Ask {
+    fn parse_request(&self, head: &request::Parts) -> RequestHead {
         let headers = &head.headers;
         let host = text(headers, &header::HOST).or_else(|| head.uri.host());
-        Ask {
+        RequestHead {
             id: text(headers, &names::ATTEMPT_ID).unwrap_or_default().into(),
             host: host.unwrap_or_default().into(),
             key: text(headers, &names::KEY).map(Into::into),
-            waits: number(headers, &names::DEADLINE).map(Duration::from_millis),
+            timeout: number(headers, &names::DEADLINE).map(Duration::from_millis),
             parts: text(headers, &names::PREFIX).map(parts).unwrap_or_default(),
             after: number(headers, &names::LAST_EVENT),
         }
     }
 
-    fn forwarded(&self, mut headers: HeaderMap) -> HeaderMap {
+    fn forwarded_headers(&self, mut headers: HeaderMap) -> HeaderMap {
         strip(&mut headers);
         names::OWN.iter().for_each(|name| while_removed(&mut headers, name));
         headers.remove(header::CONTENT_LENGTH);
@@ -51,7 +51,7 @@
         headers
     }
 
-    fn attempt(&self, req: &Request, sending: &Sending<'_>) -> HttpRequest<Full<Bytes>> {
+    fn backend_request(&self, req: &Request, sending: &AttemptContext<'_>) -> HttpRequest<Full<Bytes>> {
         let mut out = HttpRequest::new(Full::new(req.body.clone()));
         *out.method_mut() = req.method.clone();
         *out.uri_mut() = req.target.clone();
@@ -80,19 +80,19 @@
         out
     }
 
-    fn read(&self, req: &Request, head: &response::Parts) -> Read {
+    fn parse_response(&self, req: &Request, head: &response::Parts) -> ResponseHead {
         let headers = &head.headers;
-        Read {
+        ResponseHead {
             failure: failure(req, head),
-            keeps: text(headers, &names::KEEP_ALIVE).and_then(keeps),
+            keep_alive: text(headers, &names::KEEP_ALIVE).and_then(keeps),
             closes: text(headers, &header::CONNECTION).is_some_and(|v| v.eq_ignore_ascii_case("close")),
-            told: text(headers, &names::LOAD).and_then(told),
-            leaves: leaves(head),
+            load: text(headers, &names::LOAD).and_then(told),
+            leaving: leaves(head),
             pause: pause(head),
         }
     }
 
-    fn pass(&self, mut head: response::Parts, body: AnswerBody) -> Response<AnswerBody> {
+    fn caller_response(&self, mut head: response::Parts, body: AnswerBody) -> Response<AnswerBody> {
         strip(&mut head.headers);
         head.headers.remove(header::CONTENT_LENGTH);
         head.version = Version::HTTP_11;
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -68,10 +68,10 @@
 use admission::Admission;
 use backends::{BackendKey, Backends};
 use budget::{BudgetConfig, FleetBudget};
-use configurations::Configurations;
+use configurations::ConfigurationHistory;
 use confirm::{Confirmations, Topic};
 use evacuations::Evacuations;
-use followers::Contact;
+use followers::FollowState;
 use health::Health;
 use holders::Holders;
 use leave::Leaving;
@@ -79,11 +79,11 @@
 use peers::{Own, Peers};
 use pool::{Conn, Pool};
 use request::Request;
-use revision::{Epochs, Revision};
+use revision::{EpochTracker, Revision};
 use routes::Routes;
 use suspects::Suspects;
 use warmup::Warmup;
-pub use wire::{Read, Refusal, Sending, Wire};
+pub use wire::{AttemptContext, Refusal, ResponseHead, Wire};
 
 /// Settings of a relaying host.
 #[derive(Clone, Debug)]
@@ -110,7 +110,7 @@
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) routes: Option<Arc<Routes>>,
-    pub(crate) configurations: Configurations,
+    pub(crate) configurations: ConfigurationHistory,
     pub(crate) backends: Backends,
     pub(crate) health: Health,
     pub(crate) holders: Holders,
@@ -118,7 +118,7 @@
     pub(crate) peers: Peers,
     pub(crate) suspects: Suspects,
     pub(crate) evacuations: Evacuations,
-    pub(crate) epochs: Epochs,
+    pub(crate) epochs: EpochTracker,
     pub(crate) confirmations: Confirmations,
     /// When a data centre was taken back last.
     pub(crate) taken_back: Option<Instant>,
@@ -126,7 +126,7 @@
     pub(crate) admission: Admission,
     pub(crate) leaving: Option<Leaving>,
     /// What this host has to do with the store.
-    pub(crate) contact: Contact,
+    pub(crate) contact: FollowState,
     /// Whether it has read a copy of the configuration, which may be seconds old.
     pub(crate) copied: bool,
     pub(crate) listed: bool,
@@ -172,7 +172,7 @@
     pub fn new(cfg: RelayConfig, wire: W) -> Result<Self> {
         let state = State {
             routes: None,
-            configurations: Configurations::default(),
+            configurations: ConfigurationHistory::default(),
             backends: Backends::default(),
             health: Health::default(),
             holders: Holders::default(),
@@ -180,13 +180,13 @@
             peers: Peers::new(cfg.peer_addr, &cfg.me.data_centre, &cfg.seeds).with_start(now()),
             suspects: Suspects::default(),
             evacuations: Evacuations::default(),
-            epochs: Epochs::default(),
+            epochs: EpochTracker::default(),
             confirmations: Confirmations::new(now(), cfg.in_force, cfg.evacuates),
             taken_back: None,
             warmup: Warmup::default().with_start(now()),
             admission: Admission::default(),
             leaving: None,
-            contact: Contact::Idle,
+            contact: FollowState::Idle,
             copied: false,
             listed: false,
             news: Vec::new(),
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -109,7 +109,7 @@
 impl State {
     /// Servers of a service that accept work and are not in an evacuated data centre.
     fn not_evacuated(&self, service: &str) -> impl Iterator<Item = (BackendKey, &Backend)> {
-        self.backends.available(service).filter(|(_, b)| !self.evacuations.covers(&b.data_centre))
+        self.backends.available(service).filter(|(_, b)| !self.evacuations.contains(&b.data_centre))
     }
 
     /// Servers of a service that may get new requests: not in an evacuated data centre and not in a pause that they
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -13,17 +13,17 @@
 mod hosts;
 mod start;
 
-pub use call::{Asked, Call};
+pub use call::{Call, StoreCall};
 pub use confirm::keep_confirmed;
 pub use evacuations::follow_evacuations;
-pub use hosts::{Hosts, follow_hosts};
+pub use hosts::{Hosts, sync_hosts};
 use start::{is_told, turns};
 
 use super::{
     Relay, Wire,
     confirm::Topic,
-    contact::Contact,
-    followers::Contact as OwnContact,
+    contact::StoreRetry,
+    followers::FollowState,
     revision::{Epoch, Revision},
 };
 use crate::{
@@ -103,9 +103,9 @@
     }
 
     /// Takes a list for one of a copy, after which nothing is waited for.
-    fn take_for_copy(&mut self) {
+    fn mark_stale(&mut self) {
         if let BackendsUpdate::List(list) = self {
-            (list.epoch, list.revision) = (Revision::COPY.epoch, Revision::COPY.number);
+            (list.epoch, list.revision) = (Revision::STALE_READ.epoch, Revision::STALE_READ.number);
         }
     }
 
@@ -139,7 +139,7 @@
     ) -> impl Future<Output = Result<super::evacuations::Update, StoreError>> + Send;
 
     /// Enters some hosts of a data centre, in place of those entered before.
-    fn enter(
+    fn register_hosts(
         &mut self,
         data_centre: &str,
         hosts: &Hosts,
@@ -151,23 +151,29 @@
 
 /// Follows the configuration until the task is ended.
 pub async fn follow_configuration<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
-    let mut contact = Contact::new("configuration");
-    let (mut after, mut started, mut whole) = (None, false, false);
+    let mut contact = StoreRetry::new("configuration");
+    let (mut after, mut started, mut allow_large) = (None, false, false);
     loop {
         started |= relay.routes().is_some();
         if started && rest(&relay).await {
-            contact = Contact::new("configuration");
+            contact = StoreRetry::new("configuration");
         }
-        let copy = !started && !relay.is_seed();
-        let call =
-            Call { after, epoch: relay.epoch(), patience: contact.patience(), whole, copy, at_once: false };
+        let stale_ok = !started && !relay.is_seed();
+        let call = Call {
+            after,
+            epoch: relay.epoch(),
+            timeout: contact.timeout(),
+            allow_large,
+            stale_ok,
+            no_wait: false,
+        };
         let asked = relay.begin(call);
-        let answer = relay.ask_store(Asked::configuration(call), after, store.configuration(call)).await;
+        let answer = relay.ask_store(StoreCall::configuration(call), after, store.configuration(call)).await;
         match relay.check_epoch(answer, |(revision, _)| revision.epoch) {
             Ok((revision, cfg)) => {
                 started = true;
-                let revision = Some(revision).filter(|_| !copy);
-                relay.state().copied |= copy;
+                let revision = Some(revision).filter(|_| !stale_ok);
+                relay.state().copied |= stale_ok;
                 regain(&mut contact);
                 let news = after.is_some() && cfg.is_some();
                 let soon = after.is_some() && now() < asked + GATHER;
@@ -175,7 +181,7 @@
                 if let Some(cfg) = cfg {
                     relay.set_configuration(cfg, "store");
                 }
-                relay.note_answer(Topic::Configuration, call, asked, revision);
+                relay.record_answer(Topic::Configuration, call, asked, revision);
                 if news || soon {
                     tokio::time::sleep(GATHER).await;
                 }
@@ -188,7 +194,7 @@
             Err(StoreError::Large { bytes }) => {
                 let turns = turns(&relay, &mut store, bytes).await;
                 is_told(&relay, turns, |relay| relay.routes().is_some()).await;
-                whole = true;
+                allow_large = true;
             }
             Err(e) => {
                 after = None;
@@ -200,33 +206,39 @@
 
 /// Follows the backend servers until the task is ended.
 pub async fn follow_backends<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
-    let mut contact = Contact::new("backends");
-    let (mut list, mut whole) = (true, false);
+    let mut contact = StoreRetry::new("backends");
+    let (mut list, mut allow_large) = (true, false);
     loop {
         let started = relay.state().listed;
         if started && rest(&relay).await {
-            contact = Contact::new("backends");
+            contact = StoreRetry::new("backends");
         }
         let after = (!list).then(|| relay.state().backends.revision());
-        let copy = !started && !relay.is_seed();
-        let call =
-            Call { after, epoch: relay.epoch(), patience: contact.patience(), whole, copy, at_once: false };
+        let stale_ok = !started && !relay.is_seed();
+        let call = Call {
+            after,
+            epoch: relay.epoch(),
+            timeout: contact.timeout(),
+            allow_large,
+            stale_ok,
+            no_wait: false,
+        };
         let asked = relay.begin(call);
-        let answer = relay.ask_store(Asked::backends(call), after, store.backends(call)).await;
+        let answer = relay.ask_store(StoreCall::backends(call), after, store.backends(call)).await;
         match relay.check_epoch(answer, |update| update.revision().epoch) {
             Ok(mut update) => {
-                list = copy;
-                if copy {
-                    update.take_for_copy();
+                list = stale_ok;
+                if stale_ok {
+                    update.mark_stale();
                 }
                 let grace = regain(&mut contact);
                 let news = matches!(&update, BackendsUpdate::Changes { puts, removed, .. }
                     if !puts.is_empty() || !removed.is_empty());
                 let soon = after.is_some() && now() < asked + GATHER;
-                let revision = Some(update.revision()).filter(|_| !copy);
+                let revision = Some(update.revision()).filter(|_| !stale_ok);
                 relay.update_backends(update, grace, "store");
-                relay.note_answer(Topic::Backends, call, asked, revision);
-                relay.note_contact(OwnContact::Follows);
+                relay.record_answer(Topic::Backends, call, asked, revision);
+                relay.note_contact(FollowState::Follows);
                 if news || soon {
                     tokio::time::sleep(relay.gather()).await;
                 }
@@ -238,17 +250,17 @@
             Err(StoreError::Restored { .. } | StoreError::Deaf) => list = true,
             Err(StoreError::Long) => {
                 list = !is_told(&relay, LONG_LIST, |relay| relay.state().listed).await;
-                whole = true;
+                allow_large = true;
             }
             Err(StoreError::Large { bytes }) => {
                 let turns = turns(&relay, &mut store, bytes).await;
                 list = !is_told(&relay, turns, |relay| relay.state().listed).await;
-                whole = true;
+                allow_large = true;
             }
             Err(e) => {
                 // A watch would answer only at the next change, and what lapsed meanwhile would count from then on.
                 list = true;
-                relay.note_contact(OwnContact::Lost);
+                relay.note_contact(FollowState::Lost);
                 lose(&mut contact, &e).await;
             }
         }
@@ -259,20 +271,20 @@
     /// Notes the start of a call by a follower; returns when that was.
     fn begin(&self, call: Call) -> Instant {
         let now = now();
-        if call.after.is_none() && !call.copy {
-            self.state().confirmations.note_asked(now);
+        if call.after.is_none() && !call.stale_ok {
+            self.state().confirmations.record_check(now);
         }
         now
     }
 
     /// Notes that the store has answered a call of `asked` as of a revision; none is noted of a copy. What a waiting call
     /// brings is as of its end.
-    fn note_answer(&self, topic: Topic, call: Call, asked: Instant, revision: Option<Revision>) {
+    fn record_answer(&self, topic: Topic, call: Call, asked: Instant, revision: Option<Revision>) {
         let Some(revision) = revision else { return };
-        let at = if call.after.is_some() && !call.at_once { now() } else { asked };
+        let at = if call.after.is_some() && !call.no_wait { now() } else { asked };
         let confirmations = &mut self.state().confirmations;
         confirmations.confirm(topic, at);
-        confirmations.note_answer(topic, Some(revision));
+        confirmations.record_revision(topic, Some(revision));
     }
 
     /// Whether this host is one of those that the settings name to all others.
@@ -292,13 +304,13 @@
         let state = &mut *state;
         let on_duty = state.leaving.is_none() && state.peers.is_on_duty(now(), state.contact);
         if !on_duty && state.peers.is_settled() {
-            state.contact = OwnContact::Idle;
+            state.contact = FollowState::Idle;
         }
         on_duty
     }
 
     /// Notes whether the store has answered this host, and tells the others where that has changed: they step in or rest.
-    fn note_contact(&self, contact: OwnContact) {
+    fn note_contact(&self, contact: FollowState) {
         let mut state = self.state();
         if !state.peers.is_settled() {
             return;
@@ -315,7 +327,7 @@
         let now = now();
         update.distrust_after(wall_ms() + MOST_AHEAD_MS);
         let mut state = self.state();
-        if !self.hear_epoch_of_host(&mut state, update.revision().epoch, from) {
+        if !self.observe_peer_epoch(&mut state, update.revision().epoch, from) {
             return;
         }
         state.listed = true;
@@ -333,7 +345,7 @@
                 state.backends.apply_changes(now, revision, &puts, &removed, grace)
             }
         };
-        self.note_changes(&mut state, &changes, from);
+        self.on_backend_changes(&mut state, &changes, from);
     }
 }
 
@@ -348,20 +360,20 @@
 }
 
 /// Notes an answer; returns how long entries that may have lapsed still count.
-fn regain(contact: &mut Contact) -> Option<Duration> {
+fn regain(contact: &mut StoreRetry) -> Option<Duration> {
     let now = now();
-    let (away, grace) = contact.answered(now);
+    let (away, grace) = contact.record_answer(now);
     if let Some(away) = away {
-        line(Weight::Notable, "store_back", |l| l.text("kind", contact.what()).ms("away_ms", away));
+        line(Weight::Notable, "store_back", |l| l.text("kind", contact.topic()).ms("away_ms", away));
     }
     grace
 }
 
-async fn lose(contact: &mut Contact, e: &StoreError) {
-    let lost = contact.failed(now(), *e == StoreError::TimedOut, &mut rand::rng());
+async fn lose(contact: &mut StoreRetry, e: &StoreError) {
+    let lost = contact.record_failure(now(), *e == StoreError::TimedOut, &mut rand::rng());
     if lost.first {
         line(Weight::Notable, "store_lost", |l| {
-            l.text("kind", contact.what()).text("why", &format!("{e:?}"))
+            l.text("kind", contact.topic()).text("why", &format!("{e:?}"))
         });
     }
     tokio::time::sleep(lost.wait).await;
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -9,7 +9,7 @@
     relay::{
         Relay, Wire, belief,
         confirm::Topic,
-        revision::{Epoch, Heard, Revision},
+        revision::{Epoch, EpochCheck, Revision},
     },
     util::now,
 };
@@ -22,18 +22,18 @@
     /// Epoch of the store that is known, as of which an answer is that tells none.
     pub epoch: Epoch,
     /// Time for an answer, beside the time for which the store lets a call wait for a change.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Whether a list is read to its end, though it takes many calls.
-    pub whole: bool,
+    pub allow_large: bool,
     /// Whether a list may be some seconds old, which costs a tenth.
-    pub copy: bool,
+    pub stale_ok: bool,
     /// Whether changes are told at once, also where there are none.
-    pub at_once: bool,
+    pub no_wait: bool,
 }
 
 /// What a call asks for; a label in logs and counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum StoreCall {
     /// The configuration as of some seconds ago.
     ConfigurationCopy,
     /// The configuration.
@@ -61,79 +61,79 @@
     /// The hosts that are entered.
     Hosts,
     /// To enter hosts.
-    Enter,
+    Register,
 }
 
-impl Asked {
+impl StoreCall {
     /// Everything that is asked for.
-    pub const ALL: [Asked; 14] = [
-        Asked::ConfigurationCopy,
-        Asked::ConfigurationList,
-        Asked::ConfigurationWatch,
-        Asked::ConfigurationCheck,
-        Asked::BackendsCopy,
-        Asked::BackendsList,
-        Asked::BackendsWatch,
-        Asked::BackendsCheck,
-        Asked::EvacuationsCopy,
-        Asked::EvacuationsList,
-        Asked::EvacuationsWatch,
-        Asked::EvacuationsCheck,
-        Asked::Hosts,
-        Asked::Enter,
+    pub const ALL: [StoreCall; 14] = [
+        StoreCall::ConfigurationCopy,
+        StoreCall::ConfigurationList,
+        StoreCall::ConfigurationWatch,
+        StoreCall::ConfigurationCheck,
+        StoreCall::BackendsCopy,
+        StoreCall::BackendsList,
+        StoreCall::BackendsWatch,
+        StoreCall::BackendsCheck,
+        StoreCall::EvacuationsCopy,
+        StoreCall::EvacuationsList,
+        StoreCall::EvacuationsWatch,
+        StoreCall::EvacuationsCheck,
+        StoreCall::Hosts,
+        StoreCall::Register,
     ];
 
     /// Name in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
-            Asked::ConfigurationCopy => "configuration_copy",
-            Asked::ConfigurationList => "configuration_list",
-            Asked::ConfigurationWatch => "configuration_watch",
-            Asked::ConfigurationCheck => "configuration_check",
-            Asked::BackendsCopy => "backends_copy",
-            Asked::BackendsList => "backends_list",
-            Asked::BackendsWatch => "backends_watch",
-            Asked::BackendsCheck => "backends_check",
-            Asked::EvacuationsCopy => "evacuations_copy",
-            Asked::EvacuationsList => "evacuations_list",
-            Asked::EvacuationsWatch => "evacuations_watch",
-            Asked::EvacuationsCheck => "evacuations_check",
-            Asked::Hosts => "hosts",
-            Asked::Enter => "enter",
+            StoreCall::ConfigurationCopy => "configuration_copy",
+            StoreCall::ConfigurationList => "configuration_list",
+            StoreCall::ConfigurationWatch => "configuration_watch",
+            StoreCall::ConfigurationCheck => "configuration_check",
+            StoreCall::BackendsCopy => "backends_copy",
+            StoreCall::BackendsList => "backends_list",
+            StoreCall::BackendsWatch => "backends_watch",
+            StoreCall::BackendsCheck => "backends_check",
+            StoreCall::EvacuationsCopy => "evacuations_copy",
+            StoreCall::EvacuationsList => "evacuations_list",
+            StoreCall::EvacuationsWatch => "evacuations_watch",
+            StoreCall::EvacuationsCheck => "evacuations_check",
+            StoreCall::Hosts => "hosts",
+            StoreCall::Register => "enter",
         }
     }
 
     /// What is waited for, in a call that waits.
     fn waits_for(self) -> Option<Topic> {
         match self {
-            Asked::ConfigurationWatch => Some(Topic::Configuration),
-            Asked::BackendsWatch => Some(Topic::Backends),
-            Asked::EvacuationsWatch => Some(Topic::Evacuations),
+            StoreCall::ConfigurationWatch => Some(Topic::Configuration),
+            StoreCall::BackendsWatch => Some(Topic::Backends),
+            StoreCall::EvacuationsWatch => Some(Topic::Evacuations),
             _ => None,
         }
     }
 
     pub(super) fn configuration(call: Call) -> Self {
         match call {
-            Call { after: Some(_), .. } => Asked::ConfigurationWatch,
-            Call { copy: true, .. } => Asked::ConfigurationCopy,
-            _ => Asked::ConfigurationList,
+            Call { after: Some(_), .. } => StoreCall::ConfigurationWatch,
+            Call { stale_ok: true, .. } => StoreCall::ConfigurationCopy,
+            _ => StoreCall::ConfigurationList,
         }
     }
 
     pub(super) fn evacuations(call: Call) -> Self {
         match call {
-            Call { after: Some(_), .. } => Asked::EvacuationsWatch,
-            Call { copy: true, .. } => Asked::EvacuationsCopy,
-            _ => Asked::EvacuationsList,
+            Call { after: Some(_), .. } => StoreCall::EvacuationsWatch,
+            Call { stale_ok: true, .. } => StoreCall::EvacuationsCopy,
+            _ => StoreCall::EvacuationsList,
         }
     }
 
     pub(super) fn backends(call: Call) -> Self {
         match call {
-            Call { after: Some(_), .. } => Asked::BackendsWatch,
-            Call { copy: true, .. } => Asked::BackendsCopy,
-            _ => Asked::BackendsList,
+            Call { after: Some(_), .. } => StoreCall::BackendsWatch,
+            Call { stale_ok: true, .. } => StoreCall::BackendsCopy,
+            _ => StoreCall::BackendsList,
         }
     }
 }
@@ -144,7 +144,7 @@
     /// revision of before, so that everything is listed again.
     pub(super) async fn ask_store<T>(
         &self,
-        asked: Asked,
+        asked: StoreCall,
         after: Option<Revision>,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
@@ -152,7 +152,7 @@
         let begun = now();
         let waits_for = asked.waits_for();
         if let Some(topic) = waits_for {
-            self.state().confirmations.note_wait(topic, after);
+            self.state().confirmations.record_watch(topic, after);
         }
         let answer = tokio::select! {
             answer = call => answer,
@@ -161,11 +161,11 @@
             () = self.found_deaf(waits_for) => Err(StoreError::Deaf),
         };
         if let Some(topic) = waits_for {
-            self.state().confirmations.note_wait(topic, None);
+            self.state().confirmations.record_watch(topic, None);
         }
         line(Weight::Routine, "store_called", |l| {
             let l = l.text("call", asked.as_str()).flag("answered", answer.is_ok());
-            let l = if let Some(after) = after { belief::revision(l, after) } else { l };
+            let l = if let Some(after) = after { belief::with_revision(l, after) } else { l };
             l.ms("after_ms", now().saturating_sub(begun))
         });
         answer
@@ -206,11 +206,11 @@
             Err(StoreError::Restored { epoch }) => (epoch, None),
             Err(e) => return Err(e),
         };
-        match (self.hear_epoch(epoch, "store"), answer) {
-            (Heard::Known | Heard::Later, Some(answer)) => Ok(answer),
-            (Heard::Odd, _) => Err(StoreError::Unavailable(format!("an answer of epoch {epoch}"))),
+        match (self.observe_epoch(epoch, "store"), answer) {
+            (EpochCheck::Current | EpochCheck::Newer, Some(answer)) => Ok(answer),
+            (EpochCheck::Rejected, _) => Err(StoreError::Unavailable(format!("an answer of epoch {epoch}"))),
             (heard, _) => {
-                if heard == Heard::Earlier {
+                if heard == EpochCheck::RolledBack {
                     self.forget_revisions();
                 }
                 Err(StoreError::Restored { epoch })
@@ -224,7 +224,7 @@
         state.backends.forget_revision();
         state.evacuations.forget_revision();
         for topic in Topic::ALL {
-            state.confirmations.note_answer(topic, None);
+            state.confirmations.record_revision(topic, None);
             self.deaf[topic as usize].notify_waiters();
         }
     }
--- a/src/relay/follow/evacuations.rs
+++ b/src/relay/follow/evacuations.rs
@@ -5,10 +5,10 @@
 
 use std::{ops::Range, sync::Arc, time::Duration};
 
-use super::{Asked, Call, GATHER, Store, StoreError, lose, regain, rest, start::is_told};
+use super::{Call, GATHER, Store, StoreCall, StoreError, lose, regain, rest, start::is_told};
 use crate::{
     logs::lines::{Weight, line},
-    relay::{Relay, Wire, confirm::Topic, contact::Contact},
+    relay::{Relay, Wire, confirm::Topic, contact::StoreRetry},
     util::now,
 };
 
@@ -21,35 +21,35 @@
         return;
     }
     is_told(&relay, TOLD, Relay::knows_evacuations).await;
-    let mut contact = Contact::new("evacuations");
+    let mut contact = StoreRetry::new("evacuations");
     let mut list = !relay.knows_evacuations();
     loop {
         let started = relay.knows_evacuations();
         if started && rest(&relay).await {
-            contact = Contact::new("evacuations");
+            contact = StoreRetry::new("evacuations");
         }
         let after = (!list).then(|| relay.state().evacuations.revision());
-        let copy = !started && !relay.is_seed();
+        let stale_ok = !started && !relay.is_seed();
         let call = Call {
             after,
             epoch: relay.epoch(),
-            patience: contact.patience(),
-            whole: true,
-            copy,
-            at_once: false,
+            timeout: contact.timeout(),
+            allow_large: true,
+            stale_ok,
+            no_wait: false,
         };
         let asked = relay.begin(call);
-        let answer = relay.ask_store(Asked::evacuations(call), after, store.evacuations(call)).await;
+        let answer = relay.ask_store(StoreCall::evacuations(call), after, store.evacuations(call)).await;
         match relay.check_epoch(answer, |update| update.revision().epoch) {
             Ok(mut update) => {
-                list = copy;
-                if copy {
-                    update.take_for_copy();
+                list = stale_ok;
+                if stale_ok {
+                    update.mark_stale();
                 }
                 regain(&mut contact);
                 relay.update_evacuations(&update, "store");
-                let revision = Some(update.revision()).filter(|_| !copy);
-                relay.note_answer(Topic::Evacuations, call, asked, revision);
+                let revision = Some(update.revision()).filter(|_| !stale_ok);
+                relay.record_answer(Topic::Evacuations, call, asked, revision);
                 if after.is_some() && now() < asked + GATHER {
                     tokio::time::sleep(GATHER).await;
                 }
--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -47,7 +47,7 @@
 
 /// What the head of a request says, as an adapter reads it.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct RequestHead {
     /// Identifier of the attempt.
     pub id: Arc<str>,
     /// Host name that the caller gives.
@@ -55,7 +55,7 @@
     /// Key, if it gives one.
     pub key: Option<Arc<str>>,
     /// How long the caller waits.
-    pub waits: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Parts of the prompt.
     pub parts: Vec<Part>,
     /// Event after which a stream shall go on.
@@ -141,7 +141,7 @@
 ) -> Response<AnswerBody> {
     let mut response = match admit(&relay, req, limits).await {
         Ok(req) => {
-            let _entered = relay.enter();
+            let _entered = relay.track_request();
             run::run(relay.clone(), req).await
         }
         Err((id, kind)) => {
@@ -185,7 +185,7 @@
 ) -> Result<Request, (Arc<str>, Kind)> {
     let arrived = now();
     let (head, body) = req.into_parts();
-    let ask = relay.wire.ask(&head);
+    let ask = relay.wire.parse_request(&head);
     let id = ask.id.clone();
     if !relay.has_run_for(START) {
         wait_for_start(relay).await;
@@ -195,8 +195,8 @@
     let Checked { version, route, caller } = checked.map_err(|kind| (id.clone(), kind))?;
     let Some(service) = route.service(relay.draw()) else { return Err((id, Kind::NoEngine)) };
     let timeout = Duration::from_millis(route.route.timeout_ms.into());
-    let deadline = arrived + ask.waits.map_or(timeout, |waits| waits.min(timeout));
-    if !relay.takes(deadline) {
+    let deadline = arrived + ask.timeout.map_or(timeout, |waits| waits.min(timeout));
+    if !relay.accepts(deadline) {
         return Err((id, Kind::Leaving));
     }
     let request = Request {
@@ -205,7 +205,7 @@
         caller,
         method: head.method.clone(),
         target: head.uri.clone(),
-        headers: relay.wire.forwarded(head.headers),
+        headers: relay.wire.forwarded_headers(head.headers),
         body,
         parts: if route.route.prompts { ask.parts } else { Vec::new() },
         after: if route.stream { ask.after } else { None },
@@ -226,7 +226,7 @@
 
 /// Finds the route and the caller. A host that may have missed a change refuses, provably not run, what it does not
 /// know, rather than telling a caller that it does not exist.
-fn check<W: Wire>(relay: &Relay<W>, ask: &Ask, head: &request::Parts) -> Result<Checked, Kind> {
+fn check<W: Wire>(relay: &Relay<W>, ask: &RequestHead, head: &request::Parts) -> Result<Checked, Kind> {
     let Some(routes) = relay.routes() else { return Err(Kind::NotReady) };
     let version = routes.version();
     let or_stale = |kind| if relay.is_stale() { Kind::NotReady } else { kind };
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -46,7 +46,7 @@
 const SETTLE: Duration = Duration::from_millis(20);
 
 /// Sends beats, at the period or sooner when there is something to tell.
-pub async fn send_beats<W: Wire>(relay: Arc<Relay<W>>, socket: Arc<UdpSocket>) {
+pub async fn send_heartbeats<W: Wire>(relay: Arc<Relay<W>>, socket: Arc<UdpSocket>) {
     loop {
         send_to(&relay, &socket, relay.targets()).await;
         let due = tokio::time::Instant::now() + relay.state().peers.period();
@@ -87,7 +87,7 @@
 }
 
 /// Takes beats in.
-pub async fn hear_beats<W: Wire>(relay: Arc<Relay<W>>, socket: Arc<UdpSocket>) {
+pub async fn receive_heartbeats<W: Wire>(relay: Arc<Relay<W>>, socket: Arc<UdpSocket>) {
     let mut buf = vec![0; MOST_BYTES + 1];
     loop {
         let (n, from) = match socket.recv_from(&mut buf).await {
@@ -118,20 +118,20 @@
 }
 
 /// Does the housekeeping, and notices when the host was suspended.
-pub async fn keep_house<W: Wire>(relay: Arc<Relay<W>>) {
+pub async fn run_maintenance<W: Wire>(relay: Arc<Relay<W>>) {
     let mut last = now();
     loop {
         tokio::time::sleep(TICK).await;
         let slept = now().saturating_sub(std::mem::replace(&mut last, now()));
         if slept > SUSPENDED {
-            relay.wake(slept);
+            relay.on_resume_from_suspend(slept);
         }
-        relay.tick();
+        relay.run_housekeeping();
     }
 }
 
 /// Fetches what other hosts have had for a while and this one lacks.
-pub async fn keep_up<W: Wire>(relay: Arc<Relay<W>>) {
+pub async fn fetch_updates<W: Wire>(relay: Arc<Relay<W>>) {
     let (mut wants_held, mut wants_whole, mut at_once) = (true, false, false);
     loop {
         // What a peer tells wakes this up; a pause keeps a run of changes to one fetch.
@@ -184,7 +184,7 @@
 fn take<W: Wire>(relay: &Relay<W>, peer: SocketAddr, fetched: Fetched) -> bool {
     let from = peer.to_string();
     let changes = fetched.configuration_changes.as_ref();
-    let wants_whole = changes.is_some_and(|changes| relay.change_configuration(changes, &from));
+    let wants_whole = changes.is_some_and(|changes| relay.apply_configuration_changes(changes, &from));
     if let Some(cfg) = fetched.configuration {
         relay.set_configuration(cfg, &from);
     }
@@ -242,7 +242,7 @@
         let mut state = relay.state();
         let routes = state.routes.clone().filter(|r| r.version() > ask.configuration);
         let configuration_changes =
-            routes.as_ref().and_then(|_| state.configurations.changes_since(ask.configuration));
+            routes.as_ref().and_then(|_| state.configurations.diff_from(ask.configuration));
         let whole = routes.filter(|_| configuration_changes.is_none());
         let known = ask.backends_as_of();
         let newer = state.listed && state.backends.revision() > known;
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 
 use super::{
-    Read, Refusal, Relay, Sending, Wire, Work,
+    AttemptContext, Refusal, Relay, ResponseHead, Wire, Work,
     admission::{Refused, late_retry_delay},
     answer::AnswerBody,
     backends::BackendKey,
@@ -42,14 +42,14 @@
 /// The head of an answer, its body and what it holds.
 pub(crate) struct Answered<W: Wire> {
     pub(crate) head: response::Parts,
-    pub(crate) read: Read,
+    pub(crate) read: ResponseHead,
     pub(crate) body: Incoming,
     pub(crate) conn: Conn,
     pub(crate) work: Work<W>,
 }
 
 /// An attempt without an answer.
-pub(crate) enum Gone {
+pub(crate) enum AttemptError {
     /// It was made and failed.
     Failed((Failure, BackendKey)),
     /// There is no server to send it to.
@@ -65,7 +65,7 @@
     /// When the attempt in progress was begun.
     pub(crate) sent: Instant,
     /// Attempts that were begun, the one in progress included.
-    pub(crate) begun: u32,
+    pub(crate) attempts_started: u32,
     /// What became of the request, once that is settled.
     pub(crate) outcome: Option<Outcome>,
 }
@@ -78,7 +78,7 @@
         let took = now() - self.req.arrived;
         if outcome == Outcome::CallerLeft {
             self.relay.note(Weight::Notable, "caller_left", &self.req, |l| {
-                l.ms("after_ms", took).number("attempts", self.begun)
+                l.ms("after_ms", took).number("attempts", self.attempts_started)
             });
         }
         let metrics = &self.relay.metrics;
@@ -91,7 +91,8 @@
 pub async fn run<W: Wire>(relay: Arc<Relay<W>>, req: Request) -> Response<AnswerBody> {
     let req = Arc::new(req);
     let tries = Attempts::new(req.route.repeatable, req.route.route.attempts, req.deadline);
-    let mut run = Run { relay, req, tries, tried: Vec::new(), sent: now(), begun: 0, outcome: None };
+    let mut run =
+        Run { relay, req, tries, tried: Vec::new(), sent: now(), attempts_started: 0, outcome: None };
     if run.relay.refuses(&run.req) {
         return run.give_up(Kind::Quarantined, None);
     }
@@ -116,8 +117,8 @@
                     Ok(response) => return response,
                     Err(failed) => failed,
                 },
-                Err(Gone::Failed(failed)) => failed,
-                Err(Gone::NoServer(kind)) => return self.give_up(kind, None),
+                Err(AttemptError::Failed(failed)) => failed,
+                Err(AttemptError::NoServer(kind)) => return self.give_up(kind, None),
             };
             if let Err(stop) = self.fail(failure, key).await {
                 return self.give_up(kind(failure, stop), Some(failure));
@@ -153,7 +154,7 @@
             Ok(()) => relay.metrics.add(Counter::RelayRetries, failure.as_str(), 1),
             Err(stop) => relay.metrics.add(Counter::RelayStops, stop.as_str(), 1),
         }
-        let backend = relay.id_of(key);
+        let backend = relay.backend_id(key);
         relay.note(Weight::Notable, "attempt_failed", &req, |l| {
             let l = l.text("failure", failure.as_str()).text("backend", backend.as_deref().unwrap_or("gone"));
             let l = l.number("attempt", self.tries.made()).ms("after_ms", now() - req.arrived);
@@ -166,12 +167,12 @@
         self.tried.push(key);
         let now = now();
         match failure {
-            Failure::Moved => self.relay.lose(key, "another server answers at its address"),
+            Failure::Moved => self.relay.mark_backend_gone(key, "another server answers at its address"),
             Failure::Connect | Failure::Silent => {
                 if failure == Failure::Silent {
                     self.relay.note_waited(&self.req, self.sent);
                 }
-                self.relay.avoid(key, failure.as_str());
+                self.relay.avoid_backend(key, failure.as_str());
                 self.relay.pool.clear(key);
             }
             Failure::Unsent => {}
@@ -188,7 +189,7 @@
         match Conn::connect(addr, self.req.left(now())).await {
             Ok(conn) => self.relay.keep(key, conn, None),
             Err(_) => {
-                self.relay.note_crash(key);
+                self.relay.record_crash(key);
                 let crashes = self.relay.state().suspects.record_crash(now(), self.req.fingerprint());
                 self.relay.note(Weight::Notable, "suspected", &self.req, |l| l.number("crashes", crashes));
             }
@@ -196,33 +197,34 @@
     }
 
     /// Makes one attempt, up to the head of the answer.
-    pub(crate) async fn attempt(&mut self, after: Option<EventNumber>) -> Result<Answered<W>, Gone> {
-        let choice = self.relay.choose(&self.req, &self.tried).map_err(Gone::NoServer)?;
+    pub(crate) async fn attempt(&mut self, after: Option<EventNumber>) -> Result<Answered<W>, AttemptError> {
+        let choice = self.relay.choose(&self.req, &self.tried).map_err(AttemptError::NoServer)?;
         let key = choice.key;
-        self.begun += 1;
+        self.attempts_started += 1;
         self.sent = now();
         let work = Work::start(&self.relay, key);
-        let (mut conn, result) = self.send(&choice, after).await.map_err(|f| Gone::Failed((f, key)))?;
+        let (mut conn, result) =
+            self.send(&choice, after).await.map_err(|f| AttemptError::Failed((f, key)))?;
         let (head, body) = match result {
             Ok(response) => response.into_parts(),
             Err(failure) => {
                 conn.close();
-                return Err(Gone::Failed((failure, key)));
+                return Err(AttemptError::Failed((failure, key)));
             }
         };
-        let read = self.relay.wire.read(&self.req, &head);
-        if let Some(told) = read.told {
+        let read = self.relay.wire.parse_response(&self.req, &head);
+        if let Some(told) = read.load {
             self.relay.note_told(&self.req.service, told);
         }
-        self.relay.hear_backend(&self.req, key, &read);
+        self.relay.apply_server_notices(&self.req, key, &read);
         if let Some(failure) = read.failure {
             if matches!(failure, Failure::Refused | Failure::Moved) && !read.closes {
-                self.recycle(body, conn, key, read.keeps).await;
+                self.recycle(body, conn, key, read.keep_alive).await;
             }
-            return Err(Gone::Failed((failure, key)));
+            return Err(AttemptError::Failed((failure, key)));
         }
         conn.reused = true;
-        self.relay.note_read(&self.req, key);
+        self.relay.record_prompt_parts(&self.req, key);
         Ok(Answered { head, read, body, conn, work })
     }
 
@@ -255,8 +257,8 @@
             if left.is_zero() {
                 return Err(Failure::Unsent);
             }
-            let sending = Sending { backend: &id, left, after, fetch_from: from };
-            let req = self.relay.wire.attempt(&self.req, &sending);
+            let sending = AttemptContext { backend: &id, left, after, fetch_from: from };
+            let req = self.relay.wire.backend_request(&self.req, &sending);
             self.note_sent(choice, &id, stale);
             let reused = conn.reused;
             let result = self.wait(&mut conn, req).await;
@@ -293,7 +295,7 @@
     ) -> Result<Response<Incoming>, Failure> {
         let head = conn.send(req);
         tokio::pin!(head);
-        let (limit, over) = self.limit(self.patience());
+        let (limit, over) = self.wait_limit(self.silence_timeout());
         let started = now();
         let result = match tokio::time::timeout(limit, &mut head).await {
             Ok(result) => result.map_err(|(failure, _)| failure),
@@ -305,16 +307,16 @@
     }
 
     /// How long to wait with this patience, and what has happened when that time is over.
-    pub(crate) fn limit(&self, patience: Option<Duration>) -> (Duration, Failure) {
+    pub(crate) fn wait_limit(&self, silence_timeout: Option<Duration>) -> (Duration, Failure) {
         let left = self.req.left(now());
-        match patience {
-            Some(patience) if patience < left => (patience, Failure::Silent),
+        match silence_timeout {
+            Some(silence_timeout) if silence_timeout < left => (silence_timeout, Failure::Silent),
             _ => (left, Failure::Late),
         }
     }
 
     /// How long to wait for a server that says nothing; `None`: until the deadline.
-    pub(crate) fn patience(&self) -> Option<Duration> {
+    pub(crate) fn silence_timeout(&self) -> Option<Duration> {
         let others = self.relay.state().accepting(now(), &self.req.service).count() > self.tried.len() + 1;
         let may =
             self.req.route.repeatable && others && self.tries.made() + 1 < self.req.route.route.attempts;
@@ -335,7 +337,7 @@
             Err(_) => return Err((Failure::Late, key)),
         };
         if !read.closes {
-            self.relay.keep(key, conn, read.keeps);
+            self.relay.keep(key, conn, read.keep_alive);
         }
         drop(work);
         if head.status.is_server_error() && self.may_repeat_error() {
@@ -350,7 +352,7 @@
             }
         } else if head.status.is_success() {
             self.relay.note_waited(&self.req, self.sent);
-            self.relay.trust(key);
+            self.relay.record_backend_success(key);
         }
         Ok(self.deliver(head, bytes))
     }
@@ -363,9 +365,9 @@
         self.outcome = Some(Outcome::Answered);
         self.relay.note(Weight::Routine, "answered", &self.req, |l| {
             let l = l.number("status", head.status.as_u16()).number("bytes", bytes.len() as u64);
-            l.ms("after_ms", now() - self.req.arrived).number("attempts", self.begun)
+            l.ms("after_ms", now() - self.req.arrived).number("attempts", self.attempts_started)
         });
-        self.relay.wire.pass(head, AnswerBody::Whole(bytes))
+        self.relay.wire.caller_response(head, AnswerBody::Whole(bytes))
     }
 
     /// The answer to a request that is not sent, since its service has as much work as it can finish in time.
--- a/src/relay/stop.rs
+++ b/src/relay/stop.rs
@@ -22,9 +22,9 @@
     }
 
     /// Whether a request that ends at `deadline` can still be taken.
-    pub fn takes(&self, deadline: Instant) -> bool {
+    pub fn accepts(&self, deadline: Instant) -> bool {
         let open = !*self.closing.borrow();
-        open && self.state().leaving.is_none_or(|l| l.takes(now(), deadline))
+        open && self.state().leaving.is_none_or(|l| l.accepts(now(), deadline))
     }
 
     /// Takes no more requests and closes the connections of callers as they become idle. From here on a request that
@@ -55,7 +55,7 @@
     }
 
     /// Counts a request in progress until the guard is dropped.
-    pub fn enter(self: &Arc<Self>) -> Entered<W> {
+    pub fn track_request(self: &Arc<Self>) -> Entered<W> {
         self.state().in_progress += 1;
         Entered(self.clone())
     }
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -11,10 +11,10 @@
     Wire,
     answer::{AnswerBody, Cut},
     backends::BackendKey,
-    events::{Splitter, Whole},
+    events::{CompleteEvents, Splitter},
     outcome::Outcome,
     request::EventNumber,
-    run::{Answered, Gone, Run},
+    run::{Answered, AttemptError, Run},
     verdict::Failure,
 };
 use crate::{
@@ -79,7 +79,7 @@
         resumed: false,
         ended: false,
     };
-    let limit = run.limit(run.patience());
+    let limit = run.wait_limit(run.silence_timeout());
     match events.read(run, limit).await {
         Ok(Next::Events(bytes)) => {
             run.relay.metrics.record(Latency::FirstEvent, "stream", now() - run.req.arrived);
@@ -102,7 +102,7 @@
     events: Events<W>,
 ) -> Response<AnswerBody> {
     let relay = run.relay.clone();
-    let guard = relay.enter();
+    let guard = relay.track_request();
     let body = unfold((run, events, first, guard), |(mut run, mut events, first, guard)| async move {
         if let Some(bytes) = first {
             return Some((Ok(bytes), (run, events, None, guard)));
@@ -110,7 +110,7 @@
         let item = events.next(&mut run).await?;
         Some((item, (run, events, None, guard)))
     });
-    relay.wire.pass(head, AnswerBody::Events(Box::pin(body)))
+    relay.wire.caller_response(head, AnswerBody::Events(Box::pin(body)))
 }
 
 impl<W: Wire> Events<W> {
@@ -120,7 +120,7 @@
         }
         loop {
             let pause = run.req.route.repeatable.then_some(PAUSE);
-            let limit = run.limit(pause);
+            let limit = run.wait_limit(pause);
             let failure = match self.read(run, limit).await {
                 Ok(Next::Events(bytes)) => return Some(Ok(bytes)),
                 Ok(Next::End) => return None,
@@ -158,8 +158,8 @@
                     return true;
                 }
                 Ok(answered) => (failure, key) = (Failure::Errored, answered.work.key),
-                Err(Gone::Failed(failed)) => (failure, key) = failed,
-                Err(Gone::NoServer(_)) => return false,
+                Err(AttemptError::Failed(failed)) => (failure, key) = failed,
+                Err(AttemptError::NoServer(_)) => return false,
             }
         }
         false
@@ -190,7 +190,7 @@
 
     /// Guards against a server that goes on at another event than asked: the caller would miss events or read some
     /// twice.
-    fn accept(&mut self, whole: Whole) -> Result<Bytes, Failure> {
+    fn accept(&mut self, whole: CompleteEvents) -> Result<Bytes, Failure> {
         if std::mem::take(&mut self.resumed) && self.last.is_some() && whole.first != self.last.map(|n| n + 1)
         {
             return Err(Failure::Garbled);
@@ -207,13 +207,13 @@
         run.outcome = Some(Outcome::Answered);
         if let Some(answered) = self.answered.take() {
             let key = answered.work.key;
-            run.relay.trust(key);
+            run.relay.record_backend_success(key);
             if !answered.read.closes {
-                run.relay.keep(key, answered.conn, answered.read.keeps);
+                run.relay.keep(key, answered.conn, answered.read.keep_alive);
             }
         }
         run.relay.note(Weight::Routine, "answered", &run.req, |l| {
-            let l = l.number("events", self.last.unwrap_or(0)).number("attempts", run.begun);
+            let l = l.number("events", self.last.unwrap_or(0)).number("attempts", run.attempts_started);
             l.ms("after_ms", now() - run.req.arrived)
         });
         Ok(Next::End)
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -5,8 +5,8 @@
 use super::{
     Relay, State, Wire,
     confirm::Topic,
-    datagram::Fault,
-    followers::Contact,
+    datagram::DropReason,
+    followers::FollowState,
     peers::{Own, Scope},
 };
 use crate::{
@@ -53,15 +53,15 @@
             backends: own.backends.number,
             backends_epoch: own.backends.epoch,
             backends_digest: own.digest,
-            follows_store: state.contact == Contact::Follows,
-            lost_store: state.contact == Contact::Lost,
+            follows_store: state.contact == FollowState::Follows,
+            lost_store: state.contact == FollowState::Lost,
             in_progress,
             held: state.news.drain(..told).collect(),
             avoided,
             suspects: state.suspects.recent(now),
-            evacuations: state.evacuations.told(now),
+            evacuations: state.evacuations.snapshot(now),
             left: state.backends.recently_leaving(now),
-            confirmed: Some(state.confirmations.told(now)),
+            confirmed: Some(state.confirmations.summary(now)),
             ..Beat::default()
         };
         state.peers.number(&mut beat, &self.cfg.me, full);
@@ -78,14 +78,14 @@
     ///
     /// # Errors
     /// When it has come before, or later than a newer one.
-    pub(crate) fn hear(&self, from: SocketAddr, beat: &Beat) -> Result<bool, Fault> {
+    pub(crate) fn hear(&self, from: SocketAddr, beat: &Beat) -> Result<bool, DropReason> {
         let now = now();
         let mut state = self.state();
         let own = state.own();
         let beat = &trusted(&state, beat);
         let heard = state.peers.hear(now, from, beat, own);
         if heard.old {
-            return Err(Fault::Old);
+            return Err(DropReason::Old);
         }
         if state.peers.is_any_ahead(now, own) {
             self.behind.notify_one();
@@ -98,10 +98,10 @@
         state.suspects.merge(now, &beat.suspects);
         state.treat_avoided_as_cold(now, &beat.avoided);
         let left = state.backends.apply_leaving(now, &beat.left);
-        self.note_changes(&mut state, &left, &from.to_string());
+        self.on_backend_changes(&mut state, &left, &from.to_string());
         if let Some(told) = &beat.evacuations {
-            let changes = state.evacuations.hear(now, told);
-            self.note_evacuations(&mut state, &changes, &from.to_string());
+            let changes = state.evacuations.merge(now, told);
+            self.on_evacuation_changes(&mut state, &changes, &from.to_string());
         }
         if heard.joined {
             line(Weight::Notable, "peer", |l| {
@@ -126,7 +126,7 @@
     pub(crate) fn learn_left(&self, starts: &[Start], from: &str) {
         let mut state = self.state();
         let changes = state.backends.apply_leaving_starts(now(), starts);
-        self.note_changes(&mut state, &changes, from);
+        self.on_backend_changes(&mut state, &changes, from);
     }
 
     /// Takes in holders of prompt parts that another host told.
@@ -152,20 +152,20 @@
     let is_known = |e: &Evacuations| e.epoch == known.epoch && e.as_of() <= known;
     let mut news = false;
     if beat.configuration <= own.configuration {
-        news |= state.confirmations.hear(sent, Topic::Configuration, told);
+        news |= state.confirmations.merge(sent, Topic::Configuration, told);
     }
     if is_passed || is_same {
-        news |= state.confirmations.hear(sent, Topic::Backends, told);
+        news |= state.confirmations.merge(sent, Topic::Backends, told);
     }
     if beat.evacuations.as_ref().is_some_and(is_known) {
-        news |= state.confirmations.hear(sent, Topic::Evacuations, told);
+        news |= state.confirmations.merge(sent, Topic::Evacuations, told);
     }
     news && beat.centre.is_some()
 }
 
 /// A beat without what it tells as of an epoch that can't be the store's: its sender would seem to be ahead for good.
 fn trusted<'a>(state: &State, beat: &'a Beat) -> Cow<'a, Beat> {
-    let is_true = |epoch| state.epochs.trusts(epoch);
+    let is_true = |epoch| state.epochs.is_plausible(epoch);
     if is_true(beat.backends_epoch) && beat.evacuations.as_ref().is_none_or(|told| is_true(told.epoch)) {
         return Cow::Borrowed(beat);
     }
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -9,7 +9,7 @@
 use super::{
     admission::ReportedLoad,
     answer::AnswerBody,
-    inbound::Ask,
+    inbound::RequestHead,
     request::{EventNumber, Request},
     verdict::Failure,
 };
@@ -17,7 +17,7 @@
 
 /// What an attempt tells its backend server beside the request itself.
 #[derive(Clone, Copy, Debug)]
-pub struct Sending<'a> {
+pub struct AttemptContext<'a> {
     /// Identifier of the server that is meant.
     pub backend: &'a str,
     /// Time that is left.
@@ -30,17 +30,17 @@
 
 /// What the head of a backend server's answer says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Read {
+pub struct ResponseHead {
     /// Why it is not the answer, if it isn't.
     pub failure: Option<Failure>,
     /// How long it keeps an idle connection, if it tells.
-    pub keeps: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     /// Whether it closes the connection after this answer.
     pub closes: bool,
     /// The work at the server, if it tells.
-    pub told: Option<ReportedLoad>,
+    pub load: Option<ReportedLoad>,
     /// Whether the server says that it leaves.
-    pub leaves: bool,
+    pub leaving: bool,
     /// For how long it wants nothing from this host, if it has turned the request away and tells so.
     pub pause: Option<Duration>,
 }
@@ -59,19 +59,19 @@
 /// Translates between the pipeline and one interface.
 pub trait Wire: Send + Sync + 'static {
     /// Reads the head of a request.
-    fn ask(&self, head: &request::Parts) -> Ask;
+    fn parse_request(&self, head: &request::Parts) -> RequestHead;
 
     /// The headers of a request that are passed on.
-    fn forwarded(&self, headers: HeaderMap) -> HeaderMap;
+    fn forwarded_headers(&self, headers: HeaderMap) -> HeaderMap;
 
     /// The request as a backend server takes it.
-    fn attempt(&self, req: &Request, sending: &Sending<'_>) -> http::Request<Full<Bytes>>;
+    fn backend_request(&self, req: &Request, sending: &AttemptContext<'_>) -> http::Request<Full<Bytes>>;
 
     /// Reads the head of a backend server's answer.
-    fn read(&self, req: &Request, head: &response::Parts) -> Read;
+    fn parse_response(&self, req: &Request, head: &response::Parts) -> ResponseHead;
 
     /// Head and body of an answer with headers that only concern one connection taken out.
-    fn pass(&self, head: response::Parts, body: AnswerBody) -> Response<AnswerBody>;
+    fn caller_response(&self, head: response::Parts, body: AnswerBody) -> Response<AnswerBody>;
 
     /// The answer to a request that is given up.
     fn refuse(&self, refusal: &Refusal) -> Response<AnswerBody>;
--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -9,12 +9,12 @@
 use cranberrytally::{
     metrics::{Counter, Gauge, Latency},
     relay::{
-        belief::Said,
-        datagram::Fault,
-        follow::Asked,
+        belief::ServerNotice,
+        datagram::DropReason,
+        follow::StoreCall,
         outcome::Outcome,
         place::Reason,
-        revision::Heard,
+        revision::EpochCheck,
         stream::After,
         verdict::{Failure, Stop},
     },
@@ -75,10 +75,10 @@
         (Counter::RelayStops, names(&Stop::ALL, |s| s.as_str())),
         (Counter::RelayPlacements, names(&Reason::ALL, |w| w.as_str())),
         (Counter::RelayStreams, names(&After::ALL, |a| a.as_str())),
-        (Counter::RelayStoreCalls, names(&Asked::ALL, |a| a.as_str())),
-        (Counter::RelayDatagrams, names(&Fault::ALL, |f| f.as_str())),
-        (Counter::RelayTold, names(&Said::ALL, |t| t.as_str())),
-        (Counter::RelayEpochs, names(&Heard::COUNTED, |h| h.as_str())),
+        (Counter::RelayStoreCalls, names(&StoreCall::ALL, |a| a.as_str())),
+        (Counter::RelayDatagrams, names(&DropReason::ALL, |f| f.as_str())),
+        (Counter::RelayTold, names(&ServerNotice::ALL, |t| t.as_str())),
+        (Counter::RelayEpochs, names(&EpochCheck::COUNTED, |h| h.as_str())),
     ];
     for (counter, expected) in values {
         let heading = format!("\n### `{}_total`", counter.shown().name);
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -24,10 +24,10 @@
     Call {
         after: after.map(rev),
         epoch: 0,
-        patience: Duration::from_secs(2),
-        whole: true,
-        copy: false,
-        at_once: false,
+        timeout: Duration::from_secs(2),
+        allow_large: true,
+        stale_ok: false,
+        no_wait: false,
     }
 }
 
@@ -145,7 +145,7 @@
     let page = format!(r#"{{"items":[{}],"hasMore":true,"currentRev":9}}"#, server("i-1", "ready"));
     let (mut store, server) = store(vec![reply("200 OK", &page)]).await;
 
-    let e = store.backends(Call { whole: false, ..call(None) }).await.unwrap_err();
+    let e = store.backends(Call { allow_large: false, ..call(None) }).await.unwrap_err();
 
     assert_eq!(e, StoreError::Long);
     assert_eq!(server.seen().len(), 1);
@@ -165,10 +165,10 @@
         reply("200 OK", &configurations),
     ];
     let (mut store, server) = store(acts).await;
-    let copy = Call { copy: true, ..call(None) };
+    let stale_ok = Call { stale_ok: true, ..call(None) };
 
-    store.backends(copy).await.unwrap();
-    store.configuration(copy).await.unwrap();
+    store.backends(stale_ok).await.unwrap();
+    store.configuration(stale_ok).await.unwrap();
 
     let seen = server.seen();
     let targets: Vec<_> = seen.iter().map(|r| target(r)).collect();
@@ -187,7 +187,7 @@
     assert!(page.len() > 64 << 10);
     let (mut store, _) = store(vec![reply("200 OK", &page)]).await;
 
-    let e = store.backends(Call { whole: false, copy: true, ..call(None) }).await.unwrap_err();
+    let e = store.backends(Call { allow_large: false, stale_ok: true, ..call(None) }).await.unwrap_err();
 
     assert_eq!(e, StoreError::Long);
 }
@@ -203,8 +203,8 @@
     );
     let (mut store, server) = store(vec![reply("200 OK", &page)]).await;
 
-    let first = store.configuration(Call { whole: false, copy: true, ..call(None) }).await;
-    let second = store.configuration(Call { copy: true, ..call(None) }).await;
+    let first = store.configuration(Call { allow_large: false, stale_ok: true, ..call(None) }).await;
+    let second = store.configuration(Call { stale_ok: true, ..call(None) }).await;
 
     assert!(matches!(first, Err(StoreError::Large { bytes }) if bytes > 70 << 10), "{first:?}");
     assert_eq!(second.unwrap().1.map(|cfg| cfg.version), Some(7));
@@ -217,18 +217,18 @@
 async fn an_answer_that_has_begun_is_waited_for() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut store = StoreClient::new(listener.local_addr().unwrap());
-    let patience = Duration::from_millis(200);
+    let timeout = Duration::from_millis(200);
     let answering = async {
         let (mut stream, _) = listener.accept().await.unwrap();
         wire::read_request(&mut stream).await.unwrap();
         let body = format!(r#"{{"items":[{}],"hasMore":false,"currentRev":9}}"#, server("i-1", "ready"));
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         stream.write_all(head.as_bytes()).await.unwrap();
-        tokio::time::sleep(patience * 2).await;
+        tokio::time::sleep(timeout * 2).await;
         stream.write_all(body.as_bytes()).await.unwrap();
     };
 
-    let (update, ()) = tokio::join!(store.backends(Call { patience, ..call(None) }), answering);
+    let (update, ()) = tokio::join!(store.backends(Call { timeout, ..call(None) }), answering);
 
     assert!(matches!(update, Ok(BackendsUpdate::List(_))), "{update:?}");
 }
@@ -411,11 +411,11 @@
             vec!["PUT /objects/hosts/a+1", "POST /objects/hosts"],
         ),
     ];
-    let hosts = Hosts { some: vec![member()], count: 59 };
+    let hosts = Hosts { sample: vec![member()], count: 59 };
     for (name, acts, expected) in cases {
         let (mut store, server) = store(acts).await;
 
-        store.enter("a 1", &hosts).await.unwrap();
+        store.register_hosts("a 1", &hosts).await.unwrap();
 
         let seen: Vec<_> =
             server.seen().iter().map(|r| r.split(" HTTP").next().unwrap().to_owned()).collect();
@@ -423,7 +423,7 @@
         assert!(server.seen()[0].contains("10.0.0.1:7000") && server.seen()[0].contains("59"));
     }
     let (mut store, _) = store(vec![reply("503 Service Unavailable", "{}")]).await;
-    store.enter("a 1", &hosts).await.unwrap_err();
+    store.register_hosts("a 1", &hosts).await.unwrap_err();
 }
 
 /// The hosts that are entered are read from an old copy, which costs a tenth. An entry that can't be read spoils no other.
@@ -438,7 +438,7 @@
 
     let hosts = store.hosts().await.unwrap();
 
-    assert_eq!(hosts, Hosts { some: vec![member()], count: 59 });
+    assert_eq!(hosts, Hosts { sample: vec![member()], count: 59 });
     assert_eq!(target(&server.seen()[0]), "/objects/hosts?staleOk=1");
 }
 
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -7,7 +7,7 @@
     relay::{
         Relay,
         backends::{Backends, Change},
-        contact::Contact,
+        contact::StoreRetry,
         evacuations::Update,
         follow::{self, BackendsUpdate, Call, Hosts, Store, StoreError},
         pool,
@@ -49,12 +49,12 @@
 #[test]
 fn entries_that_lapsed_count_until_their_servers_could_have_written_again() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut contact = Contact::new("backends");
+    let mut contact = StoreRetry::new("backends");
     let mut backends = Backends::default();
     backends.apply_list(s(0), &list(5, &["lives", "gone"]), None);
-    contact.failed(s(1), false, &mut rng);
+    contact.record_failure(s(1), false, &mut rng);
 
-    let (away, grace) = contact.answered(s(9));
+    let (away, grace) = contact.record_answer(s(9));
     let changes = backends.apply_list(s(9), &list(9, &["lives"]), grace);
 
     assert_eq!(away, Some(s(8)));
@@ -70,13 +70,13 @@
 #[test]
 fn an_entry_that_is_removed_later_counts_as_gone_at_once() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut contact = Contact::new("backends");
+    let mut contact = StoreRetry::new("backends");
     let mut backends = Backends::default();
     backends.apply_list(s(0), &list(5, &["a", "b"]), None);
-    contact.failed(s(1), false, &mut rng);
-    contact.answered(s(9));
+    contact.record_failure(s(1), false, &mut rng);
+    contact.record_answer(s(9));
 
-    let (_, grace) = contact.answered(s(13));
+    let (_, grace) = contact.record_answer(s(13));
     let changes = backends.apply_changes(s(13), rev(12), &[], &["b".into()], grace);
 
     assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Leaving]);
@@ -93,11 +93,11 @@
     let starts = (0..6).map(|n| Duration::from_millis(90 * n));
 
     let calls_after_return = starts.map(|start| {
-        let mut contact = Contact::new("configuration");
+        let mut contact = StoreRetry::new("configuration");
         let mut at = start;
         while at < back {
-            at += contact.patience();
-            at += contact.failed(at, true, &mut rng).wait;
+            at += contact.timeout();
+            at += contact.record_failure(at, true, &mut rng).wait;
         }
         at
     });
@@ -111,19 +111,19 @@
 #[test]
 fn a_slow_store_is_given_more_time_with_each_call() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut contact = Contact::new("configuration");
-    let first = contact.patience();
+    let mut contact = StoreRetry::new("configuration");
+    let first = contact.timeout();
 
-    contact.failed(s(1), true, &mut rng);
-    contact.failed(s(2), true, &mut rng);
-    contact.failed(s(3), false, &mut rng);
-    contact.answered(s(4));
+    contact.record_failure(s(1), true, &mut rng);
+    contact.record_failure(s(2), true, &mut rng);
+    contact.record_failure(s(3), false, &mut rng);
+    contact.record_answer(s(4));
 
-    assert_eq!(contact.patience(), first * 4, "a refusal or an answer changes nothing");
+    assert_eq!(contact.timeout(), first * 4, "a refusal or an answer changes nothing");
     for n in 0..9 {
-        contact.failed(s(5 + n), true, &mut rng);
+        contact.record_failure(s(5 + n), true, &mut rng);
     }
-    assert_eq!(contact.patience(), s(2));
+    assert_eq!(contact.timeout(), s(2));
 }
 
 /// A store that fails once and then answers; it tells with which revision it is asked.
@@ -154,12 +154,12 @@
         pending().await
     }
 
-    async fn enter(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
+    async fn register_hosts(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
         Ok(())
     }
 
     async fn hosts(&mut self) -> Result<Hosts, StoreError> {
-        Ok(Hosts { some: Vec::new(), count: 100 })
+        Ok(Hosts { sample: Vec::new(), count: 100 })
     }
 }
 
@@ -191,7 +191,7 @@
         calls.recv().await;
     }
 
-    relay.wake(s(4));
+    relay.on_resume_from_suspend(s(4));
     let stale = relay.is_stale();
     let after = calls.recv().await;
 
@@ -215,7 +215,7 @@
         self.0.send(call).unwrap();
         match call.after {
             Some(_) => pending().await,
-            None if call.whole => Ok(BackendsUpdate::List(list(5, &["a"]))),
+            None if call.allow_large => Ok(BackendsUpdate::List(list(5, &["a"]))),
             None => Err(StoreError::Long),
         }
     }
@@ -224,12 +224,12 @@
         pending().await
     }
 
-    async fn enter(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
+    async fn register_hosts(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
         Ok(())
     }
 
     async fn hosts(&mut self) -> Result<Hosts, StoreError> {
-        Ok(Hosts { some: Vec::new(), count: 100 })
+        Ok(Hosts { sample: Vec::new(), count: 100 })
     }
 }
 
@@ -254,8 +254,8 @@
     let seeds = [seeds_calls.recv().await.unwrap(), seeds_calls.recv().await.unwrap()];
 
     tasks.iter().for_each(|task| task.abort());
-    assert_eq!(((first.after, first.whole), second.after), ((None, false), Some(rev(7))));
-    assert_eq!(seeds.map(|call| (call.after, call.whole)), [(None, false), (None, true)]);
+    assert_eq!(((first.after, first.allow_large), second.after), ((None, false), Some(rev(7))));
+    assert_eq!(seeds.map(|call| (call.after, call.allow_large)), [(None, false), (None, true)]);
 }
 
 /// A store whose configuration is long; it tells how it is asked.
@@ -269,7 +269,7 @@
         self.0.send(call).unwrap();
         match call {
             Call { after: Some(_), .. } => pending().await,
-            Call { whole: false, .. } => Err(StoreError::Large { bytes: 1_000_000 }),
+            Call { allow_large: false, .. } => Err(StoreError::Large { bytes: 1_000_000 }),
             _ => Ok((rev(5), Some(fleet::Configuration { version: 3, ..fleet::Configuration::default() }))),
         }
     }
@@ -282,12 +282,12 @@
         pending().await
     }
 
-    async fn enter(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
+    async fn register_hosts(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
         Ok(())
     }
 
     async fn hosts(&mut self) -> Result<Hosts, StoreError> {
-        Ok(Hosts { some: Vec::new(), count: 100 })
+        Ok(Hosts { sample: Vec::new(), count: 100 })
     }
 }
 
@@ -318,12 +318,15 @@
     let tolds_next = tolds.recv().await.unwrap();
 
     tasks.iter().for_each(|task| task.abort());
-    let asked = |calls: [Call; 2]| calls.map(|call| (call.whole, call.copy));
+    let asked = |calls: [Call; 2]| calls.map(|call| (call.allow_large, call.stale_ok));
     assert_eq!(asked(first), [(false, false), (true, false)], "a seed");
     assert_eq!(asked(last), [(false, true), (true, true)], "a host that nobody told");
-    assert_eq!((tolds_first.whole, tolds_first.copy), (false, true));
+    assert_eq!((tolds_first.allow_large, tolds_first.stale_ok), (false, true));
     assert_eq!(told.routes().unwrap().version(), 4);
-    assert!(tolds_next.whole && !tolds_next.copy, "it follows the store itself now: {tolds_next:?}");
+    assert!(
+        tolds_next.allow_large && !tolds_next.stale_ok,
+        "it follows the store itself now: {tolds_next:?}"
+    );
 }
 
 /// A store that answers lists, lets watches of the configuration wait, and ends those of the servers at once.
@@ -355,7 +358,7 @@
         pending().await
     }
 
-    async fn enter(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
+    async fn register_hosts(&mut self, _: &str, _: &Hosts) -> Result<(), StoreError> {
         Ok(())
     }
 
@@ -371,9 +374,9 @@
     let relay = Arc::new(Relay::new(relay_config("host-1"), PlatformWire).unwrap());
     let before = relay.is_stale();
     let following = tokio::spawn(follow::follow_configuration(relay.clone(), Calm));
-    let until = async |what: &dyn Fn() -> bool| {
+    let until = async |topic: &dyn Fn() -> bool| {
         let waiting = async {
-            while !what() {
+            while !topic() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -12,7 +12,7 @@
         Relay,
         backends::{Backend as Known, Backends, Change, State},
         follow,
-        revision::{Epochs, Heard, Revision},
+        revision::{EpochCheck, EpochTracker, Revision},
     },
     schema::fleet::{Backend, Backends as List, Start},
 };
@@ -186,7 +186,7 @@
     let (first, seed) = host("host-1", &[]).await;
     let (_second, _) = host("host-2", &[seed]).await;
     let following = tokio::spawn(follow::follow_backends(first.clone(), StoreClient::new(store.addr())));
-    let entering = tokio::spawn(follow::follow_hosts(first, StoreClient::new(store.addr())));
+    let entering = tokio::spawn(follow::sync_hosts(first, StoreClient::new(store.addr())));
     until("the entry", || store.is_present("hosts", "a")).await;
 
     store.restore(&copy);
@@ -202,18 +202,21 @@
 /// A host deaf for good after one wrong epoch, or believing a store that has gone back.
 #[test]
 fn a_later_epoch_counts_once_it_was_told_twice() {
-    let mut epochs = Epochs::default();
-
-    let first = epochs.hear(3);
-    let wrong = [epochs.hear(9_000_000), epochs.hear(3), epochs.hear(2)];
-    let restored = [epochs.hear(4), epochs.hear(4), epochs.hear(3), epochs.hear(4)];
-
-    assert_eq!(first, Heard::Later);
-    assert_eq!(wrong, [Heard::Unconfirmed, Heard::Known, Heard::Odd]);
-    assert_eq!(restored, [Heard::Odd, Heard::Later, Heard::Odd, Heard::Known]);
-    assert_eq!(epochs.known(), 4);
-    assert!(epochs.hear_host(6) && !epochs.hear_host(5));
-    assert_eq!(epochs.known(), 6);
+    let mut epochs = EpochTracker::default();
+
+    let first = epochs.observe(3);
+    let wrong = [epochs.observe(9_000_000), epochs.observe(3), epochs.observe(2)];
+    let restored = [epochs.observe(4), epochs.observe(4), epochs.observe(3), epochs.observe(4)];
+
+    assert_eq!(first, EpochCheck::Newer);
+    assert_eq!(wrong, [EpochCheck::Unconfirmed, EpochCheck::Current, EpochCheck::Rejected]);
+    assert_eq!(
+        restored,
+        [EpochCheck::Rejected, EpochCheck::Newer, EpochCheck::Rejected, EpochCheck::Current]
+    );
+    assert_eq!(epochs.current(), 4);
+    assert!(epochs.observe_peer(6) && !epochs.observe_peer(5));
+    assert_eq!(epochs.current(), 6);
 }
 
 /// A number of before a restore taken for later than one after it.
--- a/tests/support/relay.rs
+++ b/tests/support/relay.rs
@@ -28,7 +28,7 @@
         seeds: Vec::new(),
         budget: BudgetConfig::default(),
         bound: Bound::default(),
-        leave: LeaveConfig { grace: Duration::from_secs(8), outlive: Duration::from_secs(3) },
+        leave: LeaveConfig { grace: Duration::from_secs(8), address_ttl: Duration::from_secs(3) },
         evacuates: false,
         in_force: Duration::from_secs(2),
     }
@@ -62,9 +62,9 @@
     cfg.me.callers = format!("{name}:80");
     let relay = Arc::new(Relay::new(cfg, PlatformWire).unwrap());
     tokio::spawn(mesh::serve_fetches(relay.clone(), listener));
-    tokio::spawn(mesh::hear_beats(relay.clone(), socket.clone()));
-    tokio::spawn(mesh::send_beats(relay.clone(), socket));
-    tokio::spawn(mesh::keep_house(relay.clone()));
-    tokio::spawn(mesh::keep_up(relay.clone()));
+    tokio::spawn(mesh::receive_heartbeats(relay.clone(), socket.clone()));
+    tokio::spawn(mesh::send_heartbeats(relay.clone(), socket));
+    tokio::spawn(mesh::run_maintenance(relay.clone()));
+    tokio::spawn(mesh::fetch_updates(relay.clone()));
     (relay, at)
 }
