--- a/src/admit.rs
+++ b/src/admit.rs
@@ -1,7 +1,7 @@
-//! Admission: which requests wait for an engine, in which order, and which are refused at once.
+//! Admission control: queues requests until an engine has room, and refuses those that can't be served in time.
 //!
-//! A [`FairQueue`] is the queue of one pool or plain service. While an engine has room, requests pass it by. Once
-//! all eligible engines stand at their bound they wait in it, and the lane says whose turn is next.
+//! Each pool and plain service has a [`FairQueue`]. Requests bypass it while an engine has room. Once all eligible
+//! engines are at their load bound, requests wait in the queue, which decides whose turn is next.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,23 +15,23 @@
 pub use limit::{ConcurrencyLimit, InFlight, Scope};
 pub use queue::{EnqueueResult, FairQueue, Ticket};
 
-/// Expected tokens of a request, prompt and answer.
+/// Work of a request in expected tokens, prompt plus answer.
 pub type Work = u32;
 
 /// Priority class of a request, most urgent first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Somebody waits at a counter: a translation, a booking.
+    /// Interactive requests with a person waiting, such as translations and bookings at a counter.
     High,
-    /// A chat.
+    /// Chats.
     #[default]
     Normal,
-    /// Nobody waits: dialogues made ahead, tagging.
+    /// Background work, such as dialogues generated in advance and tagging.
     Low,
 }
 
 impl Priority {
-    /// Every class, most urgent first.
+    /// All classes, most urgent first.
     pub const ALL: [Priority; 3] = [Priority::High, Priority::Normal, Priority::Low];
 
     /// Value of the `x-priority` header.
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The class of this name.
+    /// Parses the value of the `x-priority` header.
     pub fn parse(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|p| p.as_str() == name)
     }
@@ -53,62 +53,63 @@
     }
 }
 
-/// What admission needs to know of a request.
+/// Properties of a request that admission depends on.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// Workspace, the unit of fairness.
+    /// Workspace; queues are fair between workspaces.
     pub workspace: Arc<str>,
     /// Priority class.
     pub priority: Priority,
-    /// When the whole answer is due.
+    /// Time by which the whole answer is due.
     pub deadline: Instant,
     /// Expected work.
     pub work: Work,
 }
 
-/// A request that is not admitted.
+/// Refusal of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Reason.
+    /// Reason of the refusal.
     pub kind: Kind,
-    /// When the caller should come back.
+    /// Time after which the caller should retry.
     pub retry_after: Duration,
 }
 
-/// Bounds of a lane.
+/// Limits of a [`FairQueue`].
 #[derive(Clone, Copy, Debug)]
 pub struct QueueLimits {
-    pub(crate) total: usize,
-    pub(crate) workspace: usize,
+    pub(crate) max_waiting: usize,
+    pub(crate) max_per_workspace: usize,
     pub(crate) burst: Work,
-    pub(crate) trying: usize,
+    pub(crate) max_turns: usize,
 }
 
 impl Default for QueueLimits {
     fn default() -> Self {
-        Self { total: 256, workspace: 64, burst: 2048, trying: 4 }
+        Self { max_waiting: 256, max_per_workspace: 64, burst: 2048, max_turns: 4 }
     }
 }
 
 impl QueueLimits {
-    /// Sets how many requests may wait in all.
-    pub fn with_total(self, total: usize) -> Self {
-        Self { total, ..self }
+    /// Sets the maximum number of waiting requests.
+    pub fn with_total(self, max_waiting: usize) -> Self {
+        Self { max_waiting, ..self }
     }
 
-    /// Sets how many requests of one workspace may wait.
-    pub fn with_workspace(self, workspace: usize) -> Self {
-        Self { workspace, ..self }
+    /// Sets the maximum number of waiting requests per workspace.
+    pub fn with_workspace(self, max_per_workspace: usize) -> Self {
+        Self { max_per_workspace, ..self }
     }
 
-    /// Sets how far, in work, a workspace may be ahead of the one furthest behind and still have its class
-    /// honoured before it. 0 is plain fair queueing; `u32::MAX` is strict priority over all workspaces.
+    /// Sets the priority burst: how much more work than the least served workspace a workspace may have received
+    /// while priority classes are still compared across workspaces. 0 is plain fair queueing; `u32::MAX` is strict
+    /// priority.
     pub fn with_burst(self, burst: Work) -> Self {
         Self { burst, ..self }
     }
 
-    /// Sets how many turns may be out at once.
-    pub fn with_max_turns(self, trying: usize) -> Self {
-        Self { trying, ..self }
+    /// Sets how many requests may have a turn at the same time.
+    pub fn with_max_turns(self, max_turns: usize) -> Self {
+        Self { max_turns, ..self }
     }
 }
--- a/src/admit/limit.rs
+++ b/src/admit/limit.rs
@@ -1,10 +1,10 @@
-//! Limits on the requests that a workspace or a workspace group has in progress.
+//! Concurrency limits: requests in progress per workspace and per workspace group.
 
 use std::sync::Arc;
 
 use crate::{error::Kind, util::Map};
 
-/// What a limit applies to.
+/// Scope of a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Scope {
     /// One workspace.
@@ -22,34 +22,34 @@
     }
 }
 
-/// A limit of the configuration.
+/// Configured limit on the requests in progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConcurrencyLimit {
-    /// What it applies to.
+    /// Workspace or group that the limit applies to.
     pub scope: Scope,
-    /// Requests in progress over the whole fleet.
+    /// Maximum number of requests in progress in the whole fleet.
     pub max: u32,
 }
 
 impl ConcurrencyLimit {
-    /// This router's part of the limit. Rounded up, so that a limit below the number of routers still lets
-    /// some request through; the fleet exceeds the limit by less than one request a router.
+    /// This router's share of the limit, rounded up so that a limit below the number of routers still admits
+    /// requests. The fleet may exceed the limit by less than one request per router.
     fn share(&self, routers: u32) -> u32 {
         self.max.div_ceil(routers.max(1))
     }
 }
 
-/// Requests in progress, waiting or running, by scope. Only scopes with a limit are counted.
+/// Number of requests in progress (waiting or running) for each scope that has a limit.
 #[derive(Debug, Default)]
 pub struct InFlight {
     running: Map<Scope, u32>,
 }
 
 impl InFlight {
-    /// Counts a request, or says which limit it would exceed; then nothing is counted.
+    /// Counts a request against `limits`, or counts nothing if it would exceed one of them.
     ///
     /// # Errors
-    /// [`Kind::WorkspaceLimit`] or [`Kind::GroupLimit`].
+    /// [`Kind::WorkspaceLimit`] or [`Kind::GroupLimit`], depending on the exceeded limit.
     pub fn acquire(&mut self, limits: &[ConcurrencyLimit], routers: u32) -> Result<(), Kind> {
         let full = |cap: &&ConcurrencyLimit| {
             self.running.get(&cap.scope).copied().unwrap_or(0) >= cap.share(routers)
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// Ends the count of a request that entered with the same limits.
+    /// Uncounts a request that was acquired with the same limits.
     pub fn release(&mut self, limits: &[ConcurrencyLimit]) {
         for cap in limits {
             if let Some(n) = self.running.get_mut(&cap.scope) {
@@ -75,12 +75,12 @@
         }
     }
 
-    /// Scopes with a request in progress.
+    /// Number of scopes with a request in progress.
     pub fn len(&self) -> usize {
         self.running.len()
     }
 
-    /// Whether no request is counted.
+    /// Whether no request is in progress.
     pub fn is_empty(&self) -> bool {
         self.running.is_empty()
     }
--- a/src/admit/queue.rs
+++ b/src/admit/queue.rs
@@ -1,9 +1,9 @@
-//! The queue of one pool: fair between workspaces, by class and deadline within one.
+//! Queue of one pool: fair between workspaces, ordered by class and deadline within a workspace.
 //!
-//! Start-time fair queueing over expected work. Each workspace has a tag, the work granted to it on a virtual
-//! clock. Among workspaces whose tag is within `burst` of the lowest, the most urgent class goes first; so
-//! translations go before other workspaces' dialogues, but a workspace that sends everything as urgent soon
-//! leaves that range and then waits behind its own surge.
+//! Implements start-time fair queueing over expected work. Each workspace has a start tag, the work served for it
+//! in virtual time. Among workspaces whose tag is within `burst` of the lowest one, the most urgent class is served
+//! first. So translations precede the background work of other workspaces, but a workspace that marks all requests
+//! as urgent soon exceeds the burst and then waits behind its own surge.
 
 use std::time::Duration;
 
@@ -11,232 +11,234 @@
 
 use super::{
     Demand, QueueLimits, Refusal,
-    flow::{Flow, Rank},
-    rate::Rate,
+    flow::{Flow, QueueOrder},
+    rate::ServiceRate,
 };
 use crate::{
     error::Kind,
     util::{Instant, Map},
 };
 
-const LEAST_RETRY: Duration = Duration::from_secs(1);
-const MOST_RETRY: Duration = Duration::from_secs(30);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 new_key_type! {
-    /// A waiting request.
+    /// Key of a waiting request.
     pub struct Ticket;
 }
 
-/// What became of a request that asked to wait.
+/// Result of [`FairQueue::enqueue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EnqueueResult {
-    /// It waits.
+    /// The request was queued.
     Queued(Ticket),
-    /// It waits; the other request, the last of the longest queue, is refused in its place.
+    /// The request was queued; the last request of the workspace with the most waiting requests, given second, is
+    /// refused instead.
     Displaced(Ticket, Ticket, Refusal),
-    /// It is refused.
+    /// The request is refused.
     Refused(Refusal),
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct Waiter {
     demand: Demand,
-    rank: Rank,
-    trying: bool,
+    order: QueueOrder,
+    in_turn: bool,
 }
 
-/// Queue of one pool or plain service.
+/// Fair queue of one pool or plain service.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     limits: QueueLimits,
-    tickets: SlotMap<Ticket, Waiting>,
+    tickets: SlotMap<Ticket, Waiter>,
     flows: Map<std::sync::Arc<str>, Flow>,
-    clock: u64,
+    virtual_time: u64,
     seq: u64,
-    trying: usize,
-    rate: Rate,
+    turns: usize,
+    rate: ServiceRate,
 }
 
 impl FairQueue {
-    /// Empty lane.
+    /// Creates an empty queue.
     pub fn new(limits: QueueLimits) -> Self {
         Self { limits, ..Self::default() }
     }
 
-    /// Whether nobody waits, so that a new request may ask for an engine at once.
+    /// Whether the queue is empty, so that a new request may bypass it.
     pub fn is_empty(&self) -> bool {
         self.tickets.is_empty()
     }
 
-    /// Requests that wait or try.
+    /// Number of requests that wait or have a turn.
     pub fn len(&self) -> usize {
         self.tickets.len()
     }
 
-    /// Lets a request wait, or says why not.
+    /// Queues a request, or refuses it when its deadline can't be met or the queue is full.
     pub fn enqueue(&mut self, now: Instant, demand: Demand) -> EnqueueResult {
         if demand.deadline <= now {
             return EnqueueResult::Refused(self.refusal(now, Kind::DeadlinePassed));
         }
-        let rank = Rank { priority: demand.priority, deadline: demand.deadline, seq: self.seq };
-        let due = now + self.estimate(now, &demand, rank) + self.rate.run(demand.work);
+        let order = QueueOrder { priority: demand.priority, deadline: demand.deadline, seq: self.seq };
+        let due = now + self.estimated_wait(now, &demand, order) + self.rate.run_time(demand.work);
         if due > demand.deadline {
             return EnqueueResult::Refused(self.refusal(now, Kind::DeadlineUnmeetable));
         }
         let own = self.flows.get(&demand.workspace).map_or(0, Flow::len);
-        if own >= self.limits.workspace {
+        if own >= self.limits.max_per_workspace {
             return EnqueueResult::Refused(self.refusal(now, Kind::QueueFull));
         }
-        if self.tickets.len() < self.limits.total {
-            return EnqueueResult::Queued(self.insert(now, demand, rank));
+        if self.tickets.len() < self.limits.max_waiting {
+            return EnqueueResult::Queued(self.insert(now, demand, order));
         }
-        // A surge of one workspace could fill the whole queue and shut the others out; the workspace with the
-        // longest queue gives way instead, so a small one always finds a place.
+        // A surge of one workspace could fill the queue and lock out the others. The workspace with the most
+        // waiting requests therefore loses its last one to a workspace with fewer.
         match self.flows.values().max_by_key(|f| f.len()).filter(|f| f.len() > own + 1).and_then(Flow::last) {
             Some(victim) => {
                 self.remove(victim);
                 let refusal = self.refusal(now, Kind::QueueFull);
-                EnqueueResult::Displaced(self.insert(now, demand, rank), victim, refusal)
+                EnqueueResult::Displaced(self.insert(now, demand, order), victim, refusal)
             }
             None => EnqueueResult::Refused(self.refusal(now, Kind::QueueFull)),
         }
     }
 
-    /// Gives the next turn: its holder asks for an engine and calls [`FairQueue::end_turn`].
+    /// Gives the next request a turn, in which it tries to get an engine before it calls [`FairQueue::end_turn`].
     pub fn start_turn(&mut self) -> Option<Ticket> {
-        if self.trying >= self.limits.trying {
+        if self.turns >= self.limits.max_turns {
             return None;
         }
         let waiting = || self.flows.values().filter_map(|f| f.first().map(|head| (f.tag, head)));
         let lowest = waiting().map(|(tag, _)| tag).min()?;
-        let edge = lowest.saturating_add(u64::from(self.limits.burst));
+        let max_tag = lowest.saturating_add(u64::from(self.limits.burst));
         let next = waiting()
-            .filter(|w| w.0 <= edge)
-            .min_by_key(|&(tag, (rank, _))| (rank.priority, tag, rank.deadline, rank.seq));
+            .filter(|w| w.0 <= max_tag)
+            .min_by_key(|&(tag, (order, _))| (order.priority, tag, order.deadline, order.seq));
         let (_, (_, ticket)) = next?;
-        self.clock = self.clock.max(lowest);
-        self.set_trying(ticket, true);
+        self.virtual_time = self.virtual_time.max(lowest);
+        self.set_in_turn(ticket, true);
         Some(ticket)
     }
 
-    /// Ends a turn: the request got an engine and leaves, or waits on in its old place.
+    /// Ends a turn: the request leaves the queue if it got an engine, otherwise it returns to its position.
     pub fn end_turn(&mut self, now: Instant, ticket: Ticket, got_engine: bool) {
-        let Some(w) = self.tickets.get(ticket).filter(|w| w.trying) else { return };
+        let Some(w) = self.tickets.get(ticket).filter(|w| w.in_turn) else { return };
         let work = w.demand.work;
         if got_engine {
-            self.trying -= 1;
+            self.turns -= 1;
             self.tickets.remove(ticket);
-            self.rate.start(now, work);
-            self.tidy();
+            self.rate.record_start(now, work);
+            self.remove_idle_flows();
         } else {
-            self.rate.tick(now);
-            self.set_trying(ticket, false);
+            self.rate.update(now);
+            self.set_in_turn(ticket, false);
         }
     }
 
-    /// Takes a request out whose caller went away.
+    /// Removes a request whose caller disconnected.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.remove(ticket);
     }
 
-    /// Takes out the requests whose deadline has passed or can't be met any more.
+    /// Removes requests whose deadline has passed or can no longer be met.
     pub fn expire(&mut self, now: Instant) -> Vec<(Ticket, Refusal)> {
-        self.rate.tick(now);
+        self.rate.update(now);
         let due: Vec<_> = self
             .tickets
             .iter()
-            .filter(|(_, w)| !w.trying && now + self.rate.run(w.demand.work) > w.demand.deadline)
+            .filter(|(_, w)| !w.in_turn && now + self.rate.run_time(w.demand.work) > w.demand.deadline)
             .map(|(ticket, w)| (ticket, w.demand.deadline <= now))
             .collect();
         due.into_iter()
-            .map(|(ticket, passed)| {
+            .map(|(ticket, deadline_passed)| {
                 self.remove(ticket);
-                let kind = if passed { Kind::DeadlinePassed } else { Kind::DeadlineUnmeetable };
+                let kind = if deadline_passed { Kind::DeadlinePassed } else { Kind::DeadlineUnmeetable };
                 (ticket, self.refusal(now, kind))
             })
             .collect()
     }
 
-    /// Notes how long a run of this work took.
+    /// Records how long a request of this work ran on its engine.
     pub fn record_run(&mut self, ran: Duration, work: super::Work) {
         self.rate.record_run(ran, work);
     }
 
-    /// Refusal of this kind, with the time in which the queue drains.
+    /// Creates a refusal that tells the caller to retry once the queue should have drained.
     pub fn refusal(&self, now: Instant, kind: Kind) -> Refusal {
-        let backlog = self.flows.values().map(|f| f.backlog(super::Priority::Low)).sum();
-        let drained = self.rate.wait(now, backlog).unwrap_or(LEAST_RETRY);
-        Refusal { kind, retry_after: drained.clamp(LEAST_RETRY, MOST_RETRY) }
+        let backlog = self.flows.values().map(|f| f.work_up_to(super::Priority::Low)).sum();
+        let drain_time = self.rate.time_to_start(now, backlog).unwrap_or(MIN_RETRY_AFTER);
+        Refusal { kind, retry_after: drain_time.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER) }
     }
 
-    /// Time until a request would start: its own workspace's work before it, and as much of each other's.
+    /// Estimates the time until a request starts, from the work ahead of it in its own workspace and at most as
+    /// much work of each other workspace.
     ///
-    /// An empty lane estimates nothing: after a stall its measured rate is near zero, and refusing on that
-    /// would keep out the very request that shows that engines are free again.
-    fn estimate(&self, now: Instant, demand: &Demand, rank: Rank) -> Duration {
+    /// The estimate for an empty queue is zero: after a stall the measured rate is near zero, and a refusal based
+    /// on it would reject the request that would discover that engines are available again.
+    fn estimated_wait(&self, now: Instant, demand: &Demand, order: QueueOrder) -> Duration {
         if self.tickets.is_empty() {
             return Duration::ZERO;
         }
-        let own = self.flows.get(&demand.workspace).map_or(0, |f| f.ahead(rank));
+        let own = self.flows.get(&demand.workspace).map_or(0, |f| f.work_ahead(order));
         let share = own + u64::from(demand.work);
         let others: u64 = self
             .flows
             .iter()
             .filter(|(name, _)| **name != demand.workspace)
-            .map(|(_, f)| f.backlog(demand.priority).min(share))
+            .map(|(_, f)| f.work_up_to(demand.priority).min(share))
             .sum();
-        self.rate.wait(now, own + others).unwrap_or_default()
+        self.rate.time_to_start(now, own + others).unwrap_or_default()
     }
 
-    fn insert(&mut self, now: Instant, demand: Demand, rank: Rank) -> Ticket {
-        self.rate.open(now);
+    fn insert(&mut self, now: Instant, demand: Demand, order: QueueOrder) -> Ticket {
+        self.rate.start_measuring(now);
         self.seq += 1;
         let (name, work) = (demand.workspace.clone(), demand.work);
-        let ticket = self.tickets.insert(Waiting { demand, rank, trying: false });
+        let ticket = self.tickets.insert(Waiter { demand, order, in_turn: false });
         let flow = self.flows.entry(name).or_default();
         if flow.len() == 0 {
-            flow.tag = flow.tag.max(self.clock);
+            flow.tag = flow.tag.max(self.virtual_time);
         }
-        flow.insert(rank, ticket, work);
+        flow.insert(order, ticket, work);
         ticket
     }
 
     fn remove(&mut self, ticket: Ticket) {
         let Some(w) = self.tickets.remove(ticket) else { return };
-        if w.trying {
-            self.trying -= 1;
+        if w.in_turn {
+            self.turns -= 1;
         }
         if let Some(flow) = self.flows.get_mut(&w.demand.workspace) {
-            flow.remove(w.rank, ticket, w.demand.work);
+            flow.remove(w.order, ticket, w.demand.work);
         }
-        self.tidy();
+        self.remove_idle_flows();
     }
 
-    fn set_trying(&mut self, ticket: Ticket, trying: bool) {
+    fn set_in_turn(&mut self, ticket: Ticket, in_turn: bool) {
         let Some(w) = self.tickets.get_mut(ticket) else { return };
-        w.trying = trying;
+        w.in_turn = in_turn;
         let work = w.demand.work;
         let Some(flow) = self.flows.get_mut(&w.demand.workspace) else { return };
-        if trying {
-            self.trying += 1;
-            flow.remove(w.rank, ticket, work);
+        if in_turn {
+            self.turns += 1;
+            flow.remove(w.order, ticket, work);
             flow.tag += u64::from(work);
         } else {
-            self.trying -= 1;
+            self.turns -= 1;
             flow.tag = flow.tag.saturating_sub(u64::from(work));
-            flow.insert(w.rank, ticket, work);
+            flow.insert(w.order, ticket, work);
         }
     }
 
-    /// Forgets workspaces that owe nothing, so that the lane's memory follows its queue.
-    fn tidy(&mut self) {
+    /// Removes workspaces that have no waiting request and are not ahead of virtual time, which bounds the memory.
+    fn remove_idle_flows(&mut self) {
         if self.tickets.is_empty() {
             self.flows.clear();
-            self.clock = 0;
-            self.rate.shut();
-        } else if self.flows.len() > self.limits.total {
-            let clock = self.clock;
-            self.flows.retain(|_, f| f.len() > 0 || f.tag > clock);
+            self.virtual_time = 0;
+            self.rate.stop_measuring();
+        } else if self.flows.len() > self.limits.max_waiting {
+            let virtual_time = self.virtual_time;
+            self.flows.retain(|_, f| f.len() > 0 || f.tag > virtual_time);
         }
     }
 }
--- a/src/admit/rate.rs
+++ b/src/admit/rate.rs
@@ -1,86 +1,89 @@
-//! Measured service: how much work a lane starts a second while requests wait, and how long a run takes.
+//! Measured service rate of a queue: work started per second while requests wait, and run time per work.
 
 use std::time::Duration;
 
 use super::Work;
 use crate::util::Instant;
 
-const WINDOW: Duration = Duration::from_millis(250);
-/// A window without any start is closed only after this time. Starts come in bursts, and a few empty windows in a
-/// row would pass for a lane that never moves and refuse even requests with a minute to spare.
-const STALL: Duration = Duration::from_secs(2);
-const WEIGHT: f64 = 0.3;
-/// A rate that was measured for some time is trusted for this many times as long.
-const TRUST: u32 = 20;
+/// Length of a measurement window.
+const RATE_WINDOW: Duration = Duration::from_millis(250);
+/// Length of a window without any start. Starts come in bursts; a few empty short windows in a row would make the
+/// queue look stalled, and even requests with a minute left would be refused.
+const EMPTY_RATE_WINDOW: Duration = Duration::from_secs(2);
+/// Weight of the newest sample in the exponentially weighted moving averages.
+const EWMA_WEIGHT: f64 = 0.3;
+/// Maximum estimated wait, as a multiple of the time for which the rate has been measured.
+const MAX_WAIT_PER_MEASURED: u32 = 20;
 
-/// Moving averages of one lane.
+/// Moving averages of one queue.
 #[derive(Debug, Default)]
-pub(super) struct Rate {
-    opened: Option<Instant>,
-    since: Option<Instant>,
-    work: u64,
-    per_second: Option<f64>,
-    seconds_per_work: Option<f64>,
+pub(super) struct ServiceRate {
+    measured_since: Option<Instant>,
+    window_start: Option<Instant>,
+    window_work: u64,
+    work_per_s: Option<f64>,
+    run_s_per_work: Option<f64>,
 }
 
-impl Rate {
-    /// Requests wait from now on.
-    pub(super) fn open(&mut self, now: Instant) {
-        if self.since.is_none() {
-            (self.since, self.work) = (Some(now), 0);
-            self.opened = Some(now);
+impl ServiceRate {
+    /// Starts measuring when the first request waits.
+    pub(super) fn start_measuring(&mut self, now: Instant) {
+        if self.window_start.is_none() {
+            (self.window_start, self.window_work) = (Some(now), 0);
+            self.measured_since = Some(now);
         }
     }
 
-    /// Nobody waits any more: a window in which the lane was not always full says nothing of its speed.
-    pub(super) fn shut(&mut self) {
-        (self.since, self.opened) = (None, None);
+    /// Stops measuring when no request waits: starts in an empty queue don't show how fast it can be served.
+    pub(super) fn stop_measuring(&mut self) {
+        (self.window_start, self.measured_since) = (None, None);
     }
 
-    /// Notes work that left the queue for an engine.
-    pub(super) fn start(&mut self, now: Instant, work: Work) {
-        self.work += u64::from(work);
-        self.tick(now);
+    /// Records work that left the queue for an engine.
+    pub(super) fn record_start(&mut self, now: Instant, work: Work) {
+        self.window_work += u64::from(work);
+        self.update(now);
     }
 
-    /// Closes a window that has lasted long enough, so that a stalled lane is seen as slow.
-    pub(super) fn tick(&mut self, now: Instant) {
-        let Some(since) = self.since else { return };
-        let elapsed = now.saturating_sub(since);
-        if elapsed < WINDOW || (self.work == 0 && elapsed < STALL) {
+    /// Closes the window if it is due; called without starts too, so that the rate of a stalled queue falls.
+    pub(super) fn update(&mut self, now: Instant) {
+        let Some(window_start) = self.window_start else { return };
+        let elapsed = now.saturating_sub(window_start);
+        if elapsed < RATE_WINDOW || (self.window_work == 0 && elapsed < EMPTY_RATE_WINDOW) {
             return;
         }
-        let sample = self.work as f64 / elapsed.as_secs_f64();
-        // A lane that has never started anything has no rate yet, not one of zero.
-        if self.work > 0 || self.per_second.is_some() {
-            self.per_second = Some(mix(self.per_second, sample));
+        let sample = self.window_work as f64 / elapsed.as_secs_f64();
+        // A queue that has not started any work has an unknown rate, not a rate of zero.
+        if self.window_work > 0 || self.work_per_s.is_some() {
+            self.work_per_s = Some(ewma(self.work_per_s, sample));
         }
-        (self.since, self.work) = (Some(now), 0);
+        (self.window_start, self.window_work) = (Some(now), 0);
     }
 
-    /// Notes a finished run.
+    /// Records a finished run.
     pub(super) fn record_run(&mut self, ran: Duration, work: Work) {
         let sample = ran.as_secs_f64() / f64::from(work.max(1));
-        self.seconds_per_work = Some(mix(self.seconds_per_work, sample));
+        self.run_s_per_work = Some(ewma(self.run_s_per_work, sample));
     }
 
-    /// Time to start `work`; `None` until it has been measured.
+    /// Estimated time to start this much work; `None` while the rate is unknown.
     ///
-    /// A quarter of a second in which no engine had room, as when engines change owner, shows a rate near zero. By
-    /// that rate alone a request with a minute left would be refused; so the time is bounded by how long the lane
-    /// has been measured without a break.
-    pub(super) fn wait(&self, now: Instant, work: u64) -> Option<Duration> {
-        let rate = self.per_second?.max(1.0);
-        let measured = now.saturating_sub(self.opened.unwrap_or(now));
-        Some(Duration::from_secs_f64(work as f64 / rate).min(measured * TRUST))
+    /// When no engine has room for a quarter of a second, as while engines change owner, the measured rate is near
+    /// zero, and by it alone a request with a minute left would be refused. The estimate is therefore bounded by a
+    /// multiple of the time for which the queue has been measured without interruption.
+    pub(super) fn time_to_start(&self, now: Instant, work: u64) -> Option<Duration> {
+        let rate = self.work_per_s?.max(1.0);
+        let measured = now.saturating_sub(self.measured_since.unwrap_or(now));
+        Some(Duration::from_secs_f64(work as f64 / rate).min(measured * MAX_WAIT_PER_MEASURED))
     }
 
-    /// Time that a run of `work` takes; zero until it has been measured.
-    pub(super) fn run(&self, work: Work) -> Duration {
-        Duration::from_secs_f64(self.seconds_per_work.unwrap_or(0.0) * f64::from(work))
+    /// Estimated run time of a request of this work; zero until measured.
+    pub(super) fn run_time(&self, work: Work) -> Duration {
+        Duration::from_secs_f64(self.run_s_per_work.unwrap_or(0.0) * f64::from(work))
     }
 }
 
-fn mix(old: Option<f64>, sample: f64) -> f64 {
-    old.map_or(sample, |old| old + WEIGHT * (sample - old))
+/// Exponentially weighted moving average of `old` and the new sample.
+fn ewma(old: Option<f64>, sample: f64) -> f64 {
+    old.map_or(sample, |old| old + EWMA_WEIGHT * (sample - old))
 }
