--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -205,7 +205,7 @@
 }
 
 fn filled(waiting: usize) -> (Vec<Demand>, FairQueue) {
-    let mut lane = FairQueue::new(QueueLimits::default().with_total(waiting + 1));
+    let mut lane = FairQueue::new(QueueLimits::default().with_max_waiting(waiting + 1));
     let demands: Vec<_> = (0..waiting)
         .map(|i| Demand {
             workspace: format!("workspace-{}", i % 10).into(),
--- a/src/admit.rs
+++ b/src/admit.rs
@@ -92,12 +92,12 @@
 
 impl QueueLimits {
     /// Sets the maximum number of waiting requests.
-    pub fn with_total(self, max_waiting: usize) -> Self {
+    pub fn with_max_waiting(self, max_waiting: usize) -> Self {
         Self { max_waiting, ..self }
     }
 
     /// Sets the maximum number of waiting requests per workspace.
-    pub fn with_workspace(self, max_per_workspace: usize) -> Self {
+    pub fn with_max_per_workspace(self, max_per_workspace: usize) -> Self {
         Self { max_per_workspace, ..self }
     }
 
--- a/tests/admit.rs
+++ b/tests/admit.rs
@@ -92,7 +92,7 @@
 /// The last request of the longest queue gives way instead, and is told at once.
 #[test]
 fn a_full_queue_still_takes_a_small_workspace() {
-    let mut queue = FairQueue::new(QueueLimits::default().with_total(8));
+    let mut queue = FairQueue::new(QueueLimits::default().with_max_waiting(8));
     for name in ["a", "b", "b", "b", "c", "c", "d", "d"] {
         wait(&mut queue, Duration::ZERO, normal(name));
     }
@@ -108,7 +108,7 @@
 
 #[test]
 fn queues_are_bounded() {
-    let limits = QueueLimits::default().with_total(4).with_workspace(2);
+    let limits = QueueLimits::default().with_max_waiting(4).with_max_per_workspace(2);
     let mut queue = FairQueue::new(limits);
     for name in ["a", "a", "b", "b"] {
         wait(&mut queue, Duration::ZERO, normal(name));
