--- a/src/admit/rate.rs
+++ b/src/admit/rate.rs
@@ -5,9 +5,9 @@
 use super::Work;
 use crate::util::Instant;
 
-/// Length of a measurement window.
+/// Minimum length of a measurement window.
 const RATE_WINDOW: Duration = Duration::from_millis(250);
-/// Length of a window without any start. Starts come in bursts; a few empty short windows in a row would make the
+/// Minimum length of a window without any start. Starts come in bursts; a few empty short windows in a row would make the
 /// queue look stalled, and even requests with a minute left would be refused.
 const EMPTY_RATE_WINDOW: Duration = Duration::from_secs(2);
 /// Weight of the newest sample in the exponentially weighted moving averages.
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,7 +1,7 @@
-//! Retries: whether a failed attempt may be made again, and after how long.
+//! Retry policy: whether a failed request is attempted again, and after which backoff.
 //!
-//! One count of attempts goes with a request over all hops. The caller sends back the `x-attempt` header of
-//! the last answer, which tells how many attempts have been made so far, through whichever router.
+//! Attempts are counted per request over all hops: a caller that retries sends back the `x-attempt` header of the
+//! last answer, which holds the number of attempts made so far through any router.
 
 use std::time::Duration;
 
@@ -32,11 +32,11 @@
 }
 
 impl Reason {
-    /// Every reason.
+    /// All reasons.
     pub const ALL: [Reason; 4] =
         [Reason::ConnectFailed, Reason::EngineRefused, Reason::EngineFailed, Reason::Caller];
 
-    /// Label of the counter.
+    /// Label value in the retry counter.
     pub fn as_str(self) -> &'static str {
         match self {
             Reason::ConnectFailed => "connect_failed",
@@ -46,7 +46,7 @@
         }
     }
 
-    /// What is known about the run of the attempt.
+    /// Whether the attempt may have run.
     pub fn ran(self) -> Ran {
         match self {
             Reason::ConnectFailed | Reason::EngineRefused => Ran::No,
@@ -63,56 +63,56 @@
     }
 }
 
-/// Bounds on retries.
+/// Limits on attempts and backoff.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    attempts: u32,
-    base: Duration,
-    most: Duration,
+    max_attempts: u32,
+    base_delay: Duration,
+    max_delay: Duration,
 }
 
 impl Default for Policy {
     fn default() -> Self {
-        Self { attempts: 3, base: Duration::from_millis(10), most: Duration::from_millis(500) }
+        Self { max_attempts: 3, base_delay: Duration::from_millis(10), max_delay: Duration::from_millis(500) }
     }
 }
 
 impl Policy {
-    /// Sets the attempts in all, over all hops.
-    pub fn with_attempts(self, attempts: u32) -> Self {
-        Self { attempts, ..self }
+    /// Sets the maximum number of attempts over all hops.
+    pub fn with_attempts(self, max_attempts: u32) -> Self {
+        Self { max_attempts, ..self }
     }
 
-    /// Sets the longest back-off before the first retry and before any.
-    pub fn with_backoff(self, base: Duration, most: Duration) -> Self {
-        Self { base, most, ..self }
+    /// Sets the maximum backoff before the first retry and before any later one.
+    pub fn with_backoff(self, base_delay: Duration, max_delay: Duration) -> Self {
+        Self { base_delay, max_delay, ..self }
     }
 }
 
-/// A retry that is not made.
+/// Denial of a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Denied {
-    /// Why there is no further attempt; counted.
+    /// Reason for the denial, as counted in the metrics.
     pub reason: Kind,
-    /// What the caller is told. Differs from the reason where an earlier attempt may have run, since the
-    /// answers of most reasons say "not run".
+    /// Error sent to the caller. It differs from the reason if an earlier attempt may have run, because the answers
+    /// for most reasons state that the request did not run.
     pub answer: Kind,
 }
 
-/// Attempts of one request.
+/// Attempt counter of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
     made: u32,
     idempotent: bool,
     deadline: Instant,
-    touched: bool,
+    may_have_run: bool,
 }
 
 impl Attempts {
-    /// A request that arrives after `made` attempts elsewhere.
+    /// Starts counting for a request that arrives after `made` attempts elsewhere.
     ///
     /// # Errors
-    /// When the caller's retry exceeds the attempt limit or the budget.
+    /// When the request is a caller's retry that exceeds the attempt limit or the retry budget.
     pub fn begin(
         policy: &Policy,
         budget: &mut Budget,
@@ -122,28 +122,29 @@
     ) -> Result<Self, Kind> {
         if made == 0 {
             budget.earn();
-        } else if made >= policy.attempts {
+        } else if made >= policy.max_attempts {
             return Err(Kind::AttemptLimit);
         } else if !budget.spend() {
             return Err(Kind::RetryBudget);
         }
-        Ok(Self { made, idempotent, deadline, touched: false })
+        Ok(Self { made, idempotent, deadline, may_have_run: false })
     }
 
-    /// Attempts made so far, the value of the answer's `x-attempt` header.
+    /// Number of attempts so far, sent in the `x-attempt` header of the answer.
     pub fn made(&self) -> u32 {
         self.made
     }
 
-    /// Counts an attempt that starts.
+    /// Counts an attempt at its start.
     pub fn record_start(&mut self) {
         self.made += 1;
     }
 
-    /// Decides after a failed attempt: the back-off before the next one, or why there is none.
+    /// Records a failed attempt and returns the backoff before the next one.
     ///
     /// # Errors
-    /// When the attempt may have run and the request is not idempotent, or a bound is reached.
+    /// When no retry is allowed: some attempt may have run and the request is not idempotent, or the attempt limit,
+    /// the deadline or the retry budget is reached.
     pub fn record_failure(
         &mut self,
         policy: &Policy,
@@ -152,36 +153,36 @@
         reason: Reason,
         rng: &mut impl Rng,
     ) -> Result<Duration, Denied> {
-        self.touched |= reason.ran() != Ran::No;
-        if self.touched && !self.idempotent {
+        self.may_have_run |= reason.ran() != Ran::No;
+        if self.may_have_run && !self.idempotent {
             return Err(Denied { reason: reason.kind(), answer: Kind::EngineFailed });
         }
-        if self.made >= policy.attempts {
+        if self.made >= policy.max_attempts {
             return Err(self.denied(Kind::AttemptLimit));
         }
-        let pause = backoff(policy, self.made, rng);
-        if now + pause >= self.deadline {
+        let delay = backoff(policy, self.made, rng);
+        if now + delay >= self.deadline {
             return Err(self.denied(Kind::DeadlinePassed));
         }
         if !budget.spend() {
             return Err(self.denied(Kind::RetryBudget));
         }
-        Ok(pause)
+        Ok(delay)
     }
 
-    /// The answer for a request that ends with a refusal of this kind.
+    /// Denial for a request that ends with this error, adjusted for earlier attempts that may have run.
     pub fn denied(&self, reason: Kind) -> Denied {
-        Denied { reason, answer: if self.touched { Kind::EngineFailed } else { reason } }
+        Denied { reason, answer: if self.may_have_run { Kind::EngineFailed } else { reason } }
     }
 }
 
-/// Random pause, its range doubling with each attempt: routers that failed together don't retry together.
+/// Exponential backoff with jitter, which keeps routers that failed at the same time from retrying in step.
 fn backoff(policy: &Policy, made: u32, rng: &mut impl Rng) -> Duration {
-    let doubled = policy.base.saturating_mul(1 << made.saturating_sub(1).min(16));
-    jitter(doubled.min(policy.most), rng)
+    let max = policy.base_delay.saturating_mul(1 << made.saturating_sub(1).min(16));
+    jitter(max.min(policy.max_delay), rng)
 }
 
-/// Random part of `most`, at least half of it.
-pub fn jitter(most: Duration, rng: &mut impl Rng) -> Duration {
-    most.mul_f64(rng.random_range(0.5..=1.0))
+/// Applies jitter: a random duration between half of `max` and `max`.
+pub fn jitter(max: Duration, rng: &mut impl Rng) -> Duration {
+    max.mul_f64(rng.random_range(0.5..=1.0))
 }
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -1,14 +1,15 @@
-//! The budget of retries: a share of fresh requests.
+//! Retry budget: limits retries to a fraction of first attempts.
 
-const MILLI: u64 = 1000;
+/// Cost of one retry, in thousandths of a retry.
+const MILLI_PER_RETRY: u64 = 1000;
 
-/// Tokens that fresh requests earn and retries spend.
+/// Token bucket that new requests fill and retries drain.
 ///
-/// When a third of the fleet fails, every request would be tried again, and the retries would load the rest
-/// until it fails too. Extra attempts stay below `ratio` times the fresh requests plus the burst.
+/// Without it, the failure of a third of the fleet would cause retries of every request and overload the remaining
+/// engines until they fail too. Retries stay below `ratio` times the new requests, plus the burst.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    milli: u64,
+    tokens_milli: u64,
     ratio_milli: u64,
     burst_milli: u64,
 }
@@ -20,21 +21,21 @@
 }
 
 impl Budget {
-    /// Budget that starts with `burst` retries, the most it ever holds, and earns `ratio` a fresh request.
+    /// Creates a budget that starts at its maximum of `burst` retries and earns `ratio` retries per new request.
     pub fn new(ratio: f64, burst: u32) -> Self {
-        let burst_milli = u64::from(burst) * MILLI;
-        Self { milli: burst_milli, ratio_milli: (ratio * MILLI as f64) as u64, burst_milli }
+        let burst_milli = u64::from(burst) * MILLI_PER_RETRY;
+        Self { tokens_milli: burst_milli, ratio_milli: (ratio * MILLI_PER_RETRY as f64) as u64, burst_milli }
     }
 
-    /// Notes a fresh request.
+    /// Records a new request.
     pub fn earn(&mut self) {
-        self.milli = (self.milli + self.ratio_milli).min(self.burst_milli);
+        self.tokens_milli = (self.tokens_milli + self.ratio_milli).min(self.burst_milli);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry from the budget; returns whether there was one.
     pub fn spend(&mut self) -> bool {
-        let left = self.milli.checked_sub(MILLI);
-        self.milli = left.unwrap_or(self.milli);
+        let left = self.tokens_milli.checked_sub(MILLI_PER_RETRY);
+        self.tokens_milli = left.unwrap_or(self.tokens_milli);
         left.is_some()
     }
 }
--- a/src/retry/cooldown.rs
+++ b/src/retry/cooldown.rs
@@ -1,4 +1,4 @@
-//! Engines that could not be reached lately.
+//! Cool-down of engines that could not be reached.
 
 use std::time::Duration;
 
@@ -7,47 +7,47 @@
     util::{Instant, Map},
 };
 
-const FIRST: Duration = Duration::from_secs(1);
-const MOST: Duration = Duration::from_secs(8);
+const BASE_COOLDOWN: Duration = Duration::from_secs(1);
+const MAX_COOLDOWN: Duration = Duration::from_secs(8);
 
 #[derive(Clone, Copy, Debug)]
-struct Failed {
+struct Cooldown {
     until: Instant,
-    pause: Duration,
+    duration: Duration,
 }
 
-/// Engines that one router keeps away from for a moment, other engines being in use.
+/// Cool-downs of engines that this router failed to reach; other engines are preferred meanwhile.
 ///
-/// Until the probes of a failed engine have agreed, each request that prefers it would spend an attempt on it and
-/// a retry of the budget, and soon every request that meets it would be refused.
+/// Until the probes agree that an engine is down, each request that prefers it would waste an attempt and a retry
+/// of the budget. Once the budget is used up, every request placed on that engine would be refused.
 #[derive(Clone, Debug, Default)]
 pub struct Cooldowns {
-    engines: Map<Id, Failed>,
+    engines: Map<Id, Cooldown>,
 }
 
 impl Cooldowns {
-    /// Notes that an engine could not be reached; the pause doubles with each further failure.
+    /// Records a failure to reach an engine; the cool-down doubles with each further failure.
     pub fn record_failure(&mut self, now: Instant, engine: Id) {
-        let pause = match self.engines.get(&engine) {
-            // Requests that were under way at the same time are one failure.
-            Some(failed) if failed.until > now => return,
-            Some(failed) => (failed.pause * 2).min(MOST),
-            None => FIRST,
+        let duration = match self.engines.get(&engine) {
+            // Failures of concurrent requests count as one.
+            Some(cooldown) if cooldown.until > now => return,
+            Some(cooldown) => (cooldown.duration * 2).min(MAX_COOLDOWN),
+            None => BASE_COOLDOWN,
         };
-        self.engines.insert(engine, Failed { until: now + pause, pause });
+        self.engines.insert(engine, Cooldown { until: now + duration, duration });
     }
 
-    /// Notes that an engine answered.
+    /// Records an answer of an engine, which resets its cool-down.
     pub fn record_success(&mut self, engine: Id) {
         self.engines.remove(&engine);
     }
 
-    /// Engines to keep away from.
+    /// Engines in cool-down.
     pub fn active(&self, now: Instant) -> Vec<Id> {
         self.engines.iter().filter(|(_, f)| f.until > now).map(|(id, _)| *id).collect()
     }
 
-    /// Forgets engines that are no longer configured, so that its size follows the configuration.
+    /// Removes engines that are no longer configured, which bounds the memory.
     pub fn retain(&mut self, known: impl Fn(Id) -> bool) {
         self.engines.retain(|id, _| known(*id));
     }
--- a/src/suspect.rs
+++ b/src/suspect.rs
@@ -1,9 +1,9 @@
-//! Requests that crash backend servers.
+//! Quarantine of request contents that crash backend servers.
 //!
-//! A crash makes all that the engine was running suspects ([`Running`], [`Table`]). A suspect runs again only
-//! under a permit ([`Permits`]), of which there is one an engine and one a content. A content that crashes a
-//! steady engine under its permit is quarantined; a suspect that completes is cleared. Routers tell
-//! each other by [`crate::schema::suspect::Digest`], at once after a crash and then by gossip.
+//! When an engine crashes, all contents that it was running become suspects ([`Running`], [`Table`]). A suspect runs
+//! again only under a permit ([`Permits`]), with at most one permit per engine and per content. A content that
+//! crashes a stable engine under its permit is quarantined; a suspect that completes is cleared. Routers share
+//! this state in a [`crate::schema::suspect::Digest`], immediately after a crash and later by gossip.
 
 mod crashes;
 mod fingerprint;
@@ -20,23 +20,23 @@
 
 use crate::util::hash;
 
-/// Names an engine inside a [`CrashId`].
+/// Hash of an engine's name, the part of a [`CrashId`] that identifies the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EngineHash(u32);
 
 impl EngineHash {
-    /// Tag of the engine with this name.
+    /// Hash of the engine with this name.
     pub fn new(engine: &str) -> Self {
         Self(hash(engine) as u32)
     }
 }
 
-/// Identifies one crash of one engine, the same at every router that saw it.
+/// Identifies one crash of one engine; all routers that observe the crash derive the same identifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CrashId(u64);
 
 impl CrashId {
-    /// The crash that ended the start `start` of an engine.
+    /// Identifier of the crash that ended the process with this start number.
     pub fn new(engine: &str, start: &str) -> Self {
         let EngineHash(tag) = EngineHash::new(engine);
         Self(u64::from(tag) << 32 | u64::from(hash((engine, start)) as u32))
--- a/src/suspect/crashes.rs
+++ b/src/suspect/crashes.rs
@@ -1,64 +1,66 @@
-//! Which engines crashed lately.
+//! Recent crashes of engines.
 
 use std::time::Duration;
 
 use super::{CrashId, EngineHash};
 use crate::util::{Instant, Map, Set};
 
-/// Crashes remembered; beyond them the oldest is forgotten.
-const MOST: usize = 1024;
-/// Crashes of one engine that make it unsteady even if each is blamed on some content.
-const FLAPPING: usize = 2;
+/// Maximum number of tracked crashes; beyond it the oldest is evicted.
+const MAX_CRASHES: usize = 1024;
+/// Number of recent crashes that make an engine unstable even if each is attributed to a content. A crash that is
+/// attributed to none counts as this many.
+const UNSTABLE_CRASHES: usize = 2;
 
-/// Crashes of engines, each remembered for a while.
+/// Recent crashes, each kept until it expires.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CrashHistory {
-    until: Map<CrashId, Instant>,
-    /// Engines whose connections broke while they went on.
-    cut: Map<EngineHash, Instant>,
+    expiries: Map<CrashId, Instant>,
+    /// Engines whose connections broke without a crash, with the time when this expires.
+    disconnected: Map<EngineHash, Instant>,
 }
 
 impl CrashHistory {
-    /// Notes a crash; returns whether it is news.
-    pub(super) fn note(&mut self, now: Instant, crash: CrashId, keep: Duration) -> bool {
-        let new = self.until.insert(crash, now + keep).is_none();
-        if self.until.len() > MOST {
-            self.shrink(now);
+    /// Records a crash for the duration `keep`; returns whether it was unknown.
+    pub(super) fn record(&mut self, now: Instant, crash: CrashId, keep: Duration) -> bool {
+        let new = self.expiries.insert(crash, now + keep).is_none();
+        if self.expiries.len() > MAX_CRASHES {
+            self.evict(now);
         }
         new
     }
 
-    fn shrink(&mut self, now: Instant) {
-        self.until.retain(|_, until| *until > now);
-        let oldest = self.until.iter().min_by_key(|(_, until)| **until).map(|(crash, _)| *crash);
-        if let Some(oldest) = oldest.filter(|_| self.until.len() > MOST) {
-            self.until.remove(&oldest);
+    fn evict(&mut self, now: Instant) {
+        self.expiries.retain(|_, until| *until > now);
+        let oldest = self.expiries.iter().min_by_key(|(_, until)| **until).map(|(crash, _)| *crash);
+        if let Some(oldest) = oldest.filter(|_| self.expiries.len() > MAX_CRASHES) {
+            self.expiries.remove(&oldest);
         }
     }
 
-    /// Turns a crash into a mere cut of connections.
-    pub(super) fn retract_crash(&mut self, now: Instant, crash: CrashId, keep: Duration) {
-        self.until.remove(&crash);
-        self.cut.retain(|_, until| *until > now);
-        self.cut.insert(crash.engine(), now + keep);
+    /// Retracts a crash: the engine only lost its connections, which is recorded for the duration `keep`.
+    pub(super) fn retract(&mut self, now: Instant, crash: CrashId, keep: Duration) {
+        self.expiries.remove(&crash);
+        self.disconnected.retain(|_, until| *until > now);
+        self.disconnected.insert(crash.engine(), now + keep);
     }
 
-    /// Engines with a crash that no content is known to have caused, with several crashes or with cut
-    /// connections; `except` does not count.
+    /// Engines with a crash that is attributed to no content, with several crashes or with lost connections. The
+    /// crash `excluded` is not counted.
     pub(super) fn unstable_engines(
         &self,
         now: Instant,
         attributed: &Set<CrashId>,
-        except: Option<CrashId>,
+        excluded: Option<CrashId>,
     ) -> Set<EngineHash> {
         let mut crashes: Map<EngineHash, usize> = Map::default();
-        let recent = self.until.iter().filter(|(c, until)| **until > now && Some(**c) != except);
-        for (crash, _) in recent {
-            let weight = if attributed.contains(crash) { 1 } else { FLAPPING };
+        let unexpired = self.expiries.iter().filter(|(c, until)| **until > now && Some(**c) != excluded);
+        for (crash, _) in unexpired {
+            let weight = if attributed.contains(crash) { 1 } else { UNSTABLE_CRASHES };
             *crashes.entry(crash.engine()).or_default() += weight;
         }
-        let cut = self.cut.iter().filter(|(_, until)| **until > now).map(|(engine, _)| *engine);
-        let crashed = crashes.into_iter().filter(|(_, n)| *n >= FLAPPING).map(|(engine, _)| engine);
-        crashed.chain(cut).collect()
+        let disconnected =
+            self.disconnected.iter().filter(|(_, until)| **until > now).map(|(engine, _)| *engine);
+        let crashed = crashes.into_iter().filter(|(_, n)| *n >= UNSTABLE_CRASHES).map(|(engine, _)| engine);
+        crashed.chain(disconnected).collect()
     }
 }
--- a/src/suspect/fingerprint.rs
+++ b/src/suspect/fingerprint.rs
@@ -1,23 +1,24 @@
-//! Fingerprints of request contents.
+//! Fingerprints that identify request contents.
 
 use serde_json::{Map, Value};
 
-/// Fields that a caller may change when it sends the same content again.
-const INCIDENTAL: [&str; 5] = ["metadata", "store", "stream", "stream_options", "user"];
+/// Fields that may differ when a caller resends the same content.
+const IGNORED_FIELDS: [&str; 5] = ["metadata", "store", "stream", "stream_options", "user"];
 
-/// Hash of what a backend server would run, without identifiers, so that a content sent again is recognised.
+/// Hash of the content that a backend server would run, without identifiers, so that resent content is recognised.
 ///
-/// Cryptographic, since a workspace must not be able to make up a content that gets another's quarantined.
+/// The hash is cryptographic so that a workspace can't craft a content that collides with another workspace's and
+/// gets it quarantined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint(pub(crate) u64);
 
 impl Fingerprint {
-    /// Fingerprint of a chat's body; neither the order of keys nor white space matters.
+    /// Fingerprint of a chat's body, independent of key order and white space.
     pub fn chat(body: &Map<String, Value>) -> Self {
         let mut hasher = blake3::Hasher::new();
-        for (key, value) in body.iter().filter(|(key, _)| !INCIDENTAL.contains(&key.as_str())) {
+        for (key, value) in body.iter().filter(|(key, _)| !IGNORED_FIELDS.contains(&key.as_str())) {
             hasher.update(key.as_bytes()).update(b"\0");
-            // Writing to a hasher doesn't fail, and a parsed value can be written.
+            // Can't fail: the hasher is an infallible writer and the value was parsed from JSON.
             let _ = serde_json::to_writer(&mut hasher, value);
         }
         Self::finish(&hasher)
--- a/src/suspect/permit.rs
+++ b/src/suspect/permit.rs
@@ -1,9 +1,9 @@
-//! Permits: at most one run of a suspect content, and at most one suspect on an engine.
+//! Permits to run suspect contents: at most one run per content and at most one suspect per engine.
 //!
-//! Every router keeps such a table and uses it when the others choose it, by rendezvous over the live members.
-//! Without one place that decides, two routers would run two suspects on one engine, and its second crash
-//! would quarantine the innocent of the two; or each would run the same content on an engine of its own and
-//! lose one engine a router.
+//! Each router keeps a table of permits, which is used while that router is the arbiter, elected by rendezvous
+//! hashing over the live members. Without a single arbiter, two routers could run two suspects on one engine, whose
+//! second crash would quarantine the harmless one of the two. Or each router could run the same content on a
+//! different engine, and one engine per router would be lost.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,16 +11,16 @@
 use crate::util::{Instant, Map, hash};
 
 #[derive(Clone, Debug)]
-struct Held {
+struct Permit {
     engine: Arc<str>,
     until: Instant,
 }
 
-/// Permits given out by this router.
+/// Permits granted by this router as arbiter.
 #[derive(Debug)]
 pub struct Permits {
     max_permits: usize,
-    contents: Map<Fingerprint, Held>,
+    contents: Map<Fingerprint, Permit>,
     engines: Map<Arc<str>, Fingerprint>,
 }
 
@@ -31,12 +31,12 @@
 }
 
 impl Permits {
-    /// No permit is out; at most `max_permits` ever are.
+    /// Creates a table of at most `max_permits` permits.
     pub fn new(max_permits: usize) -> Self {
         Self { max_permits, contents: Map::default(), engines: Map::default() }
     }
 
-    /// Decides whether a suspect may run on an engine for at most `hold`.
+    /// Requests a permit for a suspect to run on an engine; it expires after `hold`.
     pub fn acquire(
         &mut self,
         now: Instant,
@@ -53,44 +53,44 @@
             return Verdict::EngineTaken;
         }
         self.engines.insert(engine.clone(), content);
-        self.contents.insert(content, Held { engine, until: now + hold });
+        self.contents.insert(content, Permit { engine, until: now + hold });
         Verdict::Granted
     }
 
-    /// Takes a permit back. One that has lapsed and was given to another engine since stays.
+    /// Releases a permit, unless it has expired and the content has a permit for another engine since.
     pub fn release(&mut self, content: Fingerprint, engine: &str) {
-        if self.contents.get(&content).is_some_and(|held| &*held.engine == engine) {
+        if self.contents.get(&content).is_some_and(|permit| &*permit.engine == engine) {
             self.contents.remove(&content);
             self.engines.remove(engine);
         }
     }
 
-    /// Permits that are out.
+    /// Number of permits in force.
     pub fn len(&self) -> usize {
         self.contents.len()
     }
 
-    /// Whether no permit is out.
+    /// Whether no permit is in force.
     pub fn is_empty(&self) -> bool {
         self.contents.is_empty()
     }
 
     fn expire(&mut self, now: Instant) {
         let engines = &mut self.engines;
-        self.contents.retain(|_, held| {
-            let keep = held.until > now;
+        self.contents.retain(|_, permit| {
+            let keep = permit.until > now;
             if !keep {
-                engines.remove(&held.engine);
+                engines.remove(&permit.engine);
             }
             keep
         });
     }
 }
 
-/// Routers in the order in which they are asked for the permit of any suspect, best first.
+/// Sorts routers by their preference as arbiter, by rendezvous hashing, most preferred first.
 ///
-/// One router decides for the whole region: suspects are rare, and two locks, content and engine, can't be
-/// taken at two places without one of them waiting for the other.
+/// One arbiter decides for the whole region: suspects are rare, and with the content and the engine locked at two
+/// different routers one lock would have to wait for the other.
 pub fn sort_arbiters<T>(routers: &mut [T], id: impl Fn(&T) -> u64) {
     routers.sort_by_key(|r| std::cmp::Reverse(hash(("suspects", id(r)))));
 }
--- a/src/suspect/running.rs
+++ b/src/suspect/running.rs
@@ -1,4 +1,4 @@
-//! What this router is running at each engine.
+//! Contents that this router is running on each engine.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::util::Map;
 
 new_key_type! {
-    /// One request in progress at an engine.
+    /// Key of a request in progress on an engine.
     pub struct Run;
 }
 
@@ -19,12 +19,12 @@
 }
 
 impl Running {
-    /// Notes a content that starts at an engine.
+    /// Records the start of a content on an engine.
     pub fn start(&mut self, engine: &Arc<str>, content: Fingerprint) -> Run {
         self.engines.entry(engine.clone()).or_default().insert(content)
     }
 
-    /// Notes a run that has ended, for whatever reason.
+    /// Records the end of a run, for whatever reason.
     pub fn finish(&mut self, engine: &Arc<str>, run: Run) {
         let Some(runs) = self.engines.get_mut(engine) else { return };
         runs.remove(run);
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The contents in progress at an engine.
+    /// Contents in progress on an engine.
     pub fn contents_on(&self, engine: &str) -> Vec<Fingerprint> {
         self.engines.get(engine).map(|runs| runs.values().copied().collect()).unwrap_or_default()
     }
--- a/src/suspect/table.rs
+++ b/src/suspect/table.rs
@@ -1,43 +1,47 @@
-//! What this router knows of contents that were running when an engine crashed.
+//! Table of contents that were running when an engine crashed, merged with those of the other routers.
 
 use std::time::Duration;
 
 use super::{CrashId, EngineHash, Fingerprint, Standing, crashes::CrashHistory};
 use crate::{
-    schema::suspect::{Digest, Entry as Wire},
+    schema::suspect::{Digest, Entry as WireEntry},
     util::{Instant, Map, Set},
 };
 
-/// Crashes remembered a content; the last of them convicts it wherever it happened.
-const CRASHES: usize = 3;
+/// Maximum number of crashes kept per content; at this number it is quarantined even if the engine was unstable.
+const CRASH_LIMIT: usize = 3;
 
-/// Time in which a broken engine mostly answers again.
-const PROVISIONAL: Duration = Duration::from_secs(10);
+/// Time in which an engine that lost its connections usually answers again.
+const PROVISIONAL_PERIOD: Duration = Duration::from_secs(10);
 
-/// Bounds of the table.
+/// Limits of a [`Table`].
 #[derive(Clone, Copy, Debug)]
 pub struct TableLimits {
-    entries: usize,
-    suspect: Duration,
-    quarantine: Duration,
+    max_entries: usize,
+    suspect_ttl: Duration,
+    quarantine_ttl: Duration,
 }
 
 impl Default for TableLimits {
     fn default() -> Self {
-        Self { entries: 4096, suspect: Duration::from_secs(120), quarantine: Duration::from_secs(600) }
+        Self {
+            max_entries: 4096,
+            suspect_ttl: Duration::from_secs(120),
+            quarantine_ttl: Duration::from_secs(600),
+        }
     }
 }
 
 impl TableLimits {
-    /// Sets how many contents are remembered.
-    pub fn with_entries(self, entries: usize) -> Self {
-        Self { entries, ..self }
+    /// Sets the maximum number of contents in the table.
+    pub fn with_max_entries(self, max_entries: usize) -> Self {
+        Self { max_entries, ..self }
     }
 
-    /// Sets how long a content stays suspect, and how long quarantined. After its quarantine it is a suspect for
-    /// as long again, so that one that still crashes engines costs one more, not two.
-    pub fn with_times(self, suspect: Duration, quarantine: Duration) -> Self {
-        Self { suspect, quarantine, ..self }
+    /// Sets how long a content stays suspect and how long it stays quarantined. After the quarantine it is a suspect
+    /// for the same time again, so that a content that still crashes engines costs only one more engine, not two.
+    pub fn with_ttls(self, suspect_ttl: Duration, quarantine_ttl: Duration) -> Self {
+        Self { suspect_ttl, quarantine_ttl, ..self }
     }
 }
 
@@ -50,7 +54,7 @@
     sends: u32,
 }
 
-/// Suspect, cleared and quarantined contents.
+/// Standing of contents: suspect, cleared or quarantined.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     limits: TableLimits,
@@ -59,58 +63,61 @@
 }
 
 impl Table {
-    /// Empty table.
+    /// Creates an empty table.
     pub fn new(limits: TableLimits) -> Self {
         Self { limits, ..Self::default() }
     }
 
-    /// Standing of a content; one never heard of is cleared.
+    /// Standing of a content; an unknown one is cleared.
     pub fn standing(&self, now: Instant, content: Fingerprint) -> Standing {
         self.entries.get(&content).map_or(Standing::Cleared, |e| self.standing_of(now, e))
     }
 
-    /// Whether a content was quarantined a moment ago, so that the engines that it is blamed for may yet be seen
-    /// in their old start and the blame be taken back. It is not run, but its caller should come back.
+    /// Whether the quarantine of a content is provisional: it is so recent that the crash may still be retracted, if
+    /// the engine turns out not to have restarted. The content is not run, but its caller should retry later.
     pub fn is_provisional(&self, now: Instant, content: Fingerprint) -> bool {
-        let settled = self.limits.quarantine * 2 - PROVISIONAL.min(self.limits.quarantine);
+        let settled_ttl = self.limits.quarantine_ttl * 2 - PROVISIONAL_PERIOD.min(self.limits.quarantine_ttl);
         let entry = self.entries.get(&content).filter(|e| e.standing == Standing::Quarantined);
-        entry.is_some_and(|e| e.until > now + settled)
+        entry.is_some_and(|e| e.until > now + settled_ttl)
     }
 
     fn standing_of(&self, now: Instant, entry: &Entry) -> Standing {
         match entry.standing {
             _ if entry.until <= now => Standing::Cleared,
-            Standing::Quarantined if entry.until <= now + self.limits.quarantine => Standing::Suspect,
+            Standing::Quarantined if entry.until <= now + self.limits.quarantine_ttl => Standing::Suspect,
             standing => standing,
         }
     }
 
-    /// Contents remembered.
+    /// Number of contents in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Makes contents suspects of a crash, also when another content is blamed for it: the blame may be wrong, and
-    /// an innocent only runs apart from other suspects until it completes. Returns whether the crash is news.
+    /// Marks contents as suspects of a crash; returns whether the crash was unknown.
+    ///
+    /// This includes crashes attributed to another content, since the attribution may be wrong. A harmless suspect is
+    /// only isolated from other suspects until it completes.
     pub fn mark_suspects(&mut self, now: Instant, contents: &[Fingerprint], crash: CrashId) -> bool {
-        let new = self.crash_history.note(now, crash, self.limits.suspect);
+        let new = self.crash_history.record(now, crash, self.limits.suspect_ttl);
         for &content in contents {
             self.mark_suspect(now, content, crash);
         }
-        self.shrink(now);
+        self.evict(now);
         new
     }
 
-    /// Judges a content whose engine crashed while it was alone among suspects; `contents` is all that this
-    /// router was running there. Returns the content's standing.
+    /// Records a crash of an engine on which `content` was the only suspect, and returns the content's standing.
+    /// `contents` are all contents that this router was running there.
     ///
-    /// A flapping engine breaks what it runs without any content's doing, and an innocent could meet two flaps
-    /// in a row. So the crash is blamed on the content only where the engine was steady, or at its third crash.
+    /// An unstable engine crashes without the content being the cause, and a harmless content could meet two such
+    /// crashes in a row. The content is therefore quarantined at its second crash only if the engine was stable,
+    /// otherwise at its third.
     pub fn record_isolated_crash(
         &mut self,
         now: Instant,
@@ -122,29 +129,29 @@
         self.mark_suspects(now, contents, crash);
         self.mark_suspect(now, content, crash);
         let crashes = self.entries.get(&content).map_or(0, |e| e.crashes.len());
-        let twice = crashes >= 2 && !unstable_engines.contains(&crash.engine());
-        if twice || crashes >= CRASHES {
+        let crashed_twice = crashes >= 2 && !unstable_engines.contains(&crash.engine());
+        if crashed_twice || crashes >= CRASH_LIMIT {
             self.quarantine(now, content);
         }
-        self.shrink(now);
+        self.evict(now);
         self.standing(now, content)
     }
 
-    /// Engines that crash lately without a known cause. Suspects should not run there.
+    /// Engines that recently crashed without a known cause. Suspects should not run there.
     pub fn unstable_engines(&self, now: Instant) -> Set<EngineHash> {
         self.crash_history.unstable_engines(now, &self.attributed(now), None)
     }
 
-    /// Crashes that are blamed on a quarantined content.
+    /// Crashes attributed to a quarantined content.
     fn attributed(&self, now: Instant) -> Set<CrashId> {
-        let guilty = |e: &&Entry| e.standing == Standing::Quarantined && e.until > now;
-        self.entries.values().filter(guilty).flat_map(|e| e.crashes.iter().copied()).collect()
+        let is_quarantined = |e: &&Entry| e.standing == Standing::Quarantined && e.until > now;
+        self.entries.values().filter(is_quarantined).flat_map(|e| e.crashes.iter().copied()).collect()
     }
 
-    /// Quarantines a content. One that was blamed for the same crash before becomes a suspect again: only one of
-    /// the two caused it, and the one that did will show itself.
+    /// Quarantines a content. Others that were quarantined for the same crash become suspects again: only one content
+    /// caused it, and a harmful one will crash another engine.
     fn quarantine(&mut self, now: Instant, content: Fingerprint) {
-        let until = now + self.limits.quarantine * 2;
+        let until = now + self.limits.quarantine_ttl * 2;
         let Some(entry) = self.entries.get_mut(&content) else { return };
         if entry.standing == Standing::Quarantined {
             entry.epoch += 1;
@@ -155,10 +162,10 @@
     }
 
     fn demote_others(&mut self, now: Instant, content: Fingerprint, crashes: &[CrashId]) {
-        let until = now + self.limits.suspect;
+        let until = now + self.limits.suspect_ttl;
         for (other, entry) in &mut self.entries {
-            let shares = entry.crashes.iter().any(|c| crashes.contains(c));
-            if *other != content && shares && entry.standing == Standing::Quarantined {
+            let shares_crash = entry.crashes.iter().any(|c| crashes.contains(c));
+            if *other != content && shares_crash && entry.standing == Standing::Quarantined {
                 entry.epoch += 1;
                 entry.crashes.retain(|c| !crashes.contains(c));
                 (entry.standing, entry.until, entry.sends) = (Standing::Suspect, until, 0);
@@ -166,7 +173,7 @@
         }
     }
 
-    /// Clears a content that has completed.
+    /// Clears a suspect that has completed.
     pub fn clear(&mut self, now: Instant, content: Fingerprint) {
         if self.standing(now, content) != Standing::Suspect {
             return;
@@ -178,29 +185,29 @@
         (entry.standing, entry.sends) = (Standing::Cleared, 0);
     }
 
-    /// Takes an accusation back: the engine is still in the same start, so only the connection broke. A content
-    /// that was quarantined for it is a suspect of what remains.
+    /// Retracts a crash: the engine's process has not restarted, so only the connection broke. A content quarantined
+    /// for this crash becomes a suspect of its remaining crashes.
     pub fn retract_crash(&mut self, now: Instant, crash: CrashId) {
-        self.crash_history.retract_crash(now, crash, self.limits.suspect);
+        self.crash_history.retract(now, crash, self.limits.suspect_ttl);
         for entry in self.entries.values_mut().filter(|e| e.crashes.contains(&crash)) {
             entry.crashes.retain(|c| *c != crash);
             if entry.standing == Standing::Quarantined {
                 entry.epoch += 1;
-                entry.until = now + self.limits.suspect;
+                entry.until = now + self.limits.suspect_ttl;
             }
-            let innocent = entry.crashes.is_empty() || entry.standing == Standing::Cleared;
-            entry.standing = if innocent { Standing::Cleared } else { Standing::Suspect };
+            let cleared = entry.crashes.is_empty() || entry.standing == Standing::Cleared;
+            entry.standing = if cleared { Standing::Cleared } else { Standing::Suspect };
             entry.sends = 0;
         }
     }
 
-    /// Part of the table for other routers, in at most `bytes` of postcard: what was told least goes first, and
-    /// quarantined contents before suspects.
+    /// Digest of the table for other routers, at most `bytes` in postcard encoding. Entries sent least often go
+    /// first, among these quarantined contents before suspects.
     pub fn digest(&mut self, now: Instant, bytes: usize) -> Digest {
         self.select(now, bytes, u32::MAX)
     }
 
-    /// What has been told to nobody yet, in at most `bytes` of postcard.
+    /// Digest of the entries that have not been sent yet, at most `bytes` in postcard encoding.
     pub fn unsent(&mut self, now: Instant, bytes: usize) -> Digest {
         self.select(now, bytes, 0)
     }
@@ -210,10 +217,10 @@
         let mut order: Vec<_> = self.entries.iter().filter(|(_, e)| e.sends <= max_sends).collect();
         order.sort_by_key(|(content, e)| (e.sends, std::cmp::Reverse(e.standing), **content));
         let mut digest = Digest { entries: Vec::new() };
-        // The list's length takes at most two bytes for as many entries as a message holds.
+        // The length prefix of the list takes at most two bytes for the entries that fit in a message.
         let mut size = 2;
         for (content, entry) in order {
-            let wire = wire(now, *content, entry);
+            let wire = to_wire(now, *content, entry);
             size += postcard::experimental::serialized_size(&wire).unwrap_or(usize::MAX / 2);
             if size > bytes {
                 break;
@@ -228,33 +235,33 @@
         digest
     }
 
-    /// Takes in what another router told.
+    /// Merges the digest of another router.
     pub fn merge(&mut self, now: Instant, digest: &Digest) {
         for wire in &digest.entries {
-            self.merge_one(now, wire);
+            self.merge_entry(now, wire);
         }
-        self.shrink(now);
+        self.evict(now);
     }
 
-    fn merge_one(&mut self, now: Instant, wire: &Wire) {
-        let longest = self.limits.suspect.max(self.limits.quarantine * 2);
-        let until = now + Duration::from_millis(wire.ttl_ms.into()).min(longest);
+    fn merge_entry(&mut self, now: Instant, wire: &WireEntry) {
+        let max_ttl = self.limits.suspect_ttl.max(self.limits.quarantine_ttl * 2);
+        let until = now + Duration::from_millis(wire.ttl_ms.into()).min(max_ttl);
         let standing = wire.standing();
-        let known = self.entries.get(&Fingerprint(wire.fingerprint)).filter(|e| e.until > now);
-        if known.is_some_and(|e| (e.epoch, e.standing) >= (wire.epoch, standing)) {
+        let existing = self.entries.get(&Fingerprint(wire.fingerprint)).filter(|e| e.until > now);
+        if existing.is_some_and(|e| (e.epoch, e.standing) >= (wire.epoch, standing)) {
             return;
         }
         let mut crashes: Vec<_> = wire.crashes.iter().copied().map(CrashId).collect();
-        crashes.truncate(CRASHES);
+        crashes.truncate(CRASH_LIMIT);
         for &crash in &crashes {
-            self.crash_history.note(now, crash, self.limits.suspect);
+            self.crash_history.record(now, crash, self.limits.suspect_ttl);
         }
         let entry = Entry { epoch: wire.epoch, standing, until, crashes, sends: 0 };
         self.entries.insert(Fingerprint(wire.fingerprint), entry);
     }
 
     fn mark_suspect(&mut self, now: Instant, content: Fingerprint, crash: CrashId) {
-        let until = now + self.limits.suspect;
+        let until = now + self.limits.suspect_ttl;
         let entry = self.entries.entry(content).or_insert_with(|| Entry {
             epoch: 0,
             standing: Standing::Cleared,
@@ -263,7 +270,7 @@
             sends: 0,
         });
         if entry.standing == Standing::Quarantined && entry.until > now {
-            if !entry.crashes.contains(&crash) && entry.crashes.len() < CRASHES {
+            if !entry.crashes.contains(&crash) && entry.crashes.len() < CRASH_LIMIT {
                 entry.crashes.push(crash);
             }
             return;
@@ -272,19 +279,19 @@
             entry.crashes.clear();
             entry.epoch += 1;
         }
-        if !entry.crashes.contains(&crash) && entry.crashes.len() < CRASHES {
+        if !entry.crashes.contains(&crash) && entry.crashes.len() < CRASH_LIMIT {
             entry.crashes.push(crash);
         }
         (entry.standing, entry.until, entry.sends) = (Standing::Suspect, until, 0);
     }
 
-    /// Keeps the table within its bound: expired and cleared contents go first, quarantined ones last.
-    fn shrink(&mut self, now: Instant) {
-        if self.entries.len() <= self.limits.entries {
+    /// Keeps the table within its limit: evicts expired and cleared contents first, quarantined ones last.
+    fn evict(&mut self, now: Instant) {
+        if self.entries.len() <= self.limits.max_entries {
             return;
         }
         self.entries.retain(|_, e| e.until > now && e.standing != Standing::Cleared);
-        let excess = self.entries.len().saturating_sub(self.limits.entries);
+        let excess = self.entries.len().saturating_sub(self.limits.max_entries);
         if excess == 0 {
             return;
         }
@@ -296,8 +303,8 @@
     }
 }
 
-fn wire(now: Instant, content: Fingerprint, entry: &Entry) -> Wire {
-    Wire {
+fn to_wire(now: Instant, content: Fingerprint, entry: &Entry) -> WireEntry {
+    WireEntry {
         fingerprint: content.0,
         epoch: entry.epoch,
         standing: entry.standing as i32,
--- a/tests/suspect.rs
+++ b/tests/suspect.rs
@@ -197,7 +197,7 @@
 /// back as a suspect, and one crash puts it away again, at every router.
 #[test]
 fn after_its_quarantine_a_content_is_a_suspect() {
-    let limits = TableLimits::default().with_times(HOLD, Duration::from_secs(600));
+    let limits = TableLimits::default().with_ttls(HOLD, Duration::from_secs(600));
     let (mut table, mut other) = (Table::new(limits), Table::new(limits));
     table.mark_suspects(NOW, &[content(0)], crash(1));
     table.record_isolated_crash(NOW, content(0), &[], crash(2));
@@ -258,7 +258,7 @@
 /// must not lose the quarantine that stands.
 #[test]
 fn the_table_is_bounded_and_keeps_quarantined_contents() {
-    let mut table = Table::new(TableLimits::default().with_entries(100));
+    let mut table = Table::new(TableLimits::default().with_max_entries(100));
     table.mark_suspects(NOW, &[content(0)], crash(0));
     table.record_isolated_crash(NOW, content(0), &[], crash(1));
 
