--- a/examples/tables.rs
+++ b/examples/tables.rs
@@ -2,7 +2,7 @@
 
 use cranberrytally::{
     config::{FIELDS, Takes},
-    error::Kind,
+    error::ErrorKind,
     metrics::Counter,
 };
 
@@ -12,7 +12,7 @@
         println!("| `{}` | {}{unit} | {} | {} |", f.key, f.default_text(), f.range_text(), f.about);
     }
     println!();
-    for kind in Kind::ALL {
+    for kind in ErrorKind::ALL {
         let a = kind.answer();
         let retry = a.retry_s.map_or("no".to_owned(), |s| format!("after {s} s"));
         println!("| `{}` | {} | {} | {retry} | {} |", a.code, a.status, a.ran.as_str(), a.about);
--- a/src/admit.rs
+++ b/src/admit.rs
@@ -5,7 +5,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use crate::{error::Kind, util::Instant};
+use crate::{error::ErrorKind, util::Instant};
 
 mod flow;
 pub mod limit;
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Reason of the refusal.
-    pub kind: Kind,
+    pub kind: ErrorKind,
     /// Time after which the caller should retry.
     pub retry_after: Duration,
 }
--- a/src/admit/limit.rs
+++ b/src/admit/limit.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::{error::Kind, util::Map};
+use crate::{error::ErrorKind, util::Map};
 
 /// Scope of a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -14,10 +14,10 @@
 }
 
 impl Scope {
-    fn kind(&self) -> Kind {
+    fn kind(&self) -> ErrorKind {
         match self {
-            Scope::Workspace(_) => Kind::WorkspaceLimit,
-            Scope::Group(_) => Kind::GroupLimit,
+            Scope::Workspace(_) => ErrorKind::WorkspaceLimit,
+            Scope::Group(_) => ErrorKind::GroupLimit,
         }
     }
 }
@@ -49,8 +49,8 @@
     /// Counts a request against `limits`, or counts nothing if it would exceed one of them.
     ///
     /// # Errors
-    /// [`Kind::WorkspaceLimit`] or [`Kind::GroupLimit`], depending on the exceeded limit.
-    pub fn acquire(&mut self, limits: &[ConcurrencyLimit], routers: u32) -> Result<(), Kind> {
+    /// [`ErrorKind::WorkspaceLimit`] or [`ErrorKind::GroupLimit`], depending on the exceeded limit.
+    pub fn acquire(&mut self, limits: &[ConcurrencyLimit], routers: u32) -> Result<(), ErrorKind> {
         let full = |cap: &&ConcurrencyLimit| {
             self.running.get(&cap.scope).copied().unwrap_or(0) >= cap.share(routers)
         };
--- a/src/admit/queue.rs
+++ b/src/admit/queue.rs
@@ -15,7 +15,7 @@
     rate::ServiceRate,
 };
 use crate::{
-    error::Kind,
+    error::ErrorKind,
     util::{Instant, Map},
 };
 
@@ -77,16 +77,16 @@
     /// Queues a request, or refuses it when its deadline can't be met or the queue is full.
     pub fn enqueue(&mut self, now: Instant, demand: Demand) -> EnqueueResult {
         if demand.deadline <= now {
-            return EnqueueResult::Refused(self.refusal(now, Kind::DeadlinePassed));
+            return EnqueueResult::Refused(self.refusal(now, ErrorKind::DeadlinePassed));
         }
         let order = QueueOrder { priority: demand.priority, deadline: demand.deadline, seq: self.seq };
         let due = now + self.estimated_wait(now, &demand, order) + self.rate.run_time(demand.work);
         if due > demand.deadline {
-            return EnqueueResult::Refused(self.refusal(now, Kind::DeadlineUnmeetable));
+            return EnqueueResult::Refused(self.refusal(now, ErrorKind::DeadlineUnmeetable));
         }
         let own = self.flows.get(&demand.workspace).map_or(0, Flow::len);
         if own >= self.limits.max_per_workspace {
-            return EnqueueResult::Refused(self.refusal(now, Kind::QueueFull));
+            return EnqueueResult::Refused(self.refusal(now, ErrorKind::QueueFull));
         }
         if self.tickets.len() < self.limits.max_waiting {
             return EnqueueResult::Queued(self.insert(now, demand, order));
@@ -96,10 +96,10 @@
         match self.flows.values().max_by_key(|f| f.len()).filter(|f| f.len() > own + 1).and_then(Flow::last) {
             Some(victim) => {
                 self.remove(victim);
-                let refusal = self.refusal(now, Kind::QueueFull);
+                let refusal = self.refusal(now, ErrorKind::QueueFull);
                 EnqueueResult::Displaced(self.insert(now, demand, order), victim, refusal)
             }
-            None => EnqueueResult::Refused(self.refusal(now, Kind::QueueFull)),
+            None => EnqueueResult::Refused(self.refusal(now, ErrorKind::QueueFull)),
         }
     }
 
@@ -152,7 +152,8 @@
         due.into_iter()
             .map(|(ticket, deadline_passed)| {
                 self.remove(ticket);
-                let kind = if deadline_passed { Kind::DeadlinePassed } else { Kind::DeadlineUnmeetable };
+                let kind =
+                    if deadline_passed { ErrorKind::DeadlinePassed } else { ErrorKind::DeadlineUnmeetable };
                 (ticket, self.refusal(now, kind))
             })
             .collect()
@@ -164,7 +165,7 @@
     }
 
     /// Creates a refusal that tells the caller to retry once the queue should have drained.
-    pub fn refusal(&self, now: Instant, kind: Kind) -> Refusal {
+    pub fn refusal(&self, now: Instant, kind: ErrorKind) -> Refusal {
         let backlog = self.flows.values().map(|f| f.work_up_to(super::Priority::Low)).sum();
         let drain_time = self.rate.time_to_start(now, backlog).unwrap_or(MIN_RETRY_AFTER);
         Refusal { kind, retry_after: drain_time.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER) }
--- a/src/claim/attempt.rs
+++ b/src/claim/attempt.rs
@@ -5,7 +5,7 @@
 
 use super::{Ask, AttemptId, KeyDigest, Record, Verdict};
 use crate::{
-    error::Kind,
+    error::ErrorKind,
     outcome::{Dispatched, Undispatched, Unsent},
 };
 
@@ -120,13 +120,13 @@
 }
 
 /// Kind under which a caller is told of a verdict; `None` for those that are no refusal.
-pub fn refusal(verdict: &Verdict) -> Option<Kind> {
+pub fn refusal(verdict: &Verdict) -> Option<ErrorKind> {
     match verdict {
         Verdict::Granted | Verdict::Recorded(_) => None,
-        Verdict::Pending => Some(Kind::KeyPending),
-        Verdict::Unknown => Some(Kind::KeyUnknown),
-        Verdict::Conflict => Some(Kind::KeyConflict),
-        Verdict::Expired => Some(Kind::KeyExpired),
-        Verdict::Unavailable => Some(Kind::ClaimUnavailable),
+        Verdict::Pending => Some(ErrorKind::KeyPending),
+        Verdict::Unknown => Some(ErrorKind::KeyUnknown),
+        Verdict::Conflict => Some(ErrorKind::KeyConflict),
+        Verdict::Expired => Some(ErrorKind::KeyExpired),
+        Verdict::Unavailable => Some(ErrorKind::ClaimUnavailable),
     }
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -28,7 +28,7 @@
 
 /// Why a request was refused or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub enum ErrorKind {
     /// The request can't be understood.
     BadRequest,
     /// The body exceeds the limit.
@@ -124,211 +124,221 @@
     pub about: &'static str,
 }
 
-impl Kind {
+impl ErrorKind {
     /// Every kind.
-    pub const ALL: [Kind; 39] = [
-        Kind::BadRequest,
-        Kind::BodyTooLarge,
-        Kind::BodyTimeout,
-        Kind::LengthRequired,
-        Kind::NotFound,
-        Kind::MethodNotAllowed,
-        Kind::Forbidden,
-        Kind::UnknownWorkspace,
-        Kind::UnknownService,
-        Kind::NoPolicy,
-        Kind::NoEngine,
-        Kind::Evacuated,
-        Kind::WarmingUp,
-        Kind::Paused,
-        Kind::NotReady,
-        Kind::Leaving,
-        Kind::DeadlineUnmeetable,
-        Kind::DeadlinePassed,
-        Kind::QueueFull,
-        Kind::Overloaded,
-        Kind::WorkspaceLimit,
-        Kind::GroupLimit,
-        Kind::RetryBudget,
-        Kind::AttemptLimit,
-        Kind::Quarantined,
-        Kind::SuspectBusy,
-        Kind::ConnectFailed,
-        Kind::EngineFailed,
-        Kind::EngineRefused,
-        Kind::KeyRequired,
-        Kind::KeyConflict,
-        Kind::KeyPending,
-        Kind::KeyUnknown,
-        Kind::KeyExpired,
-        Kind::KeyAnswered,
-        Kind::ClaimUnavailable,
-        Kind::ResumeUnknown,
-        Kind::ResumeGone,
-        Kind::Internal,
+    pub const ALL: [ErrorKind; 39] = [
+        ErrorKind::BadRequest,
+        ErrorKind::BodyTooLarge,
+        ErrorKind::BodyTimeout,
+        ErrorKind::LengthRequired,
+        ErrorKind::NotFound,
+        ErrorKind::MethodNotAllowed,
+        ErrorKind::Forbidden,
+        ErrorKind::UnknownWorkspace,
+        ErrorKind::UnknownService,
+        ErrorKind::NoPolicy,
+        ErrorKind::NoEngine,
+        ErrorKind::Evacuated,
+        ErrorKind::WarmingUp,
+        ErrorKind::Paused,
+        ErrorKind::NotReady,
+        ErrorKind::Leaving,
+        ErrorKind::DeadlineUnmeetable,
+        ErrorKind::DeadlinePassed,
+        ErrorKind::QueueFull,
+        ErrorKind::Overloaded,
+        ErrorKind::WorkspaceLimit,
+        ErrorKind::GroupLimit,
+        ErrorKind::RetryBudget,
+        ErrorKind::AttemptLimit,
+        ErrorKind::Quarantined,
+        ErrorKind::SuspectBusy,
+        ErrorKind::ConnectFailed,
+        ErrorKind::EngineFailed,
+        ErrorKind::EngineRefused,
+        ErrorKind::KeyRequired,
+        ErrorKind::KeyConflict,
+        ErrorKind::KeyPending,
+        ErrorKind::KeyUnknown,
+        ErrorKind::KeyExpired,
+        ErrorKind::KeyAnswered,
+        ErrorKind::ClaimUnavailable,
+        ErrorKind::ResumeUnknown,
+        ErrorKind::ResumeGone,
+        ErrorKind::Internal,
     ];
 
     /// The table from kind to answer.
     pub fn answer(self) -> Answer {
         let row = |status, code, ran, retry_s, about| Answer { status, code, ran, retry_s, about };
         match self {
-            Kind::BadRequest => row(400, "bad_request", Ran::No, None, "The request can't be understood"),
-            Kind::BodyTooLarge => row(413, "body_too_large", Ran::No, None, "The body exceeds the limit"),
-            Kind::BodyTimeout => {
+            ErrorKind::BadRequest => {
+                row(400, "bad_request", Ran::No, None, "The request can't be understood")
+            }
+            ErrorKind::BodyTooLarge => {
+                row(413, "body_too_large", Ran::No, None, "The body exceeds the limit")
+            }
+            ErrorKind::BodyTimeout => {
                 row(408, "body_timeout", Ran::No, Some(0), "The body did not arrive in time")
             }
-            Kind::LengthRequired => {
+            ErrorKind::LengthRequired => {
                 row(411, "length_required", Ran::No, None, "The body's length is not stated in the head")
             }
-            Kind::NotFound => row(404, "not_found", Ran::No, None, "Nothing is at this path"),
-            Kind::MethodNotAllowed => {
+            ErrorKind::NotFound => row(404, "not_found", Ran::No, None, "Nothing is at this path"),
+            ErrorKind::MethodNotAllowed => {
                 row(405, "method_not_allowed", Ran::No, None, "The path does not take this method")
             }
-            Kind::Forbidden => row(403, "forbidden", Ran::No, None, "Only operators may ask this"),
-            Kind::UnknownWorkspace => {
+            ErrorKind::Forbidden => row(403, "forbidden", Ran::No, None, "Only operators may ask this"),
+            ErrorKind::UnknownWorkspace => {
                 row(403, "unknown_workspace", Ran::No, None, "The workspace is not configured")
             }
-            Kind::UnknownService => {
+            ErrorKind::UnknownService => {
                 row(404, "unknown_service", Ran::No, None, "The service is not configured")
             }
-            Kind::NoPolicy => row(403, "no_policy", Ran::No, None, "No routing policy matches"),
-            Kind::NoEngine => row(503, "no_engine", Ran::No, Some(2), "No eligible engine is live"),
-            Kind::Evacuated => row(
+            ErrorKind::NoPolicy => row(403, "no_policy", Ran::No, None, "No routing policy matches"),
+            ErrorKind::NoEngine => row(503, "no_engine", Ran::No, Some(2), "No eligible engine is live"),
+            ErrorKind::Evacuated => row(
                 503,
                 "evacuated",
                 Ran::No,
                 Some(5),
                 "Every data centre with an eligible engine is evacuated",
             ),
-            Kind::Paused => {
+            ErrorKind::Paused => {
                 row(503, "paused", Ran::No, Some(1), "Every eligible engine has asked for a pause")
             }
-            Kind::WarmingUp => row(
+            ErrorKind::WarmingUp => row(
                 503,
                 "warming_up",
                 Ran::No,
                 Some(1),
                 "Every eligible engine has just started and bears no more requests",
             ),
-            Kind::NotReady => row(503, "not_ready", Ran::No, Some(1), "The router has no configuration yet"),
-            Kind::Leaving => {
+            ErrorKind::NotReady => {
+                row(503, "not_ready", Ran::No, Some(1), "The router has no configuration yet")
+            }
+            ErrorKind::Leaving => {
                 row(503, "leaving", Ran::No, Some(0), "The router is shutting down and takes no new request")
             }
-            Kind::DeadlineUnmeetable => row(
+            ErrorKind::DeadlineUnmeetable => row(
                 503,
                 "deadline_unmeetable",
                 Ran::No,
                 Some(1),
                 "The deadline would pass before an engine is free",
             ),
-            Kind::DeadlinePassed => {
+            ErrorKind::DeadlinePassed => {
                 row(504, "deadline_passed", Ran::No, None, "The deadline passed while the request waited")
             }
-            Kind::Overloaded => row(
+            ErrorKind::Overloaded => row(
                 503,
                 "overloaded",
                 Ran::No,
                 Some(1),
                 "The service has as much work as it can finish in time",
             ),
-            Kind::QueueFull => row(503, "queue_full", Ran::No, Some(1), "Too many requests wait already"),
-            Kind::WorkspaceLimit => row(
+            ErrorKind::QueueFull => {
+                row(503, "queue_full", Ran::No, Some(1), "Too many requests wait already")
+            }
+            ErrorKind::WorkspaceLimit => row(
                 429,
                 "workspace_limit",
                 Ran::No,
                 Some(1),
                 "The workspace has as many requests in progress as it may have",
             ),
-            Kind::GroupLimit => row(
+            ErrorKind::GroupLimit => row(
                 429,
                 "group_limit",
                 Ran::No,
                 Some(1),
                 "The workspace group has as many requests in progress as it may have",
             ),
-            Kind::RetryBudget => {
+            ErrorKind::RetryBudget => {
                 row(503, "retry_budget", Ran::No, Some(2), "A retry would exceed the budget of retries")
             }
-            Kind::AttemptLimit => {
+            ErrorKind::AttemptLimit => {
                 row(503, "attempt_limit", Ran::No, Some(2), "Every attempt that is allowed has been made")
             }
-            Kind::Quarantined => {
+            ErrorKind::Quarantined => {
                 row(422, "quarantined", Ran::No, None, "The same content has crashed backend servers")
             }
-            Kind::SuspectBusy => row(
+            ErrorKind::SuspectBusy => row(
                 503,
                 "suspect_busy",
                 Ran::No,
                 Some(2),
                 "Content that may have crashed a backend server waits for another such run",
             ),
-            Kind::ConnectFailed => row(
+            ErrorKind::ConnectFailed => row(
                 502,
                 "connect_failed",
                 Ran::No,
                 Some(1),
                 "No connection to a backend server could be made",
             ),
-            Kind::EngineFailed => row(
+            ErrorKind::EngineFailed => row(
                 502,
                 "engine_failed",
                 Ran::Unknown,
                 None,
                 "The backend server broke off after the request may have reached it",
             ),
-            Kind::EngineRefused => row(
+            ErrorKind::EngineRefused => row(
                 503,
                 "engine_refused",
                 Ran::No,
                 Some(1),
                 "The backend server refused the request before running it",
             ),
-            Kind::KeyRequired => row(
+            ErrorKind::KeyRequired => row(
                 400,
                 "key_required",
                 Ran::No,
                 None,
                 "A non-idempotent request of this service needs an idempotency key",
             ),
-            Kind::KeyConflict => {
+            ErrorKind::KeyConflict => {
                 row(409, "key_conflict", Ran::No, None, "The idempotency key was used with other content")
             }
-            Kind::KeyPending => row(
+            ErrorKind::KeyPending => row(
                 409,
                 "key_pending",
                 Ran::Unknown,
                 Some(1),
                 "A request with this idempotency key is in progress",
             ),
-            Kind::KeyUnknown => row(
+            ErrorKind::KeyUnknown => row(
                 409,
                 "key_unknown",
                 Ran::Unknown,
                 None,
                 "A request with this idempotency key may have run; its outcome is not known",
             ),
-            Kind::KeyExpired => {
+            ErrorKind::KeyExpired => {
                 row(410, "key_expired", Ran::Unknown, None, "The idempotency key is older than the horizon")
             }
-            Kind::KeyAnswered => row(
+            ErrorKind::KeyAnswered => row(
                 409,
                 "key_answered",
                 Ran::Yes,
                 None,
                 "A request with this idempotency key ran; its answer was too large to keep",
             ),
-            Kind::ClaimUnavailable => row(
+            ErrorKind::ClaimUnavailable => row(
                 503,
                 "claim_unavailable",
                 Ran::No,
                 Some(2),
                 "The claim on the idempotency key could not be recorded",
             ),
-            Kind::ResumeUnknown => row(400, "resume_unknown", Ran::No, None, "The resume token is not valid"),
-            Kind::ResumeGone => {
+            ErrorKind::ResumeUnknown => {
+                row(400, "resume_unknown", Ran::No, None, "The resume token is not valid")
+            }
+            ErrorKind::ResumeGone => {
                 row(410, "resume_gone", Ran::Unknown, None, "The stream can no longer be resumed")
             }
-            Kind::Internal => row(500, "internal", Ran::Unknown, None, "The router failed inside"),
+            ErrorKind::Internal => row(500, "internal", Ran::Unknown, None, "The router failed inside"),
         }
     }
 
@@ -355,7 +365,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Kind, from the closed list.
-    pub kind: Kind,
+    pub kind: ErrorKind,
     /// What the caller reads.
     pub message: String,
     /// When the caller should come back; the table's time where it is not known better.
@@ -366,7 +376,7 @@
 
 impl Fault {
     /// Fault of a kind.
-    pub fn new(kind: Kind, message: impl Into<String>) -> Self {
+    pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         Self { kind, message: message.into(), retry_after: None, attempts: None }
     }
 
@@ -390,7 +400,7 @@
     pub fn reply_to_repeat(&self) -> Reply {
         let ran = match (self.kind, self.kind.answer().ran) {
             // No attempt with this content can have run under the key.
-            (Kind::KeyConflict, ran) => ran,
+            (ErrorKind::KeyConflict, ran) => ran,
             (_, Ran::No) => Ran::Unknown,
             (_, ran) => ran,
         };
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -19,7 +19,7 @@
     claim::ticket::TICKET_USE,
     client::Client,
     entry::Router,
-    error::{Fault, Kind},
+    error::{ErrorKind, Fault},
     http::{Handler, Reply, UNREAD_BODY},
     link::{LinkKey, Links},
     metrics::Metrics,
@@ -179,19 +179,19 @@
             (&Method::GET, "/healthz") => Ok(Reply::full(200, "ok\n")),
             (&Method::GET, "/readyz") if self.ready() => Ok(Reply::full(200, "ready\n")),
             (&Method::GET, "/metrics") => self.show_metrics(),
-            _ if !self.ready() => Err(Fault::new(Kind::NotReady, "no configuration yet")),
+            _ if !self.ready() => Err(Fault::new(ErrorKind::NotReady, "no configuration yet")),
             (&Method::GET, "/v1/entry") => self.entry(req.uri().query().unwrap_or("")),
             _ if self.closed.load(Ordering::Acquire) => {
-                Err(Fault::new(Kind::Leaving, Kind::Leaving.answer().about))
+                Err(Fault::new(ErrorKind::Leaving, ErrorKind::Leaving.answer().about))
             }
             (&Method::GET | &Method::POST, "/v1/resume") => self.resume(req).await,
             (&Method::GET, "/v1/key-ticket") => Ok(self.key_ticket()),
             (&Method::POST, "/v1/chat/completions") => self.chat(req, id).await,
             (method, path) if PATHS.contains(&path) => {
-                Err(Fault::new(Kind::MethodNotAllowed, format!("{method} is not for {path}")))
+                Err(Fault::new(ErrorKind::MethodNotAllowed, format!("{method} is not for {path}")))
             }
             (_, p) if p.starts_with("/services/") => self.service(req, id).await,
-            _ => Err(Fault::new(Kind::NotFound, format!("there is nothing at {path}"))),
+            _ => Err(Fault::new(ErrorKind::NotFound, format!("there is nothing at {path}"))),
         }
     }
 
@@ -202,8 +202,8 @@
         self.metrics.refuse(code);
         // In a surge most refusals are the system at work, and a line for each would add to its load.
         let level = match fault.kind {
-            Kind::Internal => Level::Error,
-            Kind::Quarantined | Kind::EngineFailed => Level::Warn,
+            ErrorKind::Internal => Level::Error,
+            ErrorKind::Quarantined | ErrorKind::EngineFailed => Level::Warn,
             _ => Level::Debug,
         };
         let (request, workspace) = (origin.id.as_str(), origin.workspace.as_str());
@@ -212,7 +212,7 @@
     }
 
     fn show_metrics(&self) -> Result<Reply, Fault> {
-        let text = self.metrics.text().map_err(|e| Fault::new(Kind::Internal, format!("{e:#}")))?;
+        let text = self.metrics.text().map_err(|e| Fault::new(ErrorKind::Internal, format!("{e:#}")))?;
         Ok(Reply::full(200, text).with_header("content-type", "text/plain; version=0.0.4"))
     }
 
@@ -306,7 +306,7 @@
         reply.with_header("x-request-id", &origin.id)
     }
 
-    fn refuse_body(&self, head: &Request<()>, kind: Kind) -> Reply {
+    fn refuse_body(&self, head: &Request<()>, kind: ErrorKind) -> Reply {
         let origin = Origin::of(head);
         self.refuse(&Fault::new(kind, UNREAD_BODY), &origin).with_header("x-request-id", &origin.id)
     }
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -126,7 +126,7 @@
             match (&mut waiter.turn).await {
                 Ok(Turn::Try) => {}
                 Ok(Turn::Refused(refusal)) => return Err(fault(refusal)),
-                Err(_) => return Err(Fault::new(crate::error::Kind::Internal, "the queue is gone")),
+                Err(_) => return Err(Fault::new(crate::error::ErrorKind::Internal, "the queue is gone")),
             }
             match find().await {
                 Ok(found) => {
--- a/src/gateway/ask.rs
+++ b/src/gateway/ask.rs
@@ -7,7 +7,7 @@
 use crate::{
     admit::{Demand, Priority},
     engine::ChatId,
-    error::{Fault, Kind},
+    error::{ErrorKind, Fault},
     place::{bound::Work, work::Estimator},
     suspect::Fingerprint,
     util::{Instant, random_id},
@@ -159,7 +159,7 @@
 }
 
 fn bad(message: impl Into<String>) -> Fault {
-    Fault::new(Kind::BadRequest, message)
+    Fault::new(ErrorKind::BadRequest, message)
 }
 
 /// A header's value, if it is text.
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -17,7 +17,7 @@
 use crate::{
     catalog::{Catalog, Engine, EngineKey, Id},
     client::Failure,
-    error::{Fault, Kind},
+    error::{ErrorKind, Fault},
     metrics::Counter,
     outcome::Unsent,
     retry::{Attempts, Denied, Reason, jitter},
@@ -216,7 +216,7 @@
         for exclude in [&[tried, &avoid].concat()[..], tried, &[]] {
             let find = || async { to.find(exclude, Queued::Yes).await.map_err(no_room) };
             match queue.admit(ask, find).await {
-                Err(f) if f.kind == Kind::NoEngine => last = f,
+                Err(f) if f.kind == ErrorKind::NoEngine => last = f,
                 found => return found,
             }
         }
@@ -248,7 +248,7 @@
                 return Err(self.suspects.refuse(ask.content));
             }
         }
-        Err(Fault::new(Kind::SuspectBusy, Kind::SuspectBusy.answer().about))
+        Err(Fault::new(ErrorKind::SuspectBusy, ErrorKind::SuspectBusy.answer().about))
     }
 
     /// One round over the engines: the first with room whose permit is free.
@@ -304,5 +304,5 @@
 }
 
 fn no_engine() -> Fault {
-    Fault::new(Kind::NoEngine, Kind::NoEngine.answer().about)
+    Fault::new(ErrorKind::NoEngine, ErrorKind::NoEngine.answer().about)
 }
--- a/src/gateway/chat.rs
+++ b/src/gateway/chat.rs
@@ -16,7 +16,7 @@
     catalog::{Catalog, Engine, Id, NoPool, Pool},
     client::Failure,
     engine::{ChatCall, EngineClient},
-    error::{Fault, Kind},
+    error::{ErrorKind, Fault},
     http::Reply,
     util::now,
 };
@@ -86,13 +86,17 @@
 fn no_pool(e: NoPool, ask: &Ask) -> Fault {
     let (workspace, model) = (&ask.workspace, &ask.model);
     match e {
-        NoPool::UnknownWorkspace => Fault::new(Kind::UnknownWorkspace, format!("no workspace {workspace:?}")),
+        NoPool::UnknownWorkspace => {
+            Fault::new(ErrorKind::UnknownWorkspace, format!("no workspace {workspace:?}"))
+        }
         NoPool::NoPolicy => {
-            Fault::new(Kind::NoPolicy, format!("no policy routes {workspace:?} with model {model:?}"))
+            Fault::new(ErrorKind::NoPolicy, format!("no policy routes {workspace:?} with model {model:?}"))
         }
         NoPool::UnknownPool => {
-            Fault::new(Kind::NoPolicy, format!("the pool for {workspace:?} is not configured"))
+            Fault::new(ErrorKind::NoPolicy, format!("the pool for {workspace:?} is not configured"))
+        }
+        NoPool::EmptyPool => {
+            Fault::new(ErrorKind::NoEngine, format!("no engine is eligible for {workspace:?}"))
         }
-        NoPool::EmptyPool => Fault::new(Kind::NoEngine, format!("no engine is eligible for {workspace:?}")),
     }
 }
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -10,7 +10,7 @@
         Answered, Ask, KEPT_BODY, Record, Verdict,
         attempt::{Asking, Held, Refused, Running, refusal},
     },
-    error::{Fault, Kind},
+    error::{ErrorKind, Fault},
     gateway::{admit::Entered, ask::header, attempt::Started, relay::STALL},
     http::{Reply, body_channel},
     outcome::{Undispatched, Unsent},
@@ -74,14 +74,14 @@
     if let Verdict::Recorded(answered) = verdict {
         return replay(answered).map(Answer::Replay);
     }
-    let kind = refusal(&verdict).unwrap_or(Kind::Internal);
+    let kind = refusal(&verdict).unwrap_or(ErrorKind::Internal);
     token.refuse(kind, kind.answer().about).into_result()
 }
 
 /// The recorded answer of the run.
 fn replay(answered: Answered) -> Result<Reply, Fault> {
     let Some(body) = answered.body else {
-        return Err(Fault::new(Kind::KeyAnswered, Kind::KeyAnswered.answer().about));
+        return Err(Fault::new(ErrorKind::KeyAnswered, ErrorKind::KeyAnswered.answer().about));
     };
     Ok(Reply::full(answered.status, body)
         .with_header("content-type", &answered.content_type)
--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -6,7 +6,7 @@
 use crate::{
     engine::ChatId,
     entry::{self, MOST, Query},
-    error::{Fault, Kind},
+    error::{ErrorKind, Fault},
     http::Reply,
     place::search,
     util::now,
@@ -15,7 +15,7 @@
 impl Gateway {
     pub(super) fn entry(&self, text: &str) -> Result<Reply, Fault> {
         let query = Query::parse(text, &self.me, rand::random())
-            .map_err(|e| Fault::new(Kind::BadRequest, e.to_string()))?;
+            .map_err(|e| Fault::new(ErrorKind::BadRequest, e.to_string()))?;
         let mut list = entry::order(&read(&self.routers), &query, MOST);
         let owner = self.first_owner(&query);
         if let Some(at) = list.iter().position(|r| Some(r.addr) == owner) {
--- a/src/gateway/service.rs
+++ b/src/gateway/service.rs
@@ -16,7 +16,7 @@
     catalog::{Catalog, Engine, Id, Service},
     claim::{self, AttemptId, ContentDigest, KeyDigest},
     client::Failure,
-    error::{Fault, Kind},
+    error::{ErrorKind, Fault},
     http::Reply,
     util::now,
 };
@@ -32,14 +32,14 @@
         let cat = self.catalog();
         let service = cat
             .service(name)
-            .ok_or_else(|| Fault::new(Kind::UnknownService, format!("no service {name:?}")))?;
+            .ok_or_else(|| Fault::new(ErrorKind::UnknownService, format!("no service {name:?}")))?;
         let path = match req.uri().query() {
             Some(query) => format!("/{tail}?{query}"),
             None => format!("/{tail}"),
         };
         let ask = Ask::call(id, req.headers(), &path, req.body(), now())?;
         if !cat.has_workspace(&ask.workspace) {
-            return Err(Fault::new(Kind::UnknownWorkspace, format!("no workspace {:?}", ask.workspace)));
+            return Err(Fault::new(ErrorKind::UnknownWorkspace, format!("no workspace {:?}", ask.workspace)));
         }
         let entered = self.enter(&cat, &ask)?;
         let queue = self.admission.queue(&format!("service/{name}"));
@@ -51,7 +51,7 @@
         }
         let Some(key) = &ask.key else {
             if service.require_key {
-                return Err(Fault::new(Kind::KeyRequired, Kind::KeyRequired.answer().about));
+                return Err(Fault::new(ErrorKind::KeyRequired, ErrorKind::KeyRequired.answer().about));
             }
             let started = self.attempt(&cat, &ask, &queue, &servers).await?;
             return Ok(relay(started, entered));
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -12,7 +12,7 @@
     catalog::{Engine, Id},
     client::Client,
     engine::EngineClient,
-    error::{Fault, Kind},
+    error::{ErrorKind, Fault},
     link::Links,
     place::members::Member,
     schema::{
@@ -70,7 +70,7 @@
     /// The answer for a quarantined content.
     pub(crate) fn refuse(&self, content: Fingerprint) -> Fault {
         let provisional = lock(&self.table).is_provisional(now(), content);
-        let kind = if provisional { Kind::SuspectBusy } else { Kind::Quarantined };
+        let kind = if provisional { ErrorKind::SuspectBusy } else { ErrorKind::Quarantined };
         Fault::new(kind, kind.answer().about)
     }
 
--- a/src/http.rs
+++ b/src/http.rs
@@ -26,7 +26,7 @@
     service::fn_service,
 };
 
-use crate::error::Kind;
+use crate::error::ErrorKind;
 
 mod body;
 
@@ -89,7 +89,7 @@
     fn handle(&self, req: Request<Bytes>, peer: SocketAddr) -> impl Future<Output = Reply> + Send;
 
     /// Answers a request with this head whose body was not taken.
-    fn refuse_body(&self, head: &Request<()>, kind: Kind) -> Reply {
+    fn refuse_body(&self, head: &Request<()>, kind: ErrorKind) -> Reply {
         let _ = head;
         kind.reply(UNREAD_BODY)
     }
@@ -234,14 +234,14 @@
     let task = rt.spawn(async move { handler.handle(req, peer).await });
     match task.await {
         Ok(reply) => respond(reply, count),
-        Err(_) => respond(Kind::Internal.reply("the request failed inside the router"), count),
+        Err(_) => respond(ErrorKind::Internal.reply("the request failed inside the router"), count),
     }
 }
 
-async fn read(body: RequestBody, limits: Limits) -> Result<Bytes, Kind> {
+async fn read(body: RequestBody, limits: Limits) -> Result<Bytes, ErrorKind> {
     match tokio::time::timeout(limits.time, collect(body, limits.bytes)).await {
         Ok(result) => result,
-        Err(_) => Err(Kind::BodyTimeout),
+        Err(_) => Err(ErrorKind::BodyTimeout),
     }
 }
 
@@ -249,22 +249,22 @@
 ///
 /// When a connection closes early, the library ends the body as if it were complete, so that half a save would
 /// run. The stated length tells the two apart; a chunked body states none and is refused.
-async fn collect(body: RequestBody, max: usize) -> Result<Bytes, Kind> {
+async fn collect(body: RequestBody, max: usize) -> Result<Bytes, ErrorKind> {
     let stated = match body.size_hint() {
         SizeHint::Exact(len) => len,
         SizeHint::None => 0,
-        SizeHint::Unknown => return Err(Kind::LengthRequired),
+        SizeHint::Unknown => return Err(ErrorKind::LengthRequired),
     };
     if stated > max as u64 {
-        return Err(Kind::BodyTooLarge);
+        return Err(ErrorKind::BodyTooLarge);
     }
     let mut body = std::pin::pin!(body);
     let mut buf = BytesMut::new();
     while let Some(frame) = body.as_mut().frame().await {
-        let Ok(Frame::Data(data)) = frame else { return Err(Kind::BadRequest) };
+        let Ok(Frame::Data(data)) = frame else { return Err(ErrorKind::BadRequest) };
         buf.extend_from_slice(&data);
     }
-    if buf.len() as u64 != stated { Err(Kind::BadRequest) } else { Ok(buf.freeze()) }
+    if buf.len() as u64 != stated { Err(ErrorKind::BadRequest) } else { Ok(buf.freeze()) }
 }
 
 fn respond(reply: Reply, count: Count) -> Response<BoxBody> {
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -9,7 +9,7 @@
 use crate::{
     client::Failure,
     engine::OUTCOME,
-    error::{Fault, Kind, Ran},
+    error::{ErrorKind, Fault, Ran},
 };
 
 /// What is known at the end of a request.
@@ -86,7 +86,7 @@
     }
 
     /// Ends the request with a refusal.
-    pub fn refuse<A>(self, kind: Kind, message: impl Into<String>) -> Outcome<A> {
+    pub fn refuse<A>(self, kind: ErrorKind, message: impl Into<String>) -> Outcome<A> {
         let fault = Fault::new(kind, message);
         match kind.answer().ran {
             Ran::No => Outcome::NotRun(fault),
@@ -110,10 +110,10 @@
     pub const ALL: [AfterDispatch; 2] = [AfterDispatch::Broken, AfterDispatch::Internal];
 
     /// The kind under which the caller is told.
-    pub fn kind(self) -> Kind {
+    pub fn kind(self) -> ErrorKind {
         match self {
-            AfterDispatch::Broken => Kind::EngineFailed,
-            AfterDispatch::Internal => Kind::Internal,
+            AfterDispatch::Broken => ErrorKind::EngineFailed,
+            AfterDispatch::Internal => ErrorKind::Internal,
         }
     }
 }
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -11,7 +11,7 @@
 
 use super::names;
 use crate::{
-    error::{Kind, Ran},
+    error::{ErrorKind, Ran},
     relay::{
         Read, Refusal, Sending, Wire,
         admission::Told,
@@ -115,16 +115,16 @@
 }
 
 /// The table from kind and what ran to status. 408, 429 and 503 promise that the request has not run.
-fn status(kind: Kind, ran: Ran) -> StatusCode {
+fn status(kind: ErrorKind, ran: Ran) -> StatusCode {
     match (ran, kind) {
-        (Ran::No, Kind::NotFound) => StatusCode::NOT_FOUND,
-        (Ran::No, Kind::UnknownWorkspace) => StatusCode::UNAUTHORIZED,
-        (Ran::No, Kind::BadRequest) => StatusCode::BAD_REQUEST,
-        (Ran::No, Kind::BodyTooLarge) => StatusCode::PAYLOAD_TOO_LARGE,
-        (Ran::No, Kind::BodyTimeout) => StatusCode::REQUEST_TIMEOUT,
-        (Ran::No, Kind::WorkspaceLimit | Kind::GroupLimit) => StatusCode::TOO_MANY_REQUESTS,
+        (Ran::No, ErrorKind::NotFound) => StatusCode::NOT_FOUND,
+        (Ran::No, ErrorKind::UnknownWorkspace) => StatusCode::UNAUTHORIZED,
+        (Ran::No, ErrorKind::BadRequest) => StatusCode::BAD_REQUEST,
+        (Ran::No, ErrorKind::BodyTooLarge) => StatusCode::PAYLOAD_TOO_LARGE,
+        (Ran::No, ErrorKind::BodyTimeout) => StatusCode::REQUEST_TIMEOUT,
+        (Ran::No, ErrorKind::WorkspaceLimit | ErrorKind::GroupLimit) => StatusCode::TOO_MANY_REQUESTS,
         (Ran::No, _) => StatusCode::SERVICE_UNAVAILABLE,
-        (_, Kind::DeadlinePassed) => StatusCode::GATEWAY_TIMEOUT,
+        (_, ErrorKind::DeadlinePassed) => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
     }
 }
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -18,7 +18,7 @@
     warmup::{ColdLimit, FEEDERS},
 };
 use crate::{
-    error::Kind,
+    error::ErrorKind,
     schema::fleet::Member,
     util::{Instant, hash, now},
 };
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     /// Why there is none.
-    pub(crate) fn choose(&self, req: &Request, tried: &[BackendKey]) -> Result<Choice, Kind> {
+    pub(crate) fn choose(&self, req: &Request, tried: &[BackendKey]) -> Result<Choice, ErrorKind> {
         let now = now();
         let mut state = self.state();
         let state = &mut *state;
@@ -81,14 +81,14 @@
 
     /// When a caller should come back that found no server: those that can be reached again are seen soon, while an evacuation
     /// or a cold start lasts longer than a caller may wait.
-    pub(crate) fn back_after(&self, req: &Request, kind: Kind) -> Duration {
+    pub(crate) fn back_after(&self, req: &Request, kind: ErrorKind) -> Duration {
         match kind {
-            Kind::Paused => {
+            ErrorKind::Paused => {
                 let now = now();
                 let ends = self.state().pause_ends(now, &req.service);
                 ends.map_or(RETRY_AFTER, |ends| ends - now)
             }
-            Kind::Evacuated | Kind::WarmingUp | Kind::Overloaded => {
+            ErrorKind::Evacuated | ErrorKind::WarmingUp | ErrorKind::Overloaded => {
                 come_back_late(req.left(now()), self.draw())
             }
             _ => RETRY_AFTER,
@@ -97,10 +97,10 @@
 }
 
 /// Leaves out servers that hold as much as they may. While some get nothing, all others may: then the request is refused.
-fn keep_below(candidates: &mut Vec<Candidate>, most: f64) -> Result<(), Kind> {
+fn keep_below(candidates: &mut Vec<Candidate>, most: f64) -> Result<(), ErrorKind> {
     let any = !candidates.is_empty();
     candidates.retain(|c| c.load + 1.0 <= most);
-    if any && candidates.is_empty() { Err(Kind::Overloaded) } else { Ok(()) }
+    if any && candidates.is_empty() { Err(ErrorKind::Overloaded) } else { Ok(()) }
 }
 
 impl State {
@@ -209,17 +209,17 @@
     }
 
     /// Why no server may get a request.
-    fn why_none(&self, now: Instant, service: &str, open: &Open) -> Kind {
+    fn why_none(&self, now: Instant, service: &str, open: &Open) -> ErrorKind {
         let listed = self.backends.of(service).next().is_some();
         match open {
             Open { warm, cold, .. }
                 if warm.is_empty() && cold.is_empty() && self.pause_ends(now, service).is_some() =>
             {
-                Kind::Paused
+                ErrorKind::Paused
             }
-            Open { warm, cold, .. } if warm.is_empty() && !cold.is_empty() => Kind::WarmingUp,
-            Open { warm, cold, .. } if warm.is_empty() && cold.is_empty() && listed => Kind::Evacuated,
-            _ => Kind::NoEngine,
+            Open { warm, cold, .. } if warm.is_empty() && !cold.is_empty() => ErrorKind::WarmingUp,
+            Open { warm, cold, .. } if warm.is_empty() && cold.is_empty() && listed => ErrorKind::Evacuated,
+            _ => ErrorKind::NoEngine,
         }
     }
 
--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -20,7 +20,7 @@
     run,
 };
 use crate::{
-    error::{Kind, Ran},
+    error::{ErrorKind, Ran},
     logs::lines::{Weight, line},
     metrics::Counter,
     schema::fleet::CallerLimits,
@@ -162,8 +162,8 @@
     response
 }
 
-fn come_back<W: Wire>(relay: &Relay<W>, kind: Kind) -> Duration {
-    if kind == Kind::NotReady && relay.is_alone_without_configuration(START) {
+fn come_back<W: Wire>(relay: &Relay<W>, kind: ErrorKind) -> Duration {
+    if kind == ErrorKind::NotReady && relay.is_alone_without_configuration(START) {
         return KNOWS_NOTHING;
     }
     ELSEWHERE
@@ -182,7 +182,7 @@
     relay: &Relay<W>,
     req: HttpRequest<Incoming>,
     limits: CallerLimits,
-) -> Result<Request, (Arc<str>, Kind)> {
+) -> Result<Request, (Arc<str>, ErrorKind)> {
     let arrived = now();
     let (head, body) = req.into_parts();
     let ask = relay.wire.ask(&head);
@@ -193,11 +193,11 @@
     let checked = check(relay, &ask, &head);
     let body = read_body(body, &head, limits).await.map_err(|kind| (id.clone(), kind))?;
     let Checked { version, route, caller } = checked.map_err(|kind| (id.clone(), kind))?;
-    let Some(service) = route.service(relay.draw()) else { return Err((id, Kind::NoEngine)) };
+    let Some(service) = route.service(relay.draw()) else { return Err((id, ErrorKind::NoEngine)) };
     let timeout = Duration::from_millis(route.route.timeout_ms.into());
     let deadline = arrived + ask.waits.map_or(timeout, |waits| waits.min(timeout));
     if !relay.takes(deadline) {
-        return Err((id, Kind::Leaving));
+        return Err((id, ErrorKind::Leaving));
     }
     let request = Request {
         id,
@@ -226,32 +226,34 @@
 
 /// Finds the route and the caller. A host that may have missed a change refuses, provably not run, what it does not
 /// know, rather than telling a caller that it does not exist.
-fn check<W: Wire>(relay: &Relay<W>, ask: &Ask, head: &request::Parts) -> Result<Checked, Kind> {
-    let Some(routes) = relay.routes() else { return Err(Kind::NotReady) };
+fn check<W: Wire>(relay: &Relay<W>, ask: &Ask, head: &request::Parts) -> Result<Checked, ErrorKind> {
+    let Some(routes) = relay.routes() else { return Err(ErrorKind::NotReady) };
     let version = routes.version();
-    let or_stale = |kind| if relay.is_stale() { Kind::NotReady } else { kind };
-    let Some(route) = routes.find(&ask.host, head.uri.path()) else { return Err(or_stale(Kind::NotFound)) };
+    let or_stale = |kind| if relay.is_stale() { ErrorKind::NotReady } else { kind };
+    let Some(route) = routes.find(&ask.host, head.uri.path()) else {
+        return Err(or_stale(ErrorKind::NotFound));
+    };
     if route.route.open || !routes.needs_keys() {
         return Ok(Checked { version, route: route.clone(), caller: None });
     }
     let caller = ask.key.as_deref().and_then(|key| routes.caller(key));
     match caller {
         Some(caller) => Ok(Checked { version, route: route.clone(), caller: Some(caller.clone()) }),
-        None => Err(or_stale(Kind::UnknownWorkspace)),
+        None => Err(or_stale(ErrorKind::UnknownWorkspace)),
     }
 }
 
-async fn read_body(body: Incoming, head: &request::Parts, limits: CallerLimits) -> Result<Bytes, Kind> {
+async fn read_body(body: Incoming, head: &request::Parts, limits: CallerLimits) -> Result<Bytes, ErrorKind> {
     let most = limits.body_bytes as usize;
     let length =
         head.headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse::<usize>().ok());
     if length.is_some_and(|n| n > most) {
-        return Err(Kind::BodyTooLarge);
+        return Err(ErrorKind::BodyTooLarge);
     }
     match tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, most).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(Kind::BodyTooLarge),
-        Ok(Err(_)) => Err(Kind::BadRequest),
-        Err(_) => Err(Kind::BodyTimeout),
+        Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(ErrorKind::BodyTooLarge),
+        Ok(Err(_)) => Err(ErrorKind::BadRequest),
+        Err(_) => Err(ErrorKind::BodyTimeout),
     }
 }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -20,7 +20,7 @@
     verdict::{Failure, Stop, Tries},
 };
 use crate::{
-    error::{Kind, Ran},
+    error::{ErrorKind, Ran},
     logs::lines::Weight,
     metrics::{Counter, Latency},
     util::{Instant, now},
@@ -53,7 +53,7 @@
     /// It was made and failed.
     Failed((Failure, BackendKey)),
     /// There is no server to send it to.
-    NoServer(Kind),
+    NoServer(ErrorKind),
 }
 
 /// A request with the attempts it has made.
@@ -93,7 +93,7 @@
     let tries = Tries::new(req.route.repeatable, req.route.route.attempts, req.deadline);
     let mut run = Run { relay, req, tries, tried: Vec::new(), sent: now(), begun: 0, outcome: None };
     if run.relay.refuses(&run.req) {
-        return run.give_up(Kind::Quarantined, None);
+        return run.give_up(ErrorKind::Quarantined, None);
     }
     run.relay.state().budget.request(now(), &run.req.service);
     if let Err(refused) = run.relay.admit(&run.req) {
@@ -371,7 +371,7 @@
     /// The answer to a request that is not sent, since its service has as much work as it can finish in time.
     fn turn_away(&mut self, refused: Refused) -> Response<AnswerBody> {
         self.outcome = Some(Outcome::Refused);
-        let kind = Kind::Overloaded;
+        let kind = ErrorKind::Overloaded;
         self.relay.metrics.add(Counter::RelayRefusals, kind.answer().code, 1);
         self.relay.note(Weight::Notable, "turned_away", &self.req, |l| {
             let l = l.number("rank", self.req.rank()).decimal("occupancy", refused.occupancy);
@@ -382,11 +382,11 @@
     }
 
     /// The final answer to a request that is given up.
-    pub(crate) fn give_up(&mut self, kind: Kind, last: Option<Failure>) -> Response<AnswerBody> {
+    pub(crate) fn give_up(&mut self, kind: ErrorKind, last: Option<Failure>) -> Response<AnswerBody> {
         let ran = if self.tries.is_unrun() { Ran::No } else { Ran::Unknown };
         self.outcome = Some(if ran == Ran::No { Outcome::Refused } else { Outcome::Failed });
         self.relay.metrics.add(Counter::RelayRefusals, kind.answer().code, 1);
-        let comes_back = ran == Ran::No && kind != Kind::Quarantined;
+        let comes_back = ran == Ran::No && kind != ErrorKind::Quarantined;
         let retry_after = comes_back.then(|| match last {
             Some(Failure::Refused) => come_back_late(self.req.left(now()), self.relay.draw()),
             _ => self.relay.back_after(&self.req, kind),
@@ -405,13 +405,13 @@
     req.route.stream && head.status.is_success()
 }
 
-fn kind(failure: Failure, stop: Stop) -> Kind {
+fn kind(failure: Failure, stop: Stop) -> ErrorKind {
     match (stop, failure) {
-        (Stop::Deadline, _) | (_, Failure::Late) => Kind::DeadlinePassed,
-        (Stop::Budget, _) => Kind::RetryBudget,
-        (Stop::Suspect, _) => Kind::Quarantined,
-        (Stop::Attempts, Failure::Connect | Failure::Unsent) => Kind::ConnectFailed,
-        (Stop::Attempts, Failure::Refused | Failure::Moved) => Kind::EngineRefused,
-        (Stop::Attempts | Stop::NotRepeatable, _) => Kind::EngineFailed,
+        (Stop::Deadline, _) | (_, Failure::Late) => ErrorKind::DeadlinePassed,
+        (Stop::Budget, _) => ErrorKind::RetryBudget,
+        (Stop::Suspect, _) => ErrorKind::Quarantined,
+        (Stop::Attempts, Failure::Connect | Failure::Unsent) => ErrorKind::ConnectFailed,
+        (Stop::Attempts, Failure::Refused | Failure::Moved) => ErrorKind::EngineRefused,
+        (Stop::Attempts | Stop::NotRepeatable, _) => ErrorKind::EngineFailed,
     }
 }
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -13,7 +13,7 @@
     request::{EventNumber, Request},
     verdict::Failure,
 };
-use crate::error::{Kind, Ran};
+use crate::error::{ErrorKind, Ran};
 
 /// What an attempt tells its backend server beside the request itself.
 #[derive(Clone, Copy, Debug)]
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Why.
-    pub kind: Kind,
+    pub kind: ErrorKind,
     /// Whether it may have run.
     pub ran: Ran,
     /// When the caller should come back, if that makes sense.
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 
 use crate::{
-    error::{Kind, Ran},
+    error::{ErrorKind, Ran},
     util::Instant,
 };
 
@@ -54,11 +54,11 @@
         }
     }
 
-    fn kind(self) -> Kind {
+    fn kind(self) -> ErrorKind {
         match self {
-            Reason::ConnectFailed => Kind::ConnectFailed,
-            Reason::EngineRefused => Kind::EngineRefused,
-            Reason::EngineFailed | Reason::Caller => Kind::EngineFailed,
+            Reason::ConnectFailed => ErrorKind::ConnectFailed,
+            Reason::EngineRefused => ErrorKind::EngineRefused,
+            Reason::EngineFailed | Reason::Caller => ErrorKind::EngineFailed,
         }
     }
 }
@@ -93,10 +93,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Denied {
     /// Reason for the denial, as counted in the metrics.
-    pub reason: Kind,
+    pub reason: ErrorKind,
     /// Error sent to the caller. It differs from the reason if an earlier attempt may have run, because the answers
     /// for most reasons state that the request did not run.
-    pub answer: Kind,
+    pub answer: ErrorKind,
 }
 
 /// Attempt counter of one request.
@@ -119,13 +119,13 @@
         made: u32,
         idempotent: bool,
         deadline: Instant,
-    ) -> Result<Self, Kind> {
+    ) -> Result<Self, ErrorKind> {
         if made == 0 {
             budget.earn();
         } else if made >= policy.max_attempts {
-            return Err(Kind::AttemptLimit);
+            return Err(ErrorKind::AttemptLimit);
         } else if !budget.spend() {
-            return Err(Kind::RetryBudget);
+            return Err(ErrorKind::RetryBudget);
         }
         Ok(Self { made, idempotent, deadline, may_have_run: false })
     }
@@ -155,24 +155,24 @@
     ) -> Result<Duration, Denied> {
         self.may_have_run |= reason.ran() != Ran::No;
         if self.may_have_run && !self.idempotent {
-            return Err(Denied { reason: reason.kind(), answer: Kind::EngineFailed });
+            return Err(Denied { reason: reason.kind(), answer: ErrorKind::EngineFailed });
         }
         if self.made >= policy.max_attempts {
-            return Err(self.denied(Kind::AttemptLimit));
+            return Err(self.denied(ErrorKind::AttemptLimit));
         }
         let delay = backoff(policy, self.made, rng);
         if now + delay >= self.deadline {
-            return Err(self.denied(Kind::DeadlinePassed));
+            return Err(self.denied(ErrorKind::DeadlinePassed));
         }
         if !budget.spend() {
-            return Err(self.denied(Kind::RetryBudget));
+            return Err(self.denied(ErrorKind::RetryBudget));
         }
         Ok(delay)
     }
 
     /// Denial for a request that ends with this error, adjusted for earlier attempts that may have run.
-    pub fn denied(&self, reason: Kind) -> Denied {
-        Denied { reason, answer: if self.may_have_run { Kind::EngineFailed } else { reason } }
+    pub fn denied(&self, reason: ErrorKind) -> Denied {
+        Denied { reason, answer: if self.may_have_run { ErrorKind::EngineFailed } else { reason } }
     }
 }
 
--- a/tests/admit.rs
+++ b/tests/admit.rs
@@ -6,7 +6,7 @@
     admit::{
         ConcurrencyLimit, Demand, EnqueueResult, FairQueue, InFlight, Priority, QueueLimits, Scope, Ticket,
     },
-    error::Kind,
+    error::ErrorKind,
 };
 
 const LATE: Duration = Duration::from_secs(3600);
@@ -26,7 +26,7 @@
     }
 }
 
-fn refused(offer: EnqueueResult) -> Kind {
+fn refused(offer: EnqueueResult) -> ErrorKind {
     match offer {
         EnqueueResult::Refused(r) => r.kind,
         other => panic!("not refused: {other:?}"),
@@ -100,7 +100,7 @@
     let offer = queue.enqueue(Duration::ZERO, normal("small"));
 
     let EnqueueResult::Displaced(_, victim, refusal) = offer else { panic!("not displaced: {offer:?}") };
-    assert_eq!(refusal.kind, Kind::QueueFull);
+    assert_eq!(refusal.kind, ErrorKind::QueueFull);
     assert_eq!(queue.len(), 8);
     queue.cancel(victim);
     assert_eq!(queue.len(), 8, "the victim was already out");
@@ -114,7 +114,7 @@
         wait(&mut queue, Duration::ZERO, normal(name));
     }
 
-    assert_eq!(refused(queue.enqueue(Duration::ZERO, normal("a"))), Kind::QueueFull, "of the workspace");
+    assert_eq!(refused(queue.enqueue(Duration::ZERO, normal("a"))), ErrorKind::QueueFull, "of the workspace");
     let offer = queue.enqueue(Duration::ZERO, normal("c"));
     assert!(matches!(offer, EnqueueResult::Displaced(..)));
     assert_eq!(queue.len(), 4);
@@ -131,7 +131,7 @@
     let roomy = queue.enqueue(now, demand("a", Priority::Low, now + Duration::from_secs(60)));
 
     let EnqueueResult::Refused(refusal) = tight else { panic!("not refused: {tight:?}") };
-    assert_eq!(refusal.kind, Kind::DeadlineUnmeetable);
+    assert_eq!(refusal.kind, ErrorKind::DeadlineUnmeetable);
     assert!(refusal.retry_after >= Duration::from_secs(2), "{refusal:?}");
     assert!(matches!(roomy, EnqueueResult::Queued(_)));
 }
@@ -177,10 +177,13 @@
 
     let gone = queue.expire(Duration::from_secs(1) + Duration::from_millis(1));
 
-    assert_eq!(gone.iter().map(|(t, r)| (*t, r.kind)).collect::<Vec<_>>(), [(short, Kind::DeadlinePassed)]);
+    assert_eq!(
+        gone.iter().map(|(t, r)| (*t, r.kind)).collect::<Vec<_>>(),
+        [(short, ErrorKind::DeadlinePassed)]
+    );
     assert_eq!(queue.len(), 1);
     let passed = queue.enqueue(Duration::from_secs(2), demand("a", Priority::High, Duration::from_secs(1)));
-    assert_eq!(refused(passed), Kind::DeadlinePassed);
+    assert_eq!(refused(passed), ErrorKind::DeadlinePassed);
 }
 
 /// A caller hangs up while its request has the turn. If the turn stayed taken, the lane would stop for good
@@ -221,9 +224,9 @@
     assert_eq!(in_flight.acquire(&limits, 1), Ok(()));
     assert_eq!(in_flight.acquire(&limits, 1), Ok(()));
 
-    assert_eq!(in_flight.acquire(&limits, 1), Err(Kind::WorkspaceLimit));
+    assert_eq!(in_flight.acquire(&limits, 1), Err(ErrorKind::WorkspaceLimit));
     assert_eq!(in_flight.acquire(&limits[1..], 1), Ok(()), "a refused request is not counted");
-    assert_eq!(in_flight.acquire(&limits[1..], 1), Err(Kind::GroupLimit));
+    assert_eq!(in_flight.acquire(&limits[1..], 1), Err(ErrorKind::GroupLimit));
     in_flight.release(&limits);
     in_flight.release(&limits);
     in_flight.release(&limits[1..]);
@@ -265,5 +268,5 @@
     let later = offer(&mut queue, start + Duration::from_secs(10));
 
     assert!(matches!(soon, EnqueueResult::Queued(_)), "{soon:?}");
-    assert_eq!(refused(later), Kind::DeadlineUnmeetable);
+    assert_eq!(refused(later), ErrorKind::DeadlineUnmeetable);
 }
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, path::Path};
 
-use cranberrytally::{error::Kind, metrics::Counter};
+use cranberrytally::{error::ErrorKind, metrics::Counter};
 
 fn page(name: &str) -> String {
     fs::read_to_string(name).unwrap()
@@ -12,7 +12,7 @@
 fn callers_see_every_error() {
     let text = page("docs/CALLERS.md");
 
-    for kind in Kind::ALL {
+    for kind in ErrorKind::ALL {
         let a = kind.answer();
         let retry = a.retry_s.map_or("no".to_owned(), |s| format!("after {s} s"));
         let row = format!("| `{}` | {} | {} | {retry} | {} |", a.code, a.status, a.ran.as_str(), a.about);
@@ -20,7 +20,7 @@
     }
     let outcomes = ["| not-run |", "| unknown |", "| ran |"];
     let rows = text.lines().filter(|l| outcomes.iter().any(|o| l.contains(o))).count();
-    assert_eq!(rows, Kind::ALL.len(), "docs/CALLERS.md has rows for kinds that are gone");
+    assert_eq!(rows, ErrorKind::ALL.len(), "docs/CALLERS.md has rows for kinds that are gone");
 }
 
 #[test]
--- a/tests/operators_page.rs
+++ b/tests/operators_page.rs
@@ -10,7 +10,7 @@
 use cranberrytally::{
     catalog::{AnyObject, Catalog},
     config::Settings,
-    error::Kind,
+    error::ErrorKind,
     metrics::Counter,
     objects::CONFIGURATION_KINDS,
     retry::Reason,
@@ -68,7 +68,7 @@
 fn counted() -> Values {
     let mut values = Values::new();
     let mut add = |counter, found: BTreeSet<String>| values.entry(total(counter)).or_default().extend(found);
-    add(Counter::Refusals, Kind::ALL.iter().map(|k| k.answer().code.to_owned()).collect());
+    add(Counter::Refusals, ErrorKind::ALL.iter().map(|k| k.answer().code.to_owned()).collect());
     add(Counter::Retries, Reason::ALL.iter().map(|r| r.as_str().to_owned()).collect());
     add(Counter::Retries, passed_to(".retry(\""));
     add(Counter::Requests, passed_to(".request(\""));
@@ -113,8 +113,9 @@
 /// code; those of the retry policy itself are.
 #[test]
 fn refused_retries_are_explained_by_codes_of_errors() {
-    let codes: BTreeSet<_> = Kind::ALL.iter().map(|k| k.answer().code.to_owned()).collect();
-    let policy = [Kind::AttemptLimit, Kind::RetryBudget, Kind::DeadlinePassed, Kind::EngineFailed];
+    let codes: BTreeSet<_> = ErrorKind::ALL.iter().map(|k| k.answer().code.to_owned()).collect();
+    let policy =
+        [ErrorKind::AttemptLimit, ErrorKind::RetryBudget, ErrorKind::DeadlinePassed, ErrorKind::EngineFailed];
 
     let values = &documented(&page("docs/OPERATORS.md"))["retries_refused_total"];
 
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -4,7 +4,7 @@
 
 use cranberrytally::{
     catalog::Id,
-    error::{Kind, Ran},
+    error::{ErrorKind, Ran},
     retry::{Attempts, Budget, Cooldowns, Policy, Reason, jitter},
 };
 use rand::SeedableRng;
@@ -20,7 +20,7 @@
     Attempts::begin(&Policy::default(), &mut Budget::default(), made, idempotent, DEADLINE).unwrap()
 }
 
-fn fail(a: &mut Attempts, budget: &mut Budget, reason: Reason) -> Result<Duration, (Kind, Kind)> {
+fn fail(a: &mut Attempts, budget: &mut Budget, reason: Reason) -> Result<Duration, (ErrorKind, ErrorKind)> {
     a.record_start();
     a.record_failure(&Policy::default(), budget, Duration::ZERO, reason, &mut rng())
         .map_err(|d| (d.reason, d.answer))
@@ -53,7 +53,7 @@
 
     let (reason, answer) = fail(&mut a, &mut budget, Reason::ConnectFailed).unwrap_err();
 
-    assert_eq!(reason, Kind::RetryBudget);
+    assert_eq!(reason, ErrorKind::RetryBudget);
     assert_ne!(answer.answer().ran, Ran::No);
 }
 
@@ -81,8 +81,8 @@
     let (reason, _) = fail(&mut elsewhere, &mut Budget::default(), Reason::ConnectFailed).unwrap_err();
     let again = Attempts::begin(&Policy::default(), &mut Budget::default(), elsewhere.made(), true, DEADLINE);
 
-    assert_eq!(reason, Kind::AttemptLimit);
-    assert_eq!(again.err(), Some(Kind::AttemptLimit));
+    assert_eq!(reason, ErrorKind::AttemptLimit);
+    assert_eq!(again.err(), Some(ErrorKind::AttemptLimit));
 }
 
 #[test]
@@ -104,7 +104,7 @@
 
     let refused = Attempts::begin(&policy, &mut budget, 1, true, DEADLINE);
 
-    assert_eq!(refused.err(), Some(Kind::RetryBudget));
+    assert_eq!(refused.err(), Some(ErrorKind::RetryBudget));
 }
 
 #[test]
@@ -120,7 +120,7 @@
         &mut rng(),
     );
 
-    assert_eq!(denied.unwrap_err().reason, Kind::DeadlinePassed);
+    assert_eq!(denied.unwrap_err().reason, ErrorKind::DeadlinePassed);
 }
 
 #[test]
