--- a/src/error.rs
+++ b/src/error.rs
@@ -363,7 +363,7 @@
 
 /// A refusal or failure with its message for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct RequestError {
     /// Kind, from the closed list.
     pub kind: ErrorKind,
     /// What the caller reads.
@@ -374,7 +374,7 @@
     pub attempts: Option<u32>,
 }
 
-impl Fault {
+impl RequestError {
     /// Fault of a kind.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         Self { kind, message: message.into(), retry_after: None, attempts: None }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -19,7 +19,7 @@
     claim::ticket::TICKET_USE,
     client::Client,
     entry::Router,
-    error::{ErrorKind, Fault},
+    error::{ErrorKind, RequestError},
     http::{Handler, Reply, UNREAD_BODY},
     link::{LinkKey, Links},
     metrics::Metrics,
@@ -173,30 +173,30 @@
         self.catalog().version > 0
     }
 
-    async fn route(&self, req: Request<Bytes>, id: &str) -> Result<Reply, Fault> {
+    async fn route(&self, req: Request<Bytes>, id: &str) -> Result<Reply, RequestError> {
         let path = req.uri().path().to_owned();
         match (req.method(), path.as_str()) {
             (&Method::GET, "/healthz") => Ok(Reply::full(200, "ok\n")),
             (&Method::GET, "/readyz") if self.ready() => Ok(Reply::full(200, "ready\n")),
             (&Method::GET, "/metrics") => self.show_metrics(),
-            _ if !self.ready() => Err(Fault::new(ErrorKind::NotReady, "no configuration yet")),
+            _ if !self.ready() => Err(RequestError::new(ErrorKind::NotReady, "no configuration yet")),
             (&Method::GET, "/v1/entry") => self.entry(req.uri().query().unwrap_or("")),
             _ if self.closed.load(Ordering::Acquire) => {
-                Err(Fault::new(ErrorKind::Leaving, ErrorKind::Leaving.answer().about))
+                Err(RequestError::new(ErrorKind::Leaving, ErrorKind::Leaving.answer().about))
             }
             (&Method::GET | &Method::POST, "/v1/resume") => self.resume(req).await,
             (&Method::GET, "/v1/key-ticket") => Ok(self.key_ticket()),
             (&Method::POST, "/v1/chat/completions") => self.chat(req, id).await,
             (method, path) if PATHS.contains(&path) => {
-                Err(Fault::new(ErrorKind::MethodNotAllowed, format!("{method} is not for {path}")))
+                Err(RequestError::new(ErrorKind::MethodNotAllowed, format!("{method} is not for {path}")))
             }
             (_, p) if p.starts_with("/services/") => self.service(req, id).await,
-            _ => Err(Fault::new(ErrorKind::NotFound, format!("there is nothing at {path}"))),
+            _ => Err(RequestError::new(ErrorKind::NotFound, format!("there is nothing at {path}"))),
         }
     }
 
     /// Counts a refusal, logs it and answers it.
-    fn refuse(&self, fault: &Fault, origin: &Origin) -> Reply {
+    fn refuse(&self, fault: &RequestError, origin: &Origin) -> Reply {
         let code = fault.kind.answer().code;
         self.metrics.request("refused");
         self.metrics.refuse(code);
@@ -211,13 +211,14 @@
         if origin.repeat { fault.reply_to_repeat() } else { fault.reply() }
     }
 
-    fn show_metrics(&self) -> Result<Reply, Fault> {
-        let text = self.metrics.text().map_err(|e| Fault::new(ErrorKind::Internal, format!("{e:#}")))?;
+    fn show_metrics(&self) -> Result<Reply, RequestError> {
+        let text =
+            self.metrics.text().map_err(|e| RequestError::new(ErrorKind::Internal, format!("{e:#}")))?;
         Ok(Reply::full(200, text).with_header("content-type", "text/plain; version=0.0.4"))
     }
 
     /// Counts a request against the limits of its workspace, of which each router keeps its share.
-    fn enter(&self, cat: &Catalog, ask: &Ask) -> Result<Entered, Fault> {
+    fn enter(&self, cat: &Catalog, ask: &Ask) -> Result<Entered, RequestError> {
         let routers = u32::try_from(read(&self.routers).len()).unwrap_or(u32::MAX);
         self.admission.enter(cat.concurrency_limits(&ask.workspace), routers, ask)
     }
@@ -308,7 +309,7 @@
 
     fn refuse_body(&self, head: &Request<()>, kind: ErrorKind) -> Reply {
         let origin = Origin::of(head);
-        self.refuse(&Fault::new(kind, UNREAD_BODY), &origin).with_header("x-request-id", &origin.id)
+        self.refuse(&RequestError::new(kind, UNREAD_BODY), &origin).with_header("x-request-id", &origin.id)
     }
 }
 
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -11,7 +11,7 @@
 use super::{ask::Ask, lock, read};
 use crate::{
     admit::{ConcurrencyLimit, EnqueueResult, FairQueue, InFlight, Refusal, Ticket, Work},
-    error::Fault,
+    error::RequestError,
     retry::jitter,
     util::{Instant, Map, now},
 };
@@ -48,11 +48,14 @@
         caps: Arc<[ConcurrencyLimit]>,
         routers: u32,
         ask: &Ask,
-    ) -> Result<Entered, Fault> {
+    ) -> Result<Entered, RequestError> {
         if !caps.is_empty() {
             let entered = lock(&self.usage).acquire(&caps, routers);
             entered.map_err(|kind| {
-                Fault::new(kind, format!("workspace {:?} has too many requests in progress", ask.workspace))
+                RequestError::new(
+                    kind,
+                    format!("workspace {:?} has too many requests in progress", ask.workspace),
+                )
             })?;
         }
         Ok(Entered { caps, usage: self.usage.clone() })
@@ -102,7 +105,7 @@
     /// Every engine in use stands at its bound; the request may wait.
     Full,
     /// The request can't be served.
-    Fault(Fault),
+    RequestError(RequestError),
 }
 
 impl Queue {
@@ -110,14 +113,18 @@
     ///
     /// # Errors
     /// When the request may not wait, waited too long, or can't be served.
-    pub(crate) async fn admit<T, F>(self: &Arc<Self>, ask: &Ask, find: impl Fn() -> F) -> Result<T, Fault>
+    pub(crate) async fn admit<T, F>(
+        self: &Arc<Self>,
+        ask: &Ask,
+        find: impl Fn() -> F,
+    ) -> Result<T, RequestError>
     where
         F: Future<Output = Result<T, NoRoom>>,
     {
         if lock(&self.state).lane.is_empty() {
             match find().await {
                 Ok(found) => return Ok(found),
-                Err(NoRoom::Fault(fault)) => return Err(fault),
+                Err(NoRoom::RequestError(fault)) => return Err(fault),
                 Err(NoRoom::Full) => {}
             }
         }
@@ -126,14 +133,16 @@
             match (&mut waiter.turn).await {
                 Ok(Turn::Try) => {}
                 Ok(Turn::Refused(refusal)) => return Err(fault(refusal)),
-                Err(_) => return Err(Fault::new(crate::error::ErrorKind::Internal, "the queue is gone")),
+                Err(_) => {
+                    return Err(RequestError::new(crate::error::ErrorKind::Internal, "the queue is gone"));
+                }
             }
             match find().await {
                 Ok(found) => {
                     self.settled(waiter.ticket);
                     return Ok(found);
                 }
-                Err(NoRoom::Fault(fault)) => return Err(fault),
+                Err(NoRoom::RequestError(fault)) => return Err(fault),
                 Err(NoRoom::Full) => waiter.turn = self.again(waiter.ticket),
             }
         }
@@ -145,7 +154,7 @@
         self.freed.notify_one();
     }
 
-    fn wait(self: &Arc<Self>, ask: &Ask) -> Result<Waiter, Fault> {
+    fn wait(self: &Arc<Self>, ask: &Ask) -> Result<Waiter, RequestError> {
         let mut state = lock(&self.state);
         let ticket = match state.lane.enqueue(now(), ask.demand()) {
             EnqueueResult::Queued(ticket) => ticket,
@@ -238,7 +247,7 @@
 }
 
 /// Refused callers are told different times, so that they don't come back together.
-fn fault(refusal: Refusal) -> Fault {
+fn fault(refusal: Refusal) -> RequestError {
     let after = refusal.retry_after + jitter(refusal.retry_after, &mut rand::rng());
-    Fault::new(refusal.kind, refusal.kind.answer().about).with_retry_after(after)
+    RequestError::new(refusal.kind, refusal.kind.answer().about).with_retry_after(after)
 }
--- a/src/gateway/ask.rs
+++ b/src/gateway/ask.rs
@@ -7,7 +7,7 @@
 use crate::{
     admit::{Demand, Priority},
     engine::ChatId,
-    error::{ErrorKind, Fault},
+    error::{ErrorKind, RequestError},
     place::{bound::Work, work::Estimator},
     suspect::Fingerprint,
     util::{Instant, random_id},
@@ -48,7 +48,12 @@
     ///
     /// # Errors
     /// When a header has no allowed value or the body is no JSON object.
-    pub(crate) fn chat(id: &str, headers: &HeaderMap, body: &[u8], now: Instant) -> Result<Self, Fault> {
+    pub(crate) fn chat(
+        id: &str,
+        headers: &HeaderMap,
+        body: &[u8],
+        now: Instant,
+    ) -> Result<Self, RequestError> {
         let size = body.len();
         let body: serde_json::Map<String, serde_json::Value> =
             serde_json::from_slice(body).map_err(|e| bad(format!("the body is no JSON object: {e}")))?;
@@ -76,7 +81,7 @@
         path: &str,
         body: &[u8],
         now: Instant,
-    ) -> Result<Self, Fault> {
+    ) -> Result<Self, RequestError> {
         let work = Estimator::default().estimate("", "", body.len(), None);
         Self::read(id, headers, now, "".into(), work, Fingerprint::call(path, body))
     }
@@ -88,7 +93,7 @@
         model: Arc<str>,
         work: Work,
         content: Fingerprint,
-    ) -> Result<Self, Fault> {
+    ) -> Result<Self, RequestError> {
         let deadline = number(headers, "x-deadline-ms", 1..=MOST_DEADLINE_MS)?;
         let deadline = deadline.map_or(DEFAULT_DEADLINE, Duration::from_millis);
         Ok(Self {
@@ -123,7 +128,7 @@
     }
 }
 
-fn priority(headers: &HeaderMap) -> Result<Priority, Fault> {
+fn priority(headers: &HeaderMap) -> Result<Priority, RequestError> {
     let Some(name) = text(headers, "x-priority", MOST_ID)? else { return Ok(Priority::default()) };
     Priority::parse(name).ok_or_else(|| {
         let known = Priority::ALL.map(Priority::as_str).join(", ");
@@ -135,7 +140,7 @@
     headers: &HeaderMap,
     name: &str,
     range: std::ops::RangeInclusive<u64>,
-) -> Result<Option<u64>, Fault> {
+) -> Result<Option<u64>, RequestError> {
     let Some(value) = text(headers, name, MOST_ID)? else { return Ok(None) };
     let parsed = value.parse().ok().filter(|n| range.contains(n));
     let (least, most) = (range.start(), range.end());
@@ -145,7 +150,7 @@
 }
 
 /// A header that may stand once, with text of at most `most` bytes; an empty one counts as absent.
-fn text<'a>(headers: &'a HeaderMap, name: &str, most: usize) -> Result<Option<&'a str>, Fault> {
+fn text<'a>(headers: &'a HeaderMap, name: &str, most: usize) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
@@ -158,8 +163,8 @@
     Ok(Some(value).filter(|v| !v.is_empty()))
 }
 
-fn bad(message: impl Into<String>) -> Fault {
-    Fault::new(ErrorKind::BadRequest, message)
+fn bad(message: impl Into<String>) -> RequestError {
+    RequestError::new(ErrorKind::BadRequest, message)
 }
 
 /// A header's value, if it is text.
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -17,7 +17,7 @@
 use crate::{
     catalog::{Catalog, Engine, EngineKey, Id},
     client::Failure,
-    error::{ErrorKind, Fault},
+    error::{ErrorKind, RequestError},
     metrics::Counter,
     outcome::Unsent,
     retry::{Attempts, Denied, Reason, jitter},
@@ -95,7 +95,7 @@
         ask: &Ask,
         queue: &Arc<Queue>,
         to: &impl Backends,
-    ) -> Result<Started, Fault> {
+    ) -> Result<Started, RequestError> {
         let mut attempts = self.arrive(ask, to.idempotent())?;
         let mut tried = Vec::new();
         loop {
@@ -131,7 +131,7 @@
         }
     }
 
-    fn arrive(&self, ask: &Ask, idempotent: bool) -> Result<Attempts, Fault> {
+    fn arrive(&self, ask: &Ask, idempotent: bool) -> Result<Attempts, RequestError> {
         let mut budget = lock(&self.budget);
         let arrived =
             Attempts::begin(&self.retry_policy, &mut budget, ask.attempts, idempotent, ask.deadline);
@@ -143,13 +143,13 @@
             Ok(attempts) => Ok(attempts),
             Err(kind) => {
                 self.metrics.add(Counter::RetriesRefused, kind.answer().code, 1);
-                Err(Fault::new(kind, kind.answer().about).with_attempts(ask.attempts))
+                Err(RequestError::new(kind, kind.answer().about).with_attempts(ask.attempts))
             }
         }
     }
 
     /// Waits before the next attempt, or ends with the final answer at once.
-    async fn back_off(&self, attempts: &mut Attempts, reason: Reason) -> Result<(), Fault> {
+    async fn back_off(&self, attempts: &mut Attempts, reason: Reason) -> Result<(), RequestError> {
         let decided = attempts.record_failure(
             &self.retry_policy,
             &mut lock(&self.budget),
@@ -171,7 +171,7 @@
     }
 
     /// A fault between attempts. After an attempt that may have run, none may say "not run".
-    fn final_answer(&self, attempts: &Attempts, fault: Fault) -> Fault {
+    fn final_answer(&self, attempts: &Attempts, fault: RequestError) -> RequestError {
         let denied = attempts.denied(fault.kind);
         if denied.answer == fault.kind {
             return fault.with_attempts(attempts.made());
@@ -187,7 +187,7 @@
         queue: &Arc<Queue>,
         to: &impl Backends,
         tried: &[Id],
-    ) -> Result<(Found, Option<Permit>), Fault> {
+    ) -> Result<(Found, Option<Permit>), RequestError> {
         loop {
             match self.suspects.standing(ask.content) {
                 Standing::Quarantined => return Err(self.suspects.refuse(ask.content)),
@@ -210,7 +210,7 @@
         queue: &Arc<Queue>,
         to: &impl Backends,
         tried: &[Id],
-    ) -> Result<Found, Fault> {
+    ) -> Result<Found, RequestError> {
         let avoid = lock(&self.avoid).active(now());
         let mut last = no_engine();
         for exclude in [&[tried, &avoid].concat()[..], tried, &[]] {
@@ -231,7 +231,7 @@
         ask: &Ask,
         to: &impl Backends,
         tried: &[Id],
-    ) -> Result<(Found, Option<Permit>), Fault> {
+    ) -> Result<(Found, Option<Permit>), RequestError> {
         let unsteady = self.suspects.unsteady(cat.engines().map(|(_, e)| (e.id, e.name.clone())));
         let mut avoid = [tried, &unsteady].concat();
         while now() < ask.deadline {
@@ -248,7 +248,7 @@
                 return Err(self.suspects.refuse(ask.content));
             }
         }
-        Err(Fault::new(ErrorKind::SuspectBusy, ErrorKind::SuspectBusy.answer().about))
+        Err(RequestError::new(ErrorKind::SuspectBusy, ErrorKind::SuspectBusy.answer().about))
     }
 
     /// One round over the engines: the first with room whose permit is free.
@@ -258,7 +258,7 @@
         ask: &Ask,
         to: &impl Backends,
         avoid: &[Id],
-    ) -> Result<Permitted, Fault> {
+    ) -> Result<Permitted, RequestError> {
         let mut exclude = avoid.to_vec();
         loop {
             let found = match to.find(&exclude, Queued::No).await {
@@ -287,22 +287,22 @@
     OnlyAvoided,
 }
 
-fn denied_fault(denied: Denied, attempts: u32) -> Fault {
+fn denied_fault(denied: Denied, attempts: u32) -> RequestError {
     let (answer, reason) = (denied.answer.answer(), denied.reason.answer());
     let message = match denied.answer == denied.reason {
         true => answer.about.to_owned(),
         false => format!("{}; no further attempt: {}", answer.about, reason.about),
     };
-    Fault::new(denied.answer, message).with_attempts(attempts)
+    RequestError::new(denied.answer, message).with_attempts(attempts)
 }
 
 fn no_room(unfound: Unfound) -> NoRoom {
     match unfound {
         Unfound::AtBound => NoRoom::Full,
-        Unfound::NoneInUse => NoRoom::Fault(no_engine()),
+        Unfound::NoneInUse => NoRoom::RequestError(no_engine()),
     }
 }
 
-fn no_engine() -> Fault {
-    Fault::new(ErrorKind::NoEngine, ErrorKind::NoEngine.answer().about)
+fn no_engine() -> RequestError {
+    RequestError::new(ErrorKind::NoEngine, ErrorKind::NoEngine.answer().about)
 }
--- a/src/gateway/chat.rs
+++ b/src/gateway/chat.rs
@@ -16,13 +16,13 @@
     catalog::{Catalog, Engine, Id, NoPool, Pool},
     client::Failure,
     engine::{ChatCall, EngineClient},
-    error::{ErrorKind, Fault},
+    error::{ErrorKind, RequestError},
     http::Reply,
     util::now,
 };
 
 impl Gateway {
-    pub(super) async fn chat(&self, req: Request<Bytes>, id: &str) -> Result<Reply, Fault> {
+    pub(super) async fn chat(&self, req: Request<Bytes>, id: &str) -> Result<Reply, RequestError> {
         let ask = Ask::chat(id, req.headers(), req.body(), now())?;
         let cat = self.catalog();
         let pool = cat.pool(&ask.workspace, &ask.model).map_err(|e| no_pool(e, &ask))?;
@@ -83,20 +83,21 @@
     }
 }
 
-fn no_pool(e: NoPool, ask: &Ask) -> Fault {
+fn no_pool(e: NoPool, ask: &Ask) -> RequestError {
     let (workspace, model) = (&ask.workspace, &ask.model);
     match e {
         NoPool::UnknownWorkspace => {
-            Fault::new(ErrorKind::UnknownWorkspace, format!("no workspace {workspace:?}"))
-        }
-        NoPool::NoPolicy => {
-            Fault::new(ErrorKind::NoPolicy, format!("no policy routes {workspace:?} with model {model:?}"))
+            RequestError::new(ErrorKind::UnknownWorkspace, format!("no workspace {workspace:?}"))
         }
+        NoPool::NoPolicy => RequestError::new(
+            ErrorKind::NoPolicy,
+            format!("no policy routes {workspace:?} with model {model:?}"),
+        ),
         NoPool::UnknownPool => {
-            Fault::new(ErrorKind::NoPolicy, format!("the pool for {workspace:?} is not configured"))
+            RequestError::new(ErrorKind::NoPolicy, format!("the pool for {workspace:?} is not configured"))
         }
         NoPool::EmptyPool => {
-            Fault::new(ErrorKind::NoEngine, format!("no engine is eligible for {workspace:?}"))
+            RequestError::new(ErrorKind::NoEngine, format!("no engine is eligible for {workspace:?}"))
         }
     }
 }
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -10,7 +10,7 @@
         Answered, Ask, KEPT_BODY, Record, Verdict,
         attempt::{Asking, Held, Refused, Running, refusal},
     },
-    error::{ErrorKind, Fault},
+    error::{ErrorKind, RequestError},
     gateway::{admit::Entered, ask::header, attempt::Started, relay::STALL},
     http::{Reply, body_channel},
     outcome::{Undispatched, Unsent},
@@ -51,7 +51,7 @@
         key: &Arc<str>,
         ask: Ask,
         patience: std::time::Duration,
-    ) -> Result<Answer, Fault> {
+    ) -> Result<Answer, RequestError> {
         let asking = Asking::new(ask, Undispatched::new());
         let verdict = tokio::time::timeout(patience, claims.ask(ask, key)).await;
         match asking.decide(verdict.unwrap_or(Verdict::Unavailable)) {
@@ -66,7 +66,7 @@
     }
 }
 
-fn refuse(claims: &Arc<Claims>, key: &str, refused: Refused) -> Result<Answer, Fault> {
+fn refuse(claims: &Arc<Claims>, key: &str, refused: Refused) -> Result<Answer, RequestError> {
     let Refused { verdict, token, release } = refused;
     if let Some(release) = release {
         claims.release(release, key);
@@ -79,9 +79,9 @@
 }
 
 /// The recorded answer of the run.
-fn replay(answered: Answered) -> Result<Reply, Fault> {
+fn replay(answered: Answered) -> Result<Reply, RequestError> {
     let Some(body) = answered.body else {
-        return Err(Fault::new(ErrorKind::KeyAnswered, ErrorKind::KeyAnswered.answer().about));
+        return Err(RequestError::new(ErrorKind::KeyAnswered, ErrorKind::KeyAnswered.answer().about));
     };
     Ok(Reply::full(answered.status, body)
         .with_header("content-type", &answered.content_type)
@@ -91,13 +91,13 @@
 
 impl Claimed {
     /// Ends a call whose attempts all failed: the claim is given back if none of them ran.
-    pub(in crate::gateway) fn fail(self, fault: Fault) -> Fault {
+    pub(in crate::gateway) fn fail(self, fault: RequestError) -> RequestError {
         match Unsent::from_attempts(&fault) {
             Some(proof) => {
                 let (token, release) = self.running.take_back(proof).release();
                 self.claims.release(release, &self.key);
                 let outcome = token.refuse::<()>(fault.kind, fault.message.clone());
-                outcome.into_result().err().map_or(fault.clone(), |f| Fault { kind: f.kind, ..fault })
+                outcome.into_result().err().map_or(fault.clone(), |f| RequestError { kind: f.kind, ..fault })
             }
             None => {
                 let (_, finish) = self.running.finish(Record::Unknown);
--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -6,16 +6,16 @@
 use crate::{
     engine::ChatId,
     entry::{self, MOST, Query},
-    error::{ErrorKind, Fault},
+    error::{ErrorKind, RequestError},
     http::Reply,
     place::search,
     util::now,
 };
 
 impl Gateway {
-    pub(super) fn entry(&self, text: &str) -> Result<Reply, Fault> {
+    pub(super) fn entry(&self, text: &str) -> Result<Reply, RequestError> {
         let query = Query::parse(text, &self.me, rand::random())
-            .map_err(|e| Fault::new(ErrorKind::BadRequest, e.to_string()))?;
+            .map_err(|e| RequestError::new(ErrorKind::BadRequest, e.to_string()))?;
         let mut list = entry::order(&read(&self.routers), &query, MOST);
         let owner = self.first_owner(&query);
         if let Some(at) = list.iter().position(|r| Some(r.addr) == owner) {
--- a/src/gateway/resume.rs
+++ b/src/gateway/resume.rs
@@ -13,7 +13,7 @@
 use crate::{
     client::Failure,
     engine::EngineClient,
-    error::{ErrorKind, Fault},
+    error::{ErrorKind, RequestError},
     http::{Reply, body_channel},
     schema::stream::ResumeToken,
     stream::{EventId, Offset, Tracker, token::BadToken},
@@ -42,18 +42,18 @@
     }
 
     /// Goes on with a stream after the last event that the caller has.
-    pub(super) async fn resume(&self, req: Request<Bytes>) -> Result<Reply, Fault> {
-        let unknown = |message: &str| Fault::new(ErrorKind::ResumeUnknown, message);
+    pub(super) async fn resume(&self, req: Request<Bytes>) -> Result<Reply, RequestError> {
+        let unknown = |message: &str| RequestError::new(ErrorKind::ResumeUnknown, message);
         let text = header(req.headers(), RESUME_TOKEN).ok_or_else(|| unknown("no resume token"))?;
         let token = self.resume_key.open(text, wall_ms()).map_err(|e| match e {
             BadToken::Forged => unknown("the resume token was not made by this fleet"),
-            BadToken::Expired => Fault::new(ErrorKind::ResumeGone, "the resume token is too old"),
+            BadToken::Expired => RequestError::new(ErrorKind::ResumeGone, "the resume token is too old"),
         })?;
         if header(req.headers(), "x-workspace") != Some(&token.workspace) {
             return Err(unknown("the resume token belongs to another workspace"));
         }
         let from = offset(&req, &token).ok_or_else(|| unknown("the last event is not of this stream"))?;
-        let gone = |message: &str| Fault::new(ErrorKind::ResumeGone, message);
+        let gone = |message: &str| RequestError::new(ErrorKind::ResumeGone, message);
         let addr = token.engine.parse().map_err(|_| unknown("the resume token names no engine"))?;
         if !self.catalog().engines().any(|(_, e)| e.addr == addr) {
             return Err(gone("the engine is no longer configured"));
--- a/src/gateway/service.rs
+++ b/src/gateway/service.rs
@@ -16,7 +16,7 @@
     catalog::{Catalog, Engine, Id, Service},
     claim::{self, AttemptId, ContentDigest, KeyDigest},
     client::Failure,
-    error::{ErrorKind, Fault},
+    error::{ErrorKind, RequestError},
     http::Reply,
     util::now,
 };
@@ -25,21 +25,24 @@
 const FORWARDED: [&str; 4] = ["accept", "content-type", "idempotency-key", "x-workspace"];
 
 impl Gateway {
-    pub(super) async fn service(&self, req: Request<Bytes>, id: &str) -> Result<Reply, Fault> {
+    pub(super) async fn service(&self, req: Request<Bytes>, id: &str) -> Result<Reply, RequestError> {
         let path = req.uri().path();
         let rest = path.strip_prefix("/services/").unwrap_or(path);
         let (name, tail) = rest.split_once('/').unwrap_or((rest, ""));
         let cat = self.catalog();
         let service = cat
             .service(name)
-            .ok_or_else(|| Fault::new(ErrorKind::UnknownService, format!("no service {name:?}")))?;
+            .ok_or_else(|| RequestError::new(ErrorKind::UnknownService, format!("no service {name:?}")))?;
         let path = match req.uri().query() {
             Some(query) => format!("/{tail}?{query}"),
             None => format!("/{tail}"),
         };
         let ask = Ask::call(id, req.headers(), &path, req.body(), now())?;
         if !cat.has_workspace(&ask.workspace) {
-            return Err(Fault::new(ErrorKind::UnknownWorkspace, format!("no workspace {:?}", ask.workspace)));
+            return Err(RequestError::new(
+                ErrorKind::UnknownWorkspace,
+                format!("no workspace {:?}", ask.workspace),
+            ));
         }
         let entered = self.enter(&cat, &ask)?;
         let queue = self.admission.queue(&format!("service/{name}"));
@@ -51,7 +54,7 @@
         }
         let Some(key) = &ask.key else {
             if service.require_key {
-                return Err(Fault::new(ErrorKind::KeyRequired, ErrorKind::KeyRequired.answer().about));
+                return Err(RequestError::new(ErrorKind::KeyRequired, ErrorKind::KeyRequired.answer().about));
             }
             let started = self.attempt(&cat, &ask, &queue, &servers).await?;
             return Ok(relay(started, entered));
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -12,7 +12,7 @@
     catalog::{Engine, Id},
     client::Client,
     engine::EngineClient,
-    error::{ErrorKind, Fault},
+    error::{ErrorKind, RequestError},
     link::Links,
     place::members::Member,
     schema::{
@@ -68,10 +68,10 @@
     }
 
     /// The answer for a quarantined content.
-    pub(crate) fn refuse(&self, content: Fingerprint) -> Fault {
+    pub(crate) fn refuse(&self, content: Fingerprint) -> RequestError {
         let provisional = lock(&self.table).is_provisional(now(), content);
         let kind = if provisional { ErrorKind::SuspectBusy } else { ErrorKind::Quarantined };
-        Fault::new(kind, kind.answer().about)
+        RequestError::new(kind, kind.answer().about)
     }
 
     /// Engines on which a suspect should not run, since they broke lately.
--- a/src/operate.rs
+++ b/src/operate.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     entry::Router,
-    error::{ErrorKind, Fault},
+    error::{ErrorKind, RequestError},
     follow,
     gateway::Gateway,
     http::{Handler, Reply},
@@ -71,7 +71,8 @@
         let given = req.headers().get("authorization").and_then(|v| v.to_str().ok()?.strip_prefix("Bearer "));
         // `blake3::Hash` compares in constant time; a plain comparison would leak the token byte by byte.
         if given.and_then(|hex| blake3::Hash::from_hex(hex).ok()) != Some(self.token) {
-            return Fault::new(ErrorKind::Forbidden, "the operator's token is missing or wrong").reply();
+            return RequestError::new(ErrorKind::Forbidden, "the operator's token is missing or wrong")
+                .reply();
         }
         self.set_leaving();
         spdlog::info!("an operator drains this router");
@@ -85,7 +86,7 @@
             (&Method::GET, "/v1/status") => self.status(),
             (&Method::POST, "/v1/drain") => self.drain(&req),
             (method, path @ ("/v1/status" | "/v1/drain")) => {
-                Fault::new(ErrorKind::MethodNotAllowed, format!("{method} is not for {path}")).reply()
+                RequestError::new(ErrorKind::MethodNotAllowed, format!("{method} is not for {path}")).reply()
             }
             _ => self.gateway.handle(req, peer).await,
         }
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -9,7 +9,7 @@
 use crate::{
     client::Failure,
     engine::OUTCOME,
-    error::{ErrorKind, Fault, Ran},
+    error::{ErrorKind, Ran, RequestError},
 };
 
 /// What is known at the end of a request.
@@ -18,9 +18,9 @@
     /// It ran, and this is the answer.
     Ran(A),
     /// No byte of it reached a backend server, or the backend server proved that it did not run.
-    NotRun(Fault),
+    NotRun(RequestError),
     /// It may have run.
-    Unknown(Fault),
+    Unknown(RequestError),
 }
 
 impl<A> Outcome<A> {
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     /// The fault of a request that did not run or may have run.
-    pub fn into_result(self) -> Result<A, Fault> {
+    pub fn into_result(self) -> Result<A, RequestError> {
         match self {
             Outcome::Ran(answer) => Ok(answer),
             Outcome::NotRun(fault) | Outcome::Unknown(fault) => Err(fault),
@@ -56,7 +56,7 @@
     }
 
     /// The loop of attempts ends in a "not run" only if each attempt was proven not to have run.
-    pub(crate) fn from_attempts(fault: &Fault) -> Option<Self> {
+    pub(crate) fn from_attempts(fault: &RequestError) -> Option<Self> {
         (fault.kind.answer().ran == Ran::No).then_some(Self(()))
     }
 
@@ -87,7 +87,7 @@
 
     /// Ends the request with a refusal.
     pub fn refuse<A>(self, kind: ErrorKind, message: impl Into<String>) -> Outcome<A> {
-        let fault = Fault::new(kind, message);
+        let fault = RequestError::new(kind, message);
         match kind.answer().ran {
             Ran::No => Outcome::NotRun(fault),
             // This attempt did not run, but the kind speaks of an earlier attempt with the same key.
@@ -136,6 +136,6 @@
 
     /// Nobody knows whether it ran.
     pub fn fail<A>(self, reason: AfterDispatch, message: impl Into<String>) -> Outcome<A> {
-        Outcome::Unknown(Fault::new(reason.kind(), message))
+        Outcome::Unknown(RequestError::new(reason.kind(), message))
     }
 }
