--- a/examples/tables.rs
+++ b/examples/tables.rs
@@ -14,7 +14,7 @@
     println!();
     for kind in ErrorKind::ALL {
         let a = kind.answer();
-        let retry = a.retry_s.map_or("no".to_owned(), |s| format!("after {s} s"));
+        let retry = a.retry_after_s.map_or("no".to_owned(), |s| format!("after {s} s"));
         println!("| `{}` | {} | {} | {retry} | {} |", a.code, a.status, a.ran.as_str(), a.about);
     }
     println!();
--- a/src/error.rs
+++ b/src/error.rs
@@ -119,7 +119,7 @@
     /// What is known about the run.
     pub ran: Ran,
     /// Seconds after which a retry makes sense; `None` where it does not.
-    pub retry_s: Option<u32>,
+    pub retry_after_s: Option<u32>,
     /// What it means.
     pub about: &'static str,
 }
@@ -170,7 +170,8 @@
 
     /// The table from kind to answer.
     pub fn answer(self) -> Answer {
-        let row = |status, code, ran, retry_s, about| Answer { status, code, ran, retry_s, about };
+        let row =
+            |status, code, ran, retry_after_s, about| Answer { status, code, ran, retry_after_s, about };
         match self {
             ErrorKind::BadRequest => {
                 row(400, "bad_request", Ran::No, None, "The request can't be understood")
@@ -354,7 +355,7 @@
             "error": { "code": a.code, "message": message.to_string(), "outcome": ran.as_str() }
         });
         let mut reply = Reply::json(a.status, &body).with_header("x-outcome", ran.as_str());
-        if let Some(s) = a.retry_s {
+        if let Some(s) = a.retry_after_s {
             reply = reply.with_header("retry-after", &s.to_string());
         }
         reply
--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -152,7 +152,7 @@
             });
             relay.metrics.add(Counter::RelayRequests, Outcome::Refused.as_str(), 1);
             relay.metrics.add(Counter::RelayRefusals, kind.answer().code, 1);
-            let retry_after = kind.answer().retry_s.is_some().then(|| come_back(&relay, kind));
+            let retry_after = kind.answer().retry_after_s.is_some().then(|| come_back(&relay, kind));
             relay.wire.refuse(&Refusal { kind, ran: Ran::No, retry_after })
         }
     };
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -14,7 +14,7 @@
 
     for kind in ErrorKind::ALL {
         let a = kind.answer();
-        let retry = a.retry_s.map_or("no".to_owned(), |s| format!("after {s} s"));
+        let retry = a.retry_after_s.map_or("no".to_owned(), |s| format!("after {s} s"));
         let row = format!("| `{}` | {} | {} | {retry} | {} |", a.code, a.status, a.ran.as_str(), a.about);
         assert!(text.contains(&row), "docs/CALLERS.md lacks this row:\n{row}");
     }
