--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -13,7 +13,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use crate::util::{Instant, Map, kept};
+use crate::util::{Instant, Map, decay};
 
 /// Work against the limit from which the most urgent requests are refused.
 const FIRST_REFUSED: f64 = 0.95;
@@ -137,9 +137,9 @@
 
 impl Recent {
     fn age(&mut self, now: Instant, half_life: Duration) {
-        let kept = kept(now.saturating_sub(self.at), half_life);
-        self.sum *= kept;
-        self.weight *= kept;
+        let kept = decay(now.saturating_sub(self.at), half_life);
+        self.sum *= decay;
+        self.weight *= decay;
         self.at = now;
     }
 
--- a/src/relay/health.rs
+++ b/src/relay/health.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use super::backends::BackendKey;
-use crate::util::{Instant, Map, kept};
+use crate::util::{Instant, Map, decay};
 
 /// Weight of the newest result in the failure ratio: about the last ten results count.
 const WEIGHT: f64 = 0.12;
@@ -33,7 +33,7 @@
 
 impl Entry {
     fn ratio(&self, now: Instant) -> f64 {
-        self.ratio * kept(now.saturating_sub(self.seen), HALF_LIFE)
+        self.ratio * decay(now.saturating_sub(self.seen), HALF_LIFE)
     }
 }
 
--- a/src/util.rs
+++ b/src/util.rs
@@ -27,7 +27,7 @@
 }
 
 /// Part of a weight that is left after `age`, where half of it is left after `half_life`.
-pub fn kept(age: Duration, half_life: Duration) -> f64 {
+pub fn decay(age: Duration, half_life: Duration) -> f64 {
     0.5f64.powf(age.as_secs_f64() / half_life.as_secs_f64())
 }
 
