--- a/benches/routing/cost.rs
+++ b/benches/routing/cost.rs
@@ -80,7 +80,7 @@
 ) {
     let Ok(pool) = cat.pool("workspace", "model") else { return };
     let now = Time::from_micros(number);
-    let hint = hint.and_then(|text| keys.open(chat, text));
+    let hint = hint.and_then(|text| keys.verify(chat, text));
     let mut search = Search::new(placer, cat, pool, chat.hash(), hint.as_ref(), []);
     while let Some(step) = search.next(placer, cat, pool, now) {
         let reservation = ReservationId { router: placer.me(), number: (1 << 40) + number };
@@ -132,7 +132,7 @@
         let keys = HintKey::new("key");
         let new = per_round(|n| decide(&mut placer, &cat, &keys, n, CHAT, None));
         let copy = CachedCopy { engine: Arc::from("engine-3"), start: 0, tokens: 1_000 };
-        let text = keys.seal(CHAT, &Hint { home: "dc".into(), copies: vec![copy] });
+        let text = keys.sign(CHAT, &Hint { home: "dc".into(), copies: vec![copy] });
         let hinted = per_round(|n| decide(&mut placer, &cat, &keys, n, CHAT, Some(&text)));
         let (account, hold) = placer.ledger.bytes();
         println!("{engines:8} {sort:12.0} {rank:12.0} {new:12.0} {hinted:12.0} {account:14} {hold:12}");
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -309,7 +309,7 @@
         exclude: impl IntoIterator<Item = Id>,
     ) -> Result<Placed, Unplaced> {
         let place = &self.placement;
-        let hint = ask.hint.as_deref().and_then(|text| place.hints.open(ask.chat_id(), text));
+        let hint = ask.hint.as_deref().and_then(|text| place.hints.verify(ask.chat_id(), text));
         let mut search =
             Search::new(&place.placer(), cat, pool, ask.chat_id().hash(), hint.as_ref(), exclude);
         loop {
@@ -365,7 +365,7 @@
         };
         let mut hint = hint.unwrap_or_default();
         hint.home = search.home().clone();
-        let hint = self.placement.hints.seal(ask.chat_id(), &hint.with_copy(copy));
+        let hint = self.placement.hints.sign(ask.chat_id(), &hint.with_copy(copy));
         let router = placer.owner(engine.id, &engine.data_centre).map(|m| m.addr);
         Placed { engine: key, slot, hint, router }
     }
--- a/src/gateway/resume.rs
+++ b/src/gateway/resume.rs
@@ -45,7 +45,7 @@
     pub(super) async fn resume(&self, req: Request<Bytes>) -> Result<Reply, RequestError> {
         let unknown = |message: &str| RequestError::new(ErrorKind::ResumeUnknown, message);
         let text = header(req.headers(), RESUME_TOKEN).ok_or_else(|| unknown("no resume token"))?;
-        let token = self.resume_key.open(text, wall_ms()).map_err(|e| match e {
+        let token = self.resume_key.verify(text, wall_ms()).map_err(|e| match e {
             BadToken::Forged => unknown("the resume token was not made by this fleet"),
             BadToken::Expired => RequestError::new(ErrorKind::ResumeGone, "the resume token is too old"),
         })?;
--- a/src/place/hint.rs
+++ b/src/place/hint.rs
@@ -64,7 +64,7 @@
     }
 
     /// Encodes and signs a hint for `chat`.
-    pub fn seal(&self, chat: ChatId<'_>, hint: &Hint) -> String {
+    pub fn sign(&self, chat: ChatId<'_>, hint: &Hint) -> String {
         let copies = hint.copies.iter().map(|c| raw::Copy {
             engine: c.engine.to_string(),
             start: c.start,
@@ -79,7 +79,7 @@
 
     /// Verifies and decodes a hint for `chat`; `None` if it is forged, of another version, or for another chat or
     /// workspace.
-    pub fn open(&self, chat: ChatId<'_>, text: &str) -> Option<Hint> {
+    pub fn verify(&self, chat: ChatId<'_>, text: &str) -> Option<Hint> {
         if text.len() > MAX_ENCODED_LEN {
             return None;
         }
--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -138,8 +138,8 @@
 impl Recent {
     fn age(&mut self, now: Instant, half_life: Duration) {
         let kept = decay(now.saturating_sub(self.at), half_life);
-        self.sum *= decay;
-        self.weight *= decay;
+        self.sum *= kept;
+        self.weight *= kept;
         self.at = now;
     }
 
--- a/src/stream/token.rs
+++ b/src/stream/token.rs
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     /// When the token is forged or has expired at `now_ms`.
-    pub fn open(&self, text: &str, now_ms: u64) -> Result<ResumeToken, BadToken> {
+    pub fn verify(&self, text: &str, now_ms: u64) -> Result<ResumeToken, BadToken> {
         let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| BadToken::Forged)?;
         let (tag, body) = bytes.split_at_checked(MAC).ok_or(BadToken::Forged)?;
         let tag: [u8; MAC] = tag.try_into().map_err(|_| BadToken::Forged)?;
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -92,7 +92,7 @@
 fn a_hint_is_read_back() {
     let key = HintKey::new("k");
 
-    let opened = key.open(CHAT, &key.seal(CHAT, &hint()));
+    let opened = key.verify(CHAT, &key.sign(CHAT, &hint()));
 
     assert_eq!(opened, Some(hint()));
 }
@@ -102,7 +102,7 @@
 #[test]
 fn a_wrong_hint_is_dropped() {
     let key = HintKey::new("k");
-    let good = key.seal(CHAT, &hint());
+    let good = key.sign(CHAT, &hint());
     let mut altered = good.clone().into_bytes();
     altered[4] ^= 1;
     let altered = String::from_utf8_lossy(&altered).into_owned();
@@ -119,9 +119,9 @@
     ];
 
     for (what, chat, text) in cases {
-        assert_eq!(key.open(chat, text), None, "{what}");
+        assert_eq!(key.verify(chat, text), None, "{what}");
     }
-    assert_eq!(HintKey::new("other").open(CHAT, &good), None, "another fleet's");
+    assert_eq!(HintKey::new("other").verify(CHAT, &good), None, "another fleet's");
 }
 
 #[test]
