--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -1,6 +1,7 @@
-//! Configuration compiled from the platform's objects: engines, pools, policies, workspaces and services.
+//! Catalog: the platform's configuration objects (engines, pools, policies, workspaces, services), compiled for
+//! lookups.
 //!
-//! Selectors are evaluated once a configuration change; a request only looks things up.
+//! Selectors are evaluated once per configuration change, not per request.
 
 use std::{borrow::Borrow, cmp::Reverse, collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -19,105 +20,105 @@
 pub use selector::{matches, validate};
 
 new_key_type! {
-    /// Key of an engine in one [`Catalog`]; keys of two catalogs don't mix.
+    /// Key of an engine in one [`Catalog`]; not valid in any other catalog.
     pub struct EngineKey;
 }
 
-/// Identifier made from a name; the same on every router and in every catalog.
+/// Identifier of a named object, a hash of its name; equal on all routers and in all catalogs.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct Id(pub u64);
 
 impl Id {
-    /// Identifier of a name.
+    /// Hashes a name.
     pub fn of(name: &str) -> Self {
         Self(hash(name).max(1))
     }
 }
 
-/// One stored object: kind, metadata and spec.
+/// Configuration object as stored by the platform.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Object<S> {
     /// Kind, such as `EnginePool`.
     pub kind: String,
     /// Name, labels, version.
     pub metadata: raw::Meta,
-    /// What the operator states.
+    /// Specification written by the operator.
     pub spec: S,
 }
 
-/// An object whose spec has not been parsed.
+/// Object with an unparsed spec.
 pub type AnyObject = Object<serde_json::Value>;
 
 /// Labels of an object.
 pub type Labels = BTreeMap<String, String>;
 
-/// An engine as the configuration describes it.
+/// Configured engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Identifier made from the name.
+    /// Identifier of the engine.
     pub id: Id,
     /// Name.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// Listen address.
     pub addr: SocketAddr,
-    /// Data centre in which it stands.
+    /// Data centre of the engine.
     pub data_centre: Arc<str>,
-    /// Requests that it runs well at once.
+    /// Number of requests that the engine can run concurrently without slowing down.
     pub capacity: u32,
     labels: Labels,
 }
 
-/// Label by which an operator takes an engine out of use, with the value `true`.
+/// Label that takes an engine out of service when an operator sets it to `true`.
 pub const LEAVING_LABEL: &str = "leaving";
 
 impl Engine {
-    /// Whether an operator's label takes it out of use.
+    /// Whether the engine has the label [`LEAVING_LABEL`] with the value `true`.
     pub fn has_leaving_label(&self) -> bool {
         self.labels.get(LEAVING_LABEL).is_some_and(|v| v == "true")
     }
 }
 
-/// Engines that serve together.
+/// Pool of engines that share load.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// Identifier made from the name.
+    /// Identifier of the pool.
     pub id: Id,
     /// Name.
     pub name: Arc<str>,
-    /// Members.
+    /// Engines selected by the pool.
     pub engines: Vec<EngineKey>,
-    /// Highest load of an engine as a multiple of the mean.
+    /// Maximum load of an engine, as a multiple of the mean.
     pub load_bound: f64,
     by_id: Map<Id, EngineKey>,
     by_data_centre: Vec<(Arc<str>, Ranking)>,
 }
 
 impl Pool {
-    /// The member with this identifier; `None` for an engine that the pool does not select.
+    /// Key of the engine with this identifier; `None` if the pool does not select it.
     pub fn member(&self, id: Id) -> Option<EngineKey> {
         self.by_id.get(&id).copied()
     }
 
-    /// Members of each data centre, ready to be ranked.
+    /// Engines by data centre, grouped for ranking.
     pub fn by_data_centre(&self) -> &[(Arc<str>, Ranking)] {
         &self.by_data_centre
     }
 }
 
-/// A plain service.
+/// Plain (non-chat) service.
 #[derive(Clone, Debug)]
 pub struct Service {
     /// Backend servers.
     pub engines: Vec<EngineKey>,
-    /// Backend servers, ready to be ranked.
+    /// Backend servers, grouped for ranking.
     pub ranking: Ranking,
-    /// Path prefixes whose calls may not be repeated, whatever their method.
+    /// Path prefixes whose calls are not idempotent, whatever their method.
     pub non_idempotent: Vec<Arc<str>>,
-    /// Paths, with all that lies under them, whose `POST` and `PATCH` calls may be repeated.
+    /// Paths, including their subpaths, whose `POST` and `PATCH` calls are idempotent.
     pub idempotent: Vec<Arc<str>>,
-    /// Whether a call that may not be repeated needs an idempotency key.
+    /// Whether a call that is not idempotent requires an idempotency key.
     pub require_key: bool,
 }
 
@@ -130,23 +131,23 @@
     rank: u32,
 }
 
-/// Why no pool serves a request.
+/// Why no pool was found for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoPool {
     /// The workspace is not configured.
     UnknownWorkspace,
     /// No policy routes this workspace and model.
     NoPolicy,
-    /// The policy names a pool that is not configured or was left out as faulty.
+    /// The policy names a pool that is not configured or has an invalid spec.
     UnknownPool,
-    /// The labels of no engine match the pool's selector.
+    /// No engine matches the pool's selector.
     EmptyPool,
 }
 
-/// Compiled configuration of one version.
+/// Compiled configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    /// Version of the platform's collection from which it was compiled.
+    /// Version of the platform's collection that was compiled.
     pub version: u64,
     engines: SlotMap<EngineKey, Engine>,
     by_id: Map<Id, EngineKey>,
@@ -155,36 +156,38 @@
     policies: Vec<Policy>,
     workspaces: Map<Arc<str>, Labels>,
     concurrency_limits: Map<Arc<str>, Arc<[ConcurrencyLimit]>>,
-    /// Policies that select the workspace, by position in `policies`, highest rank first.
+    /// For each workspace, the policies that select it, as positions in `policies`, highest rank first.
     routes: Map<Arc<str>, Vec<usize>>,
     services: Map<Arc<str>, Service>,
 }
 
+/// Load bound of pools without a configured one.
 const DEFAULT_LOAD_BOUND: f64 = 1.25;
-/// A bound of one mean or less can't be kept: some engine always stands above the mean.
+/// Minimum load bound, in thousandths of the mean. A bound of the mean itself can't be enforced, since some engine is
+/// always above the mean.
 pub(crate) const MIN_LOAD_BOUND_MILLI: u32 = 1050;
 
 impl Catalog {
-    /// Compiles `objects`; returns the catalog and what is wrong with objects that were left out.
+    /// Compiles `objects`. Invalid objects are skipped, and their problems are returned with the catalog.
     pub fn compile(version: u64, objects: &[impl Borrow<AnyObject>]) -> (Self, Vec<String>) {
         let mut cat = Self { version, ..Self::default() };
-        let mut faults = Vec::new();
+        let mut problems = Vec::new();
         for obj in objects.iter().map(Borrow::borrow) {
-            if let Err(e) = cat.add_base(obj) {
-                faults.push(format!("{}/{}: {e:#}", obj.kind, obj.metadata.name));
+            if let Err(e) = cat.add_engine_or_workspace(obj) {
+                problems.push(format!("{}/{}: {e:#}", obj.kind, obj.metadata.name));
             }
         }
         for obj in objects.iter().map(Borrow::borrow) {
-            if let Err(e) = cat.add_derived(obj) {
-                faults.push(format!("{}/{}: {e:#}", obj.kind, obj.metadata.name));
+            if let Err(e) = cat.add_dependent(obj) {
+                problems.push(format!("{}/{}: {e:#}", obj.kind, obj.metadata.name));
             }
         }
-        cat.route(&mut faults);
-        (cat, faults)
+        cat.build_routes(&mut problems);
+        (cat, problems)
     }
 
-    /// Adds a limit to a workspace; 0 means that there is none.
-    fn limit(&mut self, workspace: &Arc<str>, scope: Scope, max: u32) {
+    /// Adds a concurrency limit to a workspace; 0 means unlimited.
+    fn add_limit(&mut self, workspace: &Arc<str>, scope: Scope, max: u32) {
         if max > 0 {
             let concurrency_limits = self.concurrency_limits.entry(workspace.clone()).or_default();
             *concurrency_limits =
@@ -192,23 +195,23 @@
         }
     }
 
-    fn limit_group(&mut self, name: Arc<str>, spec: raw::WorkspaceGroup) -> Result<()> {
+    fn add_group_limit(&mut self, name: Arc<str>, spec: raw::WorkspaceGroup) -> Result<()> {
         let selector = spec.workspaces.unwrap_or_default();
         validate(&selector)?;
         let members: Vec<_> =
             self.workspaces.iter().filter(|(_, l)| matches(&selector, l)).map(|(n, _)| n.clone()).collect();
         for workspace in members {
-            self.limit(&workspace, Scope::Group(name.clone()), spec.max_running);
+            self.add_limit(&workspace, Scope::Group(name.clone()), spec.max_running);
         }
         Ok(())
     }
 
-    /// Limits on the requests that a workspace has in progress, its own and those of its groups.
+    /// Concurrency limits that apply to a workspace: its own and those of its groups.
     pub fn concurrency_limits(&self, workspace: &str) -> Arc<[ConcurrencyLimit]> {
         self.concurrency_limits.get(workspace).cloned().unwrap_or_default()
     }
 
-    fn add_base(&mut self, obj: &AnyObject) -> Result<()> {
+    fn add_engine_or_workspace(&mut self, obj: &AnyObject) -> Result<()> {
         let name: Arc<str> = obj.metadata.name.as_str().into();
         match obj.kind.as_str() {
             "Engine" => {
@@ -229,7 +232,7 @@
             }
             "Workspace" => {
                 let spec: raw::Workspace = parse(obj)?;
-                self.limit(&name, Scope::Workspace(name.clone()), spec.max_running);
+                self.add_limit(&name, Scope::Workspace(name.clone()), spec.max_running);
                 self.workspaces.insert(name, obj.metadata.labels.clone());
             }
             _ => {}
@@ -237,11 +240,12 @@
         Ok(())
     }
 
-    fn add_derived(&mut self, obj: &AnyObject) -> Result<()> {
+    /// Adds an object whose selectors refer to engines or workspaces, which must have been added before.
+    fn add_dependent(&mut self, obj: &AnyObject) -> Result<()> {
         let name: Arc<str> = obj.metadata.name.as_str().into();
         match obj.kind.as_str() {
             "EnginePool" => {
-                let pool = self.pool_of(name.clone(), parse(obj)?)?;
+                let pool = self.build_pool(name.clone(), parse(obj)?)?;
                 self.pools_by_id.insert(pool.id, name.clone());
                 self.pools.insert(name, pool);
             }
@@ -252,10 +256,10 @@
                 let (model, pool) = (spec.model.into(), spec.pool.into());
                 self.policies.push(Policy { name, workspaces, model, pool, rank: spec.rank });
             }
-            "WorkspaceGroup" => self.limit_group(name, parse(obj)?)?,
+            "WorkspaceGroup" => self.add_group_limit(name, parse(obj)?)?,
             "Service" => {
                 let spec: raw::Service = parse(obj)?;
-                let engines = self.select(&spec.engines.unwrap_or_default())?;
+                let engines = self.select_engines(&spec.engines.unwrap_or_default())?;
                 let service = Service {
                     ranking: Ranking::new(engines.iter().map(|&key| (key, &self.engines[key]))),
                     engines,
@@ -270,7 +274,7 @@
         Ok(())
     }
 
-    fn pool_of(&self, name: Arc<str>, spec: raw::EnginePool) -> Result<Pool> {
+    fn build_pool(&self, name: Arc<str>, spec: raw::EnginePool) -> Result<Pool> {
         let load_bound = match spec.load_bound_milli {
             0 => DEFAULT_LOAD_BOUND,
             milli if milli < MIN_LOAD_BOUND_MILLI => {
@@ -278,23 +282,26 @@
             }
             milli => f64::from(milli) / 1000.0,
         };
-        let engines = self.select(&spec.engines.unwrap_or_default())?;
+        let engines = self.select_engines(&spec.engines.unwrap_or_default())?;
         let by_id = engines.iter().map(|&key| (self.engines[key].id, key)).collect();
-        let mut split: BTreeMap<Arc<str>, Vec<EngineKey>> = BTreeMap::new();
+        let mut engines_by_data_centre: BTreeMap<Arc<str>, Vec<EngineKey>> = BTreeMap::new();
         for &key in &engines {
-            split.entry(self.engines[key].data_centre.clone()).or_default().push(key);
+            engines_by_data_centre.entry(self.engines[key].data_centre.clone()).or_default().push(key);
         }
         let ranking = |keys: Vec<EngineKey>| Ranking::new(keys.iter().map(|&key| (key, &self.engines[key])));
-        let by_data_centre = split.into_iter().map(|(dc, keys)| (dc, ranking(keys))).collect();
+        let by_data_centre =
+            engines_by_data_centre.into_iter().map(|(dc, keys)| (dc, ranking(keys))).collect();
         Ok(Pool { id: Id::of(&name), name, engines, load_bound, by_id, by_data_centre })
     }
 
-    /// Policies of equal rank are ordered by name: objects arrive in another order on each router, and the
-    /// routers would otherwise send a workspace to different pools.
-    fn route(&mut self, faults: &mut Vec<String>) {
+    /// Resolves the routing policies of each workspace, by descending rank.
+    ///
+    /// Policies of equal rank are ordered by name. Each router receives the objects in a different order, so routers
+    /// could otherwise route a workspace to different pools.
+    fn build_routes(&mut self, problems: &mut Vec<String>) {
         self.policies.sort_by(|a, b| (Reverse(a.rank), &a.name).cmp(&(Reverse(b.rank), &b.name)));
         for policy in self.policies.iter().filter(|p| !self.pools.contains_key(&p.pool)) {
-            faults.push(format!("RoutingPolicy/{}: there is no pool {:?}", policy.name, policy.pool));
+            problems.push(format!("RoutingPolicy/{}: there is no pool {:?}", policy.name, policy.pool));
         }
         for (name, labels) in &self.workspaces {
             let selected = |(at, p): (usize, &Policy)| matches(&p.workspaces, labels).then_some(at);
@@ -303,7 +310,7 @@
         }
     }
 
-    fn select(&self, selector: &raw::Selector) -> Result<Vec<EngineKey>> {
+    fn select_engines(&self, selector: &raw::Selector) -> Result<Vec<EngineKey>> {
         validate(selector)?;
         let mut keys: Vec<_> =
             self.engines.iter().filter(|(_, e)| matches(selector, &e.labels)).map(|(k, _)| k).collect();
@@ -311,10 +318,11 @@
         Ok(keys)
     }
 
-    /// The pool that serves chats of `workspace` with `model`.
+    /// Pool that serves chats of `workspace` with `model`.
     ///
     /// # Errors
-    /// Never falls back to engines that the operator excluded.
+    /// When no policy applies, or its pool is unknown or empty. There is no fallback to other engines: the operator may
+    /// have excluded them.
     pub fn pool(&self, workspace: &str, model: &str) -> Result<&Pool, NoPool> {
         let route = self.routes.get(workspace).ok_or(NoPool::UnknownWorkspace)?;
         let policy = route
@@ -329,7 +337,7 @@
         Ok(pool)
     }
 
-    /// The pool with this identifier.
+    /// Pool with this identifier.
     pub fn pool_by_id(&self, id: Id) -> Option<&Pool> {
         self.pools.get(self.pools_by_id.get(&id)?)
     }
@@ -339,7 +347,7 @@
         self.pools.values()
     }
 
-    /// The plain service of this name.
+    /// Plain service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
@@ -349,7 +357,7 @@
         self.workspaces.contains_key(name)
     }
 
-    /// The engine behind a key of this catalog.
+    /// Engine with this key, which must be of this catalog.
     pub fn engine(&self, key: EngineKey) -> &Engine {
         &self.engines[key]
     }
--- a/src/catalog/selector.rs
+++ b/src/catalog/selector.rs
@@ -1,18 +1,18 @@
-//! Selectors: conditions on labels.
+//! Label selectors.
 
 use anyhow::{Result, bail};
 
 use super::Labels;
 use crate::schema::object::{Requirement, Selector};
 
-/// Checks operators and values.
+/// Validates the operators and values of a selector.
 ///
 /// # Errors
-/// When a condition could never mean what its writer wanted: an unknown operator would silently match nothing.
+/// When a condition is invalid, such as one with an unknown operator, which would silently match nothing.
 pub fn validate(selector: &Selector) -> Result<()> {
     for req in &selector.match_expressions {
         if req.key.is_empty() {
-            bail!("a condition has no `key`");
+            bail!("condition without `key`");
         }
         match (req.operator.as_str(), req.values.is_empty()) {
             ("In" | "NotIn", false) | ("Exists" | "DoesNotExist", true) => {}
@@ -26,13 +26,13 @@
     Ok(())
 }
 
-/// Whether `labels` meet every part of a valid `selector`; an empty selector matches all.
+/// Whether `labels` satisfy all conditions of a valid `selector`; an empty selector matches everything.
 pub fn matches(selector: &Selector, labels: &Labels) -> bool {
     let equal = selector.match_labels.iter().all(|(k, v)| labels.get(k) == Some(v));
-    equal && selector.match_expressions.iter().all(|r| meets(r, labels))
+    equal && selector.match_expressions.iter().all(|r| requirement_matches(r, labels))
 }
 
-fn meets(req: &Requirement, labels: &Labels) -> bool {
+fn requirement_matches(req: &Requirement, labels: &Labels) -> bool {
     let value = labels.get(&req.key);
     match req.operator.as_str() {
         "In" => value.is_some_and(|v| req.values.contains(v)),
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,13 +1,13 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! Error kinds of requests and the HTTP answer for each kind.
 
 use std::time::Duration;
 
 use crate::http::Reply;
 
-/// What is known about the run of a failed request.
+/// Whether a failed request ran on a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ran {
-    /// No byte of the request reached a backend server.
+    /// The request did not run.
     No,
     /// The request may have run.
     Unknown,
@@ -29,19 +29,19 @@
 /// Why a request was refused or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ErrorKind {
-    /// The request can't be understood.
+    /// The request is malformed.
     BadRequest,
     /// The body exceeds the limit.
     BodyTooLarge,
     /// The body did not arrive in time.
     BodyTimeout,
-    /// The body's length is not stated in the head.
+    /// The request has no `content-length`.
     LengthRequired,
-    /// Nothing is at this path.
+    /// The path does not exist.
     NotFound,
-    /// The path does not take this method.
+    /// The path does not support this method.
     MethodNotAllowed,
-    /// Only operators may ask this.
+    /// The request is reserved for operators.
     Forbidden,
     /// The workspace is not configured.
     UnknownWorkspace,
@@ -49,41 +49,41 @@
     UnknownService,
     /// No routing policy matches.
     NoPolicy,
-    /// No eligible engine is live.
+    /// No eligible engine is up.
     NoEngine,
     /// Every data centre with an eligible engine is evacuated.
     Evacuated,
-    /// Every eligible engine is cold and bears no more requests.
+    /// Every eligible engine has just started and can't take more requests until it has warmed up.
     WarmingUp,
-    /// Every eligible engine has asked for a pause.
+    /// Every eligible engine has asked routers to pause new requests.
     Paused,
     /// The router has no configuration yet.
     NotReady,
-    /// The router is shutting down and takes no new request.
+    /// The router is shutting down and accepts no new requests.
     Leaving,
     /// The deadline would pass before an engine is free.
     DeadlineUnmeetable,
     /// The deadline passed while the request waited.
     DeadlinePassed,
-    /// Too many requests wait already.
+    /// Too many requests are waiting.
     QueueFull,
     /// The service has as much work as it can finish in time.
     Overloaded,
-    /// The workspace has as many requests in progress as it may have.
+    /// The workspace has reached its limit of requests in progress.
     WorkspaceLimit,
-    /// The workspace group has as many requests in progress as it may have.
+    /// The workspace group has reached its limit of requests in progress.
     GroupLimit,
-    /// A retry would exceed the budget of retries.
+    /// A retry would exceed the retry budget.
     RetryBudget,
-    /// Every attempt that is allowed has been made.
+    /// The maximum number of attempts has been made.
     AttemptLimit,
-    /// The same content has crashed backend servers.
+    /// The content is quarantined because it has crashed backend servers.
     Quarantined,
-    /// Content that may have crashed a backend server waits for another such run.
+    /// The content is suspected of crashing backend servers and has no permit to run yet.
     SuspectBusy,
     /// No connection to a backend server could be made.
     ConnectFailed,
-    /// The backend server broke off after the request may have reached it.
+    /// The connection to the backend server failed after the request may have reached it.
     EngineFailed,
     /// The backend server refused the request before running it.
     EngineRefused,
@@ -95,7 +95,7 @@
     KeyPending,
     /// A request with this idempotency key may have run; its outcome is not known.
     KeyUnknown,
-    /// The idempotency key is older than the horizon.
+    /// The idempotency key is older than the retention period of keys.
     KeyExpired,
     /// A request with this idempotency key ran; its answer was too large to keep.
     KeyAnswered,
@@ -105,27 +105,27 @@
     ResumeUnknown,
     /// The stream can no longer be resumed.
     ResumeGone,
-    /// The router failed inside.
+    /// Internal error of the router.
     Internal,
 }
 
-/// How a kind is told to the caller.
+/// HTTP answer for an error kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
     /// Machine-readable code.
     pub code: &'static str,
-    /// What is known about the run.
+    /// Whether the request ran.
     pub ran: Ran,
-    /// Seconds after which a retry makes sense; `None` where it does not.
+    /// Seconds after which the caller should retry; `None` if a retry can't succeed.
     pub retry_after_s: Option<u32>,
-    /// What it means.
+    /// Description for the caller.
     pub about: &'static str,
 }
 
 impl ErrorKind {
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [ErrorKind; 39] = [
         ErrorKind::BadRequest,
         ErrorKind::BodyTooLarge,
@@ -168,7 +168,7 @@
         ErrorKind::Internal,
     ];
 
-    /// The table from kind to answer.
+    /// HTTP answer for this kind.
     pub fn answer(self) -> Answer {
         let row =
             |status, code, ran, retry_after_s, about| Answer { status, code, ran, retry_after_s, about };
@@ -343,12 +343,12 @@
         }
     }
 
-    /// The reply for this kind.
+    /// HTTP reply for this kind, with a message for the caller.
     pub fn reply(self, message: impl std::fmt::Display) -> Reply {
         self.reply_as(self.answer().ran, message)
     }
 
-    /// The reply for this kind, where less is known of the run than the table says.
+    /// HTTP reply for this kind with `ran` in place of the kind's own value.
     fn reply_as(self, ran: Ran, message: impl std::fmt::Display) -> Reply {
         let a = self.answer();
         let body = serde_json::json!({
@@ -362,45 +362,45 @@
     }
 }
 
-/// A refusal or failure with its message for the caller.
+/// Refusal or failure of a request, with a message for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestError {
-    /// Kind, from the closed list.
+    /// Kind of the error.
     pub kind: ErrorKind,
-    /// What the caller reads.
+    /// Message for the caller.
     pub message: String,
-    /// When the caller should come back; the table's time where it is not known better.
+    /// Time after which the caller should retry; `None` for the default of the kind.
     pub retry_after: Option<Duration>,
-    /// Attempts at backend servers made so far, over all hops.
+    /// Number of attempts at backend servers so far, over all hops.
     pub attempts: Option<u32>,
 }
 
 impl RequestError {
-    /// Fault of a kind.
+    /// Creates an error.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         Self { kind, message: message.into(), retry_after: None, attempts: None }
     }
 
-    /// Sets when the caller should come back.
+    /// Sets the time after which the caller should retry.
     pub fn with_retry_after(self, time: Duration) -> Self {
         Self { retry_after: Some(time), ..self }
     }
 
-    /// Sets how many attempts have been made so far.
+    /// Sets the number of attempts so far.
     pub fn with_attempts(self, attempts: u32) -> Self {
         Self { attempts: Some(attempts), ..self }
     }
 
-    /// The reply that tells it.
+    /// HTTP reply for this error.
     pub fn reply(&self) -> Reply {
         self.finish_reply(self.kind.reply(&self.message))
     }
 
-    /// The reply for an attempt that may not have been the first with its idempotency key: this attempt did not
-    /// run, but "not run" would be read as the key's outcome.
+    /// HTTP reply for a request that may be a repeat of its idempotency key. This attempt did not run, but the caller
+    /// would take "not run" for the outcome of the key, so the outcome is "unknown" instead.
     pub fn reply_to_repeat(&self) -> Reply {
         let ran = match (self.kind, self.kind.answer().ran) {
-            // No attempt with this content can have run under the key.
+            // No request with this content can have run under the key.
             (ErrorKind::KeyConflict, ran) => ran,
             (_, Ran::No) => Ran::Unknown,
             (_, ran) => ran,
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -1,8 +1,8 @@
-//! What became of a request, in types that make a false "not run" hard to write.
+//! Outcome of a request, in types that prevent a false "not run" outcome.
 //!
-//! A request starts with an [`Undispatched`] token. Only that token makes a "not run" answer, and handing the
-//! request to a connection consumes it. Afterwards there is a [`Dispatched`] token, which makes "unknown"
-//! answers; it turns back only against an [`Unsent`] proof.
+//! A request starts with an [`Undispatched`] token. Only this token can create a "not run" outcome, and handing the
+//! request to a connection consumes it. The resulting [`Dispatched`] token creates "unknown" outcomes. It can be
+//! converted back only with an [`Unsent`] proof.
 
 use http::Response;
 
@@ -12,22 +12,22 @@
     error::{ErrorKind, Ran, RequestError},
 };
 
-/// What is known at the end of a request.
+/// Outcome of a request.
 #[derive(Debug)]
 pub enum Outcome<A> {
-    /// It ran, and this is the answer.
+    /// The request ran, with this answer.
     Ran(A),
-    /// No byte of it reached a backend server, or the backend server proved that it did not run.
+    /// The request did not run: no byte of it reached a backend server, or the backend server stated so.
     NotRun(RequestError),
-    /// It may have run.
+    /// The request may have run.
     Unknown(RequestError),
 }
 
 impl<A> Outcome<A> {
-    /// The answer, or the fault that the caller is told.
+    /// Returns the answer, or the error for the caller.
     ///
     /// # Errors
-    /// The fault of a request that did not run or may have run.
+    /// When the request did not run or may have run.
     pub fn into_result(self) -> Result<A, RequestError> {
         match self {
             Outcome::Ran(answer) => Ok(answer),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// What is known about the run.
+    /// Whether the request ran.
     pub fn ran(&self) -> Ran {
         match self {
             Outcome::Ran(_) => Ran::Yes,
@@ -50,66 +50,66 @@
 pub struct Unsent(());
 
 impl Unsent {
-    /// A connection that was never made carried no byte.
+    /// Proof from a failure to connect: no byte was sent.
     pub fn from_failure(failure: Failure) -> Option<Self> {
         (failure == Failure::Connect).then_some(Self(()))
     }
 
-    /// The loop of attempts ends in a "not run" only if each attempt was proven not to have run.
+    /// Proof from the error of the retry loop, which is "not run" only if every attempt was proven not to have run.
     pub(crate) fn from_attempts(fault: &RequestError) -> Option<Self> {
         (fault.kind.answer().ran == Ran::No).then_some(Self(()))
     }
 
-    /// A backend server states in a header of its refusal that it did not run the request.
+    /// Proof from a backend server's refusal with a header that states that the request did not run.
     pub fn from_head<B>(head: &Response<B>) -> Option<Self> {
         let stated = head.headers().get(OUTCOME).is_some_and(|v| v == Ran::No.as_str());
         (stated && head.status().is_server_error()).then_some(Self(()))
     }
 }
 
-/// Token of a request of which no byte has been handed to a connection. There is one for each request: it can be
-/// neither copied nor made anew.
+/// Token of a request of which no byte has been handed to a connection. Each request has exactly one token; it can't
+/// be cloned.
 #[derive(Debug)]
 #[must_use]
 pub struct Undispatched(());
 
 impl Undispatched {
-    /// Token of a request that has just been read.
-    #[expect(clippy::new_without_default, reason = "a token is made on purpose, once for each request")]
+    /// Creates the token of a request that has just been received.
+    #[expect(clippy::new_without_default, reason = "tokens are created explicitly, one per request")]
     pub fn new() -> Self {
         Self(())
     }
 
-    /// The request is handed to a connection: from here on it may have run.
+    /// Hands the request to a connection; from here on it may have run.
     pub fn dispatch(self) -> Dispatched {
         Dispatched(())
     }
 
-    /// Ends the request with a refusal.
+    /// Refuses the request.
     pub fn refuse<A>(self, kind: ErrorKind, message: impl Into<String>) -> Outcome<A> {
         let fault = RequestError::new(kind, message);
         match kind.answer().ran {
             Ran::No => Outcome::NotRun(fault),
-            // This attempt did not run, but the kind speaks of an earlier attempt with the same key.
+            // This attempt did not run, but the error is about an earlier attempt with the same idempotency key.
             Ran::Unknown | Ran::Yes => Outcome::Unknown(fault),
         }
     }
 }
 
-/// Why a request failed after it was dispatched. None of these is told as "not run".
+/// Why a request failed after dispatch; none of these is reported as "not run".
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterDispatch {
-    /// The connection broke, or nothing came in time.
+    /// The connection failed, or no answer arrived in time.
     Broken,
-    /// The router failed inside.
+    /// Internal error of the router.
     Internal,
 }
 
 impl AfterDispatch {
-    /// Every reason.
+    /// All reasons.
     pub const ALL: [AfterDispatch; 2] = [AfterDispatch::Broken, AfterDispatch::Internal];
 
-    /// The kind under which the caller is told.
+    /// Kind of the error that the caller gets.
     pub fn kind(self) -> ErrorKind {
         match self {
             AfterDispatch::Broken => ErrorKind::EngineFailed,
@@ -124,17 +124,17 @@
 pub struct Dispatched(());
 
 impl Dispatched {
-    /// Takes the request back against a proof that it did not run.
+    /// Converts the token back, given proof that the request did not run.
     pub fn take_back(self, _proof: Unsent) -> Undispatched {
         Undispatched(())
     }
 
-    /// The backend server answered.
+    /// Ends the request with the backend server's answer.
     pub fn ran<A>(self, answer: A) -> Outcome<A> {
         Outcome::Ran(answer)
     }
 
-    /// Nobody knows whether it ran.
+    /// Ends the request as failed; it may have run.
     pub fn fail<A>(self, reason: AfterDispatch, message: impl Into<String>) -> Outcome<A> {
         Outcome::Unknown(RequestError::new(reason.kind(), message))
     }
--- a/src/stream.rs
+++ b/src/stream.rs
@@ -1,9 +1,8 @@
-//! One answer stream: which events belong to it, which are new, and when it is complete.
+//! Tracking of answer streams: filters foreign and duplicate events, and detects gaps and completion.
 //!
-//! Each event of an engine carries an identifier made of the request and the event's offset. An event of
-//! another request, or one that was passed on already, is dropped; a hole ends the connection, so that the
-//! rest is fetched again from the offset reached. Only the final marker under the right identifier completes
-//! the stream.
+//! Each event of an engine carries an identifier that consists of the request and the event's offset. Events of
+//! another request and duplicates are dropped. At a gap the connection is closed and the stream fetched again from
+//! the next expected offset. Only the final marker with the expected identifier completes the stream.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
@@ -30,7 +29,7 @@
     }
 }
 
-/// The text is no event identifier.
+/// Error of parsing an [`EventId`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadEventId;
 
@@ -44,42 +43,42 @@
     }
 }
 
-/// Why an event is not passed on.
+/// Why an event is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Dropped {
-    /// It carries no identifier.
-    Unnamed,
-    /// It belongs to another request.
-    Crossed,
-    /// It was passed on already.
-    Repeated,
+pub enum DropReason {
+    /// The event has no valid identifier.
+    MissingId,
+    /// The event belongs to another request.
+    OtherRequest,
+    /// The event was forwarded before.
+    Duplicate,
 }
 
-impl Dropped {
-    /// Label for counters.
+impl DropReason {
+    /// Label value in the metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Dropped::Unnamed => "unnamed",
-            Dropped::Crossed => "crossed",
-            Dropped::Repeated => "repeated",
+            DropReason::MissingId => "unnamed",
+            DropReason::OtherRequest => "crossed",
+            DropReason::Duplicate => "repeated",
         }
     }
 }
 
-/// What to do with an event.
+/// Action to take on an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Pass it on.
+    /// Forward the event.
     Pass,
-    /// Pass it on; the stream is complete.
+    /// Forward the event, which completes the stream.
     Complete,
-    /// Leave it out.
-    Drop(Dropped),
-    /// Events are missing before it: fetch again from the offset reached.
+    /// Drop the event.
+    Drop(DropReason),
+    /// Events are missing before this one: fetch the stream again from the next expected offset.
     Refetch,
 }
 
-/// What has been passed on of one stream.
+/// Progress of one stream.
 #[derive(Clone, Debug)]
 pub struct Tracker {
     request: Arc<str>,
@@ -88,32 +87,32 @@
 }
 
 impl Tracker {
-    /// Tracks the stream of `request` from `next` on.
+    /// Tracks the stream of `request`, of which the events before offset `next` have been forwarded.
     pub fn new(request: impl Into<Arc<str>>, next: Offset) -> Self {
         Self { request: request.into(), next, complete: false }
     }
 
-    /// Offset of the first event that has not been passed on.
+    /// Next expected offset: that of the first event that has not been forwarded.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Whether the final marker has been passed on.
+    /// Whether the final marker has been forwarded.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Decides on an event with the identifier `id`.
+    /// Decides what to do with an event and advances the stream if it is forwarded.
     ///
-    /// Guards against an engine or a reused connection that delivers another request's events, which a
-    /// caller would read as part of their own answer: only the exact next offset of this request passes.
+    /// Only an event of this request at exactly the next expected offset is forwarded. This protects callers from an
+    /// engine or a reused connection that delivers events of another request, which they would take for their own.
     pub fn step(&mut self, id: Option<&str>, data: &str) -> Step {
-        let Some(Ok(id)) = id.map(EventId::from_str) else { return Step::Drop(Dropped::Unnamed) };
+        let Some(Ok(id)) = id.map(EventId::from_str) else { return Step::Drop(DropReason::MissingId) };
         if id.request != self.request {
-            return Step::Drop(Dropped::Crossed);
+            return Step::Drop(DropReason::OtherRequest);
         }
         if self.complete || id.offset < self.next {
-            return Step::Drop(Dropped::Repeated);
+            return Step::Drop(DropReason::Duplicate);
         }
         if id.offset > self.next {
             return Step::Refetch;
