--- a/src/gateway/relay/events.rs
+++ b/src/gateway/relay/events.rs
@@ -17,7 +17,7 @@
     gateway::ask::header,
     http::{BodySender, Gone},
     metrics::{Counter, Metrics},
-    stream::{Step, Tracker},
+    stream::{EventAction, Tracker},
 };
 
 /// Events that wait for a slow caller before the engine's stream is held back.
@@ -137,18 +137,18 @@
                     return Stop::Reconnect;
                 }
             };
-            match self.tracker.step(event.id.as_deref(), event.data.as_deref().unwrap_or("")) {
-                Step::Pass => {
+            match self.tracker.on_event(event.id.as_deref(), event.data.as_deref().unwrap_or("")) {
+                EventAction::Pass => {
                     if self.send(event).await.is_err() {
                         return Stop::Ended(Ended::Cancelled);
                     }
                 }
-                Step::Complete => {
+                EventAction::Complete => {
                     let sent = self.send(event).await;
                     return Stop::Ended(if sent.is_ok() { Ended::Complete } else { Ended::Cancelled });
                 }
-                Step::Drop(dropped) => self.count(dropped.as_str()),
-                Step::Refetch => {
+                EventAction::Drop(dropped) => self.count(dropped.as_str()),
+                EventAction::Refetch => {
                     self.count("refetch");
                     return Stop::Reconnect;
                 }
--- a/src/stream.rs
+++ b/src/stream.rs
@@ -67,7 +67,7 @@
 
 /// Action to take on an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum EventAction {
     /// Forward the event.
     Pass,
     /// Forward the event, which completes the stream.
@@ -106,19 +106,19 @@
     ///
     /// Only an event of this request at exactly the next expected offset is forwarded. This protects callers from an
     /// engine or a reused connection that delivers events of another request, which they would take for their own.
-    pub fn step(&mut self, id: Option<&str>, data: &str) -> Step {
-        let Some(Ok(id)) = id.map(EventId::from_str) else { return Step::Drop(DropReason::MissingId) };
+    pub fn on_event(&mut self, id: Option<&str>, data: &str) -> EventAction {
+        let Some(Ok(id)) = id.map(EventId::from_str) else { return EventAction::Drop(DropReason::MissingId) };
         if id.request != self.request {
-            return Step::Drop(DropReason::OtherRequest);
+            return EventAction::Drop(DropReason::OtherRequest);
         }
         if self.complete || id.offset < self.next {
-            return Step::Drop(DropReason::Duplicate);
+            return EventAction::Drop(DropReason::Duplicate);
         }
         if id.offset > self.next {
-            return Step::Refetch;
+            return EventAction::Refetch;
         }
         self.next += 1;
         self.complete = data == DONE;
-        if self.complete { Step::Complete } else { Step::Pass }
+        if self.complete { EventAction::Complete } else { EventAction::Pass }
     }
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -12,7 +12,7 @@
         engine::{EngineStandin, Faults},
         gate::{Gate, Mode},
     },
-    stream::{Step, Tracker},
+    stream::{EventAction, Tracker},
 };
 use serde::{Deserialize, de::DeserializeOwned};
 
@@ -90,14 +90,14 @@
                 return reading;
             }
         };
-        match tracker.step(event.id.as_deref(), event.data.as_deref().unwrap_or("")) {
-            Step::Pass => reading.passed += 1,
-            Step::Drop(dropped) => reading.dropped.push(dropped.as_str()),
-            Step::Refetch => {
+        match tracker.on_event(event.id.as_deref(), event.data.as_deref().unwrap_or("")) {
+            EventAction::Pass => reading.passed += 1,
+            EventAction::Drop(dropped) => reading.dropped.push(dropped.as_str()),
+            EventAction::Refetch => {
                 reading.end = "refetch";
                 return reading;
             }
-            Step::Complete => {
+            EventAction::Complete => {
                 reading.passed += 1;
                 reading.end = "complete";
                 return reading;
