--- a/src/claim/attempt.rs
+++ b/src/claim/attempt.rs
@@ -110,7 +110,7 @@
 
     /// Takes the request back against a proof that it did not run; it may be dispatched again.
     pub fn take_back(self, proof: Unsent) -> Held {
-        Held { ask: self.ask, token: self.token.take_back(proof) }
+        Held { ask: self.ask, token: self.token.revert_dispatch(proof) }
     }
 
     /// Ends the run.
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -125,7 +125,7 @@
 
 impl Dispatched {
     /// Converts the token back, given proof that the request did not run.
-    pub fn take_back(self, _proof: Unsent) -> Undispatched {
+    pub fn revert_dispatch(self, _proof: Unsent) -> Undispatched {
         Undispatched(())
     }
 
--- a/src/util.rs
+++ b/src/util.rs
@@ -33,7 +33,7 @@
     0.5f64.powf(age.as_secs_f64() / half_life.as_secs_f64())
 }
 
-/// Wall clock time in milliseconds since the Unix epoch.
+/// Wall clock time in milliseconds since the Unix epoch (1970).
 pub fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
