--- a/benches/claims/holder.rs
+++ b/benches/claims/holder.rs
@@ -141,7 +141,7 @@
             }
             Some(Stage::Running(running)) => {
                 let (token, finish) = running.finish(Record::Unknown);
-                let _ = token.fail::<()>(AfterDispatch::Broken, "no answer in time");
+                let _ = token.fail::<()>(DispatchFailure::Broken, "no answer in time");
                 self.finish(router, &r.asked, finish.ask, finish.record, ticket);
                 self.told_unknown(r.caller);
             }
@@ -165,7 +165,7 @@
         let ticket = self.callers[caller].ticket;
         let running = held.dispatch();
         if connect_fails {
-            let Some(proof) = Unsent::from_failure(Failure::Connect) else { return };
+            let Some(proof) = NotRunProof::from_failure(Failure::Connect) else { return };
             let (_, release) = running.take_back(proof).release();
             self.routers[router].reqs.remove(&req);
             self.release(router, &asked, release.key, release.attempt, ticket);
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -18,7 +18,7 @@
     },
     client::Failure,
     objects::Write,
-    outcome::{AfterDispatch, Undispatched, Unsent},
+    outcome::{DispatchFailure, Undispatched, NotRunProof},
 };
 use rand::{Rng, SeedableRng, seq::IndexedRandom};
 use rand_chacha::ChaCha8Rng;
--- a/src/claim/attempt.rs
+++ b/src/claim/attempt.rs
@@ -6,7 +6,7 @@
 use super::{Ask, AttemptId, KeyDigest, Record, Verdict};
 use crate::{
     error::ErrorKind,
-    outcome::{Dispatched, Undispatched, Unsent},
+    outcome::{Dispatched, NotRunProof, Undispatched},
 };
 
 /// The attempt has asked and waits for the verdict.
@@ -109,7 +109,7 @@
     }
 
     /// Takes the request back against a proof that it did not run; it may be dispatched again.
-    pub fn take_back(self, proof: Unsent) -> Held {
+    pub fn take_back(self, proof: NotRunProof) -> Held {
         Held { ask: self.ask, token: self.token.revert_dispatch(proof) }
     }
 
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -19,7 +19,7 @@
     client::Failure,
     error::{ErrorKind, RequestError},
     metrics::Counter,
-    outcome::Unsent,
+    outcome::NotRunProof,
     retry::{Attempts, Denied, Reason, jitter},
     suspect::{Standing, Verdict},
     util::now,
@@ -110,7 +110,7 @@
             let request = format!("{}-{}", ask.id, attempts.made());
             let left = ask.deadline.saturating_sub(now());
             let reason = match tokio::time::timeout(left, to.send(engine, &request)).await {
-                Ok(Ok(res)) if Unsent::from_head(&res).is_some() => Reason::EngineRefused,
+                Ok(Ok(res)) if NotRunProof::from_head(&res).is_some() => Reason::EngineRefused,
                 Ok(Ok(res)) => {
                     lock(&self.avoid).record_success(engine.id);
                     return Ok(Started { res, found, run, request, attempts: attempts.made() });
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -13,7 +13,7 @@
     error::{ErrorKind, RequestError},
     gateway::{admit::Entered, ask::header, attempt::Started, relay::STALL},
     http::{Reply, body_channel},
-    outcome::{Undispatched, Unsent},
+    outcome::{NotRunProof, Undispatched},
 };
 
 /// Chunks that wait for a slow caller before the backend server is held back.
@@ -92,7 +92,7 @@
 impl Claimed {
     /// Ends a call whose attempts all failed: the claim is given back if none of them ran.
     pub(in crate::gateway) fn fail(self, fault: RequestError) -> RequestError {
-        match Unsent::from_attempts(&fault) {
+        match NotRunProof::from_attempts(&fault) {
             Some(proof) => {
                 let (token, release) = self.running.take_back(proof).release();
                 self.claims.release(release, &self.key);
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -2,7 +2,7 @@
 //!
 //! A request starts with an [`Undispatched`] token. Only this token can create a "not run" outcome, and handing the
 //! request to a connection consumes it. The resulting [`Dispatched`] token creates "unknown" outcomes. It can be
-//! converted back only with an [`Unsent`] proof.
+//! converted back only with an [`NotRunProof`] proof.
 
 use http::Response;
 
@@ -47,9 +47,9 @@
 
 /// Proof that a dispatched request did not run.
 #[derive(Debug)]
-pub struct Unsent(());
+pub struct NotRunProof(());
 
-impl Unsent {
+impl NotRunProof {
     /// Proof from a failure to connect: no byte was sent.
     pub fn from_failure(failure: Failure) -> Option<Self> {
         (failure == Failure::Connect).then_some(Self(()))
@@ -98,22 +98,22 @@
 
 /// Why a request failed after dispatch; none of these is reported as "not run".
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AfterDispatch {
+pub enum DispatchFailure {
     /// The connection failed, or no answer arrived in time.
     Broken,
     /// Internal error of the router.
     Internal,
 }
 
-impl AfterDispatch {
+impl DispatchFailure {
     /// All reasons.
-    pub const ALL: [AfterDispatch; 2] = [AfterDispatch::Broken, AfterDispatch::Internal];
+    pub const ALL: [DispatchFailure; 2] = [DispatchFailure::Broken, DispatchFailure::Internal];
 
     /// Kind of the error that the caller gets.
     pub fn kind(self) -> ErrorKind {
         match self {
-            AfterDispatch::Broken => ErrorKind::EngineFailed,
-            AfterDispatch::Internal => ErrorKind::Internal,
+            DispatchFailure::Broken => ErrorKind::EngineFailed,
+            DispatchFailure::Internal => ErrorKind::Internal,
         }
     }
 }
@@ -125,7 +125,7 @@
 
 impl Dispatched {
     /// Converts the token back, given proof that the request did not run.
-    pub fn revert_dispatch(self, _proof: Unsent) -> Undispatched {
+    pub fn revert_dispatch(self, _proof: NotRunProof) -> Undispatched {
         Undispatched(())
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// Ends the request as failed; it may have run.
-    pub fn fail<A>(self, reason: AfterDispatch, message: impl Into<String>) -> Outcome<A> {
+    pub fn fail<A>(self, reason: DispatchFailure, message: impl Into<String>) -> Outcome<A> {
         Outcome::Unknown(RequestError::new(reason.kind(), message))
     }
 }
