--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -18,7 +18,7 @@
     },
     client::Failure,
     objects::Write,
-    outcome::{DispatchFailure, Undispatched, NotRunProof},
+    outcome::{DispatchFailure, NotRunProof, Undispatched},
 };
 use rand::{Rng, SeedableRng, seq::IndexedRandom};
 use rand_chacha::ChaCha8Rng;
--- a/src/admit/rate.rs
+++ b/src/admit/rate.rs
@@ -7,8 +7,8 @@
 
 /// Minimum length of a measurement window.
 const RATE_WINDOW: Duration = Duration::from_millis(250);
-/// Minimum length of a window without any start. Starts come in bursts; a few empty short windows in a row would make the
-/// queue look stalled, and even requests with a minute left would be refused.
+/// Minimum length of a window without any start. Starts come in bursts; a few empty short windows in a row would
+/// make the queue look stalled, and even requests with a minute left would be refused.
 const EMPTY_RATE_WINDOW: Duration = Duration::from_secs(2);
 /// Weight of the newest sample in the exponentially weighted moving averages.
 const EWMA_WEIGHT: f64 = 0.3;
--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -321,8 +321,8 @@
     /// Pool that serves chats of `workspace` with `model`.
     ///
     /// # Errors
-    /// When no policy applies, or its pool is unknown or empty. There is no fallback to other engines: the operator may
-    /// have excluded them.
+    /// When no policy applies, or its pool is unknown or empty. There is no fallback to other engines: the operator
+    /// may have excluded them.
     pub fn pool(&self, workspace: &str, model: &str) -> Result<&Pool, NoPool> {
         let route = self.routes.get(workspace).ok_or(NoPool::UnknownWorkspace)?;
         let policy = route
--- a/src/catalog/selector.rs
+++ b/src/catalog/selector.rs
@@ -12,7 +12,7 @@
 pub fn validate(selector: &Selector) -> Result<()> {
     for req in &selector.match_expressions {
         if req.key.is_empty() {
-            bail!("condition without `key`");
+            bail!("a condition has no `key`");
         }
         match (req.operator.as_str(), req.values.is_empty()) {
             ("In" | "NotIn", false) | ("Exists" | "DoesNotExist", true) => {}
--- a/tests/admission_bounds.rs
+++ b/tests/admission_bounds.rs
@@ -1,4 +1,4 @@
-//! Regression bounds on the figures of the bench `admission`, by the same model code.
+//! Regression bounds on the results of the bench `admission`, computed by the same model.
 
 use std::time::Duration;
 
@@ -19,8 +19,8 @@
 const SEEDS: std::ops::Range<u64> = 0..5;
 const BURST: u32 = 2048;
 
-/// A large workspace sends ten times as much; a traveller of a small one waits behind it at a counter.
-/// With one queue in order of arrival, the surge stands before everybody.
+/// A large workspace sends ten times its usual load. In a single FIFO queue, travellers of small workspaces would
+/// wait behind its surge.
 #[test]
 fn a_surge_delays_the_workspace_that_surges() {
     for trouble in [Trouble::Surge, Trouble::UrgentSurge] {
@@ -35,7 +35,7 @@
     }
 }
 
-/// All workspaces send too much at once: translations go before the dialogues of other workspaces too.
+/// When all workspaces send too much, translations take precedence over dialogues, also those of other workspaces.
 #[test]
 fn translations_go_before_dialogues_under_general_overload() {
     let ours = surge::over(Order::Lane(BURST), Trouble::Overload, SEEDS);
@@ -43,7 +43,7 @@
     assert!(ours.others_high.worst < Duration::from_millis(1600), "{ours:?}");
 }
 
-/// A refused caller learns it at once, however long the queue.
+/// Refusals are sent immediately on arrival, however long the queue is.
 #[test]
 fn a_refusal_on_arrival_takes_no_time() {
     let ours = surge::over(Order::Lane(BURST), Trouble::Surge, SEEDS);
@@ -52,8 +52,8 @@
     assert_eq!(ours.small_high.refused_on_arrival, 0, "{ours:?}");
 }
 
-/// A content crashes each engine that runs it; its caller sends it again, each time to another router.
-/// Without quarantine the fleet is gone in seconds.
+/// A content crashes every engine that runs it, and its caller resends it, each time to another router. Without
+/// quarantine the whole fleet crashes within seconds.
 #[test]
 fn a_crashing_content_costs_two_engines_at_most() {
     let scenarios = [
@@ -70,7 +70,7 @@
     assert!(crash::over(Scenario::new(Guard::None), SEEDS).crashes > 20);
 }
 
-/// 30% of the engines refuse every connection and no router knows it yet: retries stay within their budget.
+/// 30% of the engines refuse connections and no router knows it yet. Retries must stay within the budget.
 #[test]
 fn extra_attempts_stay_within_the_budget() {
     for bound in [Bound::Budget, Bound::Avoid] {
@@ -83,8 +83,8 @@
     }
 }
 
-/// The same, as a router serves: it keeps away from engines that it could not reach, so that the budget is not
-/// used up and hardly a caller is refused.
+/// As above, with the cool-down of unreachable engines that routers apply. It keeps the budget from being used up, so
+/// that almost no request is refused.
 #[test]
 fn hardly_a_request_is_lost_while_a_third_of_the_fleet_fails() {
     let f = storm::run(Bound::Avoid, 7);
--- a/tests/admit.rs
+++ b/tests/admit.rs
@@ -1,4 +1,4 @@
-//! The queue of a pool: order, fairness, refusals.
+//! Queues and concurrency limits: order, fairness and refusals.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     demand(workspace, Priority::Normal, LATE)
 }
 
-fn wait(queue: &mut FairQueue, now: Duration, demand: Demand) -> Ticket {
+fn enqueue(queue: &mut FairQueue, now: Duration, demand: Demand) -> Ticket {
     match queue.enqueue(now, demand) {
         EnqueueResult::Queued(ticket) => ticket,
         other => panic!("not queued: {other:?}"),
@@ -39,11 +39,11 @@
     Some(ticket)
 }
 
-/// Lets the lane measure 400 units of work a second.
+/// A queue that has measured a rate of 400 units of work per second.
 fn measured(limits: QueueLimits) -> FairQueue {
     let mut queue = FairQueue::new(limits);
     for i in 0..20 {
-        wait(&mut queue, Duration::from_millis(i * 250), normal("a"));
+        enqueue(&mut queue, Duration::from_millis(i * 250), normal("a"));
     }
     for i in 0..8 {
         next(&mut queue, Duration::from_millis(i * 250 + 250));
@@ -59,42 +59,42 @@
     ];
     for (case, later, sooner) in table {
         let mut queue = FairQueue::default();
-        wait(&mut queue, Duration::ZERO, later);
-        let sooner = wait(&mut queue, Duration::ZERO, sooner);
+        enqueue(&mut queue, Duration::ZERO, later);
+        let sooner = enqueue(&mut queue, Duration::ZERO, sooner);
 
         let first = next(&mut queue, Duration::ZERO);
 
         assert_eq!(first, Some(sooner), "{case}");
     }
     let mut queue = FairQueue::default();
-    let first = wait(&mut queue, Duration::ZERO, normal("a"));
-    wait(&mut queue, Duration::ZERO, normal("a"));
+    let first = enqueue(&mut queue, Duration::ZERO, normal("a"));
+    enqueue(&mut queue, Duration::ZERO, normal("a"));
     assert_eq!(next(&mut queue, Duration::ZERO), Some(first), "arrival");
 }
 
-/// A large workspace has queued fifty chats when a small one sends its first.
-/// In order of arrival the traveller would wait for all fifty; it must be among the next two.
+/// A large workspace has queued fifty chats when a small one sends its first. In FIFO order that chat would wait for
+/// all fifty; it must be among the next two.
 #[test]
 fn a_small_workspace_does_not_wait_behind_anothers_queue() {
     let mut queue = FairQueue::default();
     for _ in 0..50 {
-        wait(&mut queue, Duration::ZERO, normal("large"));
+        enqueue(&mut queue, Duration::ZERO, normal("large"));
     }
     next(&mut queue, Duration::ZERO);
-    let small = wait(&mut queue, Duration::ZERO, normal("small"));
+    let small = enqueue(&mut queue, Duration::ZERO, normal("small"));
 
     let turns = [next(&mut queue, Duration::ZERO), next(&mut queue, Duration::ZERO)];
 
     assert!(turns.contains(&Some(small)));
 }
 
-/// Four workspaces surge and fill the whole queue; a fifth sends one translation and is told "queue full".
-/// The last request of the longest queue gives way instead, and is told at once.
+/// Four workspaces have filled the queue when a fifth sends a request. It must not be refused; the last request of
+/// the workspace with the most waiting requests is refused instead, immediately.
 #[test]
-fn a_full_queue_still_takes_a_small_workspace() {
+fn a_full_queue_accepts_a_small_workspace() {
     let mut queue = FairQueue::new(QueueLimits::default().with_max_waiting(8));
     for name in ["a", "b", "b", "b", "c", "c", "d", "d"] {
-        wait(&mut queue, Duration::ZERO, normal(name));
+        enqueue(&mut queue, Duration::ZERO, normal(name));
     }
 
     let offer = queue.enqueue(Duration::ZERO, normal("small"));
@@ -103,7 +103,7 @@
     assert_eq!(refusal.kind, ErrorKind::QueueFull);
     assert_eq!(queue.len(), 8);
     queue.cancel(victim);
-    assert_eq!(queue.len(), 8, "the victim was already out");
+    assert_eq!(queue.len(), 8, "the displaced request was already removed");
 }
 
 #[test]
@@ -111,7 +111,7 @@
     let limits = QueueLimits::default().with_max_waiting(4).with_max_per_workspace(2);
     let mut queue = FairQueue::new(limits);
     for name in ["a", "a", "b", "b"] {
-        wait(&mut queue, Duration::ZERO, normal(name));
+        enqueue(&mut queue, Duration::ZERO, normal(name));
     }
 
     assert_eq!(refused(queue.enqueue(Duration::ZERO, normal("a"))), ErrorKind::QueueFull, "of the workspace");
@@ -120,8 +120,8 @@
     assert_eq!(queue.len(), 4);
 }
 
-/// Phrases shall be tagged within 500 ms while 12 chats wait before them and four start a second.
-/// Let in, they would be told after their deadline that they are late; told at once, they can come back.
+/// A request has a deadline of 500 ms while 12 requests wait ahead of it and four start per second. Queued, it would
+/// fail only after its deadline; refused at once, the caller can retry.
 #[test]
 fn a_deadline_that_can_not_be_met_is_refused_at_once() {
     let mut queue = measured(QueueLimits::default());
@@ -136,12 +136,12 @@
     assert!(matches!(roomy, EnqueueResult::Queued(_)));
 }
 
-/// Every engine stalls for a while, so the measured rate falls to nothing; then they run again.
-/// A lane that refused on the old rate would keep all requests out for ever.
+/// All engines stall for a while, which lowers the measured rate to nearly zero, and then recover. A queue that kept
+/// refusing by the old rate would never measure a new one.
 #[test]
-fn an_empty_lane_lets_a_request_in_after_a_stall() {
+fn an_empty_queue_accepts_a_request_after_a_stall() {
     let mut queue = FairQueue::default();
-    let ticket = wait(&mut queue, Duration::ZERO, normal("a"));
+    let ticket = enqueue(&mut queue, Duration::ZERO, normal("a"));
     for i in 1..100 {
         queue.expire(Duration::from_millis(i * 250));
     }
@@ -153,12 +153,12 @@
     assert!(matches!(offer, EnqueueResult::Queued(_)));
 }
 
-/// A flapping engine holds all turns up for a second just as the first requests begin to wait. Taken for the
-/// lane's speed, that would refuse everybody who comes with a minute to spare.
+/// A flapping engine blocks all turns for a second just as the first requests wait. If that were taken for the rate
+/// of the queue, even requests with a minute left would be refused.
 #[test]
-fn a_second_without_a_start_refuses_nobody_with_a_minute() {
+fn a_short_stall_refuses_no_long_deadline() {
     let mut queue = FairQueue::default();
-    wait(&mut queue, Duration::ZERO, normal("a"));
+    enqueue(&mut queue, Duration::ZERO, normal("a"));
     for i in 1..5 {
         queue.expire(Duration::from_millis(i * 250));
     }
@@ -170,15 +170,15 @@
 }
 
 #[test]
-fn waiting_requests_leave_at_their_deadline() {
+fn waiting_requests_expire_at_their_deadline() {
     let mut queue = FairQueue::default();
-    let short = wait(&mut queue, Duration::ZERO, demand("a", Priority::High, Duration::from_secs(1)));
-    wait(&mut queue, Duration::ZERO, normal("a"));
+    let short = enqueue(&mut queue, Duration::ZERO, demand("a", Priority::High, Duration::from_secs(1)));
+    enqueue(&mut queue, Duration::ZERO, normal("a"));
 
-    let gone = queue.expire(Duration::from_secs(1) + Duration::from_millis(1));
+    let expired = queue.expire(Duration::from_secs(1) + Duration::from_millis(1));
 
     assert_eq!(
-        gone.iter().map(|(t, r)| (*t, r.kind)).collect::<Vec<_>>(),
+        expired.iter().map(|(t, r)| (*t, r.kind)).collect::<Vec<_>>(),
         [(short, ErrorKind::DeadlinePassed)]
     );
     assert_eq!(queue.len(), 1);
@@ -186,13 +186,13 @@
     assert_eq!(refused(passed), ErrorKind::DeadlinePassed);
 }
 
-/// A caller hangs up while its request has the turn. If the turn stayed taken, the lane would stop for good
-/// after a few such callers.
+/// A caller disconnects while its request has a turn. If the turn were not freed, a few such callers would block the
+/// queue forever.
 #[test]
-fn a_caller_that_goes_away_frees_its_turn() {
+fn a_caller_that_disconnects_frees_its_turn() {
     let mut queue = FairQueue::new(QueueLimits::default().with_max_turns(1));
-    wait(&mut queue, Duration::ZERO, normal("a"));
-    let second = wait(&mut queue, Duration::ZERO, normal("a"));
+    enqueue(&mut queue, Duration::ZERO, normal("a"));
+    let second = enqueue(&mut queue, Duration::ZERO, normal("a"));
     let first = queue.start_turn().unwrap();
     assert_eq!(queue.start_turn(), None, "one turn at a time");
 
@@ -201,12 +201,12 @@
     assert_eq!(queue.start_turn(), Some(second));
 }
 
-/// The engine that a turn was meant for was taken by another router in between.
+/// A request whose turn ends without an engine, because another router reserved it first, keeps its position.
 #[test]
 fn a_turn_without_an_engine_keeps_the_place() {
     let mut queue = FairQueue::default();
-    let first = wait(&mut queue, Duration::ZERO, normal("a"));
-    wait(&mut queue, Duration::ZERO, normal("a"));
+    let first = enqueue(&mut queue, Duration::ZERO, normal("a"));
+    enqueue(&mut queue, Duration::ZERO, normal("a"));
     let ticket = queue.start_turn().unwrap();
 
     queue.end_turn(Duration::ZERO, ticket, false);
@@ -245,20 +245,20 @@
     }
 }
 
-/// The pool stood still for a minute, all callers gave up, and now requests wait again for a fifth of a second. By
-/// the rate of that minute a traveller with a minute left would be refused; one that waits in a stall of some
-/// seconds is.
+/// After a stall of a minute all callers have given up, and requests have been waiting again for 200 ms. By the rate
+/// of that stall alone, a request with a minute left would be refused. It is refused only once the queue has stalled
+/// again for some seconds.
 #[test]
 fn an_old_stall_refuses_no_long_deadline() {
     let mut queue = FairQueue::default();
-    let tickets = [0, 1, 2, 3].map(|i| wait(&mut queue, Duration::ZERO, normal(&format!("w{i}"))));
+    let tickets = [0, 1, 2, 3].map(|i| enqueue(&mut queue, Duration::ZERO, normal(&format!("w{i}"))));
     next(&mut queue, Duration::from_millis(250));
     for i in 1..30 {
         queue.expire(Duration::from_secs(2 * i) + Duration::from_millis(250));
     }
     tickets.into_iter().for_each(|t| queue.cancel(t));
     let start = Duration::from_secs(100);
-    wait(&mut queue, start, normal("a"));
+    enqueue(&mut queue, start, normal("a"));
     let offer = |queue: &mut FairQueue, now: Duration| {
         let deadline = now + Duration::from_secs(60);
         queue.enqueue(now, demand("late", Priority::Normal, deadline))
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! Eligibility: which engines the labels and selectors let a workspace reach.
+//! Eligibility of engines for workspaces by labels, selectors and routing policies.
 
 use cranberrytally::{
     catalog::{AnyObject, Catalog, NoPool, Object},
@@ -15,7 +15,7 @@
     object("Engine", name, labels, json!({ "address": "127.0.0.1:9", "dataCentre": "poa-a", "capacity": 8 }))
 }
 
-/// Three engines, a pool with this selector, and a workspace that it serves.
+/// Three engines, a pool with this selector, and a workspace that is routed to it.
 fn fleet(selector: Value) -> Vec<AnyObject> {
     vec![
         engine("old", &[("gpu", "a"), ("tier", "shared")]),
@@ -51,10 +51,10 @@
     }
 }
 
-/// An operator mistypes an operator. Taken as a condition that nothing meets, it would empty the pool in
-/// silence; the object is left out and named in the report instead.
+/// A selector has a misspelt operator. As a condition that matches nothing it would silently empty the pool; instead
+/// the object is skipped and reported.
 #[test]
-fn a_faulty_selector_is_reported() {
+fn an_invalid_selector_is_reported() {
     let cases = [
         (json!([{ "key": "gpu", "operator": "in", "values": ["a"] }]), "unknown operator \"in\""),
         (json!([{ "key": "gpu", "operator": "In" }]), "needs values"),
@@ -81,8 +81,8 @@
     assert_eq!(no_policy.pool("phrasebook", "m").err(), Some(NoPool::NoPolicy));
 }
 
-/// Two policies of the same rank match. Objects arrive in another order on each router; were the first to win,
-/// routers would send one workspace to different pools.
+/// Two policies of the same rank match. Since routers receive objects in different orders, they would route the
+/// workspace to different pools if the first policy won.
 #[test]
 fn policies_of_one_rank_are_tried_in_the_same_order_everywhere() {
     let mut objects = fleet(json!({}));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_bound_that_cannot_be_kept_is_reported() {
+fn an_unenforceable_bound_is_reported() {
     let mut objects = fleet(json!({}));
     objects[3].spec["loadBoundMilli"] = json!(1000);
 
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -1,4 +1,4 @@
-//! Pieces of placement: rank, hint, health, cache events, transfer, bound.
+//! Parts of placement: ranking, hints, health, cache events, context transfer and the load bound.
 
 use std::{sync::Arc, time::Duration};
 
@@ -49,8 +49,8 @@
     Hint { home: "poa-a".into(), copies: vec![copy] }
 }
 
-/// An engine leaves and one joins. Only the chats of the one that left, and those that the new one wins, may
-/// change their first choice; any other chat that moved would find a cold cache for nothing.
+/// When an engine joins or leaves, only the chats that it wins or loses may change their first choice. Any other chat
+/// that moves needlessly finds a cold cache.
 #[test]
 fn only_the_chats_of_engines_that_differ_move() {
     let all = catalog(&[8; 12]);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_hint_is_read_back() {
+fn a_hint_round_trips() {
     let key = HintKey::new("k");
 
     let opened = key.verify(CHAT, &key.sign(CHAT, &hint()));
@@ -97,10 +97,10 @@
     assert_eq!(opened, Some(hint()));
 }
 
-/// A caller alters its hint, takes another chat's, one of another fleet, or makes one up, to reach an engine of
-/// its choice. Each is dropped; the chat is placed as if it had none.
+/// Callers must not be able to select an engine with a hint that is altered, forged, or issued for another chat or
+/// fleet. Such a hint is ignored.
 #[test]
-fn a_wrong_hint_is_dropped() {
+fn an_invalid_hint_is_rejected() {
     let key = HintKey::new("k");
     let good = key.sign(CHAT, &hint());
     let mut altered = good.clone().into_bytes();
@@ -135,8 +135,8 @@
     assert_eq!(hint.copies.len(), MAX_COPIES);
 }
 
-/// An engine's network comes and goes. After the first failure its chats return at once; from the second on it
-/// stays out of use for a time that doubles, or its chats would move there and back and find no cache warm.
+/// An engine with a flapping network is held down from its second failure on, for a time that doubles. Otherwise its
+/// chats would move back and forth and find a cold cache each time.
 #[test]
 fn a_flapping_engine_is_held_down_longer_each_time() {
     let mut health = Health::default();
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_leaving_engine_stays_out_until_it_starts_anew() {
+fn a_leaving_engine_is_unavailable_until_it_restarts() {
     let mut health = Health::default();
     let engine = Id::of("engine");
     health.set_start(engine, 1);
@@ -169,17 +169,17 @@
     assert!(health.is_available(engine, s(60)));
 }
 
-/// Events are lost: after a gap the chat may have been stored again unseen, so the eviction is forgotten and
-/// the chat is sent to the engine as its hint says.
+/// After a gap in the events, an evicted chat may have been stored again. The eviction is dropped, and the chat is
+/// sent to the engine in its hint.
 #[test]
-fn an_eviction_counts_until_a_gap() {
+fn an_eviction_is_dropped_at_a_gap() {
     let engine = Id::of("engine");
     let mut cache = EvictionTracker::default();
 
     cache.record(engine, 1, CacheEvent::Evicted(7));
     assert!(cache.evicted(engine, 7));
     cache.record(engine, 1, CacheEvent::Stored(7));
-    assert!(cache.evicted(engine, 7), "an old event counts for nothing");
+    assert!(cache.evicted(engine, 7), "an old event is ignored");
     cache.record(engine, 5, CacheEvent::Evicted(8));
     assert!(!cache.evicted(engine, 7), "the gap may hide a store");
     assert!(cache.evicted(engine, 8));
@@ -209,13 +209,13 @@
     }
 }
 
-/// The first requests of the day arrive at idle engines. Any multiple of a mean near zero is below one request;
-/// a strict bound would refuse them all while every engine stands idle.
+/// Any multiple of a mean near zero is less than one request. A strict bound would refuse the first requests of the
+/// day while all engines are idle.
 #[test]
 fn a_small_mean_lets_one_request_through() {
     let pool = |work, running| MeanLoad::from_total(Digest { work, running, capacity: 9 * 8 });
 
-    // Work in the pool, requests, work on the engine, what is asked, whether it fits.
+    // Work in the pool, requests in the pool, work on the engine, work of the request, whether it fits.
     let cases = [
         (0, 0, 0, 500, true),
         (500, 1, 0, 500, true),
--- a/tests/place_links.rs
+++ b/tests/place_links.rs
@@ -1,4 +1,5 @@
-//! Reservations over sockets: work is counted once, by the owner of its engine, through changes of owner.
+//! Reservations between routers over the network: work is counted once, by the owner of its engine, also when the
+//! owner changes.
 
 use std::{future::Future, time::Duration};
 
@@ -60,12 +61,12 @@
     outside.close();
 }
 
-/// Requests that a router counts on the engines it owns.
+/// Number of requests that a router counts on the engines it owns.
 fn counted(router: &Running) -> u32 {
     router.gateway().digests().iter().map(|(_, digest)| digest.running).sum()
 }
 
-/// Asks for an answer; returns the hint and the router named in it once the answer has ended.
+/// Sends a chat; returns the status, the hint and the next router in the answer once it has ended.
 fn ask(router: &Running, chat: &str, hint: &str) -> impl Future<Output = (u16, String, String)> + use<> {
     let content = "a long sentence that was said before ".repeat(400);
     let body = serde_json::json!({
@@ -87,9 +88,9 @@
     }
 }
 
-/// A router joins while answers stream. The engines that it now owns carry work which others granted: were it
-/// not told, it would fill them again; were the former owner not told, it would count that work for ever. When
-/// the callers hang up, nothing may stay behind.
+/// A router joins while answers stream and becomes the owner of engines with work granted by others. If that work
+/// were not reported to it, it would overfill the engines; the former owner must stop counting it. No work may
+/// remain counted after the callers disconnect.
 #[tokio::test]
 async fn work_that_runs_is_counted_once_through_a_change_of_owner() {
     let plan = Plan::default().with_tokens(1_000, Duration::from_millis(20));
@@ -114,10 +115,10 @@
     close(outside, routers);
 }
 
-/// A chat returns while its engine is leaving. It must move, and its context of some thousand tokens is quicker
-/// to move than to compute.
+/// A chat returns while its engine is leaving and must move to another one. Transferring its context of some thousand
+/// tokens is faster than recomputing it.
 #[tokio::test]
-async fn a_chat_takes_its_context_along() {
+async fn a_moving_chat_transfers_its_context() {
     let (outside, routers) = start(1, Plan::default()).await;
     let (status, hint, _) = ask(&routers[0], "chat", "").await;
     assert_eq!(status, 200);
@@ -134,14 +135,14 @@
     close(outside, routers);
 }
 
-/// An owner does not answer: its process is gone and the lists don't know yet. The chat is answered by an engine
-/// of another owner.
+/// The process of an owner has died, but the member lists still contain it. Chats are answered by engines of another
+/// owner.
 #[tokio::test]
-async fn a_chat_is_answered_while_an_owner_is_gone() {
+async fn a_chat_is_answered_while_an_owner_is_down() {
     let (outside, routers) = start(1, Plan::default()).await;
     let mut list = members(&routers);
-    let gone = loopback().unwrap().local_addr().unwrap();
-    list.push(Member { id: Id::of("gone"), peer: gone, addr: gone, ..list[0].clone() });
+    let down = loopback().unwrap().local_addr().unwrap();
+    list.push(Member { id: Id::of("gone"), peer: down, addr: down, ..list[0].clone() });
     routers[0].gateway().set_members(list).await;
 
     for chat in 0..CHATS {
@@ -151,8 +152,8 @@
     close(outside, routers);
 }
 
-/// A new chat asks any router where to go. Sent to the owner of the engine on which it will start, its first request
-/// costs no message between routers; sent elsewhere, each new chat would cost a reservation.
+/// The entry answer for a new chat names the owner of the engine on which the chat will start. Its first request then
+/// needs no message between routers; through another router it would need a reservation.
 #[tokio::test]
 async fn an_entry_answer_for_a_chat_names_the_owner_of_its_engine() {
     let plan = Plan::default().with_engines(18).with_tokens(2, Duration::ZERO);
@@ -169,15 +170,15 @@
         let (_, answer) = Client::default().json(http::Method::GET, &url, None, READY_TIME).await.unwrap();
         answer["addresses"][0].as_str().unwrap_or_default().to_owned()
     };
-    // An engine that stands above the mean passes a new chat on, also to one of another owner.
+    // An engine above the mean refuses a new chat, which may then start on an engine of another owner.
     let agreed = async {
         loop {
             let (mut same, mut owned) = (0, 0);
             for chat in (0..NEW_CHATS).map(|i| format!("chat-{i}")) {
-                let told = first(&routers[0], &chat).await;
+                let named = first(&routers[0], &chat).await;
                 let (_, _, owner) = ask(&routers[1], &chat, "").await;
-                same += u32::from(told == first(&routers[1], &chat).await);
-                owned += u32::from(told == owner);
+                same += u32::from(named == first(&routers[1], &chat).await);
+                owned += u32::from(named == owner);
             }
             if same == NEW_CHATS && owned * 10 >= NEW_CHATS * 8 {
                 return;
@@ -188,6 +189,6 @@
 
     let met = tokio::time::timeout(READY_TIME, agreed).await;
 
-    assert!(met.is_ok(), "entry answers and owners did not come to agree");
+    assert!(met.is_ok(), "entry answers and owners did not converge");
     close(outside, routers);
 }
--- a/tests/place_owners.rs
+++ b/tests/place_owners.rs
@@ -1,4 +1,4 @@
-//! Several routers and the engines that they own: the bound when lists differ, engines fail and routers crash.
+//! Ownership of engines by several routers: the load bound while member lists differ, engines fail or routers crash.
 
 use std::time::Duration;
 
@@ -63,7 +63,7 @@
     placer.owner(engine, "akl-a").unwrap().id
 }
 
-/// The steps of a walk in which every engine refuses.
+/// The steps of a search in which every engine refuses.
 fn steps(placer: &mut Placer, cat: &Catalog, chat: &str, hint: Option<&Hint>, now: Duration) -> Vec<Step> {
     let pool = cat.pool_by_id(Id::of("pool")).unwrap();
     let mut search = Search::new(placer, cat, pool, hash(chat), hint, []);
@@ -82,27 +82,27 @@
     granted as u64 * WORK
 }
 
-/// A pool whose other owner carries `work` on `engines` engines.
-fn note_others(placer: &mut Placer, engines: u64, work: u64, now: Duration) {
+/// Records that another owner carries `work` on `engines` engines of the pool.
+fn record_other_owner(placer: &mut Placer, engines: u64, work: u64, now: Duration) {
     let digest = Digest { work, running: (work / WORK) as u32, capacity: engines * 8 };
     placer.record_digest(Id::of("other"), Id::of("pool"), digest, now);
 }
 
 #[test]
-fn two_routers_walk_in_the_same_order() {
+fn two_routers_search_in_the_same_order() {
     let cat = catalog(12);
     let mut a = router("a", &["a", "b"]);
     let mut b = router("b", &["a", "b"]);
 
     for chat in 0..100 {
         let chat = format!("chat-{chat}");
-        let walk = |p: &mut Placer| engines(&steps(p, &cat, &chat, None, s(1)));
-        assert_eq!(walk(&mut a), walk(&mut b));
+        let tried = |p: &mut Placer| engines(&steps(p, &cat, &chat, None, s(1)));
+        assert_eq!(tried(&mut a), tried(&mut b));
     }
 }
 
-/// One router has heard that an engine is down, the other not yet. Their walks differ in this engine only; a
-/// chat of another engine goes to the same place from either.
+/// While only one of two routers knows that an engine is down, their searches differ in this engine only. Chats of
+/// other engines are placed identically by both.
 #[test]
 fn routers_with_different_lists_differ_in_that_engine_only() {
     let cat = catalog(5);
@@ -119,8 +119,8 @@
     }
 }
 
-/// Every engine that the operator chose is down, and idle engines stand beside. The chat is refused; sending it
-/// to an engine that the selector leaves out would break the operator's word.
+/// When all engines selected by the operator are down, a chat is refused even if other engines are idle. It must
+/// never reach an engine that the selector excludes.
 #[test]
 fn an_excluded_engine_is_never_a_fallback() {
     let cat = catalog(3);
@@ -130,15 +130,15 @@
     let copies = vec![CachedCopy { engine: "engine-3".into(), start: 0, tokens: 500 }];
     let hint = Hint { home: "akl-a".into(), copies };
 
-    let walk = steps(&mut a, &cat, "chat", Some(&hint), s(1));
+    let tried = steps(&mut a, &cat, "chat", Some(&hint), s(1));
     let asked = a.reserve(&cat, &request(&a, 1, excluded), s(1));
 
-    assert_eq!(walk, []);
+    assert_eq!(tried, []);
     assert_eq!(asked, Err(Refusal::Unavailable));
 }
 
-/// A chat overflowed to its second engine and has its newest context there. Its hint names both; it returns to
-/// the fuller copy, and to the older one when that stands at the bound, before any engine without a copy.
+/// A chat that overflowed to a second engine has cached contexts on both. It returns to the longer one, then to the
+/// shorter one if the first is at its bound, and only then to engines without a copy.
 #[test]
 fn an_overflowed_chat_returns_to_its_fuller_copy() {
     let cat = catalog(12);
@@ -146,16 +146,16 @@
     let copy = |engine: &str, tokens| CachedCopy { engine: engine.into(), start: 0, tokens };
     let hint = Hint { home: "akl-a".into(), copies: vec![copy("engine-9", 900), copy("engine-4", 500)] };
 
-    let walk = engines(&steps(&mut a, &cat, "chat", Some(&hint), s(1)));
+    let tried = engines(&steps(&mut a, &cat, "chat", Some(&hint), s(1)));
 
-    assert_eq!(walk[..2], [Id::of("engine-9"), Id::of("engine-4")]);
-    assert_eq!(walk.iter().collect::<std::collections::HashSet<_>>().len(), walk.len(), "no engine twice");
+    assert_eq!(tried[..2], [Id::of("engine-9"), Id::of("engine-4")]);
+    assert_eq!(tried.iter().collect::<std::collections::HashSet<_>>().len(), tried.len(), "no engine twice");
 }
 
-/// The hinted engine has restarted since, or said that it evicted the chat: its cache is cold, and the chat is
-/// placed by its own order.
+/// The engine in the hint has restarted, so its cache is cold. The hint is ignored and the chat placed in rendezvous
+/// order.
 #[test]
-fn a_copy_known_to_be_lost_counts_for_nothing() {
+fn a_lost_copy_is_ignored() {
     let cat = catalog(12);
     let mut a = router("a", &["a"]);
     let plain = engines(&steps(&mut a, &cat, "chat", None, s(1)));
@@ -168,8 +168,8 @@
     assert_eq!(engines(&steps(&mut a, &cat, "chat", Some(&hint), s(1))), plain);
 }
 
-/// A reservation's answer is lost and the caller asks again, then ends it; the end overtakes a third try. The
-/// engine must carry the work once, and nothing after.
+/// A reservation is repeated because its answer was lost, and a release overtakes its reservation. The engine must
+/// count the work once, and none after the release.
 #[test]
 fn a_repeated_reservation_counts_once() {
     let cat = catalog(3);
@@ -184,14 +184,13 @@
     a.release(a.me(), [1], s(2));
     let _ = a.reserve(&cat, &req, s(2));
 
-    assert_eq!(work(&a), WORK, "a number that was used and ended may be reserved anew");
+    assert_eq!(work(&a), WORK, "a released number may be reserved again");
     a.release(a.me(), [1, 9], s(3));
     let _ = a.reserve(&cat, &request(&a, 9, engine), s(3));
-    assert_eq!(work(&a), 0, "the end of number 9 came first");
+    assert_eq!(work(&a), 0, "number 9 was released before it was reserved");
 }
 
-/// A router crashes. Its reservations would stay on the engines for ever, and their owner would refuse chats to
-/// engines that stand idle.
+/// The reservations of a crashed router must end. Otherwise the owner would refuse chats for idle engines forever.
 #[test]
 fn the_reservations_of_a_router_that_crashed_end() {
     let cat = catalog(2);
@@ -207,31 +206,30 @@
     assert_eq!(a.ledger.account(engine).unwrap().work, 0);
 }
 
-/// A router crashes and is back at once, before any list lacks it. What its former run held must end, or the
-/// engines would seem full for a quarter of an hour.
+/// A router crashes and restarts before the member lists drop it. The reservations of its former generation must end,
+/// or the engines would seem full for a quarter of an hour.
 #[test]
-fn the_reservations_of_a_former_run_end() {
+fn the_reservations_of_a_former_generation_end() {
     let cat = catalog(2);
     let mut a = router("a", &["a"]);
     let engine = Id::of("engine-0");
-    let of_run = |wall_ms: u64, n: u64| ReservationId {
+    let of_generation = |wall_ms: u64, n: u64| ReservationId {
         router: Id::of("b"),
         number: ReservationId::first_number(wall_ms) + n,
     };
     let req = |reservation| Request { reservation, ..request(&router("a", &["a"]), 1, engine) };
-    assert!(a.reserve(&cat, &req(of_run(1_000_000, 1)), s(1)).is_ok());
-    a.ledger.add(of_run(1_000_000, 2), engine, WORK, s(1));
+    assert!(a.reserve(&cat, &req(of_generation(1_000_000, 1)), s(1)).is_ok());
+    a.ledger.add(of_generation(1_000_000, 2), engine, WORK, s(1));
 
-    a.ledger.add(of_run(1_001_000, 1), engine, WORK, s(2));
+    a.ledger.add(of_generation(1_001_000, 1), engine, WORK, s(2));
 
     assert_eq!(a.ledger.account(engine).unwrap().work, WORK);
-    a.ledger.add(of_run(1_000_000, 3), engine, WORK, s(3));
-    assert_eq!(a.ledger.account(engine).unwrap().running, 2, "a late number of the former run ends nothing");
+    a.ledger.add(of_generation(1_000_000, 3), engine, WORK, s(3));
+    assert_eq!(a.ledger.account(engine).unwrap().running, 2, "a late reservation of the former generation");
 }
 
-/// Two routers hold different lists for some seconds: one grants as the owner of an engine while the other
-/// takes it over and fills it too. The new owner assumes that the engine carries the mean and adds at most the
-/// room above it, so that both together stay within twice the bound less one.
+/// While member lists differ, a former owner still grants work on an engine that a new owner takes over. The new
+/// owner assumes the mean load and adds at most the headroom above it, so both together stay within `2 * bound - 1`.
 #[test]
 fn two_owners_keep_within_twice_the_bound_less_one() {
     let cat = catalog(4);
@@ -240,25 +238,25 @@
     let mut new = router("new", &["new", "third"]);
     let engine = (0..4).map(|n| Id::of(&format!("engine-{n}")));
     let engine = engine.into_iter().find(|&e| owned_by(&mut new, e) != Id::of("new")).unwrap();
-    note_others(&mut old, 40, 40 * mean, s(10));
-    note_others(&mut new, 40, 40 * mean, s(10));
+    record_other_owner(&mut old, 40, 40 * mean, s(10));
+    record_other_owner(&mut new, 40, 40 * mean, s(10));
 
     new.set_members(vec![member("new")], s(10));
     let granted = fill(&mut old, &cat, engine, 0, s(10)) + fill(&mut new, &cat, engine, 0, s(10));
 
-    let most = (2.0 * BOUND - 1.0) * mean as f64;
-    assert!(granted as f64 <= most, "{granted} of {most}");
-    assert!(granted > mean, "the bound refuses no more than it must: {granted}");
+    let max = (2.0 * BOUND - 1.0) * mean as f64;
+    assert!(granted as f64 <= max, "{granted} of {max}");
+    assert!(granted > mean, "the bound refuses more than necessary: {granted}");
 }
 
-/// The same, once the engine has reported what it runs: the new owner counts the old one's work and adds none.
+/// As above, after the engine's first report: the new owner counts the work granted by the former owner.
 #[test]
-fn a_report_tells_a_new_owner_of_the_work_of_the_old_one() {
+fn a_new_owner_counts_the_work_in_a_report() {
     let cat = catalog(4);
     let mean = 100 * WORK;
     let mut new = router("new", &["new"]);
     let engine = Id::of("engine-0");
-    note_others(&mut new, 40, 40 * mean, s(10));
+    record_other_owner(&mut new, 40, 40 * mean, s(10));
 
     new.ledger.record_report(engine, 125, s(10));
 
@@ -267,10 +265,10 @@
     assert!(new.reserve(&cat, &request(&new, 2, engine), s(11)).is_ok());
 }
 
-/// A report of two seconds ago still shows requests that have ended since. Taken for another owner's work they
-/// would close an engine that has room.
+/// A report that is two seconds old still contains requests that have ended since. They must not be counted as work
+/// of another owner, or an engine with room would be refused.
 #[test]
-fn an_owner_finds_its_own_work_in_a_late_report() {
+fn a_late_report_of_own_work_is_not_foreign() {
     let cat = catalog(1);
     let mut a = router("a", &["a"]);
     let engine = Id::of("engine-0");
@@ -283,8 +281,8 @@
     assert!(a.reserve(&cat, &request(&a, 50, engine), s(9)).is_ok());
 }
 
-/// A router with an old list asks the former owner. That one refuses, or both owners would go on granting for
-/// as long as the lists differ.
+/// A router with an outdated member list asks the former owner of an engine, which must refuse. Otherwise both owners
+/// would grant work until the lists converge.
 #[test]
 fn a_former_owner_refuses() {
     let cat = catalog(12);
@@ -297,10 +295,10 @@
     assert_eq!(asked, Err(Refusal::NotOwner));
 }
 
-/// An owner does not answer. Its engines are passed by for a while instead of every router counting for
-/// itself; the chat is answered elsewhere.
+/// The engines of an unreachable owner are skipped for a while, since routers that counted their load separately
+/// would overload them. The chat is answered by another engine.
 #[test]
-fn engines_of_an_owner_that_does_not_answer_are_passed_by() {
+fn engines_of_an_unreachable_owner_are_skipped() {
     let cat = catalog(12);
     let mut a = router("a", &["a", "b"]);
 
@@ -313,14 +311,15 @@
     assert!(after.iter().any(|step| step.owner.is_some()));
 }
 
-/// All named engines stand at the bound. By the mean some engine has room: the walk ends with asking for any.
+/// When all named engines are at the bound, some other engine has room. The search ends with a request for any
+/// engine.
 #[test]
 fn any_engine_with_room_is_the_last_resort() {
     let cat = catalog(12);
     let mut a = router("a", &["a"]);
-    let walk = steps(&mut a, &cat, "chat", None, s(1));
+    let tried = steps(&mut a, &cat, "chat", None, s(1));
     for (n, (_, engine)) in cat.engines().enumerate() {
-        let busy = engines(&walk).contains(&engine.id);
+        let busy = engines(&tried).contains(&engine.id);
         let work = if busy { 200 * WORK } else { 10 * WORK };
         a.ledger.add(ReservationId { router: a.me(), number: n as u64 }, engine.id, work, s(1));
     }
@@ -328,12 +327,12 @@
     let any = Request { engine: None, ..request(&a, 99, Id::default()) };
     let granted = a.reserve(&cat, &any, s(2)).unwrap();
 
-    assert!(walk.last().unwrap().engine.is_none());
-    assert!(!engines(&walk).contains(&granted.engine));
+    assert!(tried.last().unwrap().engine.is_none());
+    assert!(!engines(&tried).contains(&granted.engine));
 }
 
-/// A router has just started, or its engines have stood idle, and a coach party asks at once. The mean that was
-/// computed a moment ago is of idle engines; bounded by it, all but one request an engine would be refused.
+/// A burst arrives while the cached mean is still that of idle engines. Bounded by it, all but one request per engine
+/// would be refused.
 #[test]
 fn a_burst_on_idle_engines_is_granted() {
     let cat = catalog(4);
@@ -347,11 +346,11 @@
     assert!(most <= Some(11 * WORK), "{most:?}");
 }
 
-/// The whole fleet restarts, and every engine has a new owner that takes it to carry the mean. Without its load
-/// asked for, each would take one request until the next probe, seconds later. What a report leaves unexplained is
-/// asked for again.
+/// After a restart of the whole fleet every engine has a new owner that assumes the mean load. Unless the owners
+/// query the load, each engine would accept only one request until the next probe, seconds later. Engines that
+/// report requests of unknown origin are queried again.
 #[test]
-fn a_new_owner_knows_which_loads_to_ask_for() {
+fn a_new_owner_queries_unknown_loads() {
     let cat = catalog(2);
     let mut a = router("a", &["a"]);
     a.set_members(vec![member("a"), member("b")], s(1));
--- a/tests/refused.rs
+++ b/tests/refused.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused before they are asked what they want: by method, or by their body.
+//! Requests that are refused early, by their method, path or body.
 
 use std::{
     fs,
@@ -34,7 +34,7 @@
 }
 
 /// Sends a save with these headers and no body; returns the whole answer.
-async fn save(addr: SocketAddr, headers: &str) -> String {
+async fn send_save(addr: SocketAddr, headers: &str) -> String {
     let head = format!(
         "POST /services/lessons/progress HTTP/1.1\r\nhost: a\r\nconnection: close\r\nx-workspace: phrasebook\r\n{headers}\r\n"
     );
@@ -77,8 +77,8 @@
     outside.close();
 }
 
-/// An app joins its base address and a path with one slash too many. The call must not reach a service that its path
-/// doesn't name, past whatever else reads the path.
+/// An app joins its base URL and a path with one slash too many. The call must not reach a service that its path does
+/// not name, which would bypass other components that read the path.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_path_names_its_service_once() {
     let outside = Outside::start(Plan::default().with_engines(1)).await.unwrap();
@@ -98,8 +98,8 @@
     outside.close();
 }
 
-/// A caller reports a refusal by its request identifier. The operator must find it in the log with the reason and the
-/// workspace; the identifier stood in the answer only.
+/// A caller reports a refusal by its request identifier. The log must contain it with the reason and the workspace,
+/// not only the answer.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_refusal_is_found_in_the_log_by_its_identifier() {
     let nowhere = "127.0.0.1:1".parse().unwrap();
@@ -117,7 +117,7 @@
     BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
     let addr = line.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap();
 
-    let answer = save(addr, "content-length: 0\r\n").await;
+    let answer = send_save(addr, "content-length: 0\r\n").await;
     let id = answer.split_once("x-request-id: ").and_then(|(_, rest)| rest.lines().next()).unwrap();
     child.kill().unwrap();
     let mut log = String::new();
@@ -131,11 +131,11 @@
     assert_eq!(line["kv"]["workspace"], "phrasebook", "{line}");
 }
 
-/// A traveller saves progress and the answer is lost, though the save ran. Their app sends it again under the same key,
-/// with a body that the server refuses. It must not read "not-run", which would be taken for the save's outcome; and the
-/// operator must find the refusal in the counters. Cause: the body was refused before the gateway saw the key.
+/// A save ran but its answer was lost, and the app repeats it under the same idempotency key with a body that is
+/// refused. The answer must not be "not-run", which the app would take for the outcome of the save. The refusal must
+/// be counted. This fails if the body is refused before the gateway reads the key.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_refused_body_is_counted_and_says_no_more_than_is_known() {
+async fn a_refused_body_is_counted_and_has_the_known_outcome() {
     let outside = Outside::start(Plan::default().with_engines(1)).await.unwrap();
     let router = router(&outside).await;
     let chunked = "transfer-encoding: chunked\r\n";
@@ -149,7 +149,7 @@
     ];
 
     for (status, code, headers, outcome) in &table {
-        let answer = save(router.addr(), headers).await;
+        let answer = send_save(router.addr(), headers).await;
 
         assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{headers:?}: {answer}");
         assert!(answer.contains(&format!("\"code\":\"{code}\"")), "{headers:?}: {answer}");
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: what may be tried again, how often, and what the caller is told.
+//! Retry policy: which failures are retried, how often, and the error that the caller gets.
 
 use std::time::Duration;
 
@@ -43,10 +43,10 @@
     }
 }
 
-/// A booking breaks off after it may have reached the backend server and then nothing else can be tried.
-/// "Not run" would make the caller book again.
+/// A booking fails after it may have reached the backend server, and no further attempt is possible. If the caller
+/// were told "not run", they would book a second time.
 #[test]
-fn not_run_is_never_said_after_an_attempt_that_may_have_run() {
+fn not_run_is_never_answered_after_an_attempt_that_may_have_run() {
     let mut a = begin(0, true);
     let mut budget = Budget::new(0.1, 1);
     assert!(fail(&mut a, &mut budget, Reason::EngineFailed).is_ok());
@@ -57,18 +57,18 @@
     assert_ne!(answer.answer().ran, Ran::No);
 }
 
-/// A connection is refused after an earlier attempt that may have run: the request is not idempotent, so the
-/// proof that the second attempt did not run must not allow a third.
+/// An attempt of a non-idempotent request may have run, and the next one fails to connect. That the second attempt
+/// did not run must not allow a third.
 #[test]
-fn a_later_proof_does_not_excuse_an_earlier_attempt() {
+fn a_later_proof_does_not_cover_an_earlier_attempt() {
     let mut a = begin(0, false);
     assert!(fail(&mut a, &mut Budget::default(), Reason::EngineFailed).is_err());
 
     assert!(fail(&mut a, &mut Budget::default(), Reason::ConnectFailed).is_err());
 }
 
-/// A caller goes from router to router with a request that fails at each. Counted at each hop alone it would
-/// cost three attempts a router; the count that it carries ends it after three in all.
+/// A caller retries a failing request at one router after another. Counted per router it would get three attempts at
+/// each; the count that the caller sends along limits it to three in total.
 #[test]
 fn attempts_count_over_all_hops() {
     let mut a = begin(0, true);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn back_off_grows_within_its_bounds_and_differs() {
+fn jitter_stays_within_its_bounds_and_differs() {
     let most = Duration::from_millis(100);
     let mut rng = rng();
 
@@ -134,10 +134,10 @@
     assert!(pauses.windows(2).any(|w| w[0] != w[1]));
 }
 
-/// Ten requests meet an engine that is gone, all at once: it is left alone for one second, not for the longest
-/// time; each further failure doubles that, and an answer ends it.
+/// Ten concurrent requests fail to reach an engine. They count as one failure with a cool-down of one second. Each
+/// further failure doubles the cool-down, and an answer ends it.
 #[test]
-fn an_engine_that_can_not_be_reached_is_avoided_for_a_while() {
+fn an_unreachable_engine_is_in_cooldown() {
     let (mut cooldowns, engine) = (Cooldowns::default(), Id::of("engine-0"));
     let second = Duration::from_secs(1);
     for _ in 0..10 {
--- a/tests/routing_bounds.rs
+++ b/tests/routing_bounds.rs
@@ -1,6 +1,6 @@
-//! Regression bounds on the routing policy, at a size that a debug build runs in seconds.
+//! Regression bounds on the routing policy, at a size that a debug build simulates in seconds.
 //!
-//! The figures are exact for a seed. `cargo bench --bench routing` prints those of the real sizes.
+//! The results are deterministic for a seed. `cargo bench --bench routing` prints those for production sizes.
 
 #[allow(dead_code, reason = "the bench uses the rest")]
 #[path = "../benches/routing/model.rs"]
@@ -35,7 +35,7 @@
     let ratio = ours.reuse / best.reuse;
     assert!(ratio >= 0.94, "{ratio:.4} of the reuse of an all-knowing placement: {ours:?}");
     assert!(ours.refused < 0.002, "{ours:?}");
-    // Streams of a router that crashes are cut at once, and its engines change owner: 2 * 1.25 - 1.
+    // The streams of a crashed router end at once, and its engines change owner: 2 * 1.25 - 1.
     assert!(ours.worst_in_use <= 1.5, "{ours:?}");
 }
 
@@ -57,10 +57,10 @@
     assert!(ours.scored <= 0.4 * setup().engines as f64, "{ours:?}");
 }
 
-/// Callers that know nothing of the router named in an answer go to any. The reuse and the bound must not hang
-/// on them; only the messages may.
+/// Callers that ignore the router named in an answer connect to any router. This may cost more messages, but neither
+/// cache reuse nor the load bound.
 #[test]
-fn callers_that_go_to_any_router_cost_messages_only() {
+fn callers_that_ignore_the_named_router_cost_only_messages() {
     let named = surge();
     let any = run(&setup().without_changes().with_surge().with_named(0.0), Policy::Owners);
 
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Event streams through routers: the whole answer to the right caller, or a connection that is visibly cut.
+//! Event streams through routers: a caller gets its complete answer or a connection error, never a truncated answer
+//! that looks complete.
 
 #[path = "fixture/routers.rs"]
 mod fixture;
@@ -31,11 +32,11 @@
     client: Client,
 }
 
-/// What a caller has read.
+/// Answer as read by a caller.
 #[derive(Debug, Default)]
 struct Read {
     text: String,
-    cut: bool,
+    broken: bool,
 }
 
 impl Read {
@@ -44,8 +45,8 @@
         self.text.split("\"content\":\"chat-1:").skip(1).filter_map(of).collect()
     }
 
-    fn is_whole(&self) -> bool {
-        !self.cut && self.tokens() == (0..TOKENS).collect::<Vec<_>>() && self.done() == 1
+    fn is_complete(&self) -> bool {
+        !self.broken && self.tokens() == (0..TOKENS).collect::<Vec<_>>() && self.done() == 1
     }
 
     fn done(&self) -> usize {
@@ -87,7 +88,7 @@
         self.chat_after(chat, 0).await
     }
 
-    /// A chat that the caller has sent before, `made` times.
+    /// Sends a chat that the caller has already attempted `made` times.
     async fn chat_after(&self, chat: &str, made: u32) -> Response<Incoming> {
         let url = format!("http://{}/v1/chat/completions", self.routers[0].addr());
         let req = Request::post(url)
@@ -130,7 +131,7 @@
         match res.body_mut().frame().await {
             None => break,
             Some(Err(_)) => {
-                read.cut = true;
+                read.broken = true;
                 break;
             }
             Some(Ok(frame)) => read.text.push_str(std::str::from_utf8(frame.data_ref().unwrap()).unwrap()),
@@ -143,51 +144,51 @@
     read(res, usize::MAX).await.0
 }
 
-/// The connection between router and engine breaks in the middle of a translation, three times. The traveller
-/// reads every word once: the router goes on at the offset reached.
+/// The connection to the engine breaks three times during an answer. The router resumes at the offset reached, and
+/// the caller reads each token once.
 #[tokio::test]
 async fn a_broken_connection_is_resumed() {
     let fleet = Fleet::start(Faults { cut_after: Some(4), connections: 3, ..Faults::default() }).await;
 
     let answer = read_all(fleet.chat().await).await;
 
-    assert!(answer.is_whole(), "{answer:?}");
+    assert!(answer.is_complete(), "{answer:?}");
     assert_eq!(fleet.count("resumed"), 3);
     assert_eq!(fleet.engine.runs().len(), 1);
     fleet.close();
 }
 
-/// The engine ends its answer in the ordinary way, but too early, as after a fault of its own. Passed on as it
-/// is, half a translation would look whole.
+/// The engine ends its response cleanly, but before the final marker. If the router forwarded the end, the truncated
+/// answer would look complete.
 #[tokio::test]
-async fn an_early_end_is_not_taken_for_the_end() {
+async fn an_early_end_is_not_complete() {
     let fleet = Fleet::start(Faults { end_after: Some(7), connections: 1, ..Faults::default() }).await;
 
     let answer = read_all(fleet.chat().await).await;
 
-    assert!(answer.is_whole(), "{answer:?}");
+    assert!(answer.is_complete(), "{answer:?}");
     fleet.close();
 }
 
-/// The engine sends events of another request, some events twice, and loses one. The caller must read nothing of
-/// the other answer, and each word once.
+/// The engine sends events of another request and duplicates, and loses an event. The caller must read nothing of the
+/// other answer and each token once.
 #[tokio::test]
-async fn crossed_and_repeated_events_are_dropped() {
+async fn foreign_and_duplicate_events_are_dropped() {
     let faults = Faults { cross: true, repeat: true, skip: true, connections: 1, ..Faults::default() };
     let fleet = Fleet::start(faults).await;
 
     let answer = read_all(fleet.chat().await).await;
 
-    assert!(answer.is_whole(), "{answer:?}");
+    assert!(answer.is_complete(), "{answer:?}");
     assert!(!answer.text.contains("another"));
     assert!(fleet.count("crossed") > 0 && fleet.count("repeated") > 0 && fleet.count("refetch") > 0);
     fleet.close();
 }
 
-/// The engine crashes in the middle: the stream is lost with it. The caller must see a cut connection, neither an
-/// ordinary end nor the final marker.
+/// The engine crashes during an answer, and the stream is lost. The caller must see a broken connection, neither a
+/// clean end nor the final marker.
 #[tokio::test]
-async fn a_lost_stream_is_cut() {
+async fn a_lost_stream_ends_with_an_error() {
     let fleet = Fleet::start(Faults { stall_after: Some(5), connections: 1, ..Faults::default() }).await;
     let (begun, res) = read(fleet.chat().await, 5).await;
 
@@ -195,15 +196,15 @@
     let rest = read_all(res).await;
 
     assert_eq!(begun.tokens().len(), 5);
-    assert!(rest.cut, "{rest:?}");
+    assert!(rest.broken, "{rest:?}");
     assert_eq!((rest.done(), fleet.count("cut")), (0, 1));
     fleet.close();
 }
 
-/// The traveller closes the app in the middle of a dialogue. The engine must learn of it, or it makes tokens for
-/// nobody while others wait.
+/// A caller disconnects during an answer. The router must cancel the request at the engine, which would otherwise
+/// generate tokens for nobody while others wait.
 #[tokio::test]
-async fn a_caller_that_goes_away_cancels_the_request() {
+async fn a_caller_that_disconnects_cancels_the_request() {
     let fleet = Fleet::start(Faults { stall_after: Some(5), connections: 1, ..Faults::default() }).await;
     let (_, res) = read(fleet.chat().await, 5).await;
 
@@ -214,15 +215,15 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(30), cancelled).await.expect("the engine learns of it");
+    tokio::time::timeout(Duration::from_secs(30), cancelled).await.expect("the engine gets the cancellation");
     assert_eq!(fleet.engine.running(), 0);
     fleet.close();
 }
 
-/// The router dies in the middle of an answer. The caller goes on at another router with the token from the
-/// answer's headers and the last event they have: no word twice and none missing.
+/// A router fails during an answer. The caller resumes at another router with the resume token from the headers and
+/// its last event identifier, without duplicate or missing tokens.
 #[tokio::test]
-async fn a_caller_goes_on_at_another_router() {
+async fn a_caller_resumes_at_another_router() {
     let fleet = Fleet::start(Faults { stall_after: Some(6), connections: 1, ..Faults::default() }).await;
     let res = fleet.chat().await;
     let token = token(&res);
@@ -230,15 +231,15 @@
 
     let rest = read_all(fleet.resume(&token, &begun.last_id(), "phrasebook").await).await;
 
-    let whole = Read { text: format!("{}{}", begun.text, rest.text), cut: begun.cut || rest.cut };
-    assert!(whole.is_whole(), "{whole:?}");
+    let whole = Read { text: format!("{}{}", begun.text, rest.text), broken: begun.broken || rest.broken };
+    assert!(whole.is_complete(), "{whole:?}");
     assert_eq!(fleet.engine.runs().len(), 1);
     drop(held);
     fleet.close();
 }
 
-/// A token is no way into other people's answers: neither a changed token, nor another workspace, nor an event of
-/// another stream is taken.
+/// A resume token must not give access to other callers' answers. An altered token, another workspace and an event of
+/// another stream are rejected.
 #[tokio::test]
 async fn a_token_opens_only_its_own_stream() {
     let fleet = Fleet::start(Faults::default()).await;
@@ -259,12 +260,12 @@
 
         assert_eq!(status, 400, "{token:?} {last:?} {workspace:?}");
     }
-    assert!(read_all(fleet.resume(&token, "", "phrasebook").await).await.is_whole());
+    assert!(read_all(fleet.resume(&token, "", "phrasebook").await).await.is_complete());
     fleet.close();
 }
 
-/// A guest reports a strange answer by its `x-request-id`. The operator must find the run in the engine's own log: the
-/// engine knew it under a name that stood in no answer.
+/// A caller reports an answer by its `x-request-id`. The engine must log its run under an identifier derived from
+/// it, so that an operator can find the run.
 #[tokio::test]
 async fn the_engine_knows_an_attempt_by_the_request_identifier() {
     for (made, attempt) in [(0, 1), (1, 2)] {
@@ -273,17 +274,17 @@
         let res = fleet.chat_after("chat-1", made).await;
 
         let id = res.headers()["x-request-id"].to_str().unwrap().to_owned();
-        assert!(read_all(res).await.is_whole());
+        assert!(read_all(res).await.is_complete());
         let runs: Vec<_> = fleet.engine.runs().into_keys().collect();
         assert_eq!(runs, [format!("{id}-{attempt}")]);
         fleet.close();
     }
 }
 
-/// A traveller's phone stops reading in a tunnel while the engine makes a very long answer. The router must hold the
-/// engine back rather than keep the answer: once the sockets between them are full, the engine sends nothing more.
+/// A caller stops reading while the engine generates a very long answer. The router must apply backpressure instead
+/// of buffering: once the sockets between them are full, the engine stops sending.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_who_does_not_read_holds_the_engine_back() {
+async fn a_caller_who_does_not_read_causes_backpressure() {
     const EVENTS: usize = 150_000;
     let chat = "c".repeat(250);
     let fleet = Fleet::start_with(EngineStandin::new(EVENTS, Duration::ZERO, 8), Faults::default()).await;
@@ -301,7 +302,7 @@
             before = sent;
         }
     };
-    let sent = tokio::time::timeout(Duration::from_secs(60), held).await.expect("the engine comes to rest");
+    let sent = tokio::time::timeout(Duration::from_secs(60), held).await.expect("the engine stops sending");
     assert!(sent < EVENTS as u64 * 9 / 10, "{sent} of {EVENTS} events were taken");
     drop(res);
     fleet.close();
--- a/tests/suspect.rs
+++ b/tests/suspect.rs
@@ -1,4 +1,4 @@
-//! Requests that crash backend servers: suspects, permits, quarantine and what routers tell each other.
+//! Contents that crash backend servers: suspects, permits, quarantine and the digests between routers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -43,11 +43,10 @@
     assert!(other.iter().all(|body| chat(body) != base));
 }
 
-/// A chat crashes the engine that runs it and four neighbours; its caller sends it again.
-/// Only the chat that crashes a second engine while alone among suspects is kept out. The neighbours, which
-/// merely were nearby, run apart and are free once they have completed.
+/// A chat crashes an engine that also runs four other chats, and its caller resends it. Only the chat that crashes a
+/// second engine as the only suspect there is quarantined. The others are isolated until they complete.
 #[test]
-fn the_second_crash_alone_quarantines_and_no_neighbour_is() {
+fn the_second_isolated_crash_quarantines_only_its_content() {
     let mut table = Table::default();
     table.mark_suspects(NOW, &contents(0..5), crash(1));
     assert!(contents(0..5).iter().all(|c| table.standing(NOW, *c) == Standing::Suspect));
@@ -62,29 +61,28 @@
     }
 }
 
-/// A new crashing content runs beside an innocent suspect, and the innocent, alone among suspects, is blamed.
-/// Left at that, an innocent would be kept out for minutes for each engine that the other crashes. The other
-/// is a suspect as well, shows itself on its next engine, and the blame for the shared crash moves to it.
+/// A new crashing content runs beside a harmless suspect, which is quarantined as the only suspect on the engine.
+/// The new content becomes a suspect as well. When it crashes its next engine, it is quarantined, and the harmless
+/// content is a suspect again instead of staying quarantined for minutes.
 #[test]
-fn the_blame_moves_when_the_true_cause_shows() {
+fn the_quarantine_moves_to_the_true_cause() {
     let mut table = Table::default();
-    let (innocent, cause) = (content(0), content(1));
-    table.mark_suspects(NOW, &[innocent], crash(1));
+    let (harmless, cause) = (content(0), content(1));
+    table.mark_suspects(NOW, &[harmless], crash(1));
     assert_eq!(
-        table.record_isolated_crash(NOW, innocent, &[innocent, cause], crash(2)),
+        table.record_isolated_crash(NOW, harmless, &[harmless, cause], crash(2)),
         Standing::Quarantined
     );
 
     assert_eq!(table.record_isolated_crash(NOW, cause, &[cause], crash(3)), Standing::Quarantined);
 
-    assert_eq!(table.standing(NOW, innocent), Standing::Suspect);
+    assert_eq!(table.standing(NOW, harmless), Standing::Suspect);
 }
 
-/// Two engines flap. A chat is broken by the one, runs apart on the other and is broken again: it crashed
-/// neither, and its caller must get an answer. A crash of an engine that broke lately proves nothing; only a
-/// third crash is one too many.
+/// Two engines flap. A chat that fails on the first runs isolated on the second and fails again, but crashed neither.
+/// A crash of an engine that crashed recently is no evidence against the chat; only its third crash quarantines it.
 #[test]
-fn a_flapping_engine_convicts_nobody() {
+fn a_flapping_engine_causes_no_quarantine() {
     let mut table = Table::default();
     table.mark_suspects(NOW, &contents(1..5), crash(2));
     table.mark_suspects(NOW, &[content(0)], crash(1));
@@ -104,7 +102,7 @@
 }
 
 #[test]
-fn an_engine_is_steady_again_when_its_crash_is_explained() {
+fn an_engine_is_stable_again_when_its_crash_is_attributed() {
     let mut table = Table::default();
     table.mark_suspects(NOW, &contents(0..5), crash(1));
     assert!(table.unstable_engines(NOW).contains(&crash(1).engine()));
@@ -125,10 +123,10 @@
     assert_eq!(table.standing(NOW, content(1)), Standing::Suspect);
 }
 
-/// A switch drops a connection while the engine goes on. All its requests were made suspects as the
-/// connection broke, before the engine could be asked; the same start identifier takes that back.
+/// A switch drops the connection to a running engine, whose requests become suspects before the engine can be probed.
+/// When a probe finds the same start number, the crash is retracted.
 #[test]
-fn a_broken_connection_to_a_living_engine_accuses_nobody() {
+fn a_broken_connection_to_a_running_engine_is_no_crash() {
     let mut table = Table::default();
     table.mark_suspects(NOW, &contents(0..5), crash(1));
 
@@ -137,11 +135,11 @@
     assert!(contents(0..5).iter().all(|c| table.standing(NOW, *c) == Standing::Cleared));
 }
 
-/// A link to one engine flaps, and another engine leaves while a chat that the first one broke runs on it
-/// alone. The chat is quarantined, until the first engine is seen in its old start: it never crashed, so the
-/// chat has at most one crash against it, and the other routers hear of that as well.
+/// The link to an engine flaps, and another engine leaves while a chat that failed on the first runs there isolated.
+/// The chat is quarantined until the first engine is probed and has not restarted. Its crash is then retracted,
+/// which leaves one crash at most, also at the other routers.
 #[test]
-fn an_engine_that_never_crashed_is_no_evidence() {
+fn a_retracted_crash_ends_the_quarantine() {
     let (mut table, mut other) = (Table::default(), Table::default());
     table.mark_suspects(NOW, &[content(0)], crash(1));
     assert_eq!(table.record_isolated_crash(NOW, content(0), &[], crash(2)), Standing::Quarantined);
@@ -154,12 +152,12 @@
     assert_eq!(other.standing(NOW, content(0)), Standing::Suspect);
     assert!(
         table.unstable_engines(NOW).contains(&crash(1).engine()),
-        "a link that flaps is not for suspects"
+        "suspects don't run over a flapping link"
     );
 }
 
-/// The verdict came while both engines were out of reach. Until they had time to come back, the caller is told
-/// to try again, not that its content is refused for good.
+/// A content is quarantined while both engines are unreachable. Until they have had time to answer again, the caller
+/// is told to retry rather than that its content is refused permanently.
 #[test]
 fn a_fresh_quarantine_is_provisional() {
     let mut table = Table::default();
@@ -178,10 +176,10 @@
     assert_eq!(table.record_isolated_crash(NOW, content(0), &[], crash(1)), Standing::Suspect);
 }
 
-/// Two routers ran requests on the engine of the second crash. The one with the permit quarantines its content;
-/// the other only hears of that, and its own requests are suspects but never quarantined for it.
+/// Two routers ran requests on the engine that crashed second. The router with the permit quarantines its content;
+/// the other merges that, while its own contents are suspects but never quarantined for this crash.
 #[test]
-fn another_router_takes_the_verdict_over() {
+fn another_router_merges_the_quarantine() {
     let (mut one, mut other) = (Table::default(), Table::default());
     one.mark_suspects(NOW, &[content(0)], crash(1));
     one.record_isolated_crash(NOW, content(0), &[], crash(2));
@@ -193,8 +191,8 @@
     assert!(contents(5..9).iter().all(|c| other.standing(NOW, *c) == Standing::Suspect));
 }
 
-/// After its quarantine the content comes again. Taken for new it would cost two engines each time; it comes
-/// back as a suspect, and one crash puts it away again, at every router.
+/// A content is sent again after its quarantine. Treated as new it would crash two engines each time; as a suspect
+/// it is quarantined again after one crash, at all routers.
 #[test]
 fn after_its_quarantine_a_content_is_a_suspect() {
     let limits = TableLimits::default().with_ttls(HOLD, Duration::from_secs(600));
@@ -212,8 +210,8 @@
     assert_eq!(table.standing(later + Duration::from_secs(1201), content(0)), Standing::Cleared);
 }
 
-/// Two suspects of one crash are sent by two routers to the same engine. If both ran there, the crash that one
-/// causes would be blamed on both.
+/// Two routers send two suspects of the same crash to one engine. If both ran there, the crash caused by one would be
+/// attributed to both.
 #[test]
 fn an_engine_runs_one_suspect_and_a_suspect_runs_once() {
     let mut permits = Permits::default();
@@ -225,10 +223,10 @@
     assert_eq!(permits.acquire(NOW, content(1), "a", HOLD), Verdict::Granted);
 }
 
-/// A router dies with a permit. Its engine must not be closed to suspects for ever; and when the router was
-/// only paused, its late release must not free the permit that another holds by then.
+/// A router crashes while it holds a permit, which must expire so that its engine can run suspects again. If the
+/// router was only paused, its late release must not free the permit that another router holds by then.
 #[test]
-fn a_permit_lapses_and_a_late_release_frees_no_other() {
+fn a_permit_expires_and_a_late_release_frees_no_other() {
     let mut permits = Permits::default();
     permits.acquire(NOW, content(0), "a", HOLD);
     let later = NOW + HOLD;
@@ -254,8 +252,8 @@
     assert_eq!(running.contents_on("c"), []);
 }
 
-/// A whole data centre loses power with thousands of requests running. The table must not grow with it, and
-/// must not lose the quarantine that stands.
+/// A data centre loses power with thousands of requests running. The table must stay within its limit without losing
+/// existing quarantines.
 #[test]
 fn the_table_is_bounded_and_keeps_quarantined_contents() {
     let mut table = Table::new(TableLimits::default().with_max_entries(100));
@@ -268,10 +266,10 @@
     assert_eq!(table.standing(NOW, content(0)), Standing::Quarantined);
 }
 
-/// The second crash follows the first within milliseconds. News that repeats what was told would crowd out the
-/// content that crashes engines.
+/// A second crash may follow the first within milliseconds. An urgent digest that repeats entries sent before would
+/// crowd out the content that crashes engines.
 #[test]
-fn news_tells_each_change_once() {
+fn unsent_returns_each_change_once() {
     let mut table = Table::default();
     table.mark_suspects(NOW, &contents(0..10), crash(1));
     assert_eq!(table.unsent(NOW, 4096).entries.len(), 10);
@@ -284,23 +282,23 @@
 }
 
 proptest! {
-    /// Routers hear of the same crashes in any order; after all has been told, none may take a quarantined
-    /// content for free or hold a completed one back.
+    /// Routers merge the same digests in any order. Once they have merged all, no router may run a quarantined
+    /// content freely or hold back a completed one.
     #[test]
-    fn tables_agree_in_whatever_order_they_hear(order in Just((0..4usize).collect::<Vec<_>>()).prop_shuffle()) {
+    fn tables_converge_in_any_merge_order(order in Just((0..4usize).collect::<Vec<_>>()).prop_shuffle()) {
         let mut source = Table::default();
-        let mut news = Vec::new();
+        let mut digests = Vec::new();
         source.mark_suspects(NOW, &contents(0..5), crash(1));
-        news.push(source.digest(NOW, 400));
+        digests.push(source.digest(NOW, 400));
         source.clear(NOW, content(3));
-        news.push(source.digest(NOW, 400));
+        digests.push(source.digest(NOW, 400));
         source.record_isolated_crash(NOW, content(0), &[], crash(2));
-        news.push(source.digest(NOW, 400));
-        news.push(source.digest(NOW, 400));
+        digests.push(source.digest(NOW, 400));
+        digests.push(source.digest(NOW, 400));
         let mut table = Table::default();
 
         for i in order {
-            table.merge(NOW, &news[i]);
+            table.merge(NOW, &digests[i]);
         }
 
         for c in contents(0..5) {
--- a/tests/validation.rs
+++ b/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of objects: every mistake of a document is reported at once, with its place.
+//! Validation of configuration objects: all problems of a document are reported at once, with their paths.
 
 use cranberrytally::{catalog::Catalog, revision::check};
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// An operator who is told one mistake at a time runs the command as often as the file has mistakes.
+/// If problems were reported one at a time, operators would have to run the command once per problem.
 #[test]
 fn all_mistakes_are_reported_at_once() {
     let doc = "
@@ -108,10 +108,10 @@
     assert_eq!(found.len(), 8, "{found:#?}");
 }
 
-/// An operator lowers a pool's bound to 1.02 times the mean; `apply` takes it, and every chat of the pool is refused with
-/// `no_policy`. The check let a bound pass that the compiler of the catalog then left out with its pool.
+/// An operator lowers a pool's load bound to 1.02 times the mean. If validation accepts a bound that the catalog
+/// rejects, `apply` succeeds, but the pool is skipped and all its chats are refused with `no_policy`.
 #[test]
-fn a_bound_that_is_accepted_keeps_its_pool() {
+fn a_pool_with_an_accepted_bound_compiles() {
     for bound in [0, 1, 999, 1000, 1049, 1050, 10_000, 10_001] {
         let doc = format!("{{kind: EnginePool, metadata: {{name: p}}, spec: {{loadBoundMilli: {bound}}}}}");
         let parsed = check::parse(&serde_saphyr::from_str(&doc).expect("YAML"));
