--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -19,7 +19,7 @@
     metrics::{Counter, Metrics},
     place::{
         Placer, Refusal, Request,
-        bound::Digest,
+        bound::LoadDigest,
         hint::{CachedCopy, Hint, HintKey},
         ledger::ReservationId,
         members::Member,
@@ -420,12 +420,12 @@
     }
 
     /// Notes what a router says of the load of its engines in a pool.
-    pub fn note_digest(&self, source: Id, pool: Id, digest: Digest, at: Instant) {
+    pub fn note_digest(&self, source: Id, pool: Id, digest: LoadDigest, at: Instant) {
         self.placement.placer().record_digest(source, pool, digest, at);
     }
 
     /// Loads of this router's engines by pool, to be told to the other routers about once a second.
-    pub fn digests(&self) -> Vec<(Id, Digest)> {
+    pub fn digests(&self) -> Vec<(Id, LoadDigest)> {
         let cat = self.catalog();
         let mut placer = self.placement.placer();
         cat.pools().map(|pool| (pool.id, placer.digest(&cat, pool, now()))).collect()
--- a/src/gossip/notes.rs
+++ b/src/gossip/notes.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::Shared;
-use crate::{catalog::Id, member::Topic, place::bound::Digest, schema::suspect, util::now};
+use crate::{catalog::Id, member::Topic, place::bound::LoadDigest, schema::suspect, util::now};
 
 /// Ticks between two notes of known suspects.
 const SUSPECT_TICKS: u64 = 20;
@@ -34,7 +34,7 @@
             Topic::Load => {
                 let loads: Vec<(u64, u64, u32, u64)> = postcard::from_bytes(payload).unwrap_or_default();
                 for (pool, work, running, capacity) in loads {
-                    let digest = Digest { work, running, capacity };
+                    let digest = LoadDigest { work, running, capacity };
                     self.gateway.note_digest(Id::of(origin), Id(pool), digest, now());
                 }
             }
--- a/src/place/bound.rs
+++ b/src/place/bound.rs
@@ -32,7 +32,7 @@
 
 /// Summary of the load that one owner's engines carry in one pool, sent to the other routers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Digest {
+pub struct LoadDigest {
     /// Work of the requests in progress.
     pub work: Work,
     /// Requests in progress.
@@ -41,8 +41,8 @@
     pub capacity: u64,
 }
 
-impl Digest {
-    fn add(&mut self, other: Digest) {
+impl LoadDigest {
+    fn add(&mut self, other: LoadDigest) {
         self.work += other.work;
         self.running += other.running;
         self.capacity += other.capacity;
@@ -62,7 +62,7 @@
 
 impl MeanLoad {
     /// Computes the mean from the total load of a pool.
-    pub fn from_total(total: Digest) -> Self {
+    pub fn from_total(total: LoadDigest) -> Self {
         Self {
             work_per_capacity: total.work as f64 / total.capacity.max(1) as f64,
             work_per_request: total.work as f64 / f64::from(total.running.max(1)),
@@ -88,7 +88,7 @@
 /// Latest digest of one source, with its rate of change.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    digest: Digest,
+    digest: LoadDigest,
     at: Instant,
     /// Change of the work per second since the previous digest.
     work_per_s: f64,
@@ -99,24 +99,24 @@
     ///
     /// At the end of a surge the work falls by a tenth per second. A mean that is half a second old is then too
     /// high and would admit requests to engines above the bound; extrapolation corrects for this.
-    fn extrapolate(&self, now: Instant) -> Digest {
+    fn extrapolate(&self, now: Instant) -> LoadDigest {
         let change = self.work_per_s * now.saturating_sub(self.at).as_secs_f64();
         let work = self.digest.work as f64;
         let max_change = work * MAX_EXTRAPOLATED_FRACTION;
-        Digest { work: (work + change.clamp(-max_change, max_change)) as Work, ..self.digest }
+        LoadDigest { work: (work + change.clamp(-max_change, max_change)) as Work, ..self.digest }
     }
 }
 
 /// Latest load digests of the other owners.
 #[derive(Clone, Debug, Default)]
-pub struct Digests {
+pub struct LoadDigests {
     /// Keyed by pool and source.
     latest: Map<(Id, Id), Entry>,
 }
 
-impl Digests {
+impl LoadDigests {
     /// Records the digest of `source` for a pool.
-    pub fn record(&mut self, source: Id, pool: Id, digest: Digest, now: Instant) {
+    pub fn record(&mut self, source: Id, pool: Id, digest: LoadDigest, now: Instant) {
         let work_per_s = self.latest.get(&(pool, source)).map_or(0.0, |old| {
             let seconds = now.saturating_sub(old.at).as_secs_f64();
             (digest.work as f64 - old.digest.work as f64) / seconds.max(MIN_SLOPE_PERIOD_S)
@@ -125,8 +125,8 @@
     }
 
     /// Sums the unexpired digests of a pool.
-    pub fn total(&self, pool: Id, now: Instant) -> Digest {
-        let mut total = Digest::default();
+    pub fn total(&self, pool: Id, now: Instant) -> LoadDigest {
+        let mut total = LoadDigest::default();
         for ((of, _), entry) in &self.latest {
             if *of == pool && now.saturating_sub(entry.at) < DIGEST_TTL {
                 total.add(entry.extrapolate(now));
@@ -147,7 +147,7 @@
 }
 
 /// Adds the own digest and the sum of the others.
-pub fn total(own: Digest, others: Digest) -> Digest {
+pub fn total(own: LoadDigest, others: LoadDigest) -> LoadDigest {
     let mut total = own;
     total.add(others);
     total
--- a/src/place/placer.rs
+++ b/src/place/placer.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use super::{
-    bound::{Digest, Digests, MeanLoad, Work, total},
+    bound::{LoadDigest, LoadDigests, MeanLoad, Work, total},
     cache::{CacheEvent, EvictionTracker},
     health::Health,
     hint::Hint,
@@ -72,8 +72,8 @@
     me: Id,
     data_centre: Arc<str>,
     members: Members,
-    digests: Digests,
-    means: Map<Id, (Digest, Instant)>,
+    digests: LoadDigests,
+    means: Map<Id, (LoadDigest, Instant)>,
     owned_engines: Map<Id, OwnedEngines>,
     /// Engines that this router already owned before the latest change of the member list.
     settled: Set<Id>,
@@ -94,7 +94,7 @@
             me,
             data_centre: data_centre.into(),
             members: Members::default(),
-            digests: Digests::default(),
+            digests: LoadDigests::default(),
             means: Map::default(),
             owned_engines: Map::default(),
             settled: Set::default(),
@@ -174,15 +174,15 @@
     }
 
     /// Records another router's load digest for a pool.
-    pub fn record_digest(&mut self, source: Id, pool: Id, digest: Digest, now: Instant) {
+    pub fn record_digest(&mut self, source: Id, pool: Id, digest: LoadDigest, now: Instant) {
         if source != self.me {
             self.digests.record(source, pool, digest, now);
         }
     }
 
     /// Load digest of this router's engines in a pool, to be sent to the other routers.
-    pub fn digest(&mut self, cat: &Catalog, pool: &Pool, now: Instant) -> Digest {
-        let mut digest = Digest::default();
+    pub fn digest(&mut self, cat: &Catalog, pool: &Pool, now: Instant) -> LoadDigest {
+        let mut digest = LoadDigest::default();
         for (id, account) in self.ledger.accounts() {
             if pool.member(id).is_some() {
                 digest.work += account.work;
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -6,7 +6,7 @@
     catalog::{AnyObject, Catalog, Id, Object},
     engine::ChatId,
     place::{
-        bound::{Digest, MeanLoad},
+        bound::{LoadDigest, MeanLoad},
         cache::{CacheEvent, EvictionTracker},
         health::Health,
         hint::{CachedCopy, Hint, HintKey, MAX_COPIES},
@@ -213,7 +213,7 @@
 /// day while all engines are idle.
 #[test]
 fn a_small_mean_lets_one_request_through() {
-    let pool = |work, running| MeanLoad::from_total(Digest { work, running, capacity: 9 * 8 });
+    let pool = |work, running| MeanLoad::from_total(LoadDigest { work, running, capacity: 9 * 8 });
 
     // Work in the pool, requests in the pool, work on the engine, work of the request, whether it fits.
     let cases = [
--- a/tests/place_owners.rs
+++ b/tests/place_owners.rs
@@ -6,7 +6,7 @@
     catalog::{AnyObject, Catalog, Id, Object},
     place::{
         Placer, Refusal, Request,
-        bound::Digest,
+        bound::LoadDigest,
         hint::{CachedCopy, Hint},
         ledger::ReservationId,
         members::Member,
@@ -84,7 +84,7 @@
 
 /// Records that another owner carries `work` on `engines` engines of the pool.
 fn record_other_owner(placer: &mut Placer, engines: u64, work: u64, now: Duration) {
-    let digest = Digest { work, running: (work / WORK) as u32, capacity: engines * 8 };
+    let digest = LoadDigest { work, running: (work / WORK) as u32, capacity: engines * 8 };
     placer.record_digest(Id::of("other"), Id::of("pool"), digest, now);
 }
 
