--- a/benches/routing/cost.rs
+++ b/benches/routing/cost.rs
@@ -6,7 +6,7 @@
     catalog::{Catalog, EngineKey, Id},
     engine::ChatId,
     place::{
-        Placer, Request,
+        Placer, ReservationRequest,
         hint::{CachedCopy, Hint, HintKey},
         ledger::ReservationId,
         members::Member,
@@ -85,7 +85,13 @@
     while let Some(step) = search.next(placer, cat, pool, now) {
         let reservation = ReservationId { router: placer.me(), number: (1 << 40) + number };
         let engine = step.engine.map(|c| c.id);
-        let req = Request { reservation, engine, pool: pool.id, work: 1_000, above_mean: step.above_mean };
+        let req = ReservationRequest {
+            reservation,
+            engine,
+            pool: pool.id,
+            work: 1_000,
+            above_mean: step.above_mean,
+        };
         if let Ok(grant) = placer.reserve(cat, &req, now) {
             black_box(grant);
             placer.release(placer.me(), [reservation.number], now);
--- a/benches/routing/model.rs
+++ b/benches/routing/model.rs
@@ -11,7 +11,7 @@
 use cranberrytally::{
     catalog::{AnyObject, Catalog, Id, Object},
     place::{
-        Placer, Request,
+        Placer, ReservationRequest,
         cache::CacheEvent,
         hint::{CachedCopy, Hint},
         ledger::ReservationId,
@@ -385,7 +385,7 @@
             }
             let reservation = ReservationId { router: self.routers[r].id, number };
             let pool = self.pool_id();
-            let req = Request { reservation, engine: Some(id), pool, work, above_mean: false };
+            let req = ReservationRequest { reservation, engine: Some(id), pool, work, above_mean: false };
             self.routers[owner].placer.adopt(&req, now);
             self.ended[r][old].push((reservation.router, number));
             self.tally.messages += 2;
--- a/benches/routing/policy.rs
+++ b/benches/routing/policy.rs
@@ -6,7 +6,7 @@
 };
 use rand::Rng;
 
-use super::{News, Policy, Request, ReservationId, Search, World};
+use super::{News, Policy, ReservationId, ReservationRequest, Search, World};
 
 /// Engine, owner of the reservation and its number.
 pub(super) type Place = (usize, usize, u64);
@@ -72,7 +72,7 @@
         let number = router.next;
         router.next += 1;
         let reservation = ReservationId { router: router.id, number };
-        let req = Request {
+        let req = ReservationRequest {
             reservation,
             engine: step.engine.map(|c| c.id),
             pool,
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -18,7 +18,7 @@
     link::Links,
     metrics::{Counter, Metrics},
     place::{
-        Placer, Refusal, Request,
+        Placer, Refusal, ReservationRequest,
         bound::LoadDigest,
         hint::{CachedCopy, Hint, HintKey},
         ledger::ReservationId,
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Held {
     owner: Id,
-    req: Request,
+    req: ReservationRequest,
 }
 
 /// Why no engine was found.
@@ -152,15 +152,15 @@
         }
     }
 
-    fn hold(&self, owner: Id, req: Request) {
+    fn hold(&self, owner: Id, req: ReservationRequest) {
         lock(&self.held).insert(req.reservation.number, Held { owner, req });
     }
 
     /// Reserves at the owner, which is this router or another.
-    async fn reserve(&self, cat: &Catalog, req: Request, owner: Option<&Member>) -> Option<Id> {
+    async fn reserve(&self, cat: &Catalog, req: ReservationRequest, owner: Option<&Member>) -> Option<Id> {
         let Some(owner) = owner else {
             let grant = self.placer().reserve(cat, &req, now()).ok()?;
-            self.hold(self.me, Request { engine: Some(grant.engine), ..req });
+            self.hold(self.me, ReservationRequest { engine: Some(grant.engine), ..req });
             return Some(grant.engine);
         };
         let answer = self.ask(req, owner).await;
@@ -171,7 +171,7 @@
         answer?.ok()
     }
 
-    async fn ask(&self, req: Request, owner: &Member) -> Option<Result<Id, Refusal>> {
+    async fn ask(&self, req: ReservationRequest, owner: &Member) -> Option<Result<Id, Refusal>> {
         let number = req.reservation.number;
         self.hold(owner.id, req);
         let body = Body::Reserve(to_wire(&req, false));
@@ -185,7 +185,7 @@
                 }))
             }
             Ok(Body::Reserved(Reserved { engine, .. })) => {
-                self.hold(owner.id, Request { engine: Some(Id(engine)), ..req });
+                self.hold(owner.id, ReservationRequest { engine: Some(Id(engine)), ..req });
                 Some(Ok(Id(engine)))
             }
             // The reservation may have been made, and its answer lost: it is ended like one that was granted.
@@ -269,7 +269,7 @@
     }
 
     /// Work whose engine has a new owner. The former owner is told of its end, or it would count it for ever.
-    fn moved(&self, cat: &Catalog) -> Vec<(Member, Request)> {
+    fn moved(&self, cat: &Catalog) -> Vec<(Member, ReservationRequest)> {
         let mut moved = Vec::new();
         let mut held = lock(&self.held);
         let mut placer = self.placer();
@@ -318,7 +318,7 @@
             // The slot exists before the owner is asked: a caller that goes away midway ends what was granted.
             let number = place.next.fetch_add(1, Ordering::Relaxed);
             let slot = Slot { placement: place.clone(), number, refused: false };
-            let req = Request {
+            let req = ReservationRequest {
                 reservation: ReservationId { router: place.me, number },
                 engine: step.engine.map(|c| c.id),
                 pool: pool.id,
@@ -470,7 +470,7 @@
     }
 }
 
-fn to_wire(req: &Request, running: bool) -> Reserve {
+fn to_wire(req: &ReservationRequest, running: bool) -> Reserve {
     Reserve {
         router: req.reservation.router.0,
         number: req.reservation.number,
@@ -482,8 +482,8 @@
     }
 }
 
-fn from_wire(msg: &Reserve) -> Request {
-    Request {
+fn from_wire(msg: &Reserve) -> ReservationRequest {
+    ReservationRequest {
         reservation: ReservationId { router: Id(msg.router), number: msg.number },
         engine: (msg.engine != 0).then_some(Id(msg.engine)),
         pool: Id(msg.pool),
--- a/src/place.rs
+++ b/src/place.rs
@@ -18,4 +18,4 @@
 pub mod transfer;
 pub mod work;
 
-pub use placer::{Grant, Placer, Refusal, Request};
+pub use placer::{Grant, Placer, Refusal, ReservationRequest};
--- a/src/place/placer.rs
+++ b/src/place/placer.rs
@@ -27,7 +27,7 @@
 
 /// Request to reserve work on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Request {
+pub struct ReservationRequest {
     /// Identifies the reservation.
     pub reservation: ReservationId,
     /// Engine to reserve; `None` for the least loaded engine of the owner.
@@ -223,7 +223,12 @@
     /// # Errors
     /// When the engine is at the bound, unavailable or not owned by this router. A former owner must not grant to
     /// routers with an outdated member list, or two owners would fill the engine until the lists converge.
-    pub fn reserve(&mut self, cat: &Catalog, req: &Request, now: Instant) -> Result<Grant, Refusal> {
+    pub fn reserve(
+        &mut self,
+        cat: &Catalog,
+        req: &ReservationRequest,
+        now: Instant,
+    ) -> Result<Grant, Refusal> {
         if let Some(engine) = self.ledger.reserved_engine(req.reservation) {
             return Ok(Grant { engine });
         }
@@ -258,7 +263,7 @@
     }
 
     /// Adds work that already runs on an engine that this router now owns; never refused.
-    pub fn adopt(&mut self, req: &Request, now: Instant) {
+    pub fn adopt(&mut self, req: &ReservationRequest, now: Instant) {
         if let Some(engine) = req.engine {
             self.ledger.adopt(req.reservation, engine, req.work, now);
         }
--- a/tests/place_owners.rs
+++ b/tests/place_owners.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     catalog::{AnyObject, Catalog, Id, Object},
     place::{
-        Placer, Refusal, Request,
+        Placer, Refusal, ReservationRequest,
         bound::LoadDigest,
         hint::{CachedCopy, Hint},
         ledger::ReservationId,
@@ -54,9 +54,15 @@
     placer
 }
 
-fn request(placer: &Placer, number: u64, engine: Id) -> Request {
+fn request(placer: &Placer, number: u64, engine: Id) -> ReservationRequest {
     let reservation = ReservationId { router: placer.me(), number };
-    Request { reservation, engine: Some(engine), pool: Id::of("pool"), work: WORK, above_mean: true }
+    ReservationRequest {
+        reservation,
+        engine: Some(engine),
+        pool: Id::of("pool"),
+        work: WORK,
+        above_mean: true,
+    }
 }
 
 fn owned_by(placer: &mut Placer, engine: Id) -> Id {
@@ -198,7 +204,7 @@
     let mine = (0..2).map(|n| Id::of(&format!("engine-{n}")));
     let engine = mine.into_iter().find(|&e| owned_by(&mut a, e) == Id::of("a")).unwrap();
     let reservation = ReservationId { router: Id::of("b"), number: 1 };
-    let req = Request { reservation, ..request(&a, 1, engine) };
+    let req = ReservationRequest { reservation, ..request(&a, 1, engine) };
     assert!(a.reserve(&cat, &req, s(1)).is_ok());
 
     a.set_members(vec![member("a")], s(2));
@@ -217,7 +223,7 @@
         router: Id::of("b"),
         number: ReservationId::first_number(wall_ms) + n,
     };
-    let req = |reservation| Request { reservation, ..request(&router("a", &["a"]), 1, engine) };
+    let req = |reservation| ReservationRequest { reservation, ..request(&router("a", &["a"]), 1, engine) };
     assert!(a.reserve(&cat, &req(of_generation(1_000_000, 1)), s(1)).is_ok());
     a.ledger.add(of_generation(1_000_000, 2), engine, WORK, s(1));
 
@@ -324,7 +330,7 @@
         a.ledger.add(ReservationId { router: a.me(), number: n as u64 }, engine.id, work, s(1));
     }
 
-    let any = Request { engine: None, ..request(&a, 99, Id::default()) };
+    let any = ReservationRequest { engine: None, ..request(&a, 99, Id::default()) };
     let granted = a.reserve(&cat, &any, s(2)).unwrap();
 
     assert!(tried.last().unwrap().engine.is_none());
@@ -337,7 +343,7 @@
 fn a_burst_on_idle_engines_is_granted() {
     let cat = catalog(4);
     let mut a = router("a", &["a"]);
-    let any = |a: &Placer, n| Request { engine: None, ..request(a, n, Id::default()) };
+    let any = |a: &Placer, n| ReservationRequest { engine: None, ..request(a, n, Id::default()) };
 
     let granted = (0..40).filter(|&n| a.reserve(&cat, &any(&a, n), s(1)).is_ok()).count();
 
