--- a/benches/routing/cost.rs
+++ b/benches/routing/cost.rs
@@ -44,7 +44,7 @@
     placer.set_members(vec![member], Time::ZERO);
     for (_, engine) in cat.engines() {
         for _ in 0..RUNNING {
-            let number = placer.ledger.reservations() as u64;
+            let number = placer.ledger.reservation_count() as u64;
             placer.ledger.add(ReservationId { router: me, number }, engine.id, 1_000, Time::ZERO);
         }
     }
@@ -140,7 +140,7 @@
         let copy = CachedCopy { engine: Arc::from("engine-3"), start: 0, tokens: 1_000 };
         let text = keys.sign(CHAT, &Hint { home: "dc".into(), copies: vec![copy] });
         let hinted = per_round(|n| decide(&mut placer, &cat, &keys, n, CHAT, Some(&text)));
-        let (account, hold) = placer.ledger.bytes();
+        let (account, hold) = placer.ledger.memory_bytes();
         println!("{engines:8} {sort:12.0} {rank:12.0} {new:12.0} {hinted:12.0} {account:14} {hold:12}");
     }
 }
--- a/src/place/cache.rs
+++ b/src/place/cache.rs
@@ -84,7 +84,7 @@
     }
 
     /// Whether the engine has evicted the chat, as far as known.
-    pub fn evicted(&self, engine: Id, chat: u64) -> bool {
+    pub fn has_evicted(&self, engine: Id, chat: u64) -> bool {
         self.engines.get(&engine).is_some_and(|e| e.chats.contains(&chat))
     }
 
--- a/src/place/health.rs
+++ b/src/place/health.rs
@@ -71,7 +71,7 @@
         self.engines.entry(engine).or_default().leaving = leaving;
     }
 
-    /// Sets the random start number of an engine's process; a new number means a restart and resets `leaving`.
+    /// Sets the random start number of an engine's process; a new number means a restart and resets `is_leaving`.
     pub fn set_start(&mut self, engine: Id, start: u64) {
         let state = self.engines.entry(engine).or_default();
         if state.start != start {
@@ -91,12 +91,12 @@
     }
 
     /// Whether an engine can't be reached.
-    pub fn down(&self, engine: Id) -> bool {
+    pub fn is_down(&self, engine: Id) -> bool {
         self.engines.get(&engine).is_some_and(|s| s.down)
     }
 
     /// Whether an engine is leaving.
-    pub fn leaving(&self, engine: Id) -> bool {
+    pub fn is_leaving(&self, engine: Id) -> bool {
         self.engines.get(&engine).is_some_and(|s| s.leaving)
     }
 
--- a/src/place/ledger.rs
+++ b/src/place/ledger.rs
@@ -112,12 +112,12 @@
     }
 
     /// Number of reservations.
-    pub fn reservations(&self) -> usize {
+    pub fn reservation_count(&self) -> usize {
         self.reservations.len()
     }
 
     /// Memory in bytes per engine and per reservation, excluding the spare capacity of the tables.
-    pub fn bytes(&self) -> (usize, usize) {
+    pub fn memory_bytes(&self) -> (usize, usize) {
         let history = self.accounts.values().map(|a| a.history.steps.len()).max().unwrap_or(0);
         let account = size_of::<(Id, Account)>() + history * size_of::<(Instant, u32)>();
         (account, size_of::<(ReservationId, Reservation)>())
--- a/src/place/placer.rs
+++ b/src/place/placer.rs
@@ -164,7 +164,7 @@
     }
 
     /// Whether a router may be contacted.
-    pub fn reachable(&self, router: Id, now: Instant) -> bool {
+    pub fn is_reachable(&self, router: Id, now: Instant) -> bool {
         self.unreachable.get(&router).is_none_or(|until| now >= *until)
     }
 
--- a/src/place/search.rs
+++ b/src/place/search.rs
@@ -95,7 +95,7 @@
             let id = Id::of(&copy.engine);
             let engine = pool.member(id)?;
             let start = placer.health.start(id);
-            let lost = start != 0 && start != copy.start || placer.cache.evicted(id, chat);
+            let lost = start != 0 && start != copy.start || placer.cache.has_evicted(id, chat);
             (!lost && cat.engine(engine).id == id).then_some(Candidate { engine, id, cached: copy.tokens })
         });
         let candidates: VecDeque<Candidate> = candidates.collect();
@@ -147,7 +147,7 @@
     pub fn transfer_source(&self, placer: &Placer, pool: &Pool, to: EngineKey) -> Option<(EngineKey, u32)> {
         let (id, tokens) = self.copies.iter().copied().max_by_key(|(_, tokens)| *tokens)?;
         let from = pool.member(id)?;
-        (from != to && !placer.health.down(id)).then_some((from, tokens))
+        (from != to && !placer.health.is_down(id)).then_some((from, tokens))
     }
 
     /// Returns the reservation to try next; `None` when the search is exhausted.
@@ -183,7 +183,7 @@
             let data_centre = &cat.engine(candidate.engine).data_centre;
             let me = placer.me();
             let owner = placer.owner(candidate.id, data_centre).filter(|m| m.id != me).cloned();
-            if owner.as_ref().is_some_and(|m| !placer.reachable(m.id, now)) {
+            if owner.as_ref().is_some_and(|m| !placer.is_reachable(m.id, now)) {
                 continue;
             }
             self.named_asked += 1;
@@ -219,7 +219,7 @@
         let members = placer.members();
         let in_region = |m: &&Member| {
             m.id != placer.me()
-                && placer.reachable(m.id, now)
+                && placer.is_reachable(m.id, now)
                 && members.distance(&self.home, &m.data_centre) != Distance::OtherRegion
         };
         members.list().iter().filter(in_region).min_by_key(|m| hash((m.id.0, self.chat, n))).cloned()
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -177,14 +177,14 @@
     let mut cache = EvictionTracker::default();
 
     cache.record(engine, 1, CacheEvent::Evicted(7));
-    assert!(cache.evicted(engine, 7));
+    assert!(cache.has_evicted(engine, 7));
     cache.record(engine, 1, CacheEvent::Stored(7));
-    assert!(cache.evicted(engine, 7), "an old event is ignored");
+    assert!(cache.has_evicted(engine, 7), "an old event is ignored");
     cache.record(engine, 5, CacheEvent::Evicted(8));
-    assert!(!cache.evicted(engine, 7), "the gap may hide a store");
-    assert!(cache.evicted(engine, 8));
+    assert!(!cache.has_evicted(engine, 7), "the gap may hide a store");
+    assert!(cache.has_evicted(engine, 8));
     cache.mark_cached(engine, 8);
-    assert!(!cache.evicted(engine, 8), "a request stores it anew");
+    assert!(!cache.has_evicted(engine, 8), "a request stores it anew");
 }
 
 #[test]
@@ -194,8 +194,8 @@
 
     (1..=10_000).for_each(|n| cache.record(engine, n, CacheEvent::Evicted(n)));
 
-    assert!(!cache.evicted(engine, 1));
-    assert!(cache.evicted(engine, 10_000));
+    assert!(!cache.has_evicted(engine, 1));
+    assert!(cache.has_evicted(engine, 10_000));
 }
 
 #[test]
