--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -6,7 +6,7 @@
 
 use cranberrytally::{
     admit::{ConcurrencyLimit, Demand, EnqueueResult, FairQueue, InFlight, Priority, QueueLimits, Scope},
-    retry::{Attempts, Budget, Policy, Reason},
+    retry::{Attempts, Budget, Policy, RetryReason},
     suspect::{CrashId, Fingerprint, Permits, Table},
 };
 use rand::SeedableRng;
@@ -171,7 +171,7 @@
                 &policy,
                 &mut budget,
                 Duration::ZERO,
-                Reason::ConnectFailed,
+                RetryReason::ConnectFailed,
                 &mut rng,
             ));
         }
--- a/benches/admission/storm.rs
+++ b/benches/admission/storm.rs
@@ -4,7 +4,7 @@
 
 use cranberrytally::{
     catalog::Id,
-    retry::{Attempts, Budget, Cooldowns, Policy, Reason},
+    retry::{Attempts, Budget, Cooldowns, Policy, RetryReason},
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -117,7 +117,7 @@
                 return true;
             }
             self.avoid.record_failure(self.now, id(engine));
-            if attempts.record_failure(&policy, budget, self.now, Reason::ConnectFailed, rng).is_err() {
+            if attempts.record_failure(&policy, budget, self.now, RetryReason::ConnectFailed, rng).is_err() {
                 return false;
             }
         }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -20,7 +20,7 @@
     error::{ErrorKind, RequestError},
     metrics::Counter,
     outcome::NotRunProof,
-    retry::{Attempts, Denied, Reason, jitter},
+    retry::{Attempts, Denied, RetryReason, jitter},
     suspect::{Standing, Verdict},
     util::now,
 };
@@ -110,7 +110,7 @@
             let request = format!("{}-{}", ask.id, attempts.made());
             let left = ask.deadline.saturating_sub(now());
             let reason = match tokio::time::timeout(left, to.send(engine, &request)).await {
-                Ok(Ok(res)) if NotRunProof::from_head(&res).is_some() => Reason::EngineRefused,
+                Ok(Ok(res)) if NotRunProof::from_head(&res).is_some() => RetryReason::EngineRefused,
                 Ok(Ok(res)) => {
                     lock(&self.avoid).record_success(engine.id);
                     return Ok(Started { res, found, run, request, attempts: attempts.made() });
@@ -118,13 +118,13 @@
                 Ok(Err(Failure::Connect)) => {
                     lock(&self.avoid).record_failure(now(), engine.id);
                     lock(&self.unreached).push(engine.name.clone());
-                    Reason::ConnectFailed
+                    RetryReason::ConnectFailed
                 }
                 Ok(Err(Failure::Broken)) => {
                     run.broke().await;
-                    Reason::EngineFailed
+                    RetryReason::EngineFailed
                 }
-                Err(_) => Reason::EngineFailed,
+                Err(_) => RetryReason::EngineFailed,
             };
             drop(found);
             self.back_off(&mut attempts, reason).await?;
@@ -137,7 +137,7 @@
             Attempts::begin(&self.retry_policy, &mut budget, ask.attempts, idempotent, ask.deadline);
         match arrived {
             Ok(attempts) if ask.attempts > 0 => {
-                self.metrics.retry(Reason::Caller.as_str());
+                self.metrics.retry(RetryReason::Caller.as_str());
                 Ok(attempts)
             }
             Ok(attempts) => Ok(attempts),
@@ -149,7 +149,7 @@
     }
 
     /// Waits before the next attempt, or ends with the final answer at once.
-    async fn back_off(&self, attempts: &mut Attempts, reason: Reason) -> Result<(), RequestError> {
+    async fn back_off(&self, attempts: &mut Attempts, reason: RetryReason) -> Result<(), RequestError> {
         let decided = attempts.record_failure(
             &self.retry_policy,
             &mut lock(&self.budget),
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -20,7 +20,7 @@
 
 /// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Reason {
+pub enum RetryReason {
     /// No connection could be made.
     ConnectFailed,
     /// The backend server refused before running the request.
@@ -31,34 +31,38 @@
     Caller,
 }
 
-impl Reason {
+impl RetryReason {
     /// All reasons.
-    pub const ALL: [Reason; 4] =
-        [Reason::ConnectFailed, Reason::EngineRefused, Reason::EngineFailed, Reason::Caller];
+    pub const ALL: [RetryReason; 4] = [
+        RetryReason::ConnectFailed,
+        RetryReason::EngineRefused,
+        RetryReason::EngineFailed,
+        RetryReason::Caller,
+    ];
 
     /// Label value in the retry counter.
     pub fn as_str(self) -> &'static str {
         match self {
-            Reason::ConnectFailed => "connect_failed",
-            Reason::EngineRefused => "engine_refused",
-            Reason::EngineFailed => "engine_failed",
-            Reason::Caller => "caller",
+            RetryReason::ConnectFailed => "connect_failed",
+            RetryReason::EngineRefused => "engine_refused",
+            RetryReason::EngineFailed => "engine_failed",
+            RetryReason::Caller => "caller",
         }
     }
 
     /// Whether the attempt may have run.
     pub fn ran(self) -> Ran {
         match self {
-            Reason::ConnectFailed | Reason::EngineRefused => Ran::No,
-            Reason::EngineFailed | Reason::Caller => Ran::Unknown,
+            RetryReason::ConnectFailed | RetryReason::EngineRefused => Ran::No,
+            RetryReason::EngineFailed | RetryReason::Caller => Ran::Unknown,
         }
     }
 
     fn kind(self) -> ErrorKind {
         match self {
-            Reason::ConnectFailed => ErrorKind::ConnectFailed,
-            Reason::EngineRefused => ErrorKind::EngineRefused,
-            Reason::EngineFailed | Reason::Caller => ErrorKind::EngineFailed,
+            RetryReason::ConnectFailed => ErrorKind::ConnectFailed,
+            RetryReason::EngineRefused => ErrorKind::EngineRefused,
+            RetryReason::EngineFailed | RetryReason::Caller => ErrorKind::EngineFailed,
         }
     }
 }
@@ -150,7 +154,7 @@
         policy: &Policy,
         budget: &mut Budget,
         now: Instant,
-        reason: Reason,
+        reason: RetryReason,
         rng: &mut impl Rng,
     ) -> Result<Duration, Denied> {
         self.may_have_run |= reason.ran() != Ran::No;
--- a/tests/operators_page.rs
+++ b/tests/operators_page.rs
@@ -13,7 +13,7 @@
     error::ErrorKind,
     metrics::Counter,
     objects::CONFIGURATION_KINDS,
-    retry::Reason,
+    retry::RetryReason,
     standin::platform::PlatformStandin,
 };
 
@@ -69,7 +69,7 @@
     let mut values = Values::new();
     let mut add = |counter, found: BTreeSet<String>| values.entry(total(counter)).or_default().extend(found);
     add(Counter::Refusals, ErrorKind::ALL.iter().map(|k| k.answer().code.to_owned()).collect());
-    add(Counter::Retries, Reason::ALL.iter().map(|r| r.as_str().to_owned()).collect());
+    add(Counter::Retries, RetryReason::ALL.iter().map(|r| r.as_str().to_owned()).collect());
     add(Counter::Retries, passed_to(".retry(\""));
     add(Counter::Requests, passed_to(".request(\""));
     for (file, counter) in COUNTING {
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     catalog::Id,
     error::{ErrorKind, Ran},
-    retry::{Attempts, Budget, Cooldowns, Policy, Reason, jitter},
+    retry::{Attempts, Budget, Cooldowns, Policy, RetryReason, jitter},
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -20,7 +20,11 @@
     Attempts::begin(&Policy::default(), &mut Budget::default(), made, idempotent, DEADLINE).unwrap()
 }
 
-fn fail(a: &mut Attempts, budget: &mut Budget, reason: Reason) -> Result<Duration, (ErrorKind, ErrorKind)> {
+fn fail(
+    a: &mut Attempts,
+    budget: &mut Budget,
+    reason: RetryReason,
+) -> Result<Duration, (ErrorKind, ErrorKind)> {
     a.record_start();
     a.record_failure(&Policy::default(), budget, Duration::ZERO, reason, &mut rng())
         .map_err(|d| (d.reason, d.answer))
@@ -29,12 +33,12 @@
 #[test]
 fn only_what_did_not_run_or_is_idempotent_is_tried_again() {
     let table = [
-        (Reason::ConnectFailed, false, true),
-        (Reason::EngineRefused, false, true),
-        (Reason::EngineFailed, false, false),
-        (Reason::ConnectFailed, true, true),
-        (Reason::EngineRefused, true, true),
-        (Reason::EngineFailed, true, true),
+        (RetryReason::ConnectFailed, false, true),
+        (RetryReason::EngineRefused, false, true),
+        (RetryReason::EngineFailed, false, false),
+        (RetryReason::ConnectFailed, true, true),
+        (RetryReason::EngineRefused, true, true),
+        (RetryReason::EngineFailed, true, true),
     ];
     for (reason, idempotent, again) in table {
         let decided = fail(&mut begin(0, idempotent), &mut Budget::default(), reason);
@@ -49,9 +53,9 @@
 fn not_run_is_never_answered_after_an_attempt_that_may_have_run() {
     let mut a = begin(0, true);
     let mut budget = Budget::new(0.1, 1);
-    assert!(fail(&mut a, &mut budget, Reason::EngineFailed).is_ok());
+    assert!(fail(&mut a, &mut budget, RetryReason::EngineFailed).is_ok());
 
-    let (reason, answer) = fail(&mut a, &mut budget, Reason::ConnectFailed).unwrap_err();
+    let (reason, answer) = fail(&mut a, &mut budget, RetryReason::ConnectFailed).unwrap_err();
 
     assert_eq!(reason, ErrorKind::RetryBudget);
     assert_ne!(answer.answer().ran, Ran::No);
@@ -62,9 +66,9 @@
 #[test]
 fn a_later_proof_does_not_cover_an_earlier_attempt() {
     let mut a = begin(0, false);
-    assert!(fail(&mut a, &mut Budget::default(), Reason::EngineFailed).is_err());
+    assert!(fail(&mut a, &mut Budget::default(), RetryReason::EngineFailed).is_err());
 
-    assert!(fail(&mut a, &mut Budget::default(), Reason::ConnectFailed).is_err());
+    assert!(fail(&mut a, &mut Budget::default(), RetryReason::ConnectFailed).is_err());
 }
 
 /// A caller retries a failing request at one router after another. Counted per router it would get three attempts at
@@ -73,12 +77,12 @@
 fn attempts_count_over_all_hops() {
     let mut a = begin(0, true);
     let mut budget = Budget::default();
-    assert!(fail(&mut a, &mut budget, Reason::ConnectFailed).is_ok());
-    assert!(fail(&mut a, &mut budget, Reason::ConnectFailed).is_ok());
+    assert!(fail(&mut a, &mut budget, RetryReason::ConnectFailed).is_ok());
+    assert!(fail(&mut a, &mut budget, RetryReason::ConnectFailed).is_ok());
     assert_eq!(a.made(), 2);
 
     let mut elsewhere = begin(a.made(), true);
-    let (reason, _) = fail(&mut elsewhere, &mut Budget::default(), Reason::ConnectFailed).unwrap_err();
+    let (reason, _) = fail(&mut elsewhere, &mut Budget::default(), RetryReason::ConnectFailed).unwrap_err();
     let again = Attempts::begin(&Policy::default(), &mut Budget::default(), elsewhere.made(), true, DEADLINE);
 
     assert_eq!(reason, ErrorKind::AttemptLimit);
@@ -116,7 +120,7 @@
         &Policy::default(),
         &mut Budget::default(),
         DEADLINE,
-        Reason::ConnectFailed,
+        RetryReason::ConnectFailed,
         &mut rng(),
     );
 
