--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -6,7 +6,7 @@
 
 use cranberrytally::{
     admit::{ConcurrencyLimit, Demand, EnqueueResult, FairQueue, InFlight, Priority, QueueLimits, Scope},
-    retry::{Attempts, Budget, Policy, RetryReason},
+    retry::{Attempts, RetryBudget, RetryPolicy, RetryReason},
     suspect::{CrashId, Fingerprint, Permits, Table},
 };
 use rand::SeedableRng;
@@ -161,7 +161,7 @@
         let _ = black_box(usage.acquire(&caps, 8));
         usage.release(&caps);
     });
-    let (policy, mut budget) = (Policy::default(), Budget::default());
+    let (policy, mut budget) = (RetryPolicy::default(), RetryBudget::default());
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     report("attempt and retry", || {
         let deadline = Duration::from_secs(1);
--- a/benches/admission/storm.rs
+++ b/benches/admission/storm.rs
@@ -4,7 +4,7 @@
 
 use cranberrytally::{
     catalog::Id,
-    retry::{Attempts, Budget, Cooldowns, Policy, RetryReason},
+    retry::{Attempts, Cooldowns, RetryBudget, RetryPolicy, RetryReason},
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -62,7 +62,7 @@
 /// Sends the requests while 30% of the engines refuse every connection and no router knows of it yet.
 pub fn run(bound: Bound, seed: u64) -> Figures {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut budgets = [Budget::new(RATIO, BURST); ROUTERS];
+    let mut budgets = [RetryBudget::new(RATIO, BURST); ROUTERS];
     let mut avoids = vec![Cooldowns::default(); ROUTERS];
     let mut figures = Figures::default();
     for i in 0..REQUESTS {
@@ -89,17 +89,17 @@
 struct Router<'a> {
     bound: Bound,
     now: Duration,
-    budget: &'a mut Budget,
+    budget: &'a mut RetryBudget,
     avoid: &'a mut Cooldowns,
 }
 
 impl Router<'_> {
     fn serve(&mut self, carried: u32, made: &mut u32, figures: &mut Figures, rng: &mut ChaCha8Rng) -> bool {
-        let mut endless = Budget::new(0.0, u32::MAX);
+        let mut endless = RetryBudget::new(0.0, u32::MAX);
         let bounded = matches!(self.bound, Bound::Budget | Bound::Avoid);
         let budget = if bounded { &mut *self.budget } else { &mut endless };
         let limit = if self.bound == Bound::Unbounded { u32::MAX } else { 3 };
-        let policy = Policy::default().with_attempts(limit);
+        let policy = RetryPolicy::default().with_attempts(limit);
         let deadline = self.now + DEADLINE;
         let Ok(mut attempts) = Attempts::begin(&policy, budget, carried, true, deadline) else {
             return false;
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -26,7 +26,7 @@
     objects::Platform,
     place::hint::HintKey,
     probe::{EngineView, State},
-    retry::{Budget, Cooldowns, Policy},
+    retry::{Cooldowns, RetryBudget, RetryPolicy},
     schema::{
         claim::{ClaimAnswer, ClaimCall},
         link::frame::Body,
@@ -78,8 +78,8 @@
     claims: Arc<Claims>,
     resume_key: TokenKey,
     suspects: Arc<Suspects>,
-    retry_policy: Policy,
-    budget: Mutex<Budget>,
+    retry_policy: RetryPolicy,
+    budget: Mutex<RetryBudget>,
     avoid: Mutex<Cooldowns>,
     /// Engines to which dispatches could not connect, until the probes are told.
     unreached: Mutex<Vec<Arc<str>>>,
@@ -110,7 +110,7 @@
             claims: Arc::new(claims),
             resume_key: TokenKey::new(shared_key),
             suspects: Arc::new(suspects),
-            retry_policy: Policy::default(),
+            retry_policy: RetryPolicy::default(),
             budget: Mutex::default(),
             avoid: Mutex::default(),
             unreached: Mutex::default(),
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -20,7 +20,7 @@
     error::{ErrorKind, RequestError},
     metrics::Counter,
     outcome::NotRunProof,
-    retry::{Attempts, Denied, RetryReason, jitter},
+    retry::{Attempts, RetryDenied, RetryReason, jitter},
     suspect::{Standing, Verdict},
     util::now,
 };
@@ -287,7 +287,7 @@
     OnlyAvoided,
 }
 
-fn denied_fault(denied: Denied, attempts: u32) -> RequestError {
+fn denied_fault(denied: RetryDenied, attempts: u32) -> RequestError {
     let (answer, reason) = (denied.answer.answer(), denied.reason.answer());
     let message = match denied.answer == denied.reason {
         true => answer.about.to_owned(),
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -15,7 +15,7 @@
 pub mod budget;
 pub mod cooldown;
 
-pub use budget::Budget;
+pub use budget::RetryBudget;
 pub use cooldown::Cooldowns;
 
 /// Why an attempt failed.
@@ -69,19 +69,19 @@
 
 /// Limits on attempts and backoff.
 #[derive(Clone, Copy, Debug)]
-pub struct Policy {
+pub struct RetryPolicy {
     max_attempts: u32,
     base_delay: Duration,
     max_delay: Duration,
 }
 
-impl Default for Policy {
+impl Default for RetryPolicy {
     fn default() -> Self {
         Self { max_attempts: 3, base_delay: Duration::from_millis(10), max_delay: Duration::from_millis(500) }
     }
 }
 
-impl Policy {
+impl RetryPolicy {
     /// Sets the maximum number of attempts over all hops.
     pub fn with_attempts(self, max_attempts: u32) -> Self {
         Self { max_attempts, ..self }
@@ -95,7 +95,7 @@
 
 /// Denial of a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Denied {
+pub struct RetryDenied {
     /// Reason for the denial, as counted in the metrics.
     pub reason: ErrorKind,
     /// Error sent to the caller. It differs from the reason if an earlier attempt may have run, because the answers
@@ -118,8 +118,8 @@
     /// # Errors
     /// When the request is a caller's retry that exceeds the attempt limit or the retry budget.
     pub fn begin(
-        policy: &Policy,
-        budget: &mut Budget,
+        policy: &RetryPolicy,
+        budget: &mut RetryBudget,
         made: u32,
         idempotent: bool,
         deadline: Instant,
@@ -151,15 +151,15 @@
     /// the deadline or the retry budget is reached.
     pub fn record_failure(
         &mut self,
-        policy: &Policy,
-        budget: &mut Budget,
+        policy: &RetryPolicy,
+        budget: &mut RetryBudget,
         now: Instant,
         reason: RetryReason,
         rng: &mut impl Rng,
-    ) -> Result<Duration, Denied> {
+    ) -> Result<Duration, RetryDenied> {
         self.may_have_run |= reason.ran() != Ran::No;
         if self.may_have_run && !self.idempotent {
-            return Err(Denied { reason: reason.kind(), answer: ErrorKind::EngineFailed });
+            return Err(RetryDenied { reason: reason.kind(), answer: ErrorKind::EngineFailed });
         }
         if self.made >= policy.max_attempts {
             return Err(self.denied(ErrorKind::AttemptLimit));
@@ -175,13 +175,13 @@
     }
 
     /// Denial for a request that ends with this error, adjusted for earlier attempts that may have run.
-    pub fn denied(&self, reason: ErrorKind) -> Denied {
-        Denied { reason, answer: if self.may_have_run { ErrorKind::EngineFailed } else { reason } }
+    pub fn denied(&self, reason: ErrorKind) -> RetryDenied {
+        RetryDenied { reason, answer: if self.may_have_run { ErrorKind::EngineFailed } else { reason } }
     }
 }
 
 /// Exponential backoff with jitter, which keeps routers that failed at the same time from retrying in step.
-fn backoff(policy: &Policy, made: u32, rng: &mut impl Rng) -> Duration {
+fn backoff(policy: &RetryPolicy, made: u32, rng: &mut impl Rng) -> Duration {
     let max = policy.base_delay.saturating_mul(1 << made.saturating_sub(1).min(16));
     jitter(max.min(policy.max_delay), rng)
 }
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -8,19 +8,19 @@
 /// Without it, the failure of a third of the fleet would cause retries of every request and overload the remaining
 /// engines until they fail too. Retries stay below `ratio` times the new requests, plus the burst.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     tokens_milli: u64,
     ratio_milli: u64,
     burst_milli: u64,
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
         Self::new(0.1, 10)
     }
 }
 
-impl Budget {
+impl RetryBudget {
     /// Creates a budget that starts at its maximum of `burst` retries and earns `ratio` retries per new request.
     pub fn new(ratio: f64, burst: u32) -> Self {
         let burst_milli = u64::from(burst) * MILLI_PER_RETRY;
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     catalog::Id,
     error::{ErrorKind, Ran},
-    retry::{Attempts, Budget, Cooldowns, Policy, RetryReason, jitter},
+    retry::{Attempts, Cooldowns, RetryBudget, RetryPolicy, RetryReason, jitter},
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -17,16 +17,16 @@
 }
 
 fn begin(made: u32, idempotent: bool) -> Attempts {
-    Attempts::begin(&Policy::default(), &mut Budget::default(), made, idempotent, DEADLINE).unwrap()
+    Attempts::begin(&RetryPolicy::default(), &mut RetryBudget::default(), made, idempotent, DEADLINE).unwrap()
 }
 
 fn fail(
     a: &mut Attempts,
-    budget: &mut Budget,
+    budget: &mut RetryBudget,
     reason: RetryReason,
 ) -> Result<Duration, (ErrorKind, ErrorKind)> {
     a.record_start();
-    a.record_failure(&Policy::default(), budget, Duration::ZERO, reason, &mut rng())
+    a.record_failure(&RetryPolicy::default(), budget, Duration::ZERO, reason, &mut rng())
         .map_err(|d| (d.reason, d.answer))
 }
 
@@ -41,7 +41,7 @@
         (RetryReason::EngineFailed, true, true),
     ];
     for (reason, idempotent, again) in table {
-        let decided = fail(&mut begin(0, idempotent), &mut Budget::default(), reason);
+        let decided = fail(&mut begin(0, idempotent), &mut RetryBudget::default(), reason);
 
         assert_eq!(decided.is_ok(), again, "{reason:?}, idempotent: {idempotent}");
     }
@@ -52,7 +52,7 @@
 #[test]
 fn not_run_is_never_answered_after_an_attempt_that_may_have_run() {
     let mut a = begin(0, true);
-    let mut budget = Budget::new(0.1, 1);
+    let mut budget = RetryBudget::new(0.1, 1);
     assert!(fail(&mut a, &mut budget, RetryReason::EngineFailed).is_ok());
 
     let (reason, answer) = fail(&mut a, &mut budget, RetryReason::ConnectFailed).unwrap_err();
@@ -66,9 +66,9 @@
 #[test]
 fn a_later_proof_does_not_cover_an_earlier_attempt() {
     let mut a = begin(0, false);
-    assert!(fail(&mut a, &mut Budget::default(), RetryReason::EngineFailed).is_err());
+    assert!(fail(&mut a, &mut RetryBudget::default(), RetryReason::EngineFailed).is_err());
 
-    assert!(fail(&mut a, &mut Budget::default(), RetryReason::ConnectFailed).is_err());
+    assert!(fail(&mut a, &mut RetryBudget::default(), RetryReason::ConnectFailed).is_err());
 }
 
 /// A caller retries a failing request at one router after another. Counted per router it would get three attempts at
@@ -76,14 +76,21 @@
 #[test]
 fn attempts_count_over_all_hops() {
     let mut a = begin(0, true);
-    let mut budget = Budget::default();
+    let mut budget = RetryBudget::default();
     assert!(fail(&mut a, &mut budget, RetryReason::ConnectFailed).is_ok());
     assert!(fail(&mut a, &mut budget, RetryReason::ConnectFailed).is_ok());
     assert_eq!(a.made(), 2);
 
     let mut elsewhere = begin(a.made(), true);
-    let (reason, _) = fail(&mut elsewhere, &mut Budget::default(), RetryReason::ConnectFailed).unwrap_err();
-    let again = Attempts::begin(&Policy::default(), &mut Budget::default(), elsewhere.made(), true, DEADLINE);
+    let (reason, _) =
+        fail(&mut elsewhere, &mut RetryBudget::default(), RetryReason::ConnectFailed).unwrap_err();
+    let again = Attempts::begin(
+        &RetryPolicy::default(),
+        &mut RetryBudget::default(),
+        elsewhere.made(),
+        true,
+        DEADLINE,
+    );
 
     assert_eq!(reason, ErrorKind::AttemptLimit);
     assert_eq!(again.err(), Some(ErrorKind::AttemptLimit));
@@ -91,7 +98,7 @@
 
 #[test]
 fn the_budget_is_a_share_of_fresh_requests() {
-    let mut budget = Budget::new(0.1, 10);
+    let mut budget = RetryBudget::new(0.1, 10);
     assert_eq!((0..100).filter(|_| budget.spend()).count(), 10, "the burst");
     for _ in 0..50 {
         budget.earn();
@@ -102,8 +109,8 @@
 
 #[test]
 fn a_callers_own_retry_takes_from_the_budget() {
-    let mut budget = Budget::new(0.1, 1);
-    let policy = Policy::default();
+    let mut budget = RetryBudget::new(0.1, 1);
+    let policy = RetryPolicy::default();
     assert!(Attempts::begin(&policy, &mut budget, 1, true, DEADLINE).is_ok());
 
     let refused = Attempts::begin(&policy, &mut budget, 1, true, DEADLINE);
@@ -117,8 +124,8 @@
     a.record_start();
 
     let denied = a.record_failure(
-        &Policy::default(),
-        &mut Budget::default(),
+        &RetryPolicy::default(),
+        &mut RetryBudget::default(),
         DEADLINE,
         RetryReason::ConnectFailed,
         &mut rng(),
