--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -7,7 +7,7 @@
 use cranberrytally::{
     admit::{ConcurrencyLimit, Demand, EnqueueResult, FairQueue, InFlight, Priority, QueueLimits, Scope},
     retry::{Attempts, RetryBudget, RetryPolicy, RetryReason},
-    suspect::{CrashId, Fingerprint, Permits, Table},
+    suspect::{CrashId, Fingerprint, Permits, SuspectTable},
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -182,7 +182,7 @@
     report("fingerprint of a 4 KiB chat", || {
         black_box(Fingerprint::chat(body));
     });
-    let mut table = Table::default();
+    let mut table = SuspectTable::default();
     let contents: Vec<_> = (0..4096u32).map(|i| Fingerprint::call("/", &i.to_le_bytes())).collect();
     table.mark_suspects(Duration::ZERO, &contents, CrashId::new("engine", "1"));
     let mut i = 0;
--- a/benches/admission/crash.rs
+++ b/benches/admission/crash.rs
@@ -4,7 +4,9 @@
 
 use cranberrytally::{
     schema::suspect::Digest,
-    suspect::{CrashId, EngineHash, Fingerprint, Permits, Run, Running, Standing, Table, Verdict},
+    suspect::{
+        CrashId, EngineHash, Fingerprint, Permits, RunKey, RunningContents, Standing, SuspectTable, Verdict,
+    },
     util::Instant,
 };
 use rand::{Rng, SeedableRng};
@@ -130,7 +132,7 @@
     router: usize,
     since: Instant,
     attempt: u32,
-    engine: Option<(usize, Run)>,
+    engine: Option<(usize, RunKey)>,
     permit: bool,
     waits: u32,
     done: bool,
@@ -138,8 +140,8 @@
 
 #[derive(Default)]
 struct Router {
-    table: Table,
-    running: Running,
+    table: SuspectTable,
+    running: RunningContents,
     permits: Permits,
 }
 
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -19,7 +19,7 @@
         link::frame::Body,
         suspect::{Digest, Permit as Wanted, PermitAnswer, Release},
     },
-    suspect::{self, EngineHash, Fingerprint, Permits, Running, Standing, Table, Verdict},
+    suspect::{self, EngineHash, Fingerprint, Permits, RunningContents, Standing, SuspectTable, Verdict},
     util::{Map, now},
 };
 
@@ -44,8 +44,8 @@
     region: Arc<str>,
     placement: Arc<Placement>,
     client: Client,
-    table: Mutex<Table>,
-    running: Mutex<Running>,
+    table: Mutex<SuspectTable>,
+    running: Mutex<RunningContents>,
     permits: Mutex<Permits>,
     starts: Mutex<Map<Id, u64>>,
 }
--- a/src/gateway/suspects/run.rs
+++ b/src/gateway/suspects/run.rs
@@ -42,7 +42,7 @@
     pub(super) queue: Arc<Queue>,
     pub(super) engine: Seen,
     pub(super) content: Fingerprint,
-    pub(super) key: suspect::Run,
+    pub(super) key: suspect::RunKey,
     pub(super) permit: Option<Permit>,
     pub(super) began: Instant,
     pub(super) work: Work,
--- a/src/suspect.rs
+++ b/src/suspect.rs
@@ -1,6 +1,6 @@
 //! Quarantine of request contents that crash backend servers.
 //!
-//! When an engine crashes, all contents that it was running become suspects ([`Running`], [`Table`]). A suspect runs
+//! When an engine crashes, all contents that it was running become suspects ([`RunningContents`], [`SuspectTable`]). A suspect runs
 //! again only under a permit ([`Permits`]), with at most one permit per engine and per content. A content that
 //! crashes a stable engine under its permit is quarantined; a suspect that completes is cleared. Routers share
 //! this state in a [`crate::schema::suspect::Digest`], immediately after a crash and later by gossip.
@@ -13,8 +13,8 @@
 
 pub use fingerprint::Fingerprint;
 pub use permit::{Permits, sort_arbiters};
-pub use running::{Run, Running};
-pub use table::{Table, TableLimits};
+pub use running::{RunKey, RunningContents};
+pub use table::{SuspectTable, SuspectTableLimits};
 
 pub use crate::schema::suspect::{Standing, Verdict};
 
--- a/src/suspect/running.rs
+++ b/src/suspect/running.rs
@@ -9,23 +9,23 @@
 
 new_key_type! {
     /// Key of a request in progress on an engine.
-    pub struct Run;
+    pub struct RunKey;
 }
 
 /// Contents in progress, by engine.
 #[derive(Debug, Default)]
-pub struct Running {
-    engines: Map<Arc<str>, SlotMap<Run, Fingerprint>>,
+pub struct RunningContents {
+    engines: Map<Arc<str>, SlotMap<RunKey, Fingerprint>>,
 }
 
-impl Running {
+impl RunningContents {
     /// Records the start of a content on an engine.
-    pub fn start(&mut self, engine: &Arc<str>, content: Fingerprint) -> Run {
+    pub fn start(&mut self, engine: &Arc<str>, content: Fingerprint) -> RunKey {
         self.engines.entry(engine.clone()).or_default().insert(content)
     }
 
     /// Records the end of a run, for whatever reason.
-    pub fn finish(&mut self, engine: &Arc<str>, run: Run) {
+    pub fn finish(&mut self, engine: &Arc<str>, run: RunKey) {
         let Some(runs) = self.engines.get_mut(engine) else { return };
         runs.remove(run);
         if runs.is_empty() {
--- a/src/suspect/table.rs
+++ b/src/suspect/table.rs
@@ -14,15 +14,15 @@
 /// Time in which an engine that lost its connections usually answers again.
 const PROVISIONAL_PERIOD: Duration = Duration::from_secs(10);
 
-/// Limits of a [`Table`].
+/// Limits of a [`SuspectTable`].
 #[derive(Clone, Copy, Debug)]
-pub struct TableLimits {
+pub struct SuspectTableLimits {
     max_entries: usize,
     suspect_ttl: Duration,
     quarantine_ttl: Duration,
 }
 
-impl Default for TableLimits {
+impl Default for SuspectTableLimits {
     fn default() -> Self {
         Self {
             max_entries: 4096,
@@ -32,7 +32,7 @@
     }
 }
 
-impl TableLimits {
+impl SuspectTableLimits {
     /// Sets the maximum number of contents in the table.
     pub fn with_max_entries(self, max_entries: usize) -> Self {
         Self { max_entries, ..self }
@@ -56,15 +56,15 @@
 
 /// Standing of contents: suspect, cleared or quarantined.
 #[derive(Clone, Debug, Default)]
-pub struct Table {
-    limits: TableLimits,
+pub struct SuspectTable {
+    limits: SuspectTableLimits,
     entries: Map<Fingerprint, Entry>,
     crash_history: CrashHistory,
 }
 
-impl Table {
+impl SuspectTable {
     /// Creates an empty table.
-    pub fn new(limits: TableLimits) -> Self {
+    pub fn new(limits: SuspectTableLimits) -> Self {
         Self { limits, ..Self::default() }
     }
 
--- a/tests/suspect.rs
+++ b/tests/suspect.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use cranberrytally::suspect::{
-    CrashId, Fingerprint, Permits, Running, Standing, Table, TableLimits, Verdict,
+    CrashId, Fingerprint, Permits, RunningContents, Standing, SuspectTable, SuspectTableLimits, Verdict,
 };
 use proptest::prelude::*;
 
@@ -47,7 +47,7 @@
 /// second engine as the only suspect there is quarantined. The others are isolated until they complete.
 #[test]
 fn the_second_isolated_crash_quarantines_only_its_content() {
-    let mut table = Table::default();
+    let mut table = SuspectTable::default();
     table.mark_suspects(NOW, &contents(0..5), crash(1));
     assert!(contents(0..5).iter().all(|c| table.standing(NOW, *c) == Standing::Suspect));
 
@@ -66,7 +66,7 @@
 /// content is a suspect again instead of staying quarantined for minutes.
 #[test]
 fn the_quarantine_moves_to_the_true_cause() {
-    let mut table = Table::default();
+    let mut table = SuspectTable::default();
     let (harmless, cause) = (content(0), content(1));
     table.mark_suspects(NOW, &[harmless], crash(1));
     assert_eq!(
@@ -83,7 +83,7 @@
 /// A crash of an engine that crashed recently is no evidence against the chat; only its third crash quarantines it.
 #[test]
 fn a_flapping_engine_causes_no_quarantine() {
-    let mut table = Table::default();
+    let mut table = SuspectTable::default();
     table.mark_suspects(NOW, &contents(1..5), crash(2));
     table.mark_suspects(NOW, &[content(0)], crash(1));
     let flap = CrashId::new("engine-2", "2");
@@ -103,7 +103,7 @@
 
 #[test]
 fn an_engine_is_stable_again_when_its_crash_is_attributed() {
-    let mut table = Table::default();
+    let mut table = SuspectTable::default();
     table.mark_suspects(NOW, &contents(0..5), crash(1));
     assert!(table.unstable_engines(NOW).contains(&crash(1).engine()));
 
@@ -114,7 +114,7 @@
 
 #[test]
 fn a_suspect_that_completes_is_cleared() {
-    let mut table = Table::default();
+    let mut table = SuspectTable::default();
     table.mark_suspects(NOW, &contents(0..2), crash(1));
 
     table.clear(NOW, content(0));
@@ -127,7 +127,7 @@
 /// When a probe finds the same start number, the crash is retracted.
 #[test]
 fn a_broken_connection_to_a_running_engine_is_no_crash() {
-    let mut table = Table::default();
+    let mut table = SuspectTable::default();
     table.mark_suspects(NOW, &contents(0..5), crash(1));
 
     table.retract_crash(NOW, crash(1));
@@ -140,7 +140,7 @@
 /// which leaves one crash at most, also at the other routers.
 #[test]
 fn a_retracted_crash_ends_the_quarantine() {
-    let (mut table, mut other) = (Table::default(), Table::default());
+    let (mut table, mut other) = (SuspectTable::default(), SuspectTable::default());
     table.mark_suspects(NOW, &[content(0)], crash(1));
     assert_eq!(table.record_isolated_crash(NOW, content(0), &[], crash(2)), Standing::Quarantined);
     other.merge(NOW, &table.digest(NOW, 400));
@@ -160,7 +160,7 @@
 /// is told to retry rather than that its content is refused permanently.
 #[test]
 fn a_fresh_quarantine_is_provisional() {
-    let mut table = Table::default();
+    let mut table = SuspectTable::default();
     table.mark_suspects(NOW, &[content(0)], crash(1));
     table.record_isolated_crash(NOW, content(0), &[], crash(2));
 
@@ -171,7 +171,7 @@
 
 #[test]
 fn one_crash_alone_is_not_enough() {
-    let mut table = Table::default();
+    let mut table = SuspectTable::default();
 
     assert_eq!(table.record_isolated_crash(NOW, content(0), &[], crash(1)), Standing::Suspect);
 }
@@ -180,7 +180,7 @@
 /// the other merges that, while its own contents are suspects but never quarantined for this crash.
 #[test]
 fn another_router_merges_the_quarantine() {
-    let (mut one, mut other) = (Table::default(), Table::default());
+    let (mut one, mut other) = (SuspectTable::default(), SuspectTable::default());
     one.mark_suspects(NOW, &[content(0)], crash(1));
     one.record_isolated_crash(NOW, content(0), &[], crash(2));
     other.mark_suspects(NOW, &contents(5..9), crash(2));
@@ -195,8 +195,8 @@
 /// it is quarantined again after one crash, at all routers.
 #[test]
 fn after_its_quarantine_a_content_is_a_suspect() {
-    let limits = TableLimits::default().with_ttls(HOLD, Duration::from_secs(600));
-    let (mut table, mut other) = (Table::new(limits), Table::new(limits));
+    let limits = SuspectTableLimits::default().with_ttls(HOLD, Duration::from_secs(600));
+    let (mut table, mut other) = (SuspectTable::new(limits), SuspectTable::new(limits));
     table.mark_suspects(NOW, &[content(0)], crash(1));
     table.record_isolated_crash(NOW, content(0), &[], crash(2));
     other.merge(NOW, &table.digest(NOW, 400));
@@ -240,7 +240,7 @@
 
 #[test]
 fn running_contents_are_known_by_engine() {
-    let mut running = Running::default();
+    let mut running = RunningContents::default();
     let (a, b): (Arc<str>, Arc<str>) = ("a".into(), "b".into());
     let run = running.start(&a, content(0));
     running.start(&a, content(1));
@@ -256,7 +256,7 @@
 /// existing quarantines.
 #[test]
 fn the_table_is_bounded_and_keeps_quarantined_contents() {
-    let mut table = Table::new(TableLimits::default().with_max_entries(100));
+    let mut table = SuspectTable::new(SuspectTableLimits::default().with_max_entries(100));
     table.mark_suspects(NOW, &[content(0)], crash(0));
     table.record_isolated_crash(NOW, content(0), &[], crash(1));
 
@@ -270,7 +270,7 @@
 /// crowd out the content that crashes engines.
 #[test]
 fn unsent_returns_each_change_once() {
-    let mut table = Table::default();
+    let mut table = SuspectTable::default();
     table.mark_suspects(NOW, &contents(0..10), crash(1));
     assert_eq!(table.unsent(NOW, 4096).entries.len(), 10);
     assert!(table.unsent(NOW, 4096).entries.is_empty());
@@ -286,7 +286,7 @@
     /// content freely or hold back a completed one.
     #[test]
     fn tables_converge_in_any_merge_order(order in Just((0..4usize).collect::<Vec<_>>()).prop_shuffle()) {
-        let mut source = Table::default();
+        let mut source = SuspectTable::default();
         let mut digests = Vec::new();
         source.mark_suspects(NOW, &contents(0..5), crash(1));
         digests.push(source.digest(NOW, 400));
@@ -295,7 +295,7 @@
         source.record_isolated_crash(NOW, content(0), &[], crash(2));
         digests.push(source.digest(NOW, 400));
         digests.push(source.digest(NOW, 400));
-        let mut table = Table::default();
+        let mut table = SuspectTable::default();
 
         for i in order {
             table.merge(NOW, &digests[i]);
@@ -308,7 +308,7 @@
 
     #[test]
     fn a_digest_stays_within_its_bytes(bytes in 0usize..600, count in 0u32..200) {
-        let mut table = Table::default();
+        let mut table = SuspectTable::default();
         table.mark_suspects(NOW, &contents(0..count), crash(1));
 
         let digest = table.digest(NOW, bytes);
