--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -9,7 +9,7 @@
     engine::EngineClient,
     http::{Reply, body_channel},
     metrics::Metrics,
-    stream::Tracker,
+    stream::StreamTracker,
 };
 
 pub(super) mod events;
@@ -65,7 +65,7 @@
     let Started { res, found, run, attempts, request } = started;
     let (tx, rx) = body_channel(STREAM_DEPTH);
     let request: Arc<str> = request.into();
-    let tracker = Tracker::new(request.clone(), 0);
+    let tracker = StreamTracker::new(request.clone(), 0);
     let stream = Stream { engine, request, tracker, tx, metrics: metrics.clone() };
     tokio::spawn(async move {
         let _held = (found, entered);
--- a/src/gateway/relay/events.rs
+++ b/src/gateway/relay/events.rs
@@ -17,7 +17,7 @@
     gateway::ask::header,
     http::{BodySender, Gone},
     metrics::{Counter, Metrics},
-    stream::{EventAction, Tracker},
+    stream::{EventAction, StreamTracker},
 };
 
 /// Events that wait for a slow caller before the engine's stream is held back.
@@ -58,7 +58,7 @@
 pub(in crate::gateway) struct Stream {
     pub(in crate::gateway) engine: EngineClient,
     pub(in crate::gateway) request: Arc<str>,
-    pub(in crate::gateway) tracker: Tracker,
+    pub(in crate::gateway) tracker: StreamTracker,
     pub(in crate::gateway) tx: BodySender,
     pub(in crate::gateway) metrics: Arc<Metrics>,
 }
--- a/src/gateway/resume.rs
+++ b/src/gateway/resume.rs
@@ -16,7 +16,7 @@
     error::{ErrorKind, RequestError},
     http::{Reply, body_channel},
     schema::stream::ResumeToken,
-    stream::{EventId, Offset, Tracker, token::BadToken},
+    stream::{EventId, Offset, StreamTracker, token::BadToken},
     util::wall_ms,
 };
 
@@ -66,7 +66,7 @@
         };
         let request: Arc<str> = token.request.into();
         let (tx, rx) = body_channel(STREAM_DEPTH);
-        let tracker = Tracker::new(request.clone(), from);
+        let tracker = StreamTracker::new(request.clone(), from);
         let stream = Stream { engine, request, tracker, tx, metrics: self.metrics.clone() };
         tokio::spawn(stream.run(res));
         Ok(Reply::stream(200, rx)
--- a/src/stream.rs
+++ b/src/stream.rs
@@ -80,13 +80,13 @@
 
 /// Progress of one stream.
 #[derive(Clone, Debug)]
-pub struct Tracker {
+pub struct StreamTracker {
     request: Arc<str>,
     next: Offset,
     complete: bool,
 }
 
-impl Tracker {
+impl StreamTracker {
     /// Tracks the stream of `request`, of which the events before offset `next` have been forwarded.
     pub fn new(request: impl Into<Arc<str>>, next: Offset) -> Self {
         Self { request: request.into(), next, complete: false }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -12,7 +12,7 @@
         engine::{EngineStandin, Faults},
         gate::{Gate, Mode},
     },
-    stream::{EventAction, Tracker},
+    stream::{EventAction, StreamTracker},
 };
 use serde::{Deserialize, de::DeserializeOwned};
 
@@ -79,7 +79,7 @@
     end: &'static str,
 }
 
-async fn read(res: http::Response<hyper::body::Incoming>, tracker: &mut Tracker) -> Reading {
+async fn read(res: http::Response<hyper::body::Incoming>, tracker: &mut StreamTracker) -> Reading {
     let mut answer = Answer::new(res.into_body(), STALL);
     let mut reading = Reading::default();
     loop {
@@ -160,7 +160,7 @@
             if let Ok(res) = res
                 && res.status() == 200
             {
-                let reading = read(res, &mut Tracker::new(REQUEST, 0)).await;
+                let reading = read(res, &mut StreamTracker::new(REQUEST, 0)).await;
                 assert_eq!(reading.passed, case.passed, "{}: passed", case.name);
                 assert_eq!(reading.dropped, case.dropped, "{}: dropped", case.name);
                 assert_eq!(reading.end, case.end, "{}: end", case.name);
@@ -182,7 +182,7 @@
     run(async {
         for case in table::<ResumeCase>(path) {
             let fixture = Fixture::start(case.faults).await;
-            let mut tracker = Tracker::new(REQUEST, 0);
+            let mut tracker = StreamTracker::new(REQUEST, 0);
             let mut passed = read(fixture.chat().await.unwrap(), &mut tracker).await.passed;
             let mut connections = 1;
 
