--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -6,8 +6,8 @@
 
 use cranberrytally::{
     admit::{ConcurrencyLimit, Demand, EnqueueResult, FairQueue, InFlight, Priority, QueueLimits, Scope},
-    retry::{Attempts, Budget, Policy, Reason},
-    suspect::{CrashId, Fingerprint, Permits, Table},
+    retry::{Attempts, RetryBudget, RetryPolicy, RetryReason},
+    suspect::{CrashId, Fingerprint, Permits, SuspectTable},
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -161,7 +161,7 @@
         let _ = black_box(usage.acquire(&caps, 8));
         usage.release(&caps);
     });
-    let (policy, mut budget) = (Policy::default(), Budget::default());
+    let (policy, mut budget) = (RetryPolicy::default(), RetryBudget::default());
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     report("attempt and retry", || {
         let deadline = Duration::from_secs(1);
@@ -171,7 +171,7 @@
                 &policy,
                 &mut budget,
                 Duration::ZERO,
-                Reason::ConnectFailed,
+                RetryReason::ConnectFailed,
                 &mut rng,
             ));
         }
@@ -182,7 +182,7 @@
     report("fingerprint of a 4 KiB chat", || {
         black_box(Fingerprint::chat(body));
     });
-    let mut table = Table::default();
+    let mut table = SuspectTable::default();
     let contents: Vec<_> = (0..4096u32).map(|i| Fingerprint::call("/", &i.to_le_bytes())).collect();
     table.mark_suspects(Duration::ZERO, &contents, CrashId::new("engine", "1"));
     let mut i = 0;
@@ -205,7 +205,7 @@
 }
 
 fn filled(waiting: usize) -> (Vec<Demand>, FairQueue) {
-    let mut lane = FairQueue::new(QueueLimits::default().with_total(waiting + 1));
+    let mut lane = FairQueue::new(QueueLimits::default().with_max_waiting(waiting + 1));
     let demands: Vec<_> = (0..waiting)
         .map(|i| Demand {
             workspace: format!("workspace-{}", i % 10).into(),
--- a/benches/routing/cost.rs
+++ b/benches/routing/cost.rs
@@ -6,7 +6,7 @@
     catalog::{Catalog, EngineKey, Id},
     engine::ChatId,
     place::{
-        Placer, Request,
+        Placer, ReservationRequest,
         hint::{CachedCopy, Hint, HintKey},
         ledger::ReservationId,
         members::Member,
@@ -44,7 +44,7 @@
     placer.set_members(vec![member], Time::ZERO);
     for (_, engine) in cat.engines() {
         for _ in 0..RUNNING {
-            let number = placer.ledger.reservations() as u64;
+            let number = placer.ledger.reservation_count() as u64;
             placer.ledger.add(ReservationId { router: me, number }, engine.id, 1_000, Time::ZERO);
         }
     }
@@ -80,12 +80,18 @@
 ) {
     let Ok(pool) = cat.pool("workspace", "model") else { return };
     let now = Time::from_micros(number);
-    let hint = hint.and_then(|text| keys.open(chat, text));
+    let hint = hint.and_then(|text| keys.verify(chat, text));
     let mut search = Search::new(placer, cat, pool, chat.hash(), hint.as_ref(), []);
     while let Some(step) = search.next(placer, cat, pool, now) {
         let reservation = ReservationId { router: placer.me(), number: (1 << 40) + number };
         let engine = step.engine.map(|c| c.id);
-        let req = Request { reservation, engine, pool: pool.id, work: 1_000, above_mean: step.above_mean };
+        let req = ReservationRequest {
+            reservation,
+            engine,
+            pool: pool.id,
+            work: 1_000,
+            above_mean: step.above_mean,
+        };
         if let Ok(grant) = placer.reserve(cat, &req, now) {
             black_box(grant);
             placer.release(placer.me(), [reservation.number], now);
@@ -132,9 +138,9 @@
         let keys = HintKey::new("key");
         let new = per_round(|n| decide(&mut placer, &cat, &keys, n, CHAT, None));
         let copy = CachedCopy { engine: Arc::from("engine-3"), start: 0, tokens: 1_000 };
-        let text = keys.seal(CHAT, &Hint { home: "dc".into(), copies: vec![copy] });
+        let text = keys.sign(CHAT, &Hint { home: "dc".into(), copies: vec![copy] });
         let hinted = per_round(|n| decide(&mut placer, &cat, &keys, n, CHAT, Some(&text)));
-        let (account, hold) = placer.ledger.bytes();
+        let (account, hold) = placer.ledger.memory_bytes();
         println!("{engines:8} {sort:12.0} {rank:12.0} {new:12.0} {hinted:12.0} {account:14} {hold:12}");
     }
 }
--- a/src/claim/attempt.rs
+++ b/src/claim/attempt.rs
@@ -6,8 +6,8 @@
 
 use super::{AttemptId, ClaimRequest, KeyDigest, Record, Verdict};
 use crate::{
-    error::Kind,
-    outcome::{Dispatched, Undispatched, Unsent},
+    error::ErrorKind,
+    outcome::{Dispatched, NotRunProof, Undispatched},
 };
 
 /// The attempt has requested the claim and waits for the verdict.
@@ -110,8 +110,8 @@
     }
 
     /// Undoes the dispatch, given proof that the request did not run; it may be dispatched again.
-    pub fn take_back(self, proof: Unsent) -> GrantedClaim {
-        GrantedClaim { ask: self.ask, token: self.token.take_back(proof) }
+    pub fn take_back(self, proof: NotRunProof) -> GrantedClaim {
+        GrantedClaim { ask: self.ask, token: self.token.revert_dispatch(proof) }
     }
 
     /// Ends the run with its result.
@@ -121,13 +121,13 @@
 }
 
 /// Error kind that is returned to the caller for a verdict; `None` if the verdict is not a refusal.
-pub fn error_kind(verdict: &Verdict) -> Option<Kind> {
+pub fn error_kind(verdict: &Verdict) -> Option<ErrorKind> {
     match verdict {
         Verdict::Granted | Verdict::Recorded(_) => None,
-        Verdict::Pending => Some(Kind::KeyPending),
-        Verdict::Unknown => Some(Kind::KeyUnknown),
-        Verdict::Conflict => Some(Kind::KeyConflict),
-        Verdict::Expired => Some(Kind::KeyExpired),
-        Verdict::Unavailable => Some(Kind::ClaimUnavailable),
+        Verdict::Pending => Some(ErrorKind::KeyPending),
+        Verdict::Unknown => Some(ErrorKind::KeyUnknown),
+        Verdict::Conflict => Some(ErrorKind::KeyConflict),
+        Verdict::Expired => Some(ErrorKind::KeyExpired),
+        Verdict::Unavailable => Some(ErrorKind::ClaimUnavailable),
     }
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -19,14 +19,14 @@
     claim::ticket::TICKET_LIFETIME,
     client::Client,
     entry::Router,
-    error::{Fault, Kind},
+    error::{ErrorKind, RequestError},
     http::{Handler, Reply, UNREAD_BODY},
     link::{LinkKey, Links},
     metrics::Metrics,
     objects::Platform,
     place::hint::HintKey,
     probe::{EngineView, State},
-    retry::{Budget, Cooldowns, Policy},
+    retry::{Cooldowns, RetryBudget, RetryPolicy},
     schema::{
         claim::{ClaimAnswer, ClaimCall},
         link::frame::Body,
@@ -78,8 +78,8 @@
     claims: Arc<Claims>,
     resume_key: TokenKey,
     suspects: Arc<Suspects>,
-    retry_policy: Policy,
-    budget: Mutex<Budget>,
+    retry_policy: RetryPolicy,
+    budget: Mutex<RetryBudget>,
     avoid: Mutex<Cooldowns>,
     /// Engines to which dispatches could not connect, until the probes are told.
     unreached: Mutex<Vec<Arc<str>>>,
@@ -110,7 +110,7 @@
             claims: Arc::new(claims),
             resume_key: TokenKey::new(shared_key),
             suspects: Arc::new(suspects),
-            retry_policy: Policy::default(),
+            retry_policy: RetryPolicy::default(),
             budget: Mutex::default(),
             avoid: Mutex::default(),
             unreached: Mutex::default(),
@@ -173,37 +173,37 @@
         self.catalog().version > 0
     }
 
-    async fn route(&self, req: Request<Bytes>, id: &str) -> Result<Reply, Fault> {
+    async fn route(&self, req: Request<Bytes>, id: &str) -> Result<Reply, RequestError> {
         let path = req.uri().path().to_owned();
         match (req.method(), path.as_str()) {
             (&Method::GET, "/healthz") => Ok(Reply::full(200, "ok\n")),
             (&Method::GET, "/readyz") if self.ready() => Ok(Reply::full(200, "ready\n")),
             (&Method::GET, "/metrics") => self.show_metrics(),
-            _ if !self.ready() => Err(Fault::new(Kind::NotReady, "no configuration yet")),
+            _ if !self.ready() => Err(RequestError::new(ErrorKind::NotReady, "no configuration yet")),
             (&Method::GET, "/v1/entry") => self.entry(req.uri().query().unwrap_or("")),
             _ if self.closed.load(Ordering::Acquire) => {
-                Err(Fault::new(Kind::Leaving, Kind::Leaving.answer().about))
+                Err(RequestError::new(ErrorKind::Leaving, ErrorKind::Leaving.answer().about))
             }
             (&Method::GET | &Method::POST, "/v1/resume") => self.resume(req).await,
             (&Method::GET, "/v1/key-ticket") => Ok(self.key_ticket()),
             (&Method::POST, "/v1/chat/completions") => self.chat(req, id).await,
             (method, path) if PATHS.contains(&path) => {
-                Err(Fault::new(Kind::MethodNotAllowed, format!("{method} is not for {path}")))
+                Err(RequestError::new(ErrorKind::MethodNotAllowed, format!("{method} is not for {path}")))
             }
             (_, p) if p.starts_with("/services/") => self.service(req, id).await,
-            _ => Err(Fault::new(Kind::NotFound, format!("there is nothing at {path}"))),
+            _ => Err(RequestError::new(ErrorKind::NotFound, format!("there is nothing at {path}"))),
         }
     }
 
     /// Counts a refusal, logs it and answers it.
-    fn refuse(&self, fault: &Fault, origin: &Origin) -> Reply {
+    fn refuse(&self, fault: &RequestError, origin: &Origin) -> Reply {
         let code = fault.kind.answer().code;
         self.metrics.request("refused");
         self.metrics.refuse(code);
         // In a surge most refusals are the system at work, and a line for each would add to its load.
         let level = match fault.kind {
-            Kind::Internal => Level::Error,
-            Kind::Quarantined | Kind::EngineFailed => Level::Warn,
+            ErrorKind::Internal => Level::Error,
+            ErrorKind::Quarantined | ErrorKind::EngineFailed => Level::Warn,
             _ => Level::Debug,
         };
         let (request, workspace) = (origin.id.as_str(), origin.workspace.as_str());
@@ -211,13 +211,14 @@
         if origin.repeat { fault.reply_to_repeat() } else { fault.reply() }
     }
 
-    fn show_metrics(&self) -> Result<Reply, Fault> {
-        let text = self.metrics.text().map_err(|e| Fault::new(Kind::Internal, format!("{e:#}")))?;
+    fn show_metrics(&self) -> Result<Reply, RequestError> {
+        let text =
+            self.metrics.text().map_err(|e| RequestError::new(ErrorKind::Internal, format!("{e:#}")))?;
         Ok(Reply::full(200, text).with_header("content-type", "text/plain; version=0.0.4"))
     }
 
     /// Counts a request against the limits of its workspace, of which each router keeps its share.
-    fn enter(&self, cat: &Catalog, ask: &Ask) -> Result<Entered, Fault> {
+    fn enter(&self, cat: &Catalog, ask: &Ask) -> Result<Entered, RequestError> {
         let routers = u32::try_from(read(&self.routers).len()).unwrap_or(u32::MAX);
         self.admission.enter(cat.concurrency_limits(&ask.workspace), routers, ask)
     }
@@ -307,9 +308,9 @@
         reply.with_header("x-request-id", &origin.id)
     }
 
-    fn refuse_body(&self, head: &Request<()>, kind: Kind) -> Reply {
+    fn refuse_body(&self, head: &Request<()>, kind: ErrorKind) -> Reply {
         let origin = Origin::of(head);
-        self.refuse(&Fault::new(kind, UNREAD_BODY), &origin).with_header("x-request-id", &origin.id)
+        self.refuse(&RequestError::new(kind, UNREAD_BODY), &origin).with_header("x-request-id", &origin.id)
     }
 }
 
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -17,10 +17,10 @@
 use crate::{
     catalog::{Catalog, Engine, EngineKey, Id},
     client::Failure,
-    error::{Fault, Kind},
+    error::{ErrorKind, RequestError},
     metrics::Counter,
-    outcome::Unsent,
-    retry::{Attempts, Denied, Reason, jitter},
+    outcome::NotRunProof,
+    retry::{Attempts, RetryDenied, RetryReason, jitter},
     suspect::{Standing, Verdict},
     util::now,
 };
@@ -95,7 +95,7 @@
         ask: &Ask,
         queue: &Arc<Queue>,
         to: &impl Backends,
-    ) -> Result<Started, Fault> {
+    ) -> Result<Started, RequestError> {
         let mut attempts = self.arrive(ask, to.idempotent())?;
         let mut tried = Vec::new();
         loop {
@@ -110,7 +110,7 @@
             let request = format!("{}-{}", ask.id, attempts.made());
             let left = ask.deadline.saturating_sub(now());
             let reason = match tokio::time::timeout(left, to.send(engine, &request)).await {
-                Ok(Ok(res)) if Unsent::from_head(&res).is_some() => Reason::EngineRefused,
+                Ok(Ok(res)) if NotRunProof::from_head(&res).is_some() => RetryReason::EngineRefused,
                 Ok(Ok(res)) => {
                     lock(&self.avoid).record_success(engine.id);
                     return Ok(Started { res, found, run, request, attempts: attempts.made() });
@@ -118,38 +118,38 @@
                 Ok(Err(Failure::Connect)) => {
                     lock(&self.avoid).record_failure(now(), engine.id);
                     lock(&self.unreached).push(engine.name.clone());
-                    Reason::ConnectFailed
+                    RetryReason::ConnectFailed
                 }
                 Ok(Err(Failure::Broken)) => {
                     run.broke().await;
-                    Reason::EngineFailed
+                    RetryReason::EngineFailed
                 }
-                Err(_) => Reason::EngineFailed,
+                Err(_) => RetryReason::EngineFailed,
             };
             drop(found);
             self.back_off(&mut attempts, reason).await?;
         }
     }
 
-    fn arrive(&self, ask: &Ask, idempotent: bool) -> Result<Attempts, Fault> {
+    fn arrive(&self, ask: &Ask, idempotent: bool) -> Result<Attempts, RequestError> {
         let mut budget = lock(&self.budget);
         let arrived =
             Attempts::begin(&self.retry_policy, &mut budget, ask.attempts, idempotent, ask.deadline);
         match arrived {
             Ok(attempts) if ask.attempts > 0 => {
-                self.metrics.retry(Reason::Caller.as_str());
+                self.metrics.retry(RetryReason::Caller.as_str());
                 Ok(attempts)
             }
             Ok(attempts) => Ok(attempts),
             Err(kind) => {
                 self.metrics.add(Counter::RetriesRefused, kind.answer().code, 1);
-                Err(Fault::new(kind, kind.answer().about).with_attempts(ask.attempts))
+                Err(RequestError::new(kind, kind.answer().about).with_attempts(ask.attempts))
             }
         }
     }
 
     /// Waits before the next attempt, or ends with the final answer at once.
-    async fn back_off(&self, attempts: &mut Attempts, reason: Reason) -> Result<(), Fault> {
+    async fn back_off(&self, attempts: &mut Attempts, reason: RetryReason) -> Result<(), RequestError> {
         let decided = attempts.record_failure(
             &self.retry_policy,
             &mut lock(&self.budget),
@@ -171,7 +171,7 @@
     }
 
     /// A fault between attempts. After an attempt that may have run, none may say "not run".
-    fn final_answer(&self, attempts: &Attempts, fault: Fault) -> Fault {
+    fn final_answer(&self, attempts: &Attempts, fault: RequestError) -> RequestError {
         let denied = attempts.denied(fault.kind);
         if denied.answer == fault.kind {
             return fault.with_attempts(attempts.made());
@@ -187,7 +187,7 @@
         queue: &Arc<Queue>,
         to: &impl Backends,
         tried: &[Id],
-    ) -> Result<(Found, Option<Permit>), Fault> {
+    ) -> Result<(Found, Option<Permit>), RequestError> {
         loop {
             match self.suspects.standing(ask.content) {
                 Standing::Quarantined => return Err(self.suspects.refuse(ask.content)),
@@ -210,13 +210,13 @@
         queue: &Arc<Queue>,
         to: &impl Backends,
         tried: &[Id],
-    ) -> Result<Found, Fault> {
+    ) -> Result<Found, RequestError> {
         let avoid = lock(&self.avoid).active(now());
         let mut last = no_engine();
         for exclude in [&[tried, &avoid].concat()[..], tried, &[]] {
             let find = || async { to.find(exclude, Queued::Yes).await.map_err(no_room) };
             match queue.admit(ask, find).await {
-                Err(f) if f.kind == Kind::NoEngine => last = f,
+                Err(f) if f.kind == ErrorKind::NoEngine => last = f,
                 found => return found,
             }
         }
@@ -231,7 +231,7 @@
         ask: &Ask,
         to: &impl Backends,
         tried: &[Id],
-    ) -> Result<(Found, Option<Permit>), Fault> {
+    ) -> Result<(Found, Option<Permit>), RequestError> {
         let unsteady = self.suspects.unsteady(cat.engines().map(|(_, e)| (e.id, e.name.clone())));
         let mut avoid = [tried, &unsteady].concat();
         while now() < ask.deadline {
@@ -248,7 +248,7 @@
                 return Err(self.suspects.refuse(ask.content));
             }
         }
-        Err(Fault::new(Kind::SuspectBusy, Kind::SuspectBusy.answer().about))
+        Err(RequestError::new(ErrorKind::SuspectBusy, ErrorKind::SuspectBusy.answer().about))
     }
 
     /// One round over the engines: the first with room whose permit is free.
@@ -258,7 +258,7 @@
         ask: &Ask,
         to: &impl Backends,
         avoid: &[Id],
-    ) -> Result<Permitted, Fault> {
+    ) -> Result<Permitted, RequestError> {
         let mut exclude = avoid.to_vec();
         loop {
             let found = match to.find(&exclude, Queued::No).await {
@@ -287,22 +287,22 @@
     OnlyAvoided,
 }
 
-fn denied_fault(denied: Denied, attempts: u32) -> Fault {
+fn denied_fault(denied: RetryDenied, attempts: u32) -> RequestError {
     let (answer, reason) = (denied.answer.answer(), denied.reason.answer());
     let message = match denied.answer == denied.reason {
         true => answer.about.to_owned(),
         false => format!("{}; no further attempt: {}", answer.about, reason.about),
     };
-    Fault::new(denied.answer, message).with_attempts(attempts)
+    RequestError::new(denied.answer, message).with_attempts(attempts)
 }
 
 fn no_room(unfound: Unfound) -> NoRoom {
     match unfound {
         Unfound::AtBound => NoRoom::Full,
-        Unfound::NoneInUse => NoRoom::Fault(no_engine()),
+        Unfound::NoneInUse => NoRoom::RequestError(no_engine()),
     }
 }
 
-fn no_engine() -> Fault {
-    Fault::new(Kind::NoEngine, Kind::NoEngine.answer().about)
+fn no_engine() -> RequestError {
+    RequestError::new(ErrorKind::NoEngine, ErrorKind::NoEngine.answer().about)
 }
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -12,14 +12,14 @@
     catalog::{Engine, Id},
     client::Client,
     engine::EngineClient,
-    error::{Fault, Kind},
+    error::{ErrorKind, RequestError},
     link::Links,
     place::members::Member,
     schema::{
         link::frame::Body,
         suspect::{Digest, Permit as Wanted, PermitAnswer, Release},
     },
-    suspect::{self, EngineHash, Fingerprint, Permits, Running, Standing, Table, Verdict},
+    suspect::{self, EngineHash, Fingerprint, Permits, RunningContents, Standing, SuspectTable, Verdict},
     util::{Map, now},
 };
 
@@ -44,8 +44,8 @@
     region: Arc<str>,
     placement: Arc<Placement>,
     client: Client,
-    table: Mutex<Table>,
-    running: Mutex<Running>,
+    table: Mutex<SuspectTable>,
+    running: Mutex<RunningContents>,
     permits: Mutex<Permits>,
     starts: Mutex<Map<Id, u64>>,
 }
@@ -68,10 +68,10 @@
     }
 
     /// The answer for a quarantined content.
-    pub(crate) fn refuse(&self, content: Fingerprint) -> Fault {
+    pub(crate) fn refuse(&self, content: Fingerprint) -> RequestError {
         let provisional = lock(&self.table).is_provisional(now(), content);
-        let kind = if provisional { Kind::SuspectBusy } else { Kind::Quarantined };
-        Fault::new(kind, kind.answer().about)
+        let kind = if provisional { ErrorKind::SuspectBusy } else { ErrorKind::Quarantined };
+        RequestError::new(kind, kind.answer().about)
     }
 
     /// Engines on which a suspect should not run, since they broke lately.
--- a/src/place/placer.rs
+++ b/src/place/placer.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use super::{
-    bound::{Digest, Digests, MeanLoad, Work, total},
+    bound::{LoadDigest, LoadDigests, MeanLoad, Work, total},
     cache::{CacheEvent, EvictionTracker},
     health::Health,
     hint::Hint,
@@ -27,7 +27,7 @@
 
 /// Request to reserve work on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Request {
+pub struct ReservationRequest {
     /// Identifies the reservation.
     pub reservation: ReservationId,
     /// Engine to reserve; `None` for the least loaded engine of the owner.
@@ -72,8 +72,8 @@
     me: Id,
     data_centre: Arc<str>,
     members: Members,
-    digests: Digests,
-    means: Map<Id, (Digest, Instant)>,
+    digests: LoadDigests,
+    means: Map<Id, (LoadDigest, Instant)>,
     owned_engines: Map<Id, OwnedEngines>,
     /// Engines that this router already owned before the latest change of the member list.
     settled: Set<Id>,
@@ -94,7 +94,7 @@
             me,
             data_centre: data_centre.into(),
             members: Members::default(),
-            digests: Digests::default(),
+            digests: LoadDigests::default(),
             means: Map::default(),
             owned_engines: Map::default(),
             settled: Set::default(),
@@ -164,7 +164,7 @@
     }
 
     /// Whether a router may be contacted.
-    pub fn reachable(&self, router: Id, now: Instant) -> bool {
+    pub fn is_reachable(&self, router: Id, now: Instant) -> bool {
         self.unreachable.get(&router).is_none_or(|until| now >= *until)
     }
 
@@ -174,15 +174,15 @@
     }
 
     /// Records another router's load digest for a pool.
-    pub fn record_digest(&mut self, source: Id, pool: Id, digest: Digest, now: Instant) {
+    pub fn record_digest(&mut self, source: Id, pool: Id, digest: LoadDigest, now: Instant) {
         if source != self.me {
             self.digests.record(source, pool, digest, now);
         }
     }
 
     /// Load digest of this router's engines in a pool, to be sent to the other routers.
-    pub fn digest(&mut self, cat: &Catalog, pool: &Pool, now: Instant) -> Digest {
-        let mut digest = Digest::default();
+    pub fn digest(&mut self, cat: &Catalog, pool: &Pool, now: Instant) -> LoadDigest {
+        let mut digest = LoadDigest::default();
         for (id, account) in self.ledger.accounts() {
             if pool.member(id).is_some() {
                 digest.work += account.work;
@@ -223,7 +223,12 @@
     /// # Errors
     /// When the engine is at the bound, unavailable or not owned by this router. A former owner must not grant to
     /// routers with an outdated member list, or two owners would fill the engine until the lists converge.
-    pub fn reserve(&mut self, cat: &Catalog, req: &Request, now: Instant) -> Result<Grant, Refusal> {
+    pub fn reserve(
+        &mut self,
+        cat: &Catalog,
+        req: &ReservationRequest,
+        now: Instant,
+    ) -> Result<Grant, Refusal> {
         if let Some(engine) = self.ledger.reserved_engine(req.reservation) {
             return Ok(Grant { engine });
         }
@@ -258,7 +263,7 @@
     }
 
     /// Adds work that already runs on an engine that this router now owns; never refused.
-    pub fn adopt(&mut self, req: &Request, now: Instant) {
+    pub fn adopt(&mut self, req: &ReservationRequest, now: Instant) {
         if let Some(engine) = req.engine {
             self.ledger.adopt(req.reservation, engine, req.work, now);
         }
--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -15,7 +15,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use crate::util::{Instant, Map, kept};
+use crate::util::{Instant, Map, decay};
 
 /// Occupancy, as a fraction of the limit, above which requests of the most urgent rank are rejected.
 const SHED_START: f64 = 0.95;
@@ -141,7 +141,7 @@
 
 impl DecayingMean {
     fn decay(&mut self, now: Instant, half_life: Duration) {
-        let kept = kept(now.saturating_sub(self.at), half_life);
+        let kept = decay(now.saturating_sub(self.at), half_life);
         self.sum *= kept;
         self.weight *= kept;
         self.at = now;
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -18,7 +18,7 @@
     warmup::{COLD_SENDERS, ColdLimit},
 };
 use crate::{
-    error::Kind,
+    error::ErrorKind,
     schema::fleet::Member,
     util::{Instant, hash, now},
 };
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// Why no server can be chosen.
-    pub(crate) fn choose(&self, req: &Request, tried: &[BackendKey]) -> Result<Choice, Kind> {
+    pub(crate) fn choose(&self, req: &Request, tried: &[BackendKey]) -> Result<Choice, ErrorKind> {
         let now = now();
         let mut state = self.state();
         let state = &mut *state;
@@ -83,14 +83,14 @@
 
     /// Delay after which a caller that found no server should retry. Servers that become reachable again are
     /// noticed soon, whereas an evacuation or a cold start lasts longer than callers wait.
-    pub(crate) fn retry_after(&self, req: &Request, kind: Kind) -> Duration {
+    pub(crate) fn retry_after(&self, req: &Request, kind: ErrorKind) -> Duration {
         match kind {
-            Kind::Paused => {
+            ErrorKind::Paused => {
                 let now = now();
                 let ends = self.state().first_pause_end(now, &req.service);
                 ends.map_or(RETRY_AFTER, |ends| ends - now)
             }
-            Kind::Evacuated | Kind::WarmingUp | Kind::Overloaded => {
+            ErrorKind::Evacuated | ErrorKind::WarmingUp | ErrorKind::Overloaded => {
                 late_retry_delay(req.left(now()), self.draw())
             }
             _ => RETRY_AFTER,
@@ -100,10 +100,10 @@
 
 /// Drops servers whose load has reached `most`. If that drops all of them, the service is overloaded. Used while
 /// some servers are excluded and the load of the others could rise past the fleet's limit.
-fn retain_below(candidates: &mut Vec<Candidate>, most: f64) -> Result<(), Kind> {
+fn retain_below(candidates: &mut Vec<Candidate>, most: f64) -> Result<(), ErrorKind> {
     let any = !candidates.is_empty();
     candidates.retain(|c| c.load + 1.0 <= most);
-    if any && candidates.is_empty() { Err(Kind::Overloaded) } else { Ok(()) }
+    if any && candidates.is_empty() { Err(ErrorKind::Overloaded) } else { Ok(()) }
 }
 
 impl State {
@@ -222,17 +222,17 @@
     }
 
     /// The error for a request for which no server could be chosen.
-    fn no_server_kind(&self, now: Instant, service: &str, eligible: &Eligible) -> Kind {
+    fn no_server_kind(&self, now: Instant, service: &str, eligible: &Eligible) -> ErrorKind {
         let listed = self.backends.available(service).next().is_some();
         match eligible {
             Eligible { warm, cold, .. }
                 if warm.is_empty() && cold.is_empty() && self.first_pause_end(now, service).is_some() =>
             {
-                Kind::Paused
+                ErrorKind::Paused
             }
-            Eligible { warm, cold, .. } if warm.is_empty() && !cold.is_empty() => Kind::WarmingUp,
-            Eligible { warm, cold, .. } if warm.is_empty() && cold.is_empty() && listed => Kind::Evacuated,
-            _ => Kind::NoEngine,
+            Eligible { warm, cold, .. } if warm.is_empty() && !cold.is_empty() => ErrorKind::WarmingUp,
+            Eligible { warm, cold, .. } if warm.is_empty() && cold.is_empty() && listed => ErrorKind::Evacuated,
+            _ => ErrorKind::NoEngine,
         }
     }
 
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,26 +1,26 @@
-//! Retries: whether a failed attempt may be made again, and after how long.
+//! Retry policy: whether a failed request is attempted again, and after which backoff.
 //!
-//! One count of attempts goes with a request over all hops. The caller sends back the `x-attempt` header of
-//! the last answer, which tells how many attempts have been made so far, through whichever router.
+//! Attempts are counted per request over all hops: a caller that retries sends back the `x-attempt` header of the
+//! last answer, which holds the number of attempts made so far through any router.
 
 use std::time::Duration;
 
 use rand::Rng;
 
 use crate::{
-    error::{Kind, Ran},
+    error::{ErrorKind, Ran},
     util::Instant,
 };
 
 pub mod budget;
 pub mod cooldown;
 
-pub use budget::Budget;
+pub use budget::RetryBudget;
 pub use cooldown::Cooldowns;
 
 /// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Reason {
+pub enum RetryReason {
     /// No connection could be made.
     ConnectFailed,
     /// The backend server refused before running the request.
@@ -31,157 +31,162 @@
     Caller,
 }
 
-impl Reason {
-    /// Every reason.
-    pub const ALL: [Reason; 4] =
-        [Reason::ConnectFailed, Reason::EngineRefused, Reason::EngineFailed, Reason::Caller];
+impl RetryReason {
+    /// All reasons.
+    pub const ALL: [RetryReason; 4] = [
+        RetryReason::ConnectFailed,
+        RetryReason::EngineRefused,
+        RetryReason::EngineFailed,
+        RetryReason::Caller,
+    ];
 
-    /// Label of the counter.
+    /// Label value in the retry counter.
     pub fn as_str(self) -> &'static str {
         match self {
-            Reason::ConnectFailed => "connect_failed",
-            Reason::EngineRefused => "engine_refused",
-            Reason::EngineFailed => "engine_failed",
-            Reason::Caller => "caller",
+            RetryReason::ConnectFailed => "connect_failed",
+            RetryReason::EngineRefused => "engine_refused",
+            RetryReason::EngineFailed => "engine_failed",
+            RetryReason::Caller => "caller",
         }
     }
 
-    /// What is known about the run of the attempt.
+    /// Whether the attempt may have run.
     pub fn ran(self) -> Ran {
         match self {
-            Reason::ConnectFailed | Reason::EngineRefused => Ran::No,
-            Reason::EngineFailed | Reason::Caller => Ran::Unknown,
+            RetryReason::ConnectFailed | RetryReason::EngineRefused => Ran::No,
+            RetryReason::EngineFailed | RetryReason::Caller => Ran::Unknown,
         }
     }
 
-    fn kind(self) -> Kind {
+    fn kind(self) -> ErrorKind {
         match self {
-            Reason::ConnectFailed => Kind::ConnectFailed,
-            Reason::EngineRefused => Kind::EngineRefused,
-            Reason::EngineFailed | Reason::Caller => Kind::EngineFailed,
+            RetryReason::ConnectFailed => ErrorKind::ConnectFailed,
+            RetryReason::EngineRefused => ErrorKind::EngineRefused,
+            RetryReason::EngineFailed | RetryReason::Caller => ErrorKind::EngineFailed,
         }
     }
 }
 
-/// Bounds on retries.
+/// Limits on attempts and backoff.
 #[derive(Clone, Copy, Debug)]
-pub struct Policy {
-    attempts: u32,
-    base: Duration,
-    most: Duration,
+pub struct RetryPolicy {
+    max_attempts: u32,
+    base_delay: Duration,
+    max_delay: Duration,
 }
 
-impl Default for Policy {
+impl Default for RetryPolicy {
     fn default() -> Self {
-        Self { attempts: 3, base: Duration::from_millis(10), most: Duration::from_millis(500) }
+        Self { max_attempts: 3, base_delay: Duration::from_millis(10), max_delay: Duration::from_millis(500) }
     }
 }
 
-impl Policy {
-    /// Sets the attempts in all, over all hops.
-    pub fn with_attempts(self, attempts: u32) -> Self {
-        Self { attempts, ..self }
+impl RetryPolicy {
+    /// Sets the maximum number of attempts over all hops.
+    pub fn with_attempts(self, max_attempts: u32) -> Self {
+        Self { max_attempts, ..self }
     }
 
-    /// Sets the longest back-off before the first retry and before any.
-    pub fn with_backoff(self, base: Duration, most: Duration) -> Self {
-        Self { base, most, ..self }
+    /// Sets the maximum backoff before the first retry and before any later one.
+    pub fn with_backoff(self, base_delay: Duration, max_delay: Duration) -> Self {
+        Self { base_delay, max_delay, ..self }
     }
 }
 
-/// A retry that is not made.
+/// Denial of a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Denied {
-    /// Why there is no further attempt; counted.
-    pub reason: Kind,
-    /// What the caller is told. Differs from the reason where an earlier attempt may have run, since the
-    /// answers of most reasons say "not run".
-    pub answer: Kind,
+pub struct RetryDenied {
+    /// Reason for the denial, as counted in the metrics.
+    pub reason: ErrorKind,
+    /// Error sent to the caller. It differs from the reason if an earlier attempt may have run, because the answers
+    /// for most reasons state that the request did not run.
+    pub answer: ErrorKind,
 }
 
-/// Attempts of one request.
+/// Attempt counter of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
     made: u32,
     idempotent: bool,
     deadline: Instant,
-    touched: bool,
+    may_have_run: bool,
 }
 
 impl Attempts {
-    /// A request that arrives after `made` attempts elsewhere.
+    /// Starts counting for a request that arrives after `made` attempts elsewhere.
     ///
     /// # Errors
-    /// When the caller's retry exceeds the attempt limit or the budget.
+    /// When the request is a caller's retry that exceeds the attempt limit or the retry budget.
     pub fn begin(
-        policy: &Policy,
-        budget: &mut Budget,
+        policy: &RetryPolicy,
+        budget: &mut RetryBudget,
         made: u32,
         idempotent: bool,
         deadline: Instant,
-    ) -> Result<Self, Kind> {
+    ) -> Result<Self, ErrorKind> {
         if made == 0 {
             budget.earn();
-        } else if made >= policy.attempts {
-            return Err(Kind::AttemptLimit);
+        } else if made >= policy.max_attempts {
+            return Err(ErrorKind::AttemptLimit);
         } else if !budget.spend() {
-            return Err(Kind::RetryBudget);
+            return Err(ErrorKind::RetryBudget);
         }
-        Ok(Self { made, idempotent, deadline, touched: false })
+        Ok(Self { made, idempotent, deadline, may_have_run: false })
     }
 
-    /// Attempts made so far, the value of the answer's `x-attempt` header.
+    /// Number of attempts so far, sent in the `x-attempt` header of the answer.
     pub fn made(&self) -> u32 {
         self.made
     }
 
-    /// Counts an attempt that starts.
+    /// Counts an attempt at its start.
     pub fn record_start(&mut self) {
         self.made += 1;
     }
 
-    /// Decides after a failed attempt: the back-off before the next one, or why there is none.
+    /// Records a failed attempt and returns the backoff before the next one.
     ///
     /// # Errors
-    /// When the attempt may have run and the request is not idempotent, or a bound is reached.
+    /// When no retry is allowed: some attempt may have run and the request is not idempotent, or the attempt limit,
+    /// the deadline or the retry budget is reached.
     pub fn record_failure(
         &mut self,
-        policy: &Policy,
-        budget: &mut Budget,
+        policy: &RetryPolicy,
+        budget: &mut RetryBudget,
         now: Instant,
-        reason: Reason,
+        reason: RetryReason,
         rng: &mut impl Rng,
-    ) -> Result<Duration, Denied> {
-        self.touched |= reason.ran() != Ran::No;
-        if self.touched && !self.idempotent {
-            return Err(Denied { reason: reason.kind(), answer: Kind::EngineFailed });
+    ) -> Result<Duration, RetryDenied> {
+        self.may_have_run |= reason.ran() != Ran::No;
+        if self.may_have_run && !self.idempotent {
+            return Err(RetryDenied { reason: reason.kind(), answer: ErrorKind::EngineFailed });
         }
-        if self.made >= policy.attempts {
-            return Err(self.denied(Kind::AttemptLimit));
+        if self.made >= policy.max_attempts {
+            return Err(self.denied(ErrorKind::AttemptLimit));
         }
-        let pause = backoff(policy, self.made, rng);
-        if now + pause >= self.deadline {
-            return Err(self.denied(Kind::DeadlinePassed));
+        let delay = backoff(policy, self.made, rng);
+        if now + delay >= self.deadline {
+            return Err(self.denied(ErrorKind::DeadlinePassed));
         }
         if !budget.spend() {
-            return Err(self.denied(Kind::RetryBudget));
+            return Err(self.denied(ErrorKind::RetryBudget));
         }
-        Ok(pause)
+        Ok(delay)
     }
 
-    /// The answer for a request that ends with a refusal of this kind.
-    pub fn denied(&self, reason: Kind) -> Denied {
-        Denied { reason, answer: if self.touched { Kind::EngineFailed } else { reason } }
+    /// Denial for a request that ends with this error, adjusted for earlier attempts that may have run.
+    pub fn denied(&self, reason: ErrorKind) -> RetryDenied {
+        RetryDenied { reason, answer: if self.may_have_run { ErrorKind::EngineFailed } else { reason } }
     }
 }
 
-/// Random pause, its range doubling with each attempt: routers that failed together don't retry together.
-fn backoff(policy: &Policy, made: u32, rng: &mut impl Rng) -> Duration {
-    let doubled = policy.base.saturating_mul(1 << made.saturating_sub(1).min(16));
-    jitter(doubled.min(policy.most), rng)
+/// Exponential backoff with jitter, which keeps routers that failed at the same time from retrying in step.
+fn backoff(policy: &RetryPolicy, made: u32, rng: &mut impl Rng) -> Duration {
+    let max = policy.base_delay.saturating_mul(1 << made.saturating_sub(1).min(16));
+    jitter(max.min(policy.max_delay), rng)
 }
 
-/// Random part of `most`, at least half of it.
-pub fn jitter(most: Duration, rng: &mut impl Rng) -> Duration {
-    most.mul_f64(rng.random_range(0.5..=1.0))
+/// Applies jitter: a random duration between half of `max` and `max`.
+pub fn jitter(max: Duration, rng: &mut impl Rng) -> Duration {
+    max.mul_f64(rng.random_range(0.5..=1.0))
 }
--- a/src/suspect/running.rs
+++ b/src/suspect/running.rs
@@ -1,4 +1,4 @@
-//! What this router is running at each engine.
+//! Contents that this router is running on each engine.
 
 use std::sync::Arc;
 
@@ -8,24 +8,24 @@
 use crate::util::Map;
 
 new_key_type! {
-    /// One request in progress at an engine.
-    pub struct Run;
+    /// Key of a request in progress on an engine.
+    pub struct RunKey;
 }
 
 /// Contents in progress, by engine.
 #[derive(Debug, Default)]
-pub struct Running {
-    engines: Map<Arc<str>, SlotMap<Run, Fingerprint>>,
+pub struct RunningContents {
+    engines: Map<Arc<str>, SlotMap<RunKey, Fingerprint>>,
 }
 
-impl Running {
-    /// Notes a content that starts at an engine.
-    pub fn start(&mut self, engine: &Arc<str>, content: Fingerprint) -> Run {
+impl RunningContents {
+    /// Records the start of a content on an engine.
+    pub fn start(&mut self, engine: &Arc<str>, content: Fingerprint) -> RunKey {
         self.engines.entry(engine.clone()).or_default().insert(content)
     }
 
-    /// Notes a run that has ended, for whatever reason.
-    pub fn finish(&mut self, engine: &Arc<str>, run: Run) {
+    /// Records the end of a run, for whatever reason.
+    pub fn finish(&mut self, engine: &Arc<str>, run: RunKey) {
         let Some(runs) = self.engines.get_mut(engine) else { return };
         runs.remove(run);
         if runs.is_empty() {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The contents in progress at an engine.
+    /// Contents in progress on an engine.
     pub fn contents_on(&self, engine: &str) -> Vec<Fingerprint> {
         self.engines.get(engine).map(|runs| runs.values().copied().collect()).unwrap_or_default()
     }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -12,7 +12,7 @@
         engine::{EngineStandin, Faults},
         gate::{Gate, Mode},
     },
-    stream::{Step, Tracker},
+    stream::{EventAction, StreamTracker},
 };
 use serde::{Deserialize, de::DeserializeOwned};
 
@@ -79,7 +79,7 @@
     end: &'static str,
 }
 
-async fn read(res: http::Response<hyper::body::Incoming>, tracker: &mut Tracker) -> Reading {
+async fn read(res: http::Response<hyper::body::Incoming>, tracker: &mut StreamTracker) -> Reading {
     let mut answer = Answer::new(res.into_body(), STALL);
     let mut reading = Reading::default();
     loop {
@@ -90,14 +90,14 @@
                 return reading;
             }
         };
-        match tracker.step(event.id.as_deref(), event.data.as_deref().unwrap_or("")) {
-            Step::Pass => reading.passed += 1,
-            Step::Drop(dropped) => reading.dropped.push(dropped.as_str()),
-            Step::Refetch => {
+        match tracker.on_event(event.id.as_deref(), event.data.as_deref().unwrap_or("")) {
+            EventAction::Pass => reading.passed += 1,
+            EventAction::Drop(dropped) => reading.dropped.push(dropped.as_str()),
+            EventAction::Refetch => {
                 reading.end = "refetch";
                 return reading;
             }
-            Step::Complete => {
+            EventAction::Complete => {
                 reading.passed += 1;
                 reading.end = "complete";
                 return reading;
@@ -160,7 +160,7 @@
             if let Ok(res) = res
                 && res.status() == 200
             {
-                let reading = read(res, &mut Tracker::new(REQUEST, 0)).await;
+                let reading = read(res, &mut StreamTracker::new(REQUEST, 0)).await;
                 assert_eq!(reading.passed, case.passed, "{}: passed", case.name);
                 assert_eq!(reading.dropped, case.dropped, "{}: dropped", case.name);
                 assert_eq!(reading.end, case.end, "{}: end", case.name);
@@ -182,7 +182,7 @@
     run(async {
         for case in table::<ResumeCase>(path) {
             let fixture = Fixture::start(case.faults).await;
-            let mut tracker = Tracker::new(REQUEST, 0);
+            let mut tracker = StreamTracker::new(REQUEST, 0);
             let mut passed = read(fixture.chat().await.unwrap(), &mut tracker).await.passed;
             let mut connections = 1;
 
