--- a/src/member.rs
+++ b/src/member.rs
@@ -148,17 +148,22 @@
     summaries: Summaries,
     notes: Notes,
     broadcasts: VecDeque<Broadcast>,
+    /// Events to piggyback on outgoing datagrams, each with its number of sends left.
     engine_events: Vec<(EngineEvent, u32)>,
+    /// Members of the local data centre still to ping in the current round.
     ping_queue: Vec<Arc<str>>,
     pending_pings: Vec<PendingPing>,
     relayed_pings: Map<u32, RelayedPing>,
-    unanswered: Set<Arc<str>>,
+    /// Members pinged since the last ack.
+    unacked: Set<Arc<str>>,
     last_ack: Instant,
     last_tick: Instant,
     last_refutation: Instant,
+    /// Time, version in force and number of ready routers of the last published summary.
     last_summary: (Instant, u64, u32),
     last_engine_list: (Instant, Vec<(u32, u32)>),
     notify_reporter: bool,
+    /// Whether the last comparison of tables found a difference.
     out_of_sync: bool,
     /// Address of a router that sent a datagram and is not in the table.
     unknown_sender: Option<SocketAddr>,
@@ -224,7 +229,7 @@
             ping_queue: Vec::new(),
             pending_pings: Vec::new(),
             relayed_pings: Map::default(),
-            unanswered: Set::default(),
+            unacked: Set::default(),
             last_ack: now,
             last_tick: now,
             last_refutation: Instant::ZERO,
@@ -441,7 +446,7 @@
         }
         self.pending_pings.clear();
         self.relayed_pings.clear();
-        self.unanswered.clear();
+        self.unacked.clear();
         self.last_ack = now;
         self.joined_at = now;
         for m in self.table.iter_mut() {
--- a/src/member/detect.rs
+++ b/src/member/detect.rs
@@ -160,7 +160,7 @@
             self.send(now, has_member.then_some(&*target), addr, Some(Body::Ping(Ping { nonce })), extras);
         let Some(upto) = sent else { return };
         if has_member {
-            self.unanswered.insert(target.clone());
+            self.unacked.insert(target.clone());
         }
         let deadline = now + self.cfg.ack_timeout;
         self.pending_pings.push(PendingPing {
@@ -254,6 +254,6 @@
     /// Whether this router receives no acks from anyone. It is then far more likely that its own network is broken than
     /// that all others are dead, and false suspicions would cost every other member a refutation.
     pub(super) fn is_isolated(&self, now: Instant) -> bool {
-        self.unanswered.len() >= 2 && self.last_ack + ISOLATION_TIMEOUT <= now
+        self.unacked.len() >= 2 && self.last_ack + ISOLATION_TIMEOUT <= now
     }
 }
--- a/src/member/merge.rs
+++ b/src/member/merge.rs
@@ -268,7 +268,7 @@
     /// Handles an ack: completes this router's own ping, or relays the ack to the member that requested the ping.
     fn handle_ack(&mut self, now: Instant, from: &str, incarnation: u64, ack: Ack) {
         self.last_ack = now;
-        self.unanswered.clear();
+        self.unacked.clear();
         if let Some(relayed) = self.relayed_pings.remove(&ack.nonce) {
             if *relayed.subject == *from {
                 let body = Ack { nonce: relayed.nonce, subject: relayed.subject.to_string() };
--- a/tests/validation.rs
+++ b/tests/validation.rs
@@ -64,7 +64,7 @@
         ),
         (
             "{kind: Service, metadata: {name: a}, spec: {nonIdempotent: [/x], idempotent: [/y, /x/]}}",
-            "spec.idempotent[1]: `/x/` is in spec.nonIdempotent too",
+            "spec.idempotent[1]: `/x/` is also listed in spec.nonIdempotent",
         ),
         (
             "{kind: Service, metadata: {name: a}, spec: {engines: {matchExpressions: [{key: k, operator: Is}]}}}",
