--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -19,10 +19,10 @@
     assert!(refused.is_err_and(|still| still.serve(7).is_ok()));
 }
 
-/// A router is told to stop between two requests, while callers still hold its address. It must go on until the last
-/// answer that names it has expired, then until its last request is done, and at last give up at the time limit.
+/// A router is stopped between two requests, while callers still have its address. It must keep running until the last
+/// entry answer that names it has expired and its last request has completed, but not beyond the deadline.
 #[test]
-fn a_leaving_router_stops_after_its_answers_and_its_requests() {
+fn a_leaving_router_waits_for_its_entry_answers_and_requests() {
     let cases = [
         (s(0), 0, None),
         (s(34), 0, None),
@@ -41,9 +41,9 @@
     }
 }
 
-/// A backend server leaves, and an answer of the same start arrives late. It must not get work again; a new start may.
+/// A late response of the same process must not make a draining backend server live again; a new start must.
 #[test]
-fn a_late_answer_does_not_bring_a_leaving_backend_server_back() {
+fn a_late_response_does_not_make_a_draining_backend_server_live() {
     let draining = Backend::default().go_live(7).drain();
 
     let late = draining.restart(7);
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links between routers: answers reach their own calls, strangers reach nothing.
+//! Links between routers: responses reach their calls, and processes with another key are rejected.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test]
-async fn a_call_is_answered() {
+async fn a_call_gets_its_response() {
     let (server, addr) = server("k").await;
     let links = Links::new(LinkKey::new("k"));
 
@@ -35,10 +35,10 @@
     server.close();
 }
 
-/// A process with another key calls a router, as after a mix-up of two fleets' settings.
-/// The router must not act on the call: the connection ends and the caller sees an error.
+/// A process with another key calls a router, for example after the settings of two fleets were mixed up. The router
+/// must not handle the call: the connection closes and the caller gets an error.
 #[tokio::test]
-async fn a_stranger_is_not_answered() {
+async fn a_process_with_another_key_is_rejected() {
     let (server, addr) = server("k").await;
     let links = Links::new(LinkKey::new("other"));
 
--- a/tests/membership_bounds.rs
+++ b/tests/membership_bounds.rs
@@ -1,6 +1,6 @@
-//! Regression bounds on the model of `cargo bench --bench membership`, at sizes that run in seconds.
+//! Regression limits for the model of `cargo bench --bench membership`, at sizes that run in seconds.
 //!
-//! Virtual time and fixed seeds: the figures are the same on every machine.
+//! Time is virtual and seeds are fixed, so the results are the same on every machine.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
     Duration::from_secs(n)
 }
 
-fn settled(routers: usize) -> Fleet {
+fn converged_fleet(routers: usize) -> Fleet {
     let mut f = Fleet::new(Shape::new(routers, 3, 1, routers * 33));
     f.put_in_force_everywhere(1);
-    f.wait(s(60), Fleet::agrees).expect("the fleet settles within a minute");
+    f.wait(s(60), Fleet::agrees).expect("the fleet converges within a minute");
     f.run(s(20));
     f
 }
@@ -26,7 +26,7 @@
 #[test]
 fn control_traffic_stays_below_its_bounds() {
     for (routers, gossip, packets) in [(8, 1_500, 13), (22, 2_000, 13)] {
-        let mut f = settled(routers);
+        let mut f = converged_fleet(routers);
         let (start, before) = (f.now, totals(&f));
         for version in 2..12 {
             f.put_in_force(version as usize % routers, version);
@@ -53,11 +53,11 @@
 
 #[test]
 fn a_version_is_in_force_everywhere_within_seconds() {
-    let mut f = settled(22);
+    let mut f = converged_fleet(22);
 
     for version in 2..10u64 {
         f.put_in_force(version as usize, version);
-        let time = f.wait(s(20), |f| f.all_in_force(version)).expect("it arrives");
+        let time = f.wait(s(20), |f| f.all_in_force(version)).expect("the version arrives");
 
         assert!(time <= s(4), "version {version} took {time:?}");
     }
@@ -65,13 +65,14 @@
 
 #[test]
 fn a_dead_router_and_a_dead_engine_are_known_everywhere_within_seconds() {
-    let mut f = settled(22);
+    let mut f = converged_fleet(22);
     let dead = f.nodes[7].record.name.to_string();
 
     f.kill(7);
-    let router = f.wait(s(30), |f| f.all_hold(&dead, |r| r.status == Status::Dead)).expect("it is known");
+    let router =
+        f.wait(s(30), |f| f.all_hold(&dead, |r| r.status == Status::Dead)).expect("the failure is detected");
     f.engines[40].up = false;
-    let engine = f.wait(s(30), |f| f.all_see(40, State::Down)).expect("it is known");
+    let engine = f.wait(s(30), |f| f.all_see(40, State::Down)).expect("the failure is detected");
 
     assert!(router <= s(10), "a dead router took {router:?}");
     assert!(engine <= s(13), "a dead engine took {engine:?}");
