--- a/src/member/budget.rs
+++ b/src/member/budget.rs
@@ -43,51 +43,51 @@
 /// A token bucket with a burst would allow two budgets within one second; the window limits every second.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    rate: usize,
-    sent: VecDeque<(Instant, Usage)>,
-    spent: Usage,
+    bytes_per_second: usize,
+    window: VecDeque<(Instant, Usage)>,
+    window_usage: Usage,
 }
 
 impl Budget {
-    /// Creates a budget of `rate` bytes per second.
-    pub fn new(rate: usize) -> Self {
-        Self { rate, sent: VecDeque::new(), spent: Usage::default() }
+    /// Creates a budget of `bytes_per_second` bytes per second.
+    pub fn new(bytes_per_second: usize) -> Self {
+        Self { bytes_per_second, window: VecDeque::new(), window_usage: Usage::default() }
     }
 
     /// Bytes that a class may still send now, in addition to `pending` bytes that are not recorded yet.
     pub fn available(&mut self, now: Instant, class: Priority, pending: &Usage) -> usize {
         self.expire(now);
-        let used: Usage = std::array::from_fn(|c| self.spent[c] + pending[c]);
-        let reserved =
-            (0..class as usize).map(|c| (self.rate * RESERVED_PERCENT[c] / 100).saturating_sub(used[c]));
+        let used: Usage = std::array::from_fn(|c| self.window_usage[c] + pending[c]);
+        let reserved = (0..class as usize)
+            .map(|c| (self.bytes_per_second * RESERVED_PERCENT[c] / 100).saturating_sub(used[c]));
         let unavailable = used.iter().sum::<usize>() + reserved.sum::<usize>();
-        self.rate.saturating_sub(unavailable)
+        self.bytes_per_second.saturating_sub(unavailable)
     }
 
     /// Whether this router may send a ping now. With a small budget it pings less often, rather than omitting acks,
     /// which would make it look dead to others.
     pub(super) fn may_ping(&mut self, now: Instant) -> bool {
         self.expire(now);
-        self.spent[Priority::Liveness as usize] < self.rate * MAX_PING_PERCENT / 100
+        self.window_usage[Priority::Liveness as usize] < self.bytes_per_second * MAX_PING_PERCENT / 100
     }
 
     /// Records bytes sent.
     pub fn spend(&mut self, now: Instant, usage: Usage) {
-        for (spent, bytes) in self.spent.iter_mut().zip(usage) {
-            *spent += bytes;
+        for (window_usage, bytes) in self.window_usage.iter_mut().zip(usage) {
+            *window_usage += bytes;
         }
-        self.sent.push_back((now, usage));
+        self.window.push_back((now, usage));
     }
 
     fn expire(&mut self, now: Instant) {
-        while let Some((at, usage)) = self.sent.front().copied() {
+        while let Some((at, usage)) = self.window.front().copied() {
             if at + WINDOW > now {
                 return;
             }
-            for (spent, bytes) in self.spent.iter_mut().zip(usage) {
-                *spent -= bytes;
+            for (window_usage, bytes) in self.window_usage.iter_mut().zip(usage) {
+                *window_usage -= bytes;
             }
-            self.sent.pop_front();
+            self.window.pop_front();
         }
     }
 }
--- a/src/member/detect.rs
+++ b/src/member/detect.rs
@@ -110,7 +110,7 @@
     /// Returns a random member of a remote data centre, sometimes a dead member or a seed; a seed while there are no
     /// peers.
     fn remote_target(&mut self) -> Option<(Arc<str>, SocketAddr)> {
-        let mine = self.me.data_centre.clone();
+        let own_centre = self.me.data_centre.clone();
         let reconnect = self.rng.random_ratio(1, RECONNECT_PING_ONE_IN);
         let no_peers = self.table.live_count() < 2;
         // Backs off: seeds pinged by a whole fleet that starts at once could not respond to anyone in time.
@@ -129,7 +129,7 @@
                 return Some(target.clone());
             }
         }
-        let mut centres: Vec<_> = self.table.centres().filter(|c| **c != mine).cloned().collect();
+        let mut centres: Vec<_> = self.table.centres().filter(|c| **c != own_centre).cloned().collect();
         centres.sort();
         centres.shuffle(&mut self.rng);
         for centre in centres {
@@ -152,8 +152,8 @@
         let is_joining = self.joined_at + JOIN_PERIOD > now;
         // Odd periods make comparisons alternate between odd and even ticks, so that both local and remote members
         // are compared.
-        let every = if self.out_of_sync || is_joining { 3 } else { SYNC_INTERVAL_TICKS / 2 + 1 };
-        let sync = target.is_empty() || self.ticks.is_multiple_of(every);
+        let sync_period_ticks = if self.out_of_sync || is_joining { 3 } else { SYNC_INTERVAL_TICKS / 2 + 1 };
+        let sync = target.is_empty() || self.ticks.is_multiple_of(sync_period_ticks);
         let extras = Extras { sync, report: suspect_on_timeout.then_some(acked), ..Extras::default() };
         let has_member = !target.is_empty();
         let sent =
@@ -179,7 +179,7 @@
     pub(super) fn expire_pings(&mut self, now: Instant) {
         let (overdue, open) = std::mem::take(&mut self.pending_pings)
             .into_iter()
-            .partition(|t: &PendingPing| t.deadline <= now);
+            .partition(|p: &PendingPing| p.deadline <= now);
         self.pending_pings = open;
         for pending in overdue {
             if !pending.suspect_on_timeout {
@@ -211,8 +211,8 @@
             let body = Body::PingRequest(PingRequest { nonce: pending.nonce, subject: subject.clone() });
             self.send(now, Some(&name), addr, Some(body), Extras::default());
         }
-        let again = Body::Ping(Ping { nonce: pending.nonce });
-        self.send(now, Some(&pending.target), pending.addr, Some(again), Extras::default());
+        let retry = Body::Ping(Ping { nonce: pending.nonce });
+        self.send(now, Some(&pending.target), pending.addr, Some(retry), Extras::default());
         self.pending_pings.push(PendingPing {
             indirect: true,
             deadline: now + self.cfg.ack_timeout * 2,
--- a/src/member/merge.rs
+++ b/src/member/merge.rs
@@ -39,8 +39,8 @@
         for (raw, from_broadcast) in broadcasts.chain(d.lacking.iter().map(|r| (r, false))) {
             let record = Record::from_raw(raw).ok_or(Reject::Malformed)?;
             // A member that is suspect or dead may be isolated, so its suspicions of others are ignored.
-            let accusation = matches!(record.status, Status::Suspect | Status::Dead);
-            if accusation && !trusted && record.name != self.me.name {
+            let declares_failure = matches!(record.status, Status::Suspect | Status::Dead);
+            if declares_failure && !trusted && record.name != self.me.name {
                 continue;
             }
             corrections.extend(self.apply_record(now, record, from_broadcast));
@@ -73,9 +73,9 @@
     /// could restore an old version or deliver an ack that was never sent.
     fn check_order(&mut self, now: Instant, from: SocketAddr, d: &Datagram) -> Result<(), Reject> {
         let Some(m) = self.table.get_mut(&d.from) else { return Ok(()) };
-        let number = (d.incarnation, d.seq);
-        if number > m.last_seq && d.incarnation >= m.record.incarnation {
-            m.last_seq = number;
+        let sequence = (d.incarnation, d.seq);
+        if sequence > m.last_seq && d.incarnation >= m.record.incarnation {
+            m.last_seq = sequence;
             return Ok(());
         }
         // A router whose wall clock went backwards starts with too low an incarnation; it raises it once it receives
@@ -180,8 +180,8 @@
 
     /// Refutes a suspicion or death of this router, or a record of an earlier start, by a higher incarnation.
     fn refute(&mut self, now: Instant, record: &Record) {
-        let accused = record.incarnation == self.me.incarnation && record.status > self.me.status;
-        if !(accused || record.incarnation > self.me.incarnation) {
+        let suspected_or_dead = record.incarnation == self.me.incarnation && record.status > self.me.status;
+        if !(suspected_or_dead || record.incarnation > self.me.incarnation) {
             return;
         }
         if self.last_refutation + MIN_REFUTATION_INTERVAL > now && self.last_refutation > Instant::ZERO {
@@ -278,7 +278,7 @@
         }
         let subject = if ack.subject.is_empty() { from } else { &ack.subject };
         let matches =
-            |t: &super::PendingPing| t.nonce == ack.nonce && (t.target.is_empty() || *t.target == *subject);
+            |p: &super::PendingPing| p.nonce == ack.nonce && (p.target.is_empty() || *p.target == *subject);
         let Some(at) = self.pending_pings.iter().position(matches) else { return };
         let pending = self.pending_pings.swap_remove(at);
         if ack.subject.is_empty()
--- a/src/member/summary.rs
+++ b/src/member/summary.rs
@@ -37,19 +37,19 @@
         if new.data_centre.len() > MAX_NAME_BYTES || new.reporter.len() > MAX_NAME_BYTES {
             return false;
         }
-        let number = (new.incarnation, new.seq);
+        let sequence = (new.incarnation, new.seq);
         let Some(c) = self.centres.get_mut(new.data_centre.as_str()) else {
-            let newest_by_reporter = Map::from_iter([(new.reporter.clone(), number)]);
+            let newest_by_reporter = Map::from_iter([(new.reporter.clone(), sequence)]);
             let centre = Centre { summary: new.clone(), received_at: now, sends, newest_by_reporter };
             self.centres.insert(new.data_centre.as_str().into(), centre);
             return true;
         };
         // Two members may both consider themselves the reporter while they disagree on liveness. The sequence of each
         // reporter only increases, so a summary that still circulates can't be accepted again after its reporter died.
-        if c.newest_by_reporter.get(&new.reporter).is_some_and(|&n| n >= number) {
+        if c.newest_by_reporter.get(&new.reporter).is_some_and(|&n| n >= sequence) {
             return false;
         }
-        c.newest_by_reporter.insert(new.reporter.clone(), number);
+        c.newest_by_reporter.insert(new.reporter.clone(), sequence);
         if new.reporter > c.summary.reporter && c.received_at + REPORTER_TAKEOVER_DELAY > now {
             return false;
         }
--- a/src/member/topic.rs
+++ b/src/member/topic.rs
@@ -81,7 +81,8 @@
             return None;
         }
         let key = (topic, note.origin.as_str().into());
-        let newer = |h: &StoredNote| (note.incarnation, note.seq) > (h.note.incarnation, h.note.seq);
+        let newer =
+            |stored: &StoredNote| (note.incarnation, note.seq) > (stored.note.incarnation, stored.note.seq);
         if !self.notes.get(&key).is_none_or(newer) {
             return None;
         }
@@ -92,19 +93,23 @@
 
     /// Notes of a topic that are still to be sent, those with the most sends left first.
     pub(super) fn pending(&mut self, topic: Topic) -> Vec<&mut StoredNote> {
-        let mut list: Vec<_> =
-            self.notes.iter_mut().filter(|(k, h)| k.0 == topic && h.sends > 0).map(|(_, h)| h).collect();
-        list.sort_by_key(|h| (std::cmp::Reverse(h.sends), h.note.origin.clone()));
+        let mut list: Vec<_> = self
+            .notes
+            .iter_mut()
+            .filter(|(k, stored)| k.0 == topic && stored.sends > 0)
+            .map(|(_, stored)| stored)
+            .collect();
+        list.sort_by_key(|stored| (std::cmp::Reverse(stored.sends), stored.note.origin.clone()));
         list
     }
 
     /// Returns the newest note of one origin.
     pub(super) fn get(&self, topic: Topic, origin: &Arc<str>) -> Option<&raw::Note> {
-        self.notes.get(&(topic, origin.clone())).map(|h| &h.note)
+        self.notes.get(&(topic, origin.clone())).map(|stored| &stored.note)
     }
 
     /// Removes notes that have not been renewed since `oldest`.
     pub(super) fn purge_expired(&mut self, oldest: Instant) {
-        self.notes.retain(|_, h| h.received_at >= oldest);
+        self.notes.retain(|_, stored| stored.received_at >= oldest);
     }
 }
