--- a/benches/configuration/model.rs
+++ b/benches/configuration/model.rs
@@ -394,7 +394,7 @@
         let (now, rng) = (self.now, &mut self.rng);
         match input {
             Input::Version { peer, version } => {
-                follower.note_version(now, &self.nodes[peer].name, version);
+                follower.record_peer_version(now, &self.nodes[peer].name, version);
                 Vec::new()
             }
             Input::Listed(list) => follower.listed(now, list, rng),
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -152,13 +152,13 @@
 
     /// Notes the version that a peer has in force.
     pub fn note_version(&self, peer: &Arc<str>, version: Version) {
-        self.state().follower.note_version(now(), peer, version);
+        self.state().follower.record_peer_version(now(), peer, version);
         self.wake.notify_one();
     }
 
     /// Notes a version that some router is known to have, as told by a third one.
     pub fn note_newest(&self, version: Version) {
-        self.state().follower.note_newest(now(), version);
+        self.state().follower.record_newest_version(now(), version);
     }
 
     /// Version that serves, for gossip; 0 before the router may serve.
--- a/src/revision/follower.rs
+++ b/src/revision/follower.rs
@@ -212,16 +212,16 @@
     }
 
     /// Records the version that a peer has in force; 0 if it has none yet.
-    pub fn note_version(&mut self, now: Instant, peer: &Arc<str>, version: Version) {
+    pub fn record_peer_version(&mut self, now: Instant, peer: &Arc<str>, version: Version) {
         if *peer == self.me.name {
             return;
         }
         self.peer_versions.insert(peer.clone(), version);
-        self.note_newest(now, version);
+        self.record_newest_version(now, version);
     }
 
     /// Records a version that some router of the fleet has, learned from another peer.
-    pub fn note_newest(&mut self, now: Instant, version: Version) {
+    pub fn record_newest_version(&mut self, now: Instant, version: Version) {
         self.newest = self.newest.max(version);
         if self.newest > self.version() {
             self.behind_since.get_or_insert(now);
