--- a/src/follow/tasks.rs
+++ b/src/follow/tasks.rs
@@ -33,7 +33,7 @@
 pub(super) async fn watch(shared: Arc<Shared>, from: Version) {
     let mut open = match shared.platform.watch(from).await {
         Ok(Watched::Open(open)) => open,
-        Ok(Watched::TooOld) => return shared.note(|f, now, _| f.watch_too_old(now)),
+        Ok(Watched::TooOld) => return shared.note(|f, now, _| f.watch_expired(now)),
         Err(e) => {
             spdlog::warn!("could not watch the configuration: {e:#}");
             return shared.note(|f, now, rng| f.watch_ended(now, rng));
--- a/src/revision/follower/platform.rs
+++ b/src/revision/follower/platform.rs
@@ -128,7 +128,7 @@
 
     /// Handles a watch that failed because the platform no longer has the changes since the requested version; lists
     /// again.
-    pub fn watch_too_old(&mut self, now: Instant) {
+    pub fn watch_expired(&mut self, now: Instant) {
         self.watch = Watch::Closed;
         self.needs_list = true;
         self.next_watch_at = now;
@@ -167,7 +167,7 @@
         }
         // The platform has reused version numbers. Changes it made under reused numbers up to this one will not be
         // delivered as events, so a new list is needed.
-        self.watch_too_old(now);
+        self.watch_expired(now);
         let mut actions = vec![Action::CloseWatch];
         actions.extend(self.install(now));
         actions
