--- a/src/follow/tasks.rs
+++ b/src/follow/tasks.rs
@@ -46,7 +46,7 @@
             Ok(Next::Ended) => break,
             Ok(Next::Silent) => {
                 open.close();
-                return shared.note(|f, now, _| f.watch_silent(now));
+                return shared.note(|f, now, _| f.watch_idle(now));
             }
             Err(e) => {
                 spdlog::warn!("the configuration watch broke: {e:#}");
--- a/src/revision/follower/platform.rs
+++ b/src/revision/follower/platform.rs
@@ -148,7 +148,7 @@
 
     /// Handles a watch that was closed after a long time without events. This is not a failure, so it is reopened at
     /// once.
-    pub fn watch_silent(&mut self, now: Instant) {
+    pub fn watch_idle(&mut self, now: Instant) {
         self.watch_backoff.reset();
         self.watch = Watch::Closed;
         self.next_watch_at = now;
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -203,7 +203,7 @@
 
     for n in 0..10 {
         now += Duration::from_secs(6);
-        follower.watch_silent(now);
+        follower.watch_idle(now);
         let actions = follower.tick(now, &mut rng);
         assert!(actions.iter().any(|a| matches!(a, Action::Watch { .. })), "{n}: {actions:?}");
         follower.watch_opened(now);
