--- a/benches/configuration/model.rs
+++ b/benches/configuration/model.rs
@@ -398,7 +398,7 @@
                 Vec::new()
             }
             Input::Listed(list) => follower.listed(now, list, rng),
-            Input::Event(event) => follower.event(now, event),
+            Input::Event(event) => follower.watch_event(now, event),
             Input::WatchEnded => {
                 follower.watch_ended(now, rng);
                 Vec::new()
--- a/src/follow/tasks.rs
+++ b/src/follow/tasks.rs
@@ -42,7 +42,7 @@
     shared.note(|f, now, _| f.watch_opened(now));
     loop {
         match open.next_within(WATCH_IDLE).await {
-            Ok(Next::Changed(event)) => shared.with(|f, now, _| f.event(now, event)),
+            Ok(Next::Changed(event)) => shared.with(|f, now, _| f.watch_event(now, event)),
             Ok(Next::Ended) => break,
             Ok(Next::Silent) => {
                 open.close();
--- a/src/revision/follower.rs
+++ b/src/revision/follower.rs
@@ -44,7 +44,7 @@
 pub enum Action {
     /// List the configuration; report the result with [`Follower::listed`].
     List,
-    /// Open a watch; report its progress with [`Follower::watch_opened`], [`Follower::event`] and
+    /// Open a watch; report its progress with [`Follower::watch_opened`], [`Follower::watch_event`] and
     /// [`Follower::watch_ended`].
     Watch {
         /// Version after which the changes start.
--- a/src/revision/follower/platform.rs
+++ b/src/revision/follower/platform.rs
@@ -155,7 +155,7 @@
     }
 
     /// Handles a change received by the watch.
-    pub fn event(&mut self, now: Instant, event: Event) -> Vec<Action> {
+    pub fn watch_event(&mut self, now: Instant, event: Event) -> Vec<Action> {
         self.watch_backoff.reset();
         self.newest = self.newest.max(event.version);
         if self.store.apply_event(event).is_err() {
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -174,7 +174,7 @@
     model.write("EnginePool", "pool-2", pool(60));
     let last = model.write("EnginePool", "pool-3", pool(70));
     let event = model.last_event();
-    let actions = follower.event(model.now, event);
+    let actions = follower.watch_event(model.now, event);
     let mut all_actions = actions.clone();
     all_actions.extend(follower.tick(model.now + MINUTE, &mut rng));
     follower.listed(model.now + MINUTE, Some(model.snapshot()), &mut rng);
