--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -243,7 +243,7 @@
 
 fn main() {
     println!("watches of a data centre of 1, 2, 8, 22, 32, 330, 1024 routers");
-    println!("{:?}", [1, 2, 8, 22, 32, 330, 1024].map(holder::quota));
+    println!("{:?}", [1, 2, 8, 22, 32, 330, 1024].map(holder::watch_count));
     // First, while freed memory does not yet hide what the store takes.
     one_store();
     start_up();
--- a/src/revision/holder.rs
+++ b/src/revision/holder.rs
@@ -5,7 +5,7 @@
 /// Number of watches in a data centre of `members` routers.
 ///
 /// Two, so that losing one leaves no gap, plus one each time the data centre grows by a factor of 32.
-pub fn quota(members: usize) -> usize {
+pub fn watch_count(members: usize) -> usize {
     members.min(2 + members.max(1).ilog2() as usize / 5)
 }
 
@@ -20,7 +20,7 @@
         total += 1;
         ahead += usize::from(name != me && rank(name) < own_rank);
     }
-    ahead < quota(total)
+    ahead < watch_count(total)
 }
 
 fn rank(name: &str) -> (u64, &str) {
