--- a/src/gossip/views.rs
+++ b/src/gossip/views.rs
@@ -18,7 +18,7 @@
         let Some((candidates, peers, engines)) = self.with(|m| {
             let now = now();
             let candidates: Vec<_> = m.table().iter().map(|member| candidate(m, member)).collect();
-            let peers = if m.settled(now) { peers(m) } else { Vec::new() };
+            let peers = if m.is_settled(now) { peers(m) } else { Vec::new() };
             (candidates, peers, m.engines.take_changed(now))
         }) else {
             return;
--- a/src/member.rs
+++ b/src/member.rs
@@ -379,7 +379,7 @@
 
     /// Whether this router has had time to learn of the other members since it started or resumed from a pause. Until
     /// then its table may be incomplete and must not be taken for the whole fleet.
-    pub fn settled(&self, now: Instant) -> bool {
+    pub fn is_settled(&self, now: Instant) -> bool {
         self.joined_at + JOIN_PERIOD <= now
     }
 
@@ -393,7 +393,7 @@
     }
 
     /// Returns a router known to have at least `version` in force, in the local data centre if possible.
-    pub fn peer_with(&mut self, version: u64) -> Option<SocketAddr> {
+    pub fn peer_with_version(&mut self, version: u64) -> Option<SocketAddr> {
         let me = &self.me;
         let has = |m: &&Member| {
             m.in_force >= version && !m.record.status.is_dead_or_left() && m.record.name != me.name
