--- a/src/follow/tasks.rs
+++ b/src/follow/tasks.rs
@@ -33,7 +33,7 @@
 pub(super) async fn watch(shared: Arc<Shared>, from: Version) {
     let mut open = match shared.platform.watch(from).await {
         Ok(Watched::Open(open)) => open,
-        Ok(Watched::TooOld) => return shared.note(|f, now, _| f.watch_too_old(now)),
+        Ok(Watched::TooOld) => return shared.note(|f, now, _| f.watch_expired(now)),
         Err(e) => {
             spdlog::warn!("could not watch the configuration: {e:#}");
             return shared.note(|f, now, rng| f.watch_ended(now, rng));
@@ -42,11 +42,11 @@
     shared.note(|f, now, _| f.watch_opened(now));
     loop {
         match open.next_within(WATCH_IDLE).await {
-            Ok(Next::Changed(event)) => shared.with(|f, now, _| f.event(now, event)),
+            Ok(Next::Changed(event)) => shared.with(|f, now, _| f.watch_event(now, event)),
             Ok(Next::Ended) => break,
             Ok(Next::Silent) => {
                 open.close();
-                return shared.note(|f, now, _| f.watch_silent(now));
+                return shared.note(|f, now, _| f.watch_idle(now));
             }
             Err(e) => {
                 spdlog::warn!("the configuration watch broke: {e:#}");
--- a/src/member.rs
+++ b/src/member.rs
@@ -148,17 +148,22 @@
     summaries: Summaries,
     notes: Notes,
     broadcasts: VecDeque<Broadcast>,
+    /// Events to piggyback on outgoing datagrams, each with its number of sends left.
     engine_events: Vec<(EngineEvent, u32)>,
+    /// Members of the local data centre still to ping in the current round.
     ping_queue: Vec<Arc<str>>,
     pending_pings: Vec<PendingPing>,
     relayed_pings: Map<u32, RelayedPing>,
-    unanswered: Set<Arc<str>>,
+    /// Members pinged since the last ack.
+    unacked: Set<Arc<str>>,
     last_ack: Instant,
     last_tick: Instant,
     last_refutation: Instant,
+    /// Time, version in force and number of ready routers of the last published summary.
     last_summary: (Instant, u64, u32),
     last_engine_list: (Instant, Vec<(u32, u32)>),
     notify_reporter: bool,
+    /// Whether the last comparison of tables found a difference.
     out_of_sync: bool,
     /// Address of a router that sent a datagram and is not in the table.
     unknown_sender: Option<SocketAddr>,
@@ -224,7 +229,7 @@
             ping_queue: Vec::new(),
             pending_pings: Vec::new(),
             relayed_pings: Map::default(),
-            unanswered: Set::default(),
+            unacked: Set::default(),
             last_ack: now,
             last_tick: now,
             last_refutation: Instant::ZERO,
@@ -374,7 +379,7 @@
 
     /// Whether this router has had time to learn of the other members since it started or resumed from a pause. Until
     /// then its table may be incomplete and must not be taken for the whole fleet.
-    pub fn settled(&self, now: Instant) -> bool {
+    pub fn is_settled(&self, now: Instant) -> bool {
         self.joined_at + JOIN_PERIOD <= now
     }
 
@@ -388,7 +393,7 @@
     }
 
     /// Returns a router known to have at least `version` in force, in the local data centre if possible.
-    pub fn peer_with(&mut self, version: u64) -> Option<SocketAddr> {
+    pub fn peer_with_version(&mut self, version: u64) -> Option<SocketAddr> {
         let me = &self.me;
         let has = |m: &&Member| {
             m.in_force >= version && !m.record.status.is_dead_or_left() && m.record.name != me.name
@@ -441,7 +446,7 @@
         }
         self.pending_pings.clear();
         self.relayed_pings.clear();
-        self.unanswered.clear();
+        self.unacked.clear();
         self.last_ack = now;
         self.joined_at = now;
         for m in self.table.iter_mut() {
