--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -143,7 +143,7 @@
                 m.set_in_force(now(), version);
             }
             for engine in &unreached {
-                m.engines.dispatched(now(), engine, ProbeResult::Unreachable);
+                m.engines.on_dispatch_result(now(), engine, ProbeResult::Unreachable);
             }
             (m.tick(now()), m.engines.due(now()))
         });
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -213,7 +213,7 @@
     }
 
     /// Takes in what a dispatch of this router saw; its answer is worth a probe.
-    pub fn dispatched(&mut self, now: Instant, name: &str, seen: ProbeResult) {
+    pub fn on_dispatch_result(&mut self, now: Instant, name: &str, seen: ProbeResult) {
         let Some(e) = self.by_name.get(name).and_then(|id| self.entries.get_mut(id)) else { return };
         match seen {
             ProbeResult::Unreachable if e.mine => e.next = now,
--- a/tests/probe.rs
+++ b/tests/probe.rs
@@ -138,7 +138,7 @@
     }
 
     let leaving = ProbeResult::Answer { start: 1, running: 3, leaving: true };
-    all[other].dispatched(s(101), "engine-0", leaving);
+    all[other].on_dispatch_result(s(101), "engine-0", leaving);
     tell(&mut all, other, s(101));
     let left = all.iter().all(|v| v.view(s(101), "engine-0").unwrap().state == State::Leaving);
     let restarted = ProbeResult::Answer { start: 2, running: 0, leaving: false };
