--- a/benches/membership/fleet.rs
+++ b/benches/membership/fleet.rs
@@ -378,7 +378,7 @@
             if refresh {
                 m.engines.take_changed(now);
             }
-            (m.tick(now), m.engines.due(now))
+            (m.tick(now), m.engines.due_probes(now))
         };
         let Some((out, probes)) = self.timed(i, step) else { return };
         self.send_all(i, out);
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -145,7 +145,7 @@
             for engine in &unreached {
                 m.engines.on_dispatch_result(now(), engine, ProbeResult::Unreachable);
             }
-            (m.tick(now()), m.engines.due(now()))
+            (m.tick(now()), m.engines.due_probes(now()))
         });
         let Some((out, due)) = step else { return };
         shared.carry_out(out);
--- a/src/probe/schedule.rs
+++ b/src/probe/schedule.rs
@@ -10,7 +10,7 @@
     /// Probes that are due and that the budget allows; those that wait longest go first.
     ///
     /// With more engines than the budget carries, the time between probes grows; no engine is left out.
-    pub fn due(&mut self, now: Instant) -> Vec<Probe> {
+    pub fn due_probes(&mut self, now: Instant) -> Vec<Probe> {
         let mut due: Vec<_> = self
             .mine
             .iter()
--- a/tests/probe.rs
+++ b/tests/probe.rs
@@ -65,7 +65,7 @@
 }
 
 fn probers(views: &mut [EngineTable], engine: &str) -> Vec<usize> {
-    let due = |v: &mut EngineTable| v.due(s(100)).iter().any(|p| &*p.engine == engine);
+    let due = |v: &mut EngineTable| v.due_probes(s(100)).iter().any(|p| &*p.engine == engine);
     (0..views.len()).filter(|&i| due(&mut views[i])).collect()
 }
 
@@ -114,7 +114,7 @@
     all[probers[0]].on_probe_result(s(102), "engine-0", ProbeResult::Unreachable);
     tell(&mut all, probers[0], s(102));
     // The second is asked at once and needs no second failure of its own.
-    assert!(all[probers[1]].due(s(102)).iter().any(|p| &*p.engine == "engine-0"));
+    assert!(all[probers[1]].due_probes(s(102)).iter().any(|p| &*p.engine == "engine-0"));
     all[probers[1]].on_probe_result(s(103), "engine-0", ProbeResult::Unreachable);
     tell(&mut all, probers[1], s(103));
     let down = all.iter().all(|v| v.view(s(103), "engine-0").unwrap().state == State::Down);
@@ -174,7 +174,7 @@
         let mut now = 0;
         for quarter in 0..4 {
             let at = s(second) + Duration::from_millis(250 * quarter);
-            for probe in e.due(at) {
+            for probe in e.due_probes(at) {
                 now += 1;
                 *seen.entry(probe.engine.clone()).or_default() += 1;
                 e.on_probe_result(at, &probe.engine, UP);
