--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -5,7 +5,7 @@
 
 use std::{fs, time::Duration};
 
-use cranberrytally::{member::Status, probe::PROBE_BYTES, probe::State};
+use cranberrytally::{member::Status, probe::PROBE_WIRE_BYTES, probe::State};
 
 #[path = "membership/fleet.rs"]
 mod fleet;
@@ -120,7 +120,7 @@
     let cpu = worst(f.nodes.iter().map(|x| x.cpu.as_secs_f64() / time * 100.0).collect());
     let mean_cpu = f.nodes.iter().map(|x| x.cpu.as_secs_f64()).sum::<f64>() / time / n as f64 * 100.0;
     let window = f.nodes.iter().map(|x| x.worst_window).max().unwrap_or(0);
-    let probe_bytes = probes * PROBE_BYTES as f64;
+    let probe_bytes = probes * PROBE_WIRE_BYTES as f64;
     println!("  gossip sent, bytes/s mean and worst router       {sent:.0} {most:.0}");
     println!("  gossip received, bytes/s mean                    {received:.0}");
     println!(
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -17,7 +17,7 @@
     gateway::Gateway,
     member::{Event, GossipKey, HEAD_BYTES, MAX_BYTES, MemberConfig, Membership, Output, Record, Status},
     metrics::{Counter, Metrics},
-    probe::{EngineSpec, PROBE_BYTES, Probe, ProbeConfig, ProbeResult},
+    probe::{EngineSpec, PROBE_WIRE_BYTES, Probe, ProbeConfig, ProbeResult},
     util::{lock, now, wall_ms},
 };
 
@@ -150,7 +150,7 @@
         let Some((out, due)) = step else { return };
         shared.carry_out(out);
         for probe in due {
-            shared.metrics.add(Counter::ControlBytes, "probes", PROBE_BYTES as u64);
+            shared.metrics.add(Counter::ControlBytes, "probes", PROBE_WIRE_BYTES as u64);
             tokio::spawn(probes::probe(shared.clone(), probe));
         }
         if ticks.is_multiple_of(REFRESH_TICKS) {
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -22,7 +22,7 @@
 /// Routers that probe one engine: two of three outvote one that can't reach it.
 pub const PROBERS: usize = 3;
 /// Bytes of one probe on the wire, headers of TCP and IP included; `tests/probe.rs` checks it.
-pub const PROBE_BYTES: usize = 440;
+pub const PROBE_WIRE_BYTES: usize = 440;
 /// How long a sign of leaving from a router that doesn't probe the engine counts.
 const SIGN_TIME: Duration = Duration::from_secs(30);
 
--- a/src/probe/schedule.rs
+++ b/src/probe/schedule.rs
@@ -1,6 +1,6 @@
 //! Which probes to make now, within the byte budget.
 
-use super::{EngineTable, PROBE_BYTES, Probe};
+use super::{EngineTable, PROBE_WIRE_BYTES, Probe};
 use crate::{
     member::{Priority, Usage},
     util::Instant,
@@ -20,11 +20,11 @@
         due.sort_unstable();
         let mut probes = Vec::new();
         for (_, id, _) in due {
-            if self.budget.room(now, Priority::Liveness, &Usage::default()) < PROBE_BYTES {
+            if self.budget.room(now, Priority::Liveness, &Usage::default()) < PROBE_WIRE_BYTES {
                 break;
             }
             let Some(e) = self.entries.get_mut(&id) else { continue };
-            self.budget.spend(now, [PROBE_BYTES, 0, 0, 0, 0]);
+            self.budget.spend(now, [PROBE_WIRE_BYTES, 0, 0, 0, 0]);
             e.waiting = true;
             probes.push(Probe { engine: e.spec.name.clone(), addr: e.spec.addr });
         }
--- a/tests/probe.rs
+++ b/tests/probe.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     client::Client,
     http::{Limits, Server},
-    probe::{EngineSpec, EngineTable, PROBE_BYTES, PROBERS, ProbeConfig, ProbeResult, State},
+    probe::{EngineSpec, EngineTable, PROBE_WIRE_BYTES, PROBERS, ProbeConfig, ProbeResult, State},
     standin::{engine::EngineStandin, outside::loopback},
     util::Instant,
 };
@@ -248,7 +248,7 @@
     }
     let bytes = all / 10 + 3 * 52;
 
-    assert!(bytes <= PROBE_BYTES, "{bytes} bytes");
-    assert!(bytes * 2 > PROBE_BYTES, "{bytes} bytes; the budget counts far too many");
+    assert!(bytes <= PROBE_WIRE_BYTES, "{bytes} bytes");
+    assert!(bytes * 2 > PROBE_WIRE_BYTES, "{bytes} bytes; the budget counts far too many");
     server.close();
 }
