--- a/src/probe/finding.rs
+++ b/src/probe/observation.rs
@@ -1,15 +1,15 @@
-//! What one router found out about one engine.
+//! One router's observation of one engine.
 
 use crate::util::Instant;
 
 /// State of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// It answers.
+    /// The engine responds.
     Up,
-    /// It does not answer.
+    /// The engine does not respond.
     Down,
-    /// It takes no new work.
+    /// The engine accepts no new requests.
     Leaving,
 }
 
@@ -24,22 +24,22 @@
     }
 }
 
-/// One router's newest finding about one engine.
+/// One router's newest observation of one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Finding {
+pub struct Observation {
     /// State.
     pub state: State,
-    /// Identifies the engine's start; 0 when not known.
+    /// Start ID of the engine process; 0 if unknown.
     pub start: u64,
     /// Requests in progress.
     pub running: u32,
-    /// When this router learnt it.
+    /// Time at which this router received the observation.
     pub at: Instant,
-    /// Number of the finding at its origin.
+    /// Sequence number of the observation at its origin.
     pub seq: u64,
 }
 
-/// Whether a change of load is worth its bytes: an eighth, or any change of a small load.
+/// Whether a load change is large enough to report: more than an eighth, which for a small load is any change.
 pub(super) fn load_differs(old: u32, new: u32) -> bool {
     old.abs_diff(new) * 8 > old.max(new)
 }
--- a/src/probe/schedule.rs
+++ b/src/probe/schedule.rs
@@ -1,4 +1,4 @@
-//! Which probes to make now, within the byte budget.
+//! Selects the probes to send now, within the byte budget.
 
 use super::{EngineTable, PROBE_WIRE_BYTES, Probe};
 use crate::{
@@ -7,15 +7,15 @@
 };
 
 impl EngineTable {
-    /// Probes that are due and that the budget allows; those that wait longest go first.
+    /// Returns the probes that are due and within the budget, most overdue first.
     ///
-    /// With more engines than the budget carries, the time between probes grows; no engine is left out.
+    /// If there are more engines than the budget allows, the interval between probes grows; no engine is left out.
     pub fn due_probes(&mut self, now: Instant) -> Vec<Probe> {
         let mut due: Vec<_> = self
-            .mine
+            .assigned
             .iter()
-            .filter_map(|id| self.entries.get(id).map(|e| (e.next, *id, e.waiting)))
-            .filter(|&(next, _, waiting)| next <= now && !waiting)
+            .filter_map(|id| self.entries.get(id).map(|e| (e.next_probe_at, *id, e.probe_in_flight)))
+            .filter(|&(next, _, probe_in_flight)| next <= now && !probe_in_flight)
             .collect();
         due.sort_unstable();
         let mut probes = Vec::new();
@@ -25,7 +25,7 @@
             }
             let Some(e) = self.entries.get_mut(&id) else { continue };
             self.budget.spend(now, [PROBE_WIRE_BYTES, 0, 0, 0, 0]);
-            e.waiting = true;
+            e.probe_in_flight = true;
             probes.push(Probe { engine: e.spec.name.clone(), addr: e.spec.addr });
         }
         probes
--- a/tests/probe.rs
+++ b/tests/probe.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     client::Client,
     http::{Limits, Server},
-    probe::{EngineSpec, EngineTable, PROBE_WIRE_BYTES, PROBERS, ProbeConfig, ProbeResult, State},
+    probe::{EngineSpec, EngineTable, PROBE_WIRE_BYTES, PROBERS_PER_ENGINE, ProbeConfig, ProbeResult, State},
     standin::{engine::EngineStandin, outside::loopback},
     util::Instant,
 };
@@ -73,9 +73,9 @@
 fn each_engine_is_probed_by_a_few_routers_and_the_work_is_even() {
     let views = views(10, 100);
 
-    let shares: Vec<_> = views.iter().map(EngineTable::assigned).collect();
+    let shares: Vec<_> = views.iter().map(EngineTable::assigned_count).collect();
 
-    assert_eq!(shares.iter().sum::<usize>(), 100 * PROBERS);
+    assert_eq!(shares.iter().sum::<usize>(), 100 * PROBERS_PER_ENGINE);
     assert!(shares.iter().all(|n| (15..45).contains(n)), "{shares:?}");
 }
 
@@ -154,11 +154,11 @@
     let mut e = views(1, 2).remove(0);
 
     e.set_engines(s(1), [EngineSpec { leaving: true, ..spec(0) }, spec(1)]);
-    let labelled = e.view(s(1), "engine-0").unwrap().takes_work();
+    let labelled = e.view(s(1), "engine-0").unwrap().accepts_requests();
     e.set_engines(s(2), [spec(0), spec(1)]);
 
     assert!(!labelled);
-    assert!(e.view(s(2), "engine-0").unwrap().takes_work());
+    assert!(e.view(s(2), "engine-0").unwrap().accepts_requests());
 }
 
 /// A router gets far more engines than its budget carries. The time between probes grows; no second exceeds the
