--- a/src/claim/shard_claims.rs
+++ b/src/claim/shard_claims.rs
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Requests a claim; if it returns `None`, the verdict follows from [`ShardClaims::handle_result`] or [`ShardClaims::expire`].
+    /// Requests a claim; on `None` the verdict follows from [`ShardClaims::handle_result`] or [`ShardClaims::expire`].
     pub fn ask(&mut self, clock: Clock, ask: ClaimRequest, id: WaiterId) -> Option<Verdict> {
         if self.waiting.len() >= self.cfg.max_waiting {
             return Some(Verdict::Unavailable);
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,5 +1,5 @@
-//! Adapter to the users' platform: it translates settings, requests, backend servers' answers and the store's objects
-//! into the product's types and back, and decides nothing. No name of the platform's interfaces stands elsewhere.
+//! Adapter to the users' platform: translates settings, requests, backend servers' answers and the store's objects to and
+//! from the product's types, without any decisions of its own. The names of the platform's interfaces occur only here.
 
 use std::{convert::Infallible, net::SocketAddr, path::Path, sync::Arc, time::Duration};
 
@@ -29,25 +29,25 @@
 use store::StoreClient;
 pub use wire::PlatformWire;
 
-/// How long callers keep an answer with addresses: short, so that they leave a host within seconds, and long enough
-/// that asking costs little. Some keep it three times as long.
-const KEEP_S: f64 = 1.0;
-/// Where counters and histograms are shown, as deploy/system.toml says.
+/// Time for which callers may cache an answer with addresses, in seconds: short enough that they leave a host within
+/// seconds, long enough that resolving costs little. Some callers cache it three times as long.
+const RESOLVE_TTL_S: f64 = 1.0;
+/// Port of the metrics endpoint, as declared in deploy/system.toml.
 const METRICS_PORT: u16 = 9464;
 const METRICS_PATH: &str = "/metrics";
-/// Time limit of a connection that asks for addresses or readiness and sends nothing.
-const SMALL_IDLE: Duration = Duration::from_secs(10);
-/// Longest time for connections to close once no request is in progress; what is left then is cut by the kill anyway.
-const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause between two checks whether a leaving host may stop.
-const STOP_CHECK: Duration = Duration::from_millis(25);
-
-/// Serves on the platform with the settings file at `path` until it is told to stop.
+/// Timeout of an idle connection to an auxiliary endpoint: addresses, readiness or metrics.
+const AUXILIARY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time for connections to close once no request is in progress; the process then ends and cuts the rest.
+const CONNECTION_CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Interval of the checks whether a leaving host may stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(25);
+
+/// Serves on the platform with the settings file at `path` until a signal stops it.
 ///
 /// # Errors
-/// When the settings can't be read or an address can't be bound.
+/// If the settings can't be read or an address can't be bound.
 pub async fn serve(path: &Path) -> Result<()> {
-    // Before all else: a signal that comes while the process starts would end it.
+    // First of all: without a handler, a signal during startup would end the process.
     let signals = Signals::listen()?;
     let settings = Settings::load(path)?;
     lines::start_stdout(lines::DEFAULT_BYTES_PER_SECOND)?;
@@ -57,11 +57,11 @@
         l.text("data_centre", &settings.data_centre).text("callers", &settings.callers.to_string())
     });
     let relay = Arc::new(Relay::new(settings.relay(), PlatformWire)?);
-    start(&settings, &relay).await?;
+    start_tasks(&settings, &relay).await?;
     wait_for_stop(signals, &settings, path, &relay).await
 }
 
-/// Signals that the process answers.
+/// Signals that the process handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -70,7 +70,7 @@
 
 impl Signals {
     fn listen() -> Result<Self> {
-        let listen = |kind| signal(kind).context("could not wait for a signal");
+        let listen = |kind| signal(kind).context("could not install a signal handler");
         Ok(Self {
             terminate: listen(SignalKind::terminate())?,
             interrupt: listen(SignalKind::interrupt())?,
@@ -79,16 +79,16 @@
     }
 }
 
-async fn start(settings: &Settings, relay: &Arc<Relay<PlatformWire>>) -> Result<()> {
+async fn start_tasks(settings: &Settings, relay: &Arc<Relay<PlatformWire>>) -> Result<()> {
     let peer_addr = settings.relay().peer_addr;
-    let socket = UdpSocket::bind(peer_addr).await.with_context(|| format!("could not use {peer_addr}"))?;
+    let socket = UdpSocket::bind(peer_addr).await.with_context(|| format!("could not bind {peer_addr}"))?;
     let socket = Arc::new(socket);
     tokio::spawn(inbound::accept(relay.clone(), inbound::listen(settings.callers).await?));
-    tokio::spawn(answer_small(relay.clone(), inbound::listen(settings.ready).await?));
+    tokio::spawn(serve_auxiliary(relay.clone(), inbound::listen(settings.ready).await?));
     let metrics = SocketAddr::new(settings.callers.ip(), METRICS_PORT);
-    tokio::spawn(answer_small(relay.clone(), inbound::listen(metrics).await?));
+    tokio::spawn(serve_auxiliary(relay.clone(), inbound::listen(metrics).await?));
     if let Some(directory) = settings.directory {
-        tokio::spawn(answer_small(relay.clone(), inbound::listen(directory).await?));
+        tokio::spawn(serve_auxiliary(relay.clone(), inbound::listen(directory).await?));
     }
     tokio::spawn(mesh::serve_fetches(relay.clone(), inbound::listen(peer_addr).await?));
     tokio::spawn(mesh::hear_beats(relay.clone(), socket.clone()));
@@ -118,22 +118,22 @@
     }
     relay.leave();
     while !relay.may_stop() {
-        tokio::time::sleep(STOP_CHECK).await;
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
     relay.stop_accepting();
     let closed = async {
         while relay.connections() > 0 {
-            tokio::time::sleep(STOP_CHECK).await;
+            tokio::time::sleep(STOP_CHECK_INTERVAL).await;
         }
     };
-    let all = tokio::time::timeout(CLOSE_TIMEOUT, closed).await.is_ok();
-    line(Weight::Notable, "stop", |l| l.flag("all_closed", all));
-    // The thread that writes lines gets its turn before the process ends.
-    tokio::time::sleep(STOP_CHECK).await;
+    let all_closed = tokio::time::timeout(CONNECTION_CLOSE_TIMEOUT, closed).await.is_ok();
+    line(Weight::Notable, "stop", |l| l.flag("all_closed", all_closed));
+    // Gives the log writer's thread time to write the last lines.
+    tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     Ok(())
 }
 
-/// Reads the settings again; what can change while a process runs is its seeds, which other hosts tell as well.
+/// Reads the settings again and logs whether they changed. Only the seeds may change at run time, and peers report those too.
 fn reload(old: &Settings, path: &Path) {
     match Settings::load(path) {
         Ok(new) => line(Weight::Notable, "reload", |l| l.flag("changed", new != *old)),
@@ -141,39 +141,39 @@
     }
 }
 
-/// Serves the small calls: where to connect, and whether this host is ready.
-async fn answer_small(relay: Arc<Relay<PlatformWire>>, listener: TcpListener) {
-    inbound::accept_all(listener, "a small call", |stream, _| {
+/// Serves the auxiliary endpoints: addresses for callers, readiness and metrics.
+async fn serve_auxiliary(relay: Arc<Relay<PlatformWire>>, listener: TcpListener) {
+    inbound::accept_all(listener, "an auxiliary connection", |stream, _| {
         let relay = relay.clone();
         tokio::spawn(async move {
             let service = service_fn(|req| {
-                let res = small(&relay, &req);
+                let res = auxiliary_response(&relay, &req);
                 async move { Ok::<_, Infallible>(res) }
             });
             let conn = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(SMALL_IDLE)
+                .header_read_timeout(AUXILIARY_IDLE_TIMEOUT)
                 .auto_date_header(false)
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(e) = conn.await {
-                spdlog::debug!("a small call ended: {e}");
+                spdlog::debug!("auxiliary connection failed: {e}");
             }
         });
     })
     .await;
 }
 
-/// Answer with addresses.
+/// Answer to a request for addresses.
 #[derive(Serialize)]
 struct Resolved {
-    /// Addresses at which callers are served.
+    /// Addresses that serve callers.
     addresses: Vec<String>,
-    /// Seconds for which the answer may be kept.
+    /// Seconds for which the answer may be cached.
     #[serde(rename = "ttlS")]
     ttl_s: f64,
 }
 
-fn small(relay: &Relay<PlatformWire>, req: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn auxiliary_response(relay: &Relay<PlatformWire>, req: &Request<Incoming>) -> Response<Full<Bytes>> {
     match req.uri().path() {
         names::READY_PATH if relay.is_ready() => status(StatusCode::OK),
         names::READY_PATH => status(StatusCode::SERVICE_UNAVAILABLE),
@@ -184,11 +184,11 @@
 }
 
 fn resolve(relay: &Relay<PlatformWire>) -> Response<Full<Bytes>> {
-    let addresses = relay.addresses(names::MOST_ADDRESSES);
+    let addresses = relay.addresses(names::MAX_ADDRESSES);
     if addresses.is_empty() {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let body = serde_json::to_vec(&Resolved { addresses, ttl_s: KEEP_S }).unwrap_or_default();
+    let body = serde_json::to_vec(&Resolved { addresses, ttl_s: RESOLVE_TTL_S }).unwrap_or_default();
     let mut res = Response::new(Full::new(body.into()));
     res.headers_mut().insert(header::CONTENT_TYPE, header::HeaderValue::from_static("application/json"));
     res
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -4,29 +4,28 @@
 
 pub(super) const READY_PATH: &str = "/readiness";
 pub(super) const RESOLVE_PATH: &str = "/resolve";
-/// Addresses in an answer that says where to connect.
-pub(super) const MOST_ADDRESSES: usize = 64;
+/// Maximum number of addresses in an answer to callers.
+pub(super) const MAX_ADDRESSES: usize = 64;
 
 pub(super) const ATTEMPT_ID: HeaderName = HeaderName::from_static("attempt-id");
-pub(super) const KEY: HeaderName = HeaderName::from_static("key");
+pub(super) const API_KEY: HeaderName = HeaderName::from_static("key");
 pub(super) const TENANT: HeaderName = HeaderName::from_static("tenant");
 pub(super) const DEADLINE: HeaderName = HeaderName::from_static("request-deadline");
-pub(super) const PREFIX: HeaderName = HeaderName::from_static("prefix-hash");
-pub(super) const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
+pub(super) const PREFIX_HASH: HeaderName = HeaderName::from_static("prefix-hash");
+pub(super) const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 pub(super) const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("expected-instance");
 pub(super) const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
-pub(super) const SEAL: HeaderName = HeaderName::from_static("response-seal");
+pub(super) const RESPONSE_SEAL: HeaderName = HeaderName::from_static("response-seal");
 pub(super) const KV_FETCH: HeaderName = HeaderName::from_static("kv-fetch");
 pub(super) const PRIORITY: HeaderName = HeaderName::from_static("request-priority");
-pub(super) const LOAD: HeaderName = HeaderName::from_static("server-load");
-pub(super) const LEAVING: HeaderName = HeaderName::from_static("server-leaving");
+pub(super) const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
+pub(super) const SERVER_LEAVING: HeaderName = HeaderName::from_static("server-leaving");
 pub(super) const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
+/// Epoch of the store, present in all of its answers.
+pub(super) const STORE_ERA: HeaderName = HeaderName::from_static("store-era");
 
-/// Epoch of the store, in all its answers.
-pub(super) const EPOCH: HeaderName = HeaderName::from_static("store-era");
-
-/// Headers that concern one connection only.
-pub(super) const HOP: [HeaderName; 9] = [
+/// Hop-by-hop headers, which are not forwarded.
+pub(super) const HOP_BY_HOP: [HeaderName; 9] = [
     http::header::CONNECTION,
     KEEP_ALIVE,
     HeaderName::from_static("proxy-connection"),
@@ -38,12 +37,12 @@
     http::header::UPGRADE,
 ];
 
-/// Headers that the system sets itself; what a caller sends under these names is not passed on.
-pub(super) const OWN: [HeaderName; 12] = [
-    KEY,
+/// Headers that only the system may set; those of a caller are not forwarded.
+pub(super) const RESERVED: [HeaderName; 12] = [
+    API_KEY,
     TENANT,
     DEADLINE,
-    LAST_EVENT,
+    LAST_EVENT_ID,
     EXPECTED_INSTANCE,
     PRIORITY,
     KV_FETCH,
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file: JSON in the platform's own form, of which only what is needed is read.
+//! The platform's settings file: JSON in the platform's own format, of which only the required fields are read.
 
 use std::{fs, net::SocketAddr, path::Path, time::Duration};
 
@@ -10,23 +10,23 @@
     schema::fleet::Member,
 };
 
-/// Time after which callers have moved away from a host that is not handed out any more.
-const OUTLIVE: Duration = Duration::from_millis(3_300);
+/// Time after which callers no longer connect to a host that is no longer in the answers with addresses.
+const HANDOVER_TIME: Duration = Duration::from_millis(3_300);
 
 /// Settings of one process, in the product's terms.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Name of this host.
     pub name: String,
-    /// Data centre in which it stands.
+    /// Data centre of this host.
     pub data_centre: String,
-    /// Where callers are served.
+    /// Address that serves callers.
     pub callers: SocketAddr,
-    /// Where the platform asks whether it is ready.
+    /// Address of the readiness endpoint.
     pub ready: SocketAddr,
-    /// Where callers ask for addresses, if it answers that.
+    /// Address at which callers resolve hosts, if this host offers that.
     pub directory: Option<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
     peer_port: u16,
     seeds: Vec<SocketAddr>,
@@ -63,11 +63,11 @@
     grace_s: f64,
     retry_budget_ratio: f64,
     budget_window_s: f64,
-    /// Retries in a window beside the ratio, for all hosts together.
+    /// Retries per window in addition to the ratio, for all hosts together.
     retry_budget_extra: f64,
-    /// Present where data centres are evacuated.
+    /// Present if data centres can be evacuated.
     evacuation_ms: Option<f64>,
-    /// Time until a configuration is in force, and until a server that leaves gets no new work.
+    /// Time until a configuration is active; `drain_ms`: until a leaving server gets no new requests.
     config_apply_ms: Option<f64>,
     drain_ms: Option<f64>,
 }
@@ -81,18 +81,18 @@
     /// Reads a settings file.
     ///
     /// # Errors
-    /// When it can't be read, or lacks a field that is needed; fields that are not known are ignored.
+    /// If it can't be read or lacks a required field; unknown fields are ignored.
     pub fn load(path: &Path) -> Result<Self> {
         let text = fs::read_to_string(path).with_context(|| format!("could not read {}", path.display()))?;
-        Self::parse(&text).with_context(|| format!("could not accept {}", path.display()))
+        Self::parse(&text).with_context(|| format!("invalid settings in {}", path.display()))
     }
 
     /// Parses the text of a settings file.
     ///
     /// # Errors
-    /// When it is no JSON, or lacks a field that is needed.
+    /// If it is not valid JSON or lacks a required field.
     pub fn parse(text: &str) -> Result<Self> {
-        let raw: Raw = serde_json::from_str(text).context("could not read the settings")?;
+        let raw: Raw = serde_json::from_str(text).context("could not parse the settings")?;
         let bounds = &raw.bounds;
         Ok(Self {
             name: raw.node,
@@ -114,9 +114,9 @@
         })
     }
 
-    /// What the product needs to know.
+    /// Converts the settings to the relay's configuration.
     pub fn relay(&self) -> RelayConfig {
-        // The ports are the same on all hosts, so that a seed's address tells where it hears its peers.
+        // All hosts use the same ports, so a seed's peer address follows from its caller address.
         let peer = |addr: &SocketAddr| SocketAddr::new(addr.ip(), self.peer_port);
         let peer_addr = peer(&self.callers);
         RelayConfig {
@@ -130,7 +130,7 @@
             seeds: self.seeds.iter().map(peer).collect(),
             budget: self.budget,
             bound: Bound::default(),
-            leave: LeaveConfig { grace: self.grace, outlive: OUTLIVE },
+            leave: LeaveConfig { grace: self.grace, outlive: HANDOVER_TIME },
             evacuates: self.evacuates,
             in_force: self.in_force,
         }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: lists and waiting watches of the configuration and of the backend servers.
+//! Client of the platform's store: lists and watches the configuration, backend servers, evacuations and hosts.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -21,45 +21,42 @@
 mod forms;
 
 use super::names;
-
 use forms::{Change, Changes, Object, Page, RawBackend, RawConfiguration, RawHosts, backend};
 
-/// Wait of a watch, the longest that the store allows; each one is a priced call.
-const WAIT: Duration = Duration::from_secs(30);
-/// Wait of a watch that is to be answered at once; the least that the store takes for a wait.
-const NO_WAIT: Duration = Duration::from_millis(1);
-/// Time for the answer to a call that nobody waits for; a slow store takes some hundred milliseconds.
-const ANSWER: Duration = Duration::from_millis(2_000);
-/// Time for the rest of an answer that has begun: half a megabyte over the slowest links, 10 Mbit/s, takes 0.4 s, and as long
-/// as its bytes come a second call would only take them from the first.
-const REST: Duration = Duration::from_millis(3_000);
-/// Time to connect.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Largest page of a list, in bytes.
-const MOST_PAGE: usize = 8 << 20;
-/// Largest configuration that a host which starts reads without asking the others first, in bytes: the store's link, 1 Gbit/s,
-/// carries it to hundreds of hosts within a call.
-const SHORT_PAGE: usize = 64 << 10;
+/// Wait of a watch: the maximum that the store allows, because each watch is a billed call.
+const WATCH_WAIT: Duration = Duration::from_secs(30);
+/// Wait of a watch that should return at once: the minimum that the store accepts.
+const MIN_WATCH_WAIT: Duration = Duration::from_millis(1);
+/// Timeout of a call that no request waits for; a slow store takes a few hundred milliseconds.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Timeout of a response body after its head: half a megabyte over the slowest links, 10 Mbit/s, takes 0.4 s, and while bytes
+/// arrive a second call would only compete for the same bandwidth.
+const BODY_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Timeout of connecting to the store.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum size of a page of a list, in bytes.
+const MAX_PAGE_BYTES: usize = 8 << 20;
+/// Maximum size of a configuration that a starting host reads by itself: a 1 Gbit/s link sends it to hundreds of hosts a call.
+const MAX_INITIAL_CONFIGURATION_BYTES: usize = 64 << 10;
 
-const CONFIGURATION: &str = "config";
+const CONFIGURATION_KIND: &str = "config";
 /// Name of the object that holds the configuration.
-const NEWEST: &str = "main";
-const BACKENDS: &str = "servers";
-/// Kind of the objects that name evacuated data centres.
-const EVACUATIONS: &str = "evacuations";
-
-/// Kind of our own: some hosts of each data centre, under its name.
-const HOSTS: &str = "hosts";
+const CONFIGURATION_NAME: &str = "main";
+const BACKENDS_KIND: &str = "servers";
+/// Kind of the objects that list evacuated data centres.
+const EVACUATIONS_KIND: &str = "evacuations";
+/// Kind of this system's own objects: some hosts of each data centre, under the name of the data centre.
+const HOSTS_KIND: &str = "hosts";
 
-/// An answer of the store.
-struct Answered {
+/// A response of the store.
+struct StoreResponse {
     status: u16,
-    /// The store's epoch, where the answer tells it.
+    /// The store's epoch, if the response contains it.
     epoch: Option<Epoch>,
     body: Bytes,
 }
 
-/// A connection to the store for one call at a time.
+/// Client of the store with one connection, for one call at a time.
 #[derive(Debug)]
 pub struct StoreClient {
     addr: SocketAddr,
@@ -67,30 +64,30 @@
 }
 
 impl StoreClient {
-    /// Client of the store at `addr`; it connects with the first call.
+    /// Creates a client of the store at `addr`; it connects on the first call.
     pub fn new(addr: SocketAddr) -> Self {
         Self { addr, conn: None }
     }
 
-    /// Makes one call for an answer of at most so many bytes; returns it and its epoch, which is `known` where it tells none. A
-    /// connection on which the call fails is not used again: its answer may still come.
+    /// Makes one call for a response of at most `max_bytes`, and returns it with its epoch, or with `known` if it has none. A
+    /// connection on which a call failed is not reused, because the late response might still arrive on it.
     async fn call<T: DeserializeOwned>(
         &mut self,
         target: &str,
-        limit: Duration,
-        most: usize,
+        timeout: Duration,
+        max_bytes: usize,
         known: Epoch,
     ) -> Result<(Epoch, T), StoreError> {
-        let answered = self.send(Method::GET, target, Bytes::new(), limit, most).await?;
-        let epoch = answered.epoch.unwrap_or(known);
-        match answered.status {
-            // Another writer's bytes may be no text; only the entry that holds them is spoiled by that.
-            200 => serde_json::from_str(&String::from_utf8_lossy(&answered.body))
+        let response = self.send(Method::GET, target, Bytes::new(), timeout, max_bytes).await?;
+        let epoch = response.epoch.unwrap_or(known);
+        match response.status {
+            // Another writer's bytes may not be valid UTF-8; that must invalidate only the entry that has them.
+            200 => serde_json::from_str(&String::from_utf8_lossy(&response.body))
                 .map(|answer| (epoch, answer))
                 .map_err(|e| StoreError::Unreadable(e.to_string())),
             410 if epoch != known => Err(StoreError::Restored { epoch }),
             410 => Err(StoreError::HistoryGone),
-            status => Err(refused(status)),
+            status => Err(status_error(status)),
         }
     }
 
@@ -99,25 +96,26 @@
         method: Method,
         target: &str,
         body: Bytes,
-        limit: Duration,
-        most: usize,
-    ) -> Result<Answered, StoreError> {
-        let begun = tokio::time::timeout(limit, self.begin(method, target, body)).await;
-        let (conn, res) = begun.map_err(|_| StoreError::TimedOut)??;
-        if let Some(bytes) = number(&res, header::CONTENT_LENGTH).filter(|bytes| *bytes > most as u64) {
+        timeout: Duration,
+        max_bytes: usize,
+    ) -> Result<StoreResponse, StoreError> {
+        let started = tokio::time::timeout(timeout, self.send_head(method, target, body)).await;
+        let (conn, res) = started.map_err(|_| StoreError::TimedOut)??;
+        if let Some(bytes) = number(&res, header::CONTENT_LENGTH).filter(|bytes| *bytes > max_bytes as u64) {
             conn.close();
             return Err(StoreError::Large { bytes });
         }
-        let (status, epoch) = (res.status().as_u16(), epoch(&res));
-        let body = tokio::time::timeout(REST, Limited::new(res.into_body(), MOST_PAGE).collect()).await;
+        let (status, epoch) = (res.status().as_u16(), parse_epoch(&res));
+        let body =
+            tokio::time::timeout(BODY_TIMEOUT, Limited::new(res.into_body(), MAX_PAGE_BYTES).collect()).await;
         let body = body.map_err(|_| StoreError::TimedOut)?;
-        let body = body.map_err(|e| unavailable(format!("the answer broke off: {e}")))?.to_bytes();
+        let body = body.map_err(|e| unavailable(format!("response body failed: {e}")))?.to_bytes();
         self.conn = Some(conn);
-        Ok(Answered { status, epoch, body })
+        Ok(StoreResponse { status, epoch, body })
     }
 
-    /// Makes a call, up to the head of its answer.
-    async fn begin(
+    /// Sends a request and waits for the head of the response.
+    async fn send_head(
         &mut self,
         method: Method,
         target: &str,
@@ -126,8 +124,8 @@
         let mut conn = match self.conn.take().filter(Conn::is_usable) {
             Some(conn) => conn,
             None => {
-                let connected = Conn::connect_probed(self.addr, CONNECT).await;
-                connected.map_err(|_| unavailable("could not connect".into()))?
+                let connected = Conn::connect_probed(self.addr, CONNECT_TIMEOUT).await;
+                connected.map_err(|_| unavailable("could not connect to the store".into()))?
             }
         };
         let res = conn.send(self.request(method, target, body)).await;
@@ -149,16 +147,16 @@
         req
     }
 
-    /// Reads a list whose first page has at most so many bytes.
+    /// Reads a list whose first page has at most `max_bytes`.
     async fn list<T: DeserializeOwned>(
         &mut self,
         kind: &str,
         call: Call,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<(Revision, Vec<Object<T>>), StoreError> {
         let stale = if call.copy { "?staleOk=1" } else { "" };
         let target = format!("/objects/{kind}{stale}");
-        let (epoch, mut all): (_, Page<T>) = self.call(&target, call.patience, most, call.epoch).await?;
+        let (epoch, mut all): (_, Page<T>) = self.call(&target, call.patience, max_bytes, call.epoch).await?;
         let mut more = all.has_more;
         if more && !call.whole {
             return Err(StoreError::Long);
@@ -167,12 +165,13 @@
             let after: String = form_urlencoded::byte_serialize(last.metadata.name.as_bytes()).collect();
             let stale = if call.copy { "&staleOk=1" } else { "" };
             let target = format!("/objects/{kind}?after={after}{stale}");
-            let (of_page, page): (_, Page<T>) = self.call(&target, call.patience, MOST_PAGE, epoch).await?;
-            if of_page != epoch {
-                return Err(StoreError::Restored { epoch: of_page });
+            let (page_epoch, page): (_, Page<T>) =
+                self.call(&target, call.patience, MAX_PAGE_BYTES, epoch).await?;
+            if page_epoch != epoch {
+                return Err(StoreError::Restored { epoch: page_epoch });
             }
             more = page.has_more && !page.items.is_empty();
-            // Pages are as of different revisions; the changes since the first one are watched again.
+            // Pages may have different revisions; watching from the first page's revision repeats the changes in between.
             all.items.extend(page.items);
         }
         Ok((Revision::new(epoch, all.current_rev), all.items))
@@ -184,11 +183,11 @@
         after: Revision,
         call: Call,
     ) -> Result<(Revision, Vec<Change<T>>), StoreError> {
-        let wait = if call.at_once { NO_WAIT } else { WAIT };
+        let wait = if call.at_once { MIN_WATCH_WAIT } else { WATCH_WAIT };
         let target = format!("/objects/{kind}?watch={}&waitMs={}", after.number, wait.as_millis());
         let (epoch, changes): (_, Changes<T>) =
-            self.call(&target, wait + call.patience, MOST_PAGE, after.epoch).await?;
-        // Of another epoch they are not the changes since that revision, whatever their numbers.
+            self.call(&target, wait + call.patience, MAX_PAGE_BYTES, after.epoch).await?;
+        // Changes of another epoch do not continue this revision, whatever their numbers are.
         if epoch != after.epoch {
             return Err(StoreError::Restored { epoch });
         }
@@ -200,21 +199,21 @@
     StoreError::Unavailable(why)
 }
 
-/// A number in a header of an answer, where it tells one.
+/// Parses a number from a response header, if there is one.
 fn number(res: &Response<Incoming>, name: impl header::AsHeaderName) -> Option<u64> {
     res.headers().get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// The store's epoch, where an answer tells it.
-fn epoch(res: &Response<Incoming>) -> Option<Epoch> {
-    let epoch = number(res, names::EPOCH);
+/// Parses the store's epoch from a response, if it has one.
+fn parse_epoch(res: &Response<Incoming>) -> Option<Epoch> {
+    let epoch = number(res, names::STORE_ERA);
     if epoch.is_none() {
-        spdlog::warn!("an answer of the store tells no number as its epoch");
+        spdlog::warn!("store response has no valid epoch header");
     }
     epoch
 }
 
-fn refused(status: u16) -> StoreError {
+fn status_error(status: u16) -> StoreError {
     StoreError::Unavailable(format!("status {status}"))
 }
 
@@ -224,19 +223,21 @@
         let object = serde_json::json!({ "metadata": { "name": data_centre }, "spec": spec });
         let body = Bytes::from(object.to_string());
         let name: String = form_urlencoded::byte_serialize(data_centre.as_bytes()).collect();
-        let (kind, named) = (format!("/objects/{HOSTS}"), format!("/objects/{HOSTS}/{name}"));
-        let mut status = self.send(Method::PUT, &named, body.clone(), ANSWER, MOST_PAGE).await?.status;
+        let (kind, named) = (format!("/objects/{HOSTS_KIND}"), format!("/objects/{HOSTS_KIND}/{name}"));
+        let mut status =
+            self.send(Method::PUT, &named, body.clone(), ANSWER_TIMEOUT, MAX_PAGE_BYTES).await?.status;
         if status == 404 {
-            status = self.send(Method::POST, &kind, body, ANSWER, MOST_PAGE).await?.status;
+            status = self.send(Method::POST, &kind, body, ANSWER_TIMEOUT, MAX_PAGE_BYTES).await?.status;
         }
-        // Another host of the data centre may have created the entry in between; it tells much the same.
-        matches!(status, 200..=299 | 409).then_some(()).ok_or(refused(status))
+        // Another host of the data centre may have created the entry meanwhile, with much the same content.
+        matches!(status, 200..=299 | 409).then_some(()).ok_or(status_error(status))
     }
 
     async fn hosts(&mut self) -> Result<Hosts, StoreError> {
-        // Old entries do: a host that is gone is only not heard.
-        let target = format!("/objects/{HOSTS}?staleOk=1");
-        let (_, page): (_, Page<RawHosts>) = self.call(&target, ANSWER, MOST_PAGE, Epoch::default()).await?;
+        // Stale entries are sufficient: a host that has left just does not respond.
+        let target = format!("/objects/{HOSTS_KIND}?staleOk=1");
+        let (_, page): (_, Page<RawHosts>) =
+            self.call(&target, ANSWER_TIMEOUT, MAX_PAGE_BYTES, Epoch::default()).await?;
         let all: Vec<_> = page.items.into_iter().filter_map(|o| o.spec).collect();
         let count = all.iter().map(|raw| raw.count).sum();
         Ok(Hosts { some: all.into_iter().flat_map(|raw| raw.members).collect(), count })
@@ -245,16 +246,16 @@
     async fn configuration(&mut self, call: Call) -> Result<(Revision, Option<Configuration>), StoreError> {
         let (revision, objects) = match call.after {
             None => {
-                let most = if call.whole { MOST_PAGE } else { SHORT_PAGE };
-                self.list(CONFIGURATION, call, most).await?
+                let max_bytes = if call.whole { MAX_PAGE_BYTES } else { MAX_INITIAL_CONFIGURATION_BYTES };
+                self.list(CONFIGURATION_KIND, call, max_bytes).await?
             }
             Some(after) => {
-                let (revision, events) = self.watch(CONFIGURATION, after, call).await?;
-                let kept = events.into_iter().filter(|e| !e.deleted);
-                (revision, kept.map(|e| e.object).collect())
+                let (revision, events) = self.watch(CONFIGURATION_KIND, after, call).await?;
+                let present = events.into_iter().filter(|e| !e.deleted);
+                (revision, present.map(|e| e.object).collect())
             }
         };
-        let named = objects.into_iter().filter(|o| o.metadata.name == NEWEST);
+        let named = objects.into_iter().filter(|o| o.metadata.name == CONFIGURATION_NAME);
         let newest = named.filter_map(|o| o.spec).max_by_key(|raw: &RawConfiguration| raw.version);
         Ok((revision, newest.map(Configuration::from)))
     }
@@ -262,14 +263,14 @@
     async fn evacuations(&mut self, call: Call) -> Result<evacuations::Update, StoreError> {
         let Some(after) = call.after else {
             let (Revision { epoch, number: revision }, items) =
-                self.list::<IgnoredAny>(EVACUATIONS, call, MOST_PAGE).await?;
-            let held = items.into_iter().filter(Object::stays);
+                self.list::<IgnoredAny>(EVACUATIONS_KIND, call, MAX_PAGE_BYTES).await?;
+            let held = items.into_iter().filter(Object::is_kept);
             let data_centres = held.map(|o| o.metadata.name).collect();
             let list = Evacuations { epoch, revision, data_centres, kept: Vec::new() };
             return Ok(evacuations::Update::List(list));
         };
-        let (revision, events) = self.watch::<IgnoredAny>(EVACUATIONS, after, call).await?;
-        let evacuated = |e: &Change<IgnoredAny>| !e.deleted && e.object.stays();
+        let (revision, events) = self.watch::<IgnoredAny>(EVACUATIONS_KIND, after, call).await?;
+        let evacuated = |e: &Change<IgnoredAny>| !e.deleted && e.object.is_kept();
         let changes = events.into_iter().map(|e| (evacuated(&e), e.object.metadata.name));
         let changes = changes.map(|(evacuated, name)| (name, evacuated)).collect();
         Ok(evacuations::Update::Changes { revision, changes })
@@ -277,15 +278,16 @@
 
     async fn backends(&mut self, call: Call) -> Result<BackendsUpdate, StoreError> {
         let Some(after) = call.after else {
-            // A list of servers is long by its pages: the length of the first one tells nothing of the others.
-            let (Revision { epoch, number: revision }, items) = self.list(BACKENDS, call, MOST_PAGE).await?;
+            // A list of servers is long if it has several pages; the size of its first page does not matter.
+            let (Revision { epoch, number: revision }, items) =
+                self.list(BACKENDS_KIND, call, MAX_PAGE_BYTES).await?;
             let items = items.into_iter().map(backend).collect();
             return Ok(BackendsUpdate::List(Backends { epoch, revision, items }));
         };
-        let (revision, events) = self.watch::<RawBackend>(BACKENDS, after, call).await?;
-        let (gone, kept): (Vec<_>, Vec<_>) = events.into_iter().partition(|e| e.deleted);
-        let removed = gone.into_iter().map(|e| e.object.metadata.name).collect();
-        let puts = kept.into_iter().map(|e| backend(e.object)).collect();
+        let (revision, events) = self.watch::<RawBackend>(BACKENDS_KIND, after, call).await?;
+        let (deleted, present): (Vec<_>, Vec<_>) = events.into_iter().partition(|e| e.deleted);
+        let removed = deleted.into_iter().map(|e| e.object.metadata.name).collect();
+        let puts = present.into_iter().map(|e| backend(e.object)).collect();
         Ok(BackendsUpdate::Changes { revision, puts, removed })
     }
 }
--- a/src/platform/store/forms.rs
+++ b/src/platform/store/forms.rs
@@ -1,4 +1,4 @@
-//! The store's objects as the platform writes them, and what they become in the product.
+//! The store's objects in the platform's format, and their conversion to the product's types.
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
@@ -18,7 +18,7 @@
     pub(super) current_rev: u64,
 }
 
-/// What a watch brings.
+/// Result of a watch.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", bound = "T: DeserializeOwned")]
 pub(super) struct Changes<T> {
@@ -39,14 +39,14 @@
 #[serde(bound = "T: DeserializeOwned")]
 pub(super) struct Object<T> {
     pub(super) metadata: Metadata,
-    /// Left out where it can't be read, so that one bad object spoils no list.
+    /// `None` if it can't be decoded, so that one invalid object does not invalidate the list.
     #[serde(default = "Option::default", deserialize_with = "lenient")]
     pub(super) spec: Option<T>,
 }
 
 impl<T> Object<T> {
-    /// Whether nobody has asked for its deletion.
-    pub(super) fn stays(&self) -> bool {
+    /// Whether no deletion is pending.
+    pub(super) fn is_kept(&self) -> bool {
         !self.metadata.deletion_pending
     }
 }
@@ -59,7 +59,7 @@
     deletion_pending: bool,
 }
 
-/// Those of a list that have a name; another writer may have left anything beside them, which spoils no other.
+/// Decodes the entries of a list that have a name. Other writers may add anything else, which is skipped with a warning.
 fn readable<'de, D, T>(de: D) -> Result<Vec<T>, D::Error>
 where
     D: serde::Deserializer<'de>,
@@ -68,7 +68,7 @@
     let values = Vec::<serde_json::Value>::deserialize(de)?;
     let read = |value| {
         serde_json::from_value(value)
-            .inspect_err(|e| spdlog::warn!("an entry of the store has no name: {e}"))
+            .inspect_err(|e| spdlog::warn!("skipping a store entry without a valid name: {e}"))
             .ok()
     };
     Ok(values.into_iter().filter_map(read).collect())
@@ -79,12 +79,12 @@
     D: serde::Deserializer<'de>,
     T: DeserializeOwned,
 {
-    // What is made of an object that can't be read is logged where it changes something, not with each list.
+    // Logged at debug level only: the caller logs the consequence when it changes, instead of with each list.
     let value = serde_json::Value::deserialize(de)?;
-    Ok(serde_json::from_value(value).inspect_err(|e| spdlog::debug!("an object can't be read: {e}")).ok())
+    Ok(serde_json::from_value(value).inspect_err(|e| spdlog::debug!("invalid store object: {e}")).ok())
 }
 
-/// A backend server's entry. Of the fields that nothing is made of only the types must hold.
+/// A backend server's entry. Unused fields are declared so that their types are checked.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct RawBackend {
@@ -98,7 +98,7 @@
     _version: Option<String>,
     #[serde(rename = "sequence")]
     _sequence: Option<u64>,
-    /// How much longer it stays cold.
+    /// Remaining warm-up time.
     cold_remaining_ms: Option<f64>,
 }
 
@@ -109,11 +109,11 @@
     Draining,
 }
 
-/// Some hosts of a data centre, as one of them has entered them.
+/// Some hosts of a data centre, as published by one of them.
 #[derive(Deserialize, Serialize)]
 pub(super) struct RawHosts {
     pub(super) members: Vec<Member>,
-    /// How many there are.
+    /// Number of all hosts of the data centre.
     #[serde(default)]
     pub(super) count: usize,
 }
@@ -151,7 +151,7 @@
     max_attempts: u32,
     #[serde(default)]
     auth_exempt: bool,
-    /// Whether its requests name the parts of their prompt.
+    /// Whether its requests list the parts of their prompt.
     #[serde(default)]
     session_affinity: bool,
     #[serde(default)]
@@ -174,7 +174,7 @@
     cold_s: f64,
     #[serde(default)]
     cold_per_s: f64,
-    /// Present where its servers are model engines.
+    /// Present if its servers are model engines.
     engine: Option<serde_json::Value>,
 }
 
@@ -200,8 +200,8 @@
     priority: Option<u32>,
 }
 
-/// Weights are counted in thousandths, since they may have fractions.
-const WEIGHT_PARTS: f64 = 1_000.0;
+/// Weights are stored in thousandths, because they may have fractions.
+const WEIGHT_SCALE: f64 = 1_000.0;
 
 impl From<RawConfiguration> for Configuration {
     fn from(raw: RawConfiguration) -> Self {
@@ -222,7 +222,7 @@
             "stream" => Repeat::Stream,
             _ => Repeat::Never,
         };
-        let split = |s: RawShare| Share { service: s.service, weight: (s.weight * WEIGHT_PARTS) as u32 };
+        let split = |s: RawShare| Share { service: s.service, weight: (s.weight * WEIGHT_SCALE) as u32 };
         let mut shares: Vec<_> = raw.traffic_split.into_iter().map(split).collect();
         if let Some(service) = raw.service.filter(|_| shares.is_empty()) {
             shares.push(Share { service, weight: 1 });
@@ -273,7 +273,7 @@
     }
 }
 
-/// An entry that can't be read is listed without an address: it names no server to use.
+/// Converts an entry; one that can't be decoded gets no address, so that it is never used.
 pub(super) fn backend(object: Object<RawBackend>) -> fleet::Backend {
     let id = object.metadata.name;
     let Some(raw) = object.spec else { return fleet::Backend { id, ..Default::default() } };
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -1,4 +1,4 @@
-//! Requests and answers as the platform's callers and backend servers write them.
+//! Requests and responses in the format of the platform's callers and backend servers.
 
 use std::time::Duration;
 
@@ -22,10 +22,10 @@
     },
 };
 
-/// Highest number that a rank may have at a backend server; 0 is the most urgent.
-const MOST_RANK: u32 = 9;
+/// Maximum rank that backend servers accept; 0 is the most urgent.
+const MAX_RANK: u32 = 9;
 
-/// The platform's wire form.
+/// The platform's wire format.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformWire;
 
@@ -36,16 +36,16 @@
         Ask {
             id: text(headers, &names::ATTEMPT_ID).unwrap_or_default().into(),
             host: host.unwrap_or_default().into(),
-            key: text(headers, &names::KEY).map(Into::into),
+            key: text(headers, &names::API_KEY).map(Into::into),
             waits: number(headers, &names::DEADLINE).map(Duration::from_millis),
-            parts: text(headers, &names::PREFIX).map(parts).unwrap_or_default(),
-            after: number(headers, &names::LAST_EVENT),
+            parts: text(headers, &names::PREFIX_HASH).map(parse_parts).unwrap_or_default(),
+            after: number(headers, &names::LAST_EVENT_ID),
         }
     }
 
     fn forwarded(&self, mut headers: HeaderMap) -> HeaderMap {
-        strip(&mut headers);
-        names::OWN.iter().for_each(|name| while_removed(&mut headers, name));
+        remove_hop_headers(&mut headers);
+        names::RESERVED.iter().for_each(|name| remove_all(&mut headers, name));
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(header::EXPECT);
         headers
@@ -69,13 +69,13 @@
             set(names::TENANT, caller.workspace.to_string());
         }
         if let Some(after) = sending.after {
-            set(names::LAST_EVENT, after.to_string());
+            set(names::LAST_EVENT_ID, after.to_string());
         }
         if let Some(from) = sending.fetch_from {
             set(names::KV_FETCH, from.to_string());
         }
         if req.route.route.prompts {
-            set(names::PRIORITY, req.rank().min(MOST_RANK).to_string());
+            set(names::PRIORITY, req.rank().min(MAX_RANK).to_string());
         }
         out
     }
@@ -84,16 +84,16 @@
         let headers = &head.headers;
         Read {
             failure: failure(req, head),
-            keeps: text(headers, &names::KEEP_ALIVE).and_then(keeps),
+            keeps: text(headers, &names::KEEP_ALIVE).and_then(keep_alive_timeout),
             closes: text(headers, &header::CONNECTION).is_some_and(|v| v.eq_ignore_ascii_case("close")),
-            told: text(headers, &names::LOAD).and_then(told),
-            leaves: leaves(head),
-            pause: pause(head),
+            told: text(headers, &names::SERVER_LOAD).and_then(parse_load),
+            leaves: is_leaving(head),
+            pause: requested_pause(head),
         }
     }
 
     fn pass(&self, mut head: response::Parts, body: AnswerBody) -> Response<AnswerBody> {
-        strip(&mut head.headers);
+        remove_hop_headers(&mut head.headers);
         head.headers.remove(header::CONTENT_LENGTH);
         head.version = Version::HTTP_11;
         head.extensions.clear();
@@ -114,7 +114,7 @@
     }
 }
 
-/// The table from kind and what ran to status. 408, 429 and 503 promise that the request has not run.
+/// Status of a refusal, by its kind and by whether the request ran. 408, 429 and 503 guarantee that it has not run.
 fn status(kind: Kind, ran: Ran) -> StatusCode {
     match (ran, kind) {
         (Ran::No, Kind::NotFound) => StatusCode::NOT_FOUND,
@@ -129,8 +129,8 @@
     }
 }
 
-/// Why an answer is not the one to pass on. An answer without the server's signature is none of its own, and one with
-/// another identifier belongs to a request that was sent before on the same connection.
+/// Why a response must not be passed on, if so. One without the server's seal was not written by the server, and one with
+/// another attempt ID belongs to an earlier request on the same connection.
 fn failure(req: &Request, head: &response::Parts) -> Option<Failure> {
     let echoed = text(&head.headers, &names::ATTEMPT_ID);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
@@ -142,20 +142,19 @@
     if head.headers.contains_key(names::NOT_EXECUTED) {
         return Some(Failure::Refused);
     }
-    let whole = head.headers.contains_key(names::SEAL) && echoed.is_some();
+    let sealed = head.headers.contains_key(names::RESPONSE_SEAL) && echoed.is_some();
     let encoded = head.headers.contains_key(header::CONTENT_ENCODING);
-    (head.status.is_success() && (!whole || encoded)).then_some(Failure::Garbled)
+    (head.status.is_success() && (!sealed || encoded)).then_some(Failure::Garbled)
 }
 
-/// Whether an answer says that its server leaves. A server that stands where another one was meant speaks for itself.
-fn leaves(head: &response::Parts) -> bool {
-    let says = text(&head.headers, &names::LEAVING).is_some_and(|value| value.trim() == "1");
-    says && head.status != StatusCode::MISDIRECTED_REQUEST
+/// Whether the response says that its server is leaving. A misdirected response comes from another server and does not count.
+fn is_leaving(head: &response::Parts) -> bool {
+    let announced = text(&head.headers, &names::SERVER_LEAVING).is_some_and(|value| value.trim() == "1");
+    announced && head.status != StatusCode::MISDIRECTED_REQUEST
 }
 
-/// For how long a server that has turned a request away wants nothing, in seconds that may have fractions. Anything else, a
-/// date included, asks for nothing.
-fn pause(head: &response::Parts) -> Option<Duration> {
+/// Pause that a server requests with a refusal, in seconds, possibly fractional; other values, such as dates, are ignored.
+fn requested_pause(head: &response::Parts) -> Option<Duration> {
     if head.status != StatusCode::SERVICE_UNAVAILABLE {
         return None;
     }
@@ -163,7 +162,7 @@
     let seconds = told.trim().parse().ok().filter(|seconds: &f64| *seconds > 0.0);
     let pause = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     if pause.is_none() {
-        spdlog::debug!("a server asks for a pause that is none: {told:?}");
+        spdlog::debug!("invalid retry-after header of a server: {told:?}");
     }
     pause
 }
@@ -176,8 +175,8 @@
     text(headers, name)?.trim().parse().ok()
 }
 
-/// Parts as `ID:TOKENS` with the ID in hexadecimal, separated by commas.
-fn parts(value: &str) -> Vec<Part> {
+/// Parses prompt parts: `ID:TOKENS` with the ID in hexadecimal, separated by commas.
+fn parse_parts(value: &str) -> Vec<Part> {
     let part = |entry: &str| {
         let (id, tokens) = entry.trim().split_once(':')?;
         Some(Part { id: u64::from_str_radix(id, 16).ok()?, tokens: tokens.parse().ok()? })
@@ -185,19 +184,19 @@
     value.split(',').map_while(part).collect()
 }
 
-/// Running and waiting requests and places, separated by commas.
-fn told(value: &str) -> Option<Told> {
+/// Parses a server's load: running requests, waiting requests and slots, separated by commas.
+fn parse_load(value: &str) -> Option<Told> {
     let mut numbers = value.split(',').map(|n| n.trim().parse().ok());
     Some(Told { running: numbers.next()??, waiting: numbers.next()??, slots: numbers.next()?? })
 }
 
-fn keeps(value: &str) -> Option<Duration> {
+fn keep_alive_timeout(value: &str) -> Option<Duration> {
     let seconds = value.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
 
-/// Takes headers out that only concern one connection, those included that the connection header names.
-fn strip(headers: &mut HeaderMap) {
+/// Removes hop-by-hop headers, including those that the `connection` header lists.
+fn remove_hop_headers(headers: &mut HeaderMap) {
     let listed: Vec<_> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -205,9 +204,9 @@
         .flat_map(|v| v.split(','))
         .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
         .collect();
-    names::HOP.iter().chain(&listed).for_each(|name| while_removed(headers, name));
+    names::HOP_BY_HOP.iter().chain(&listed).for_each(|name| remove_all(headers, name));
 }
 
-fn while_removed(headers: &mut HeaderMap, name: &HeaderName) {
+fn remove_all(headers: &mut HeaderMap, name: &HeaderName) {
     while headers.remove(name).is_some() {}
 }
