--- a/tests/claim_costs.rs
+++ b/tests/claim_costs.rs
@@ -1,4 +1,4 @@
-//! Bounds on what claims cost, on the cases that `cargo bench --bench claims` prints. All counts are of virtual time.
+//! Bounds on the cost of claims in the cases that `cargo bench --bench claims` prints. All figures are in virtual time.
 
 #[path = "../benches/claims/cases.rs"]
 #[allow(dead_code)]
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_claim_waits_little() {
+fn a_claim_is_granted_quickly() {
     let slow = cases::cost(SHARDS, 8, 10, 20, INTERVAL_MS);
     let fast = cases::cost(SHARDS, 8, 1000, 5, INTERVAL_MS);
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_outage_stops_no_key_of_a_ticket_and_loses_no_record() {
+fn an_outage_blocks_no_ticket_key_and_loses_no_record() {
     let ticket = cases::outage(true, 8, 10);
     let own = cases::outage(false, 8, 10);
 
--- a/tests/claim_stories.rs
+++ b/tests/claim_stories.rs
@@ -1,5 +1,5 @@
-//! Failures of claims one by one, each at every millisecond at which it can strike. In virtual time, with the
-//! routers' real decisions.
+//! Single failures of claims, each injected at every millisecond at which it can occur. In virtual time, with the real
+//! decision code of the routers.
 
 #[path = "../benches/claims/world.rs"]
 #[allow(dead_code)]
@@ -7,13 +7,13 @@
 
 use world::{Faults, Ms, Violations, Way, Weak, World};
 
-/// A request takes about 25 ms from the first frame to the answer; its record is written about a second later.
+/// A request takes about 25 ms from the first frame to the response; its record is written about a second later.
 const ANSWERED: Ms = 40;
 const RECORDED: Ms = 1_400;
 const HOLDER: usize = 0;
 const NONE: Violations = Violations { second_run: 0, false_not_run: 0, foreign_answer: 0 };
 
-/// Three routers, each of which takes itself for the owner of the only shard.
+/// Three routers, each of which considers itself the owner of the only shard.
 fn world(faults: Faults, weak: Weak) -> World {
     World::new(3, 3, Way::Shards(1), faults, weak)
 }
@@ -22,11 +22,11 @@
     (0..ANSWERED).chain((ANSWERED..RECORDED).step_by(20))
 }
 
-/// The router that holds a booking dies: before the claim, after it, before the first byte, before the last, before
-/// the answer or before the record. The guest sees the connection break and sends the booking again elsewhere, up
-/// to five times. It must not be made twice, and a "not run" must be true.
+/// The router that handles a request crashes: before or after the claim, before the first or last byte, before the
+/// response or before the record. The caller's connection breaks, and it retries at other routers up to five times.
+/// The request must not run twice, and "not run" must be true.
 #[test]
-fn a_router_that_dies_at_any_point_doubles_nothing() {
+fn a_router_that_crashes_at_any_point_duplicates_nothing() {
     let (mut not_made, mut made) = (0, 0);
     for ticket in [false, true] {
         for at in every_point() {
@@ -36,18 +36,18 @@
 
             world.run(60_000);
 
-            assert_eq!(world.violations(), NONE, "died at {at} ms");
+            assert_eq!(world.violations(), NONE, "crashed at {at} ms");
             if world.stats.runs == 0 { not_made += 1 } else { made += 1 }
         }
     }
-    assert!(not_made > 0 && made > 0, "the deaths must fall on both sides of the run");
+    assert!(not_made > 0 && made > 0, "crashes must occur both before and after the run");
 }
 
-/// The router stops for over a minute, as a suspended host does, and wakes up with the claim in hand. Meanwhile the
-/// guest has sent the booking again to another router, which could think the claim had run out. Nobody else may get
-/// it: the router that wakes up goes on and makes the only booking.
+/// A router is paused for over a minute, as on a suspended host, and resumes while it holds the claim. Meanwhile the
+/// caller has retried at another router, which might consider the claim expired. That router must not get it: the
+/// paused router continues and makes the only booking.
 #[test]
-fn a_router_that_wakes_up_after_a_minute_makes_the_only_booking() {
+fn a_router_paused_for_a_minute_makes_the_only_booking() {
     for at in every_point() {
         let mut world = world(Faults::none(), Weak::Nothing);
         let caller = world.call(0, HOLDER, false, 5, false);
@@ -56,13 +56,13 @@
 
         world.run(200_000);
 
-        assert_eq!(world.violations(), NONE, "stopped at {at} ms");
+        assert_eq!(world.violations(), NONE, "paused at {at} ms");
     }
 }
 
-/// The same with claims that run out after a while, as a lock with a lease does: the story must be able to fail.
+/// The same with claims that expire, like a lock with a lease. Shows that the test above can detect a duplicate run.
 #[test]
-fn claims_that_run_out_would_double_the_booking() {
+fn expiring_claims_would_duplicate_the_booking() {
     let doubled = every_point().filter(|at| {
         let mut world = world(Faults::none(), Weak::ClaimsRunOut);
         let caller = world.call(0, HOLDER, false, 5, false);
@@ -75,8 +75,8 @@
     assert!(doubled.count() > 0);
 }
 
-/// Two routers both take themselves for the owner of the shard, and the guest's client sends the booking to the
-/// second a little after the first. Each reads a shard without the claim; only one conditional write takes effect.
+/// Several routers consider themselves the owner of the shard, and the caller sends the request to a second and third
+/// shortly after the first. Each reads a shard without the claim; only one conditional write takes effect.
 #[test]
 fn two_owners_of_a_shard_grant_one_claim() {
     for gap in 0..ANSWERED {
@@ -91,10 +91,10 @@
     }
 }
 
-/// Every frame between routers comes twice, and half of them seconds late, so that asks come after their own
-/// release and verdicts after the router gave up. Bookings sent to all routers at once still run once.
+/// Every frame between routers is duplicated and half of them are seconds late, so that requests arrive after their own
+/// release, and verdicts after the router timed out. Requests sent to all routers at once still run once.
 #[test]
-fn repeated_and_late_frames_grant_nothing_twice() {
+fn duplicated_and_late_frames_grant_nothing_twice() {
     let faults = Faults { repeat_frame: 1000, late_frame: 500, ..Faults::none() };
     let mut late_grants = 0;
     for seed in 0..60 {
@@ -108,13 +108,13 @@
         assert_eq!(world.violations(), NONE, "seed {seed}");
         late_grants += world.stats.not_run;
     }
-    assert!(late_grants > 0, "some attempts must have been given up");
+    assert!(late_grants > 0, "some attempts must have timed out");
 }
 
-/// The backend server answers three times later than the router waits. The guest is told that nobody knows; a later
-/// attempt must neither run again nor read another booking's answer.
+/// The backend server takes three times as long as the router waits. The caller gets "unknown"; a later attempt must
+/// neither run again nor get the response of another key.
 #[test]
-fn an_answer_after_the_router_gave_up_changes_nothing() {
+fn a_response_after_the_timeout_changes_nothing() {
     let faults = Faults { late_answer: 1000, ..Faults::none() };
     let mut world = world(faults, Weak::Nothing);
     for i in 0..20 {
@@ -127,9 +127,9 @@
     assert!(world.stats.unknown >= 20);
 }
 
-/// The platform loses each second answer and applies some writes long after their caller gave up on them.
+/// The platform loses every second response and applies some writes long after their caller timed out.
 #[test]
-fn lost_answers_and_late_writes_of_the_platform_grant_nothing_twice() {
+fn lost_responses_and_late_writes_of_the_platform_grant_nothing_twice() {
     let faults = Faults { lose_answer: 500, late_effect: 300, ..Faults::none() };
     let mut answered = 0;
     for seed in 0..60 {
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -1,5 +1,5 @@
-//! Claims over seeded schedules of failures: never two runs of a key, never a false "not run", never another's
-//! answer; and the same schedules against weakened versions, which must show violations.
+//! Claims under seeded schedules of failures: a key never runs twice, "not run" is never false, and no caller gets the
+//! response of another key. The same schedules must find violations in weakened versions of the protocol.
 
 #[path = "../benches/claims/world.rs"]
 #[allow(dead_code)]
@@ -17,33 +17,33 @@
     all
 }
 
-/// Routers crash, pause past everything, change their minds about who owns a shard; the platform is out, loses
-/// calls and answers and applies writes late; links lose, repeat and delay frames; callers resend, some at once
-/// to every router. A doubled booking would show as a key with two runs in the backend server's record.
+/// Routers crash, pause beyond every timeout and disagree on the owner of a shard. The platform has outages, loses
+/// calls and responses, and applies writes late. Links drop, duplicate and delay frames. Callers retry, some at all
+/// routers at once. A duplicate booking shows as a key with two runs in the backend server's record.
 #[test]
-fn no_schedule_breaks_a_promise() {
+fn no_schedule_violates_a_guarantee() {
     for seed in 0..SCHEDULES {
         let world = schedule(seed, Weak::Nothing);
 
-        let found = world.violations();
+        let violations = world.violations();
 
-        assert_eq!(found, Violations::default(), "seed {seed}");
+        assert_eq!(violations, Violations::default(), "seed {seed}");
     }
 }
 
-/// The schedules must be able to see each step that the protocol relies on.
+/// Each step that the protocol relies on is left out in one version; the schedules must detect that.
 #[test]
-fn each_weakened_version_is_caught() {
+fn each_weakened_version_is_detected() {
     for weak in Weak::ALL {
-        let found = violations(weak, SCHEDULES / 4);
+        let violations = violations(weak, SCHEDULES / 4);
 
-        assert!(found.total() > 0, "{weak:?} broke no promise in {} schedules", SCHEDULES / 4);
+        assert!(violations.total() > 0, "no violation found with {weak:?} in {} schedules", SCHEDULES / 4);
     }
 }
-/// Schedules in which nothing runs would prove nothing, and schedules that differ from run to run would hide what
-/// they find.
+
+/// Schedules in which nothing runs would prove nothing, and schedules that are not deterministic could not be replayed.
 #[test]
-fn schedules_do_work_and_repeat() {
+fn schedules_run_requests_and_are_deterministic() {
     let (mut callers, mut runs, mut repeated, mut not_run) = (0, 0, 0, 0);
     for seed in 0..50 {
         let (one, two) = (schedule(seed, Weak::Nothing), schedule(seed, Weak::Nothing));
