--- a/src/claim/ticket.rs
+++ b/src/claim/ticket.rs
@@ -12,7 +12,7 @@
 
 const KEY_CONTEXT: &str = "cranberrytally key ticket 1";
 const MAC_BYTES: usize = 16;
-const TICKET_PREFIX: &str = "kt1-";
+const PREFIX: &str = "kt1-";
 /// Time for which a caller may use new keys under a ticket.
 pub const TICKET_LIFETIME: Duration = Duration::from_secs(600);
 
@@ -37,12 +37,12 @@
         let body = postcard::to_stdvec(ticket).unwrap_or_default();
         let mut bytes = self.mac(&body).to_vec();
         bytes.extend_from_slice(&body);
-        format!("{TICKET_PREFIX}{}", URL_SAFE_NO_PAD.encode(bytes))
+        format!("{PREFIX}{}", URL_SAFE_NO_PAD.encode(bytes))
     }
 
     /// Extracts and verifies the ticket of an idempotency key; `None` if it has no valid ticket.
     pub fn verified_ticket(&self, key: &str) -> Option<KeyTicket> {
-        let (text, _) = key.strip_prefix(TICKET_PREFIX)?.split_once('.')?;
+        let (text, _) = key.strip_prefix(PREFIX)?.split_once('.')?;
         let bytes = URL_SAFE_NO_PAD.decode(text).ok()?;
         let (tag, body) = bytes.split_at_checked(MAC_BYTES)?;
         // Comparing `blake3::Hash` values takes constant time.
--- a/src/claim/ticket_claims.rs
+++ b/src/claim/ticket_claims.rs
@@ -35,7 +35,7 @@
 /// Claims under the tickets of one process of a router.
 #[derive(Debug, Default)]
 pub struct TicketClaims {
-    claims: Map<KeyDigest, Slot>,
+    slots: Map<KeyDigest, Slot>,
     released: Map<AttemptId, Instant>,
     from_memory: u64,
     closed: bool,
@@ -47,13 +47,13 @@
         if self.released.contains_key(&ask.attempt) {
             return Step::Answer(Verdict::Unavailable);
         }
-        match self.claims.get(&ask.key) {
+        match self.slots.get(&ask.key) {
             Some(slot) if slot.entry.attempt == ask.attempt && slot.entry.record.is_none() => {
                 if slot.granted { Step::Answer(Verdict::Granted) } else { Step::Record }
             }
             Some(slot) => Step::Answer(slot.entry.verdict(ask.content, clock.wall_ms)),
             None if !accepts_new_keys => Step::Lookup,
-            None if self.claims.len() >= MAX_CLAIMS => Step::Answer(Verdict::Unavailable),
+            None if self.slots.len() >= MAX_CLAIMS => Step::Answer(Verdict::Unavailable),
             None => {
                 let entry = Entry {
                     content: ask.content,
@@ -61,7 +61,7 @@
                     claimed_at_ms: clock.wall_ms,
                     record: None,
                 };
-                self.claims.insert(ask.key, Slot { entry, granted: false, inserted_at: clock.now });
+                self.slots.insert(ask.key, Slot { entry, granted: false, inserted_at: clock.now });
                 Step::Record
             }
         }
@@ -70,13 +70,13 @@
     /// Decides on a claim after its shard has answered with `shard_verdict`. A claim that could not be stored is granted
     /// from memory, unless this process is closed: no other router has granted the key or ever will.
     pub fn apply_shard_verdict(&mut self, ask: &ClaimRequest, shard_verdict: Verdict) -> Verdict {
-        let Some(slot) = self.claims.get_mut(&ask.key) else { return Verdict::Unavailable };
+        let Some(slot) = self.slots.get_mut(&ask.key) else { return Verdict::Unavailable };
         if slot.entry.attempt != ask.attempt || slot.entry.record.is_some() {
             return Verdict::Unavailable;
         }
         if shard_verdict != Verdict::Granted {
             if self.closed {
-                self.claims.remove(&ask.key);
+                self.slots.remove(&ask.key);
                 return shard_verdict;
             }
             self.from_memory += 1;
@@ -99,7 +99,7 @@
 
     /// Stores the result of a granted attempt.
     pub fn finish(&mut self, key: KeyDigest, attempt: AttemptId, record: Record) {
-        if let Some(slot) = self.claims.get_mut(&key)
+        if let Some(slot) = self.slots.get_mut(&key)
             && slot.entry.attempt == attempt
         {
             slot.entry.record = Some(record);
@@ -109,15 +109,15 @@
     /// Releases the claim of an attempt that has not run and never will.
     pub fn release(&mut self, clock: Clock, key: KeyDigest, attempt: AttemptId) {
         self.released.insert(attempt, clock.now);
-        if self.claims.get(&key).is_some_and(|s| s.entry.attempt == attempt && s.entry.record.is_none()) {
-            self.claims.remove(&key);
+        if self.slots.get(&key).is_some_and(|s| s.entry.attempt == attempt && s.entry.record.is_none()) {
+            self.slots.remove(&key);
         }
     }
 
     /// Removes claims whose tickets expired more than [`RETENTION_AFTER_EXPIRY`] ago.
     pub fn evict_expired(&mut self, clock: Clock) {
         let retention = super::ticket::TICKET_LIFETIME + RETENTION_AFTER_EXPIRY;
-        self.claims.retain(|_, slot| clock.now < slot.inserted_at + retention);
+        self.slots.retain(|_, slot| clock.now < slot.inserted_at + retention);
         self.released.retain(|_, at| clock.now < *at + retention);
     }
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -46,7 +46,7 @@
 /// Kind of the objects that list evacuated data centres.
 const EVACUATIONS_KIND: &str = "evacuations";
 /// Kind of this system's own objects: some hosts of each data centre, under the name of the data centre.
-const HOSTS_KIND: &str = "hosts";
+const HOSTS: &str = "hosts";
 
 /// A response of the store.
 struct StoreResponse {
@@ -223,7 +223,7 @@
         let object = serde_json::json!({ "metadata": { "name": data_centre }, "spec": spec });
         let body = Bytes::from(object.to_string());
         let name: String = form_urlencoded::byte_serialize(data_centre.as_bytes()).collect();
-        let (kind, named) = (format!("/objects/{HOSTS_KIND}"), format!("/objects/{HOSTS_KIND}/{name}"));
+        let (kind, named) = (format!("/objects/{HOSTS}"), format!("/objects/{HOSTS}/{name}"));
         let mut status =
             self.send(Method::PUT, &named, body.clone(), ANSWER_TIMEOUT, MAX_PAGE_BYTES).await?.status;
         if status == 404 {
@@ -235,7 +235,7 @@
 
     async fn hosts(&mut self) -> Result<Hosts, StoreError> {
         // Stale entries are sufficient: a host that has left just does not respond.
-        let target = format!("/objects/{HOSTS_KIND}?staleOk=1");
+        let target = format!("/objects/{HOSTS}?staleOk=1");
         let (_, page): (_, Page<RawHosts>) =
             self.call(&target, ANSWER_TIMEOUT, MAX_PAGE_BYTES, Epoch::default()).await?;
         let all: Vec<_> = page.items.into_iter().filter_map(|o| o.spec).collect();
