--- a/src/claim.rs
+++ b/src/claim.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(pub [u8; DIGEST_BYTES]);
 
-/// Wall-clock time in milliseconds since the Unix epoch.
+/// Wall-clock time in milliseconds since 1970 (Unix time).
 pub type WallMs = u64;
 
 impl KeyDigest {
--- a/tests/bookings.rs
+++ b/tests/bookings.rs
@@ -1,5 +1,4 @@
-//! Calls that may not be repeated, over real sockets: three routers, a platform and a backend server that keeps a
-//! record of its runs.
+//! Non-idempotent calls over real sockets: three routers, a platform and a backend server that records its runs.
 
 #[path = "fixture/routers.rs"]
 mod fixture;
@@ -61,7 +60,7 @@
         Self { platform, service, gate, routers, addrs, servers, client: Client::default() }
     }
 
-    async fn hold(&self, router: usize, key: &str, content: &'static str) -> Reply {
+    async fn book_once(&self, router: usize, key: &str, content: &'static str) -> Reply {
         self.call(router, "bookings", key, content, false).await
     }
 
@@ -71,26 +70,26 @@
         service: &str,
         key: &str,
         content: &'static str,
-        first: bool,
+        first_attempt: bool,
     ) -> Reply {
-        self.try_call(router, service, key, content, first).await.expect("a connection")
+        self.try_call(router, service, key, content, first_attempt).await.expect("a connection")
     }
 
-    /// `None` when no connection could be made.
+    /// Sends one call; `None` if no connection could be made.
     async fn try_call(
         &self,
         router: usize,
         service: &str,
         key: &str,
         content: &'static str,
-        first: bool,
+        first_attempt: bool,
     ) -> Option<Reply> {
         let url = format!("http://{}/services/{service}/hold", self.addrs[router]);
         let mut req = Request::post(url).header("x-workspace", "excursions");
         if !key.is_empty() {
             req = req.header("idempotency-key", key);
         }
-        if first {
+        if first_attempt {
             req = req.header("x-first-attempt", "true");
         }
         let res = match self.client.send(req.body(Full::from(content)).unwrap()).await {
@@ -112,10 +111,10 @@
         Some(Reply { status, outcome, code, text })
     }
 
-    /// Asks again while the claim is pending.
-    async fn settled(&self, router: usize, key: &str, content: &'static str) -> Reply {
+    /// Repeats the call while its claim is pending.
+    async fn until_settled(&self, router: usize, key: &str, content: &'static str) -> Reply {
         for _ in 0..1000 {
-            let reply = self.hold(router, key, content).await;
+            let reply = self.book_once(router, key, content).await;
             if reply.code != "key_pending" {
                 return reply;
             }
@@ -124,9 +123,9 @@
         panic!("{key} stays pending");
     }
 
-    /// Sends a booking until it is answered or known to have been made, as a patient client does; returns the last
-    /// outcome that it was told.
-    async fn book(&self, n: usize, key: String) -> (String, String) {
+    /// Retries a booking like a client until it is answered or its result is recorded as unknown; returns the key and the
+    /// last outcome reported.
+    async fn book_with_retries(&self, n: usize, key: String) -> (String, String) {
         let (mut first, mut last) = (true, String::new());
         for attempt in 0..40 {
             let router = (n + attempt) % ROUTERS;
@@ -164,16 +163,15 @@
     }
 }
 
-/// A guest's tablet sends a booking, loses the answer and sends it again through another router, then once more
-/// with another tour under the same key. The guest must read the first booking's answer, and the other tour must
-/// not be booked.
+/// A client retries a booking through another router, and then uses the same key for a different booking. The retry must
+/// get the first response, and the different booking must be refused.
 #[tokio::test]
 async fn a_repeat_reads_the_recorded_answer() {
     let fleet = Fleet::start().await;
 
-    let first = fleet.hold(0, "k1", "tour 7").await;
-    let repeat = fleet.settled(1, "k1", "tour 7").await;
-    let other = fleet.hold(2, "k1", "tour 8").await;
+    let first = fleet.book_once(0, "k1", "tour 7").await;
+    let repeat = fleet.until_settled(1, "k1", "tour 7").await;
+    let other = fleet.book_once(2, "k1", "tour 8").await;
 
     assert_eq!((first.status, first.outcome.as_str()), (200, "ran"));
     assert_eq!(repeat, first);
@@ -182,8 +180,8 @@
     fleet.close();
 }
 
-/// A nervous client sends the same booking to every router at once, and again. Without a claim before the first
-/// byte each router would book it: the family is charged three times.
+/// A client sends the same booking to every router at the same time, twice. Without a claim before the first byte each
+/// router would run it.
 #[tokio::test]
 async fn a_booking_sent_to_every_router_runs_once() {
     let fleet = Arc::new(Fleet::start().await);
@@ -192,7 +190,7 @@
     for key in ["a", "b", "c", "d", "e"] {
         let sent = (0..2 * ROUTERS).map(|i| {
             let fleet = fleet.clone();
-            tokio::spawn(async move { fleet.hold(i % ROUTERS, key, "tour").await })
+            tokio::spawn(async move { fleet.book_once(i % ROUTERS, key, "tour").await })
         });
         let sent: Vec<_> = sent.collect();
         let mut replies = Vec::new();
@@ -207,15 +205,15 @@
     Arc::into_inner(fleet).unwrap().close();
 }
 
-/// The booking application books, then its connection breaks before the answer. Nobody knows whether it ran: the
-/// guest must not be told that it didn't, and no later attempt may run it again.
+/// The backend server runs the booking, and its connection breaks before the response. Whether it ran is unknown: no
+/// caller may get "not run", and no later attempt may run it again.
 #[tokio::test]
-async fn a_lost_answer_of_the_backend_server_stays_unknown() {
+async fn a_lost_response_of_the_backend_server_stays_unknown() {
     let fleet = Fleet::start().await;
     fleet.service.set_faults(Faults { cut_answers: 1, ..Faults::default() });
 
-    let first = fleet.hold(0, "k2", "tour").await;
-    let repeat = fleet.settled(1, "k2", "tour").await;
+    let first = fleet.book_once(0, "k2", "tour").await;
+    let repeat = fleet.until_settled(1, "k2", "tour").await;
 
     assert!(first.text == "cut" || first.outcome == "unknown", "{first:?}");
     assert_eq!((repeat.code.as_str(), repeat.outcome.as_str()), ("key_unknown", "unknown"));
@@ -223,16 +221,16 @@
     fleet.close();
 }
 
-/// The booking application refuses connections for a while. The first attempt is told "not run", as the caller
-/// says that it is the first; the claim is given back, so that the next attempt runs.
+/// The backend server refuses connections for a while. The first attempt gets "not run", because the caller states that
+/// it is the first. The claim is released, so that the next attempt runs.
 #[tokio::test]
-async fn a_claim_that_did_not_run_is_given_back() {
+async fn a_claim_that_did_not_run_is_released() {
     let fleet = Fleet::start().await;
     fleet.gate.set(Mode::Refuse).await.unwrap();
 
     let refused = fleet.call(0, "bookings", "k3", "tour", true).await;
     fleet.gate.set(Mode::Open).await.unwrap();
-    let again = fleet.settled(1, "k3", "tour").await;
+    let again = fleet.until_settled(1, "k3", "tour").await;
 
     assert_eq!((refused.status, refused.outcome.as_str()), (503, "not-run"), "{refused:?}");
     assert_eq!(again.status, 200, "{again:?}");
@@ -240,9 +238,9 @@
     fleet.close();
 }
 
-/// A service whose policy demands a key refuses a call without one; a service that doesn't runs it once.
+/// A service that requires a key refuses a call without one; a service that does not require it runs the call once.
 #[tokio::test]
-async fn a_key_is_demanded_where_the_policy_says_so() {
+async fn a_key_is_required_if_the_policy_says_so() {
     let fleet = Fleet::start().await;
 
     let refused = fleet.call(0, "payments", "", "pay", false).await;
@@ -254,22 +252,21 @@
     fleet.close();
 }
 
-/// The platform goes out in the afternoon. A booking with a key of a router's ticket goes on, since only that
-/// router may run it; one with a key of the caller's own can't be claimed and is refused. "Not run" is said only
-/// to a caller who states that there was no earlier attempt. When the platform is back, the record of the ticket's
-/// booking is found by way of another router, and its key runs no second time.
+/// During a platform outage a booking with a ticket key still runs, because only one router may run it. One with a key
+/// of the caller's own can't be claimed and is refused; it gets "not run" only if the caller states that there was no
+/// earlier attempt. After the outage another router finds the record of the ticket key, which does not run again.
 #[tokio::test]
-async fn an_outage_stops_only_what_cannot_be_proven() {
+async fn an_outage_refuses_only_keys_without_a_ticket() {
     let fleet = Fleet::start().await;
     let ticketed = fleet.ticket_key(0, "booking-9").await;
     fleet.platform.set_faults(PlatformFaults { down: true, ..PlatformFaults::default() });
 
-    let by_ticket = fleet.hold(0, &ticketed, "tour").await;
-    let elsewhere = fleet.settled(1, &ticketed, "tour").await;
+    let by_ticket = fleet.book_once(0, &ticketed, "tour").await;
+    let elsewhere = fleet.until_settled(1, &ticketed, "tour").await;
     let first = fleet.call(0, "bookings", "own", "tour", true).await;
-    let repeat = fleet.hold(0, "own", "tour").await;
+    let repeat = fleet.book_once(0, "own", "tour").await;
     fleet.platform.set_faults(PlatformFaults::default());
-    let later = fleet.settled(2, &ticketed, "tour").await;
+    let later = fleet.until_settled(2, &ticketed, "tour").await;
 
     assert_eq!(by_ticket.status, 200, "{by_ticket:?}");
     assert_eq!(elsewhere, by_ticket);
@@ -280,15 +277,15 @@
     fleet.close();
 }
 
-/// The platform takes the claim, but its answer is lost. Taken for a failure, the booking would be refused though
-/// its claim stands; taken for a success without looking, a claim could be granted that is not there.
+/// The platform stores the claim, but its response is lost. Treated as a failure, the booking would be refused although
+/// its claim is stored; treated as a success without a read, a claim could be granted that is not stored.
 #[tokio::test]
-async fn a_lost_answer_of_the_platform_is_looked_up() {
+async fn a_lost_response_of_the_platform_is_resolved_by_a_read() {
     let fleet = Fleet::start().await;
     fleet.platform.set_faults(PlatformFaults { lose_answers: 1, ..PlatformFaults::default() });
 
-    let reply = fleet.hold(0, "k4", "tour").await;
-    let repeat = fleet.settled(1, "k4", "tour").await;
+    let reply = fleet.book_once(0, "k4", "tour").await;
+    let repeat = fleet.until_settled(1, "k4", "tour").await;
 
     assert_eq!(reply.status, 200, "{reply:?}");
     assert_eq!(repeat, reply);
@@ -296,14 +293,14 @@
     fleet.close();
 }
 
-/// The answer is too large to be kept with the claim. A repeat must not read an empty answer as the booking's.
+/// The response is too large to be stored with the claim. A repeat must not get an empty response instead.
 #[tokio::test]
-async fn an_answer_too_large_to_keep_is_told_as_ran() {
+async fn an_oversized_response_is_reported_as_ran() {
     let fleet = Fleet::start().await;
     fleet.service.set_faults(Faults { padding: 4096, ..Faults::default() });
 
-    let first = fleet.hold(0, "k5", "tour").await;
-    let repeat = fleet.settled(1, "k5", "tour").await;
+    let first = fleet.book_once(0, "k5", "tour").await;
+    let repeat = fleet.until_settled(1, "k5", "tour").await;
 
     assert_eq!(first.status, 200);
     assert_eq!((repeat.code.as_str(), repeat.outcome.as_str()), ("key_answered", "ran"));
@@ -311,13 +308,13 @@
     fleet.close();
 }
 
-/// A bad afternoon: the platform goes down and comes back several times and loses answers, the booking application
-/// breaks some connections after booking, and one router is gone halfway. Every booking is sent until it is settled.
-/// By the application's own record none may run twice, and none that ran may have been told "not run" at the end.
+/// The platform has several outages and loses responses, the backend server breaks some connections after it ran the
+/// request, and one router stops halfway. Each booking is retried until it is settled. According to the backend server
+/// none may run twice, and none that ran may end with "not run".
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bad_afternoon_doubles_no_booking() {
+async fn repeated_failures_duplicate_no_booking() {
     let mut fleet = Fleet::start().await;
-    let mut gone = fleet.routers.pop();
+    let mut stopping = fleet.routers.pop();
     let fleet = Arc::new(fleet);
     fleet.service.set_faults(Faults { late_ms: 5, cut_answers: 5, ..Faults::default() });
     let mut tasks = Vec::new();
@@ -326,7 +323,7 @@
         let key = if ticket { fleet.ticket_key(n % 2, &n.to_string()).await } else { format!("own-{n}") };
         tasks.push(tokio::spawn(async move {
             tokio::time::sleep(std::time::Duration::from_millis(20 * n as u64)).await;
-            fleet.book(n, key).await
+            fleet.book_with_retries(n, key).await
         }));
     }
 
@@ -336,37 +333,37 @@
         tokio::time::sleep(std::time::Duration::from_millis(250)).await;
         fleet.platform.set_faults(PlatformFaults { lose_answers: 3, ..PlatformFaults::default() });
         if round == 1
-            && let Some(router) = gone.take()
+            && let Some(router) = stopping.take()
         {
             router.close();
         }
     }
-    let mut told = Vec::new();
+    let mut outcomes = Vec::new();
     for task in tasks {
-        told.push(task.await.unwrap());
+        outcomes.push(task.await.unwrap());
     }
 
-    let ran = told.iter().filter(|(_, outcome)| outcome == "ran").count();
-    for (key, outcome) in &told {
+    let ran = outcomes.iter().filter(|(_, outcome)| outcome == "ran").count();
+    for (key, outcome) in &outcomes {
         let runs = fleet.runs(key);
         assert!(runs <= 1, "{key} ran {runs} times");
-        assert!(outcome != "not-run" || runs == 0, "{key} was told not-run and ran");
-        assert!(outcome != "ran" || runs == 1, "{key} was told ran and did not run");
+        assert!(outcome != "not-run" || runs == 0, "{key} got not-run but ran");
+        assert!(outcome != "ran" || runs == 1, "{key} got ran but did not run");
     }
-    assert!(ran >= 40, "{ran} of 60 were settled as made: {told:?}");
+    assert!(ran >= 40, "{ran} of 60 were reported as ran: {outcomes:?}");
 }
 
-/// A router is stopped as planned. A guest's tablet still makes keys under its ticket: one booking was made before the
-/// stop, one is new. Without a word from the router both would read as unknown for good.
+/// A router is shut down as planned while a client still uses keys under its ticket, one for a booking made before and
+/// one for a new booking. If the router did not hand its keys over, both would stay unknown.
 #[tokio::test]
-async fn a_planned_stop_hands_its_tickets_over() {
+async fn a_planned_shutdown_hands_over_the_keys_of_its_tickets() {
     let mut fleet = Fleet::start().await;
     let (old, new) = (fleet.ticket_key(2, "old").await, fleet.ticket_key(2, "new").await);
-    let before = fleet.hold(2, &old, "tour").await;
+    let before = fleet.book_once(2, &old, "tour").await;
 
     fleet.routers.pop().unwrap().stop().await;
-    let repeat = fleet.settled(0, &old, "tour").await;
-    let fresh = fleet.settled(1, &new, "tour").await;
+    let repeat = fleet.until_settled(0, &old, "tour").await;
+    let fresh = fleet.until_settled(1, &new, "tour").await;
 
     assert_eq!(repeat, before);
     assert_eq!(fresh.status, 200, "{fresh:?}");
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: brought about step by step, and never by a holder whose lease has lapsed.
+//! Orders to engines: pools converge step by step, and no order is sent by a holder whose lease has expired.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -26,7 +26,7 @@
     highest: Fencing,
     state: Order,
     /// Orders that took effect, with the fencing number under which they were sent.
-    taken: Vec<Fencing>,
+    accepted: Vec<Fencing>,
     refused: usize,
 }
 
@@ -37,7 +37,7 @@
             return;
         }
         self.highest = self.highest.max(fencing);
-        self.taken.push(fencing);
+        self.accepted.push(fencing);
         let role = if order.role.is_empty() { self.state.role.clone() } else { order.role.clone() };
         self.state = Order { role, ..order.clone() };
     }
@@ -56,11 +56,11 @@
     list.iter().map(|s| (*s).into()).collect()
 }
 
-fn intent(models: &[&str]) -> DesiredState {
+fn desired(models: &[&str]) -> DesiredState {
     DesiredState { models: names(models), ..DesiredState::default() }
 }
 
-fn command(name: &str) -> EngineOrder {
+fn engine_order(name: &str) -> EngineOrder {
     EngineOrder { engine: name.into(), order: Order { models: vec![name.into()], ..Order::default() } }
 }
 
@@ -81,7 +81,7 @@
 fn fence(p: &mut Process, guard: LeaseGuard, now: Instant, name: &str) -> Option<(Fencing, Order)> {
     let clock = p.clock(now);
     let held: &mut Held = p.keeper.held()?;
-    let fenced = guard.fence(clock, held, command(name))?;
+    let fenced = guard.fence(clock, held, engine_order(name))?;
     Some((fenced.fencing(), fenced.engine_order().order.clone()))
 }
 
@@ -90,23 +90,23 @@
     shelf: Shelf,
     old: Process,
     new: Process,
-    /// An order that the old holder had sealed just before it was paused.
+    /// An order that the old holder had fenced just before it was paused.
     fenced: (Fencing, Order),
 }
 
-/// The old holder seals an order, is paused before it sends it, and another router takes the lease.
+/// The old holder fences an order and is paused before it sends it; another router acquires the lease.
 fn paused_holder(guard: LeaseGuard) -> Pause {
     let start = Duration::from_secs(100);
     let mut shelf = Shelf::default();
     let mut all = vec![Process::new("old", 1, start)];
     let (mut now, _) = until_held(&mut all, &mut shelf, start);
-    // A new holder waits out a former one's last order where engines ignore the number.
+    // If engines ignore the number, a new holder waits until the last order of the previous holder has timed out.
     now += ORDER_TIMEOUT * 2;
     all[0].step(now, &mut shelf, STEP, 0.0);
     all[0].step(now + STEP, &mut shelf, STEP, 0.0);
     all[0].step(now + STEP * 3, &mut shelf, STEP, 0.0);
     now += STEP * 3;
-    let fenced = fence(&mut all[0], guard, now, "late").expect("the lease holds");
+    let fenced = fence(&mut all[0], guard, now, "late").expect("the lease is held");
     all[0].paused_until = now + TTL * 10;
     all.push(Process::new("new", 2, now));
     let (now, holder) = until_held(&mut all, &mut shelf, now);
@@ -115,10 +115,10 @@
     Pause { now, shelf, old: all.remove(0), new, fenced }
 }
 
-/// A holder is paused between its check and its send, wakes up after another router has taken over, and acts.
-/// An operator would see a model that the new holder has unloaded come back. The engine refuses the old number.
+/// A holder is paused between its lease check and the send, and sends after another router has taken over. Without
+/// fencing, a model that the new holder has unloaded would be loaded again. The engine refuses the old number.
 #[test]
-fn a_paused_holder_wakes_up_at_an_engine_that_checks() {
+fn an_engine_that_checks_fencing_refuses_a_paused_holder() {
     let guard = LeaseGuard::new(true);
     let Pause { now, mut old, mut new, fenced, .. } = paused_holder(guard);
     let mut engine = Engine { checks: true, ..Engine::default() };
@@ -127,23 +127,23 @@
     engine.order(&order, fencing);
     engine.order(&fenced.1, fenced.0);
 
-    assert_eq!((engine.taken.as_slice(), engine.refused), ([fencing].as_slice(), 1));
+    assert_eq!((engine.accepted.as_slice(), engine.refused), ([fencing].as_slice(), 1));
     assert_eq!(engine.state.models, ["new"]);
-    assert_eq!(fence(&mut old, guard, now, "again"), None, "it can't seal another order");
+    assert_eq!(fence(&mut old, guard, now, "again"), None, "the old holder can't fence another order");
 }
 
-/// The same where engines ignore the number. The old holder can seal nothing after waking up; the new one waits until
-/// an order sealed before the pause has reached its time limit, so the two are never under way together.
+/// The same with engines that ignore the number. The old holder can't fence an order after its pause. The new one waits
+/// until an order fenced before the pause has timed out, so the two are never in flight together.
 #[test]
-fn a_paused_holder_wakes_up_at_an_engine_that_ignores_the_number() {
+fn a_paused_holder_sends_nothing_to_an_engine_that_ignores_fencing() {
     let guard = LeaseGuard::new(false);
     let Pause { now, mut shelf, mut old, mut new, .. } = paused_holder(guard);
 
     assert_eq!(fence(&mut old, guard, now, "again"), None);
-    assert_eq!(fence(&mut new, guard, now, "new"), None, "it waits out the old holder");
+    assert_eq!(fence(&mut new, guard, now, "new"), None, "it waits for the old holder's order to time out");
     let mut time = now;
     while fence(&mut new, guard, time, "new").is_none() {
-        assert!(time < now + TTL, "the new holder never acts");
+        assert!(time < now + TTL, "the new holder never sends an order");
         time += STEP;
         new.step(time, &mut shelf, STEP, 0.0);
     }
@@ -154,10 +154,10 @@
     assert_eq!(fence(&mut old, guard, time, "again"), None);
 }
 
-/// An order is sealed only while the lease outlasts the order's time limit: an order that is sent in the last moment
-/// of a lease would take effect under the next holder.
+/// An order is fenced only if the lease outlasts the order's timeout. Sent at the very end of a lease, it would take effect
+/// under the next holder.
 #[test]
-fn no_order_near_the_end_of_a_lease() {
+fn no_order_is_fenced_near_the_end_of_a_lease() {
     let start = Duration::from_secs(100);
     let mut shelf = Shelf::default();
     let mut all = vec![Process::new("a", 1, start)];
@@ -168,15 +168,15 @@
         .filter(|t| fence(&mut all[0], LeaseGuard::new(true), *t, "x").is_some())
         .collect();
 
-    let last = times.last().expect("some are sealed");
+    let last = times.last().expect("some are fenced");
     assert!(*last + ORDER_TIMEOUT <= now + TTL, "{last:?}");
 }
 
-/// Three routers race for ten minutes; calls to the platform are slow and lost, processes pause for up to 30 s, and an
-/// order leaves up to 2 s after the check of the lease and takes up to 3 s more. At an engine that ignores fencing numbers
-/// nothing but the guard keeps an old holder's order from arriving after a new holder's.
+/// Three routers compete for ten minutes. Calls to the platform are slow or lost, processes pause for up to 30 s, and an
+/// order is sent up to 2 s after the lease check and takes up to 3 s more. With engines that ignore fencing numbers, only
+/// the guard prevents an old holder's order from arriving after a new holder's.
 #[test]
-fn orders_of_two_holders_never_cross_at_an_engine_that_ignores_the_number() {
+fn orders_of_two_holders_never_cross_at_an_engine_that_ignores_fencing() {
     let guard = LeaseGuard::new(false);
     let (mut orders, mut holders) = (0, 0);
     for seed in 0..60 {
@@ -188,7 +188,7 @@
         for p in &mut all {
             p.speed = rng.random_range(0.98..1.02);
         }
-        let (mut under_way, mut engine) = (Vec::new(), Engine::default());
+        let (mut in_flight, mut engine) = (Vec::new(), Engine::default());
         for step in 0..6000 {
             let now = start + STEP * step;
             for p in &mut all {
@@ -200,20 +200,20 @@
                     && let Some((fencing, order)) = fence(p, guard, now, "x")
                 {
                     let latest = SECOND * 2 + ORDER_TIMEOUT;
-                    under_way.push((now + latest.mul_f64(rng.random()), fencing, order));
+                    in_flight.push((now + latest.mul_f64(rng.random()), fencing, order));
                 }
             }
-            under_way.retain(|(at, fencing, order)| {
+            in_flight.retain(|(at, fencing, order)| {
                 if *at <= now {
                     engine.order(order, *fencing);
                 }
                 *at > now
             });
         }
-        let crossed = engine.taken.windows(2).find(|w| w[0] > w[1]);
-        assert_eq!(crossed, None, "seed {seed}");
-        orders += engine.taken.len();
-        holders += engine.taken.windows(2).filter(|w| w[0] != w[1]).count();
+        let out_of_order = engine.accepted.windows(2).find(|w| w[0] > w[1]);
+        assert_eq!(out_of_order, None, "seed {seed}");
+        orders += engine.accepted.len();
+        holders += engine.accepted.windows(2).filter(|w| w[0] != w[1]).count();
     }
     assert!(orders > 50_000 && holders > 60, "{orders} orders, {holders} changes of holder");
 }
@@ -223,10 +223,10 @@
     engines: BTreeMap<String, Engine>,
     rng: StdRng,
     now: Instant,
-    /// Most engines that changed at once, and orders sent.
-    most: usize,
+    /// Maximum number of orders sent at once.
+    max_at_once: usize,
     orders: usize,
-    starved: usize,
+    without_model: usize,
 }
 
 impl Pool {
@@ -238,29 +238,37 @@
         let engines = (0..size).map(|i| (format!("engine-{i}"), engine())).collect();
         let planner = Planner::new(loads_per_minute);
         let rng = StdRng::seed_from_u64(5);
-        Self { planner, engines, rng, now: Duration::from_secs(50), most: 0, orders: 0, starved: 0 }
+        Self {
+            planner,
+            engines,
+            rng,
+            now: Duration::from_secs(50),
+            max_at_once: 0,
+            orders: 0,
+            without_model: 0,
+        }
     }
 
-    fn want(&mut self, models: &[&str]) {
+    fn set_models(&mut self, models: &[&str]) {
         let engines: Vec<_> = self.engines.keys().map(|n| n.as_str().into()).collect();
-        self.planner.set_desired(intent(models), engines);
+        self.planner.set_desired(desired(models), engines);
     }
 
-    /// Runs until the engines report what is wanted; returns the time that took.
-    fn settle(&mut self, lossy: bool) -> Duration {
+    /// Runs until the engines report the desired state; returns the time taken.
+    fn converge(&mut self, lossy: bool) -> Duration {
         let start = self.now;
         for second in 0..7200 {
             self.now += SECOND;
             for (name, engine) in &self.engines {
                 self.planner.observe(self.now, name, engine.report());
-                self.starved += usize::from(engine.state.models.is_empty());
+                self.without_model += usize::from(engine.state.models.is_empty());
             }
             if self.planner.diverged(self.now).is_empty() {
                 return self.now - start;
             }
-            let commands = self.planner.next_orders(self.now, &mut self.rng);
-            self.most = self.most.max(commands.len());
-            for EngineOrder { engine, order } in commands {
+            let orders = self.planner.next_orders(self.now, &mut self.rng);
+            self.max_at_once = self.max_at_once.max(orders.len());
+            for EngineOrder { engine, order } in orders {
                 self.orders += 1;
                 if lossy && (second + self.orders).is_multiple_of(3) {
                     self.planner.note_failure(self.now, &engine, &mut self.rng);
@@ -269,44 +277,44 @@
                 self.engines.get_mut(&*engine).expect("an engine").order(&order, 1);
             }
         }
-        panic!("never settled: {:?}", self.planner.diverged(self.now));
+        panic!("never converged: {:?}", self.planner.diverged(self.now));
     }
 }
 
-/// A new version of a model is stated. If all engines loaded it at once, the weight store would refuse most of them;
-/// if they dropped the old version first, chats would have no engine meanwhile.
+/// A pool gets a new version of a model. If all engines loaded it at once, the weight store would refuse most of them. If
+/// they unloaded the old version first, chats would have no engine meanwhile.
 #[test]
 fn a_new_version_is_loaded_within_the_weight_stores_rate() {
     let mut pool = Pool::new(9, 6.0);
-    pool.want(&["m@2"]);
+    pool.set_models(&["m@2"]);
 
-    let took = pool.settle(false);
+    let took = pool.converge(false);
 
     assert!(took >= SECOND * 80, "9 loads at 6 a minute in {took:?}");
-    assert_eq!((pool.starved, pool.orders), (0, 18));
-    assert!(pool.most <= 3);
+    assert_eq!((pool.without_model, pool.orders), (0, 18));
+    assert!(pool.max_at_once <= 3);
     assert!(pool.engines.values().all(|e| e.state.models == ["m@2"]));
 }
 
-/// A third of the orders is lost on the way. What counts is the engines' reports, so all are sent until they show.
+/// A third of the orders is lost. Only the engines' reports count, so lost orders are sent again until they take effect.
 #[test]
 fn lost_orders_are_sent_again() {
     let mut pool = Pool::new(8, 60.0);
-    pool.want(&["m@1", "n@1"]);
+    pool.set_models(&["m@1", "n@1"]);
 
-    pool.settle(true);
+    pool.converge(true);
 
     assert!(pool.orders > 8);
     assert!(pool.engines.values().all(|e| e.state.models.len() == 2));
 }
 
-/// An engine takes an order and never brings it about, as when the weights are broken. It is ordered again with
-/// growing pauses and doesn't hold the others back.
+/// An engine accepts an order but never applies it, for example because the weights are corrupt. The order is repeated
+/// with exponential backoff and does not block other engines.
 #[test]
-fn an_engine_that_never_gets_there() {
+fn an_engine_that_never_converges() {
     let mut planner = Planner::new(600.0);
     let mut rng = StdRng::seed_from_u64(1);
-    planner.set_desired(intent(&["m@2"]), ["a".into(), "b".into()]);
+    planner.set_desired(desired(&["m@2"]), ["a".into(), "b".into()]);
     let mut sent = Vec::new();
     for second in 0..3600 {
         let now = SECOND * (100 + second);
@@ -320,13 +328,13 @@
     assert!((10..60).contains(&to("b")), "{}", to("b"));
 }
 
-/// A pool that states no models says nothing about them. Orders that took this for "none" would empty every engine.
+/// A pool that specifies no models leaves them unchanged. Treated as "none", this would unload the models of every engine.
 #[test]
-fn nothing_stated_changes_nothing() {
+fn an_unspecified_state_changes_nothing() {
     let mut pool = Pool::new(3, 60.0);
-    pool.want(&[]);
+    pool.set_models(&[]);
 
-    pool.settle(false);
+    pool.converge(false);
 
     assert_eq!(pool.orders, 0);
 }
--- a/tests/orders_given.rs
+++ b/tests/orders_given.rs
@@ -1,4 +1,4 @@
-//! Running routers bring about what engine pools state, on stand-ins of the platform and of engines.
+//! Running routers bring engine pools to their desired state, with stand-ins for the platform and the engines.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -13,8 +13,8 @@
     },
 };
 
-const PATIENCE: Duration = Duration::from_secs(40);
-const POLL: Duration = Duration::from_millis(50);
+const TIMEOUT: Duration = Duration::from_secs(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 fn router(outside: &Outside, name: &str) -> Running {
     let listener = loopback().unwrap();
@@ -24,8 +24,8 @@
     Running::start_on(&Settings::parse(&text).unwrap(), listener).unwrap()
 }
 
-/// Changes what the pool states.
-async fn state(outside: &Outside, models: &[&str]) {
+/// Sets the desired models of the pool.
+async fn set_models(outside: &Outside, models: &[&str]) {
     let platform = Platform::new(outside.platform_addr());
     let mut pool: AnyObject = platform.get("EnginePool", "models").await.unwrap().unwrap();
     pool.spec["models"] = serde_json::json!(models);
@@ -33,36 +33,36 @@
     outside.platform.put(pool).unwrap();
 }
 
-async fn until(what: &str, mut done: impl FnMut() -> bool) {
+async fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let waiting = async {
         while !done() {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    assert!(tokio::time::timeout(PATIENCE, waiting).await.is_ok(), "{what} in time");
+    assert!(tokio::time::timeout(TIMEOUT, waiting).await.is_ok(), "timed out waiting until {what}");
 }
 
-fn all_hold(outside: &Outside, models: &[&str]) -> bool {
+fn all_ordered(outside: &Outside, models: &[&str]) -> bool {
     let last = |e: &Arc<EngineStandin>| e.orders().last().map(|(_, order)| order.models.clone());
     outside.engines.iter().all(|e| last(e).is_some_and(|have| have == models))
 }
 
-/// An operator states a model; the engines get it from one router. That router stops and another takes over: it holds a
-/// higher fencing number, so that engines which check refuse whatever of the first is still on its way.
+/// The engines get a pool's model from one router. That router stops, and another takes over with a higher fencing number,
+/// so that engines that check the number refuse late orders of the first.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_pool_is_brought_to_its_state_over_a_change_of_holder() {
+async fn a_pool_converges_across_a_change_of_lease_holder() {
     let outside = Outside::start(Plan::default().with_engines(2)).await.unwrap();
     for engine in &outside.engines {
         engine.set_faults(Faults { checks_fencing: true, ..Faults::default() });
     }
     let first = router(&outside, "first");
 
-    state(&outside, &["m@1"]).await;
-    until("the first version is ordered", || all_hold(&outside, &["m@1"])).await;
+    set_models(&outside, &["m@1"]).await;
+    wait_until("the first version is ordered", || all_ordered(&outside, &["m@1"])).await;
     first.stop().await;
     let second = router(&outside, "second");
-    state(&outside, &["m@2"]).await;
-    until("the second version is ordered", || all_hold(&outside, &["m@2"])).await;
+    set_models(&outside, &["m@2"]).await;
+    wait_until("the second version is ordered", || all_ordered(&outside, &["m@2"])).await;
 
     for engine in &outside.engines {
         let orders = engine.orders();
@@ -70,7 +70,11 @@
         assert_eq!(numbers.len(), 2, "{orders:?}");
         assert!(orders.iter().is_sorted_by_key(|(fencing, _)| *fencing), "{orders:?}");
         let models: Vec<_> = orders.iter().map(|(_, order)| order.models.len()).collect();
-        assert_eq!(models, [1, 2, 1], "the old version goes after the new one is there: {orders:?}");
+        assert_eq!(
+            models,
+            [1, 2, 1],
+            "the old version must be removed after the new one is loaded: {orders:?}"
+        );
     }
     second.close();
     outside.close();
--- a/tests/platform_names.rs
+++ b/tests/platform_names.rs
@@ -1,8 +1,8 @@
-//! The platform's names stand in its adapter only.
+//! Names of the platform's interfaces occur only in its adapter.
 
 use std::{fs, path::Path};
 
-/// Names of headers and fields that belong to the platform's interfaces.
+/// Names of headers and fields of the platform's interfaces.
 const NAMES: [&str; 20] = [
     "attempt-id",
     "expected-instance",
@@ -26,29 +26,29 @@
     "server-leaving",
 ];
 
-fn check(dir: &Path, found: &mut Vec<String>) {
+fn check(dir: &Path, violations: &mut Vec<String>) {
     for entry in fs::read_dir(dir).unwrap().map(|e| e.unwrap().path()) {
         if entry.ends_with("src/platform") || entry.ends_with("src/platform.rs") {
             continue;
         }
         if entry.is_dir() {
-            check(&entry, found);
+            check(&entry, violations);
             continue;
         }
         let text = fs::read_to_string(&entry).unwrap();
         let lower = text.to_lowercase();
-        let named = NAMES.iter().filter(|n| lower.contains(&n.to_lowercase()));
-        found.extend(named.map(|n| format!("{}: {n}", entry.display())));
+        let listed = NAMES.iter().filter(|n| lower.contains(&n.to_lowercase()));
+        violations.extend(listed.map(|n| format!("{}: {n}", entry.display())));
     }
 }
 
 #[test]
-fn no_name_of_the_platform_stands_outside_its_adapter() {
-    let mut found = Vec::new();
+fn names_of_the_platform_occur_only_in_its_adapter() {
+    let mut violations = Vec::new();
 
-    check(Path::new("src"), &mut found);
+    check(Path::new("src"), &mut violations);
 
-    assert_eq!(found, Vec::<String>::new());
+    assert_eq!(violations, Vec::<String>::new());
 }
 
 #[test]
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -1,4 +1,4 @@
-//! The store's answers, in the form of the platform, and what they are taken for.
+//! Decoding of the store's responses in the platform's format.
 
 #[path = "support/relay.rs"]
 mod relay_support;
@@ -19,7 +19,7 @@
 use tokio::io::AsyncWriteExt;
 use wire::{Act, Server};
 
-/// Asks for changes after a revision, or for the whole list.
+/// A call for the changes after a revision, or for the whole list.
 fn call(after: Option<u64>) -> Call {
     Call {
         after: after.map(rev),
@@ -64,9 +64,9 @@
     format!(r#"{{"metadata":{{"name":"main","revision":5}},"spec":{spec},"status":null}}"#)
 }
 
-/// An answer of the store that tells this epoch.
-fn reply_of(epoch: &str, status: &str, body: &str) -> Act {
-    let Act::Write(text) = reply(status, body) else { unreachable!("a reply is written") };
+/// A response of the store with this epoch.
+fn reply_with_epoch(epoch: &str, status: &str, body: &str) -> Act {
+    let Act::Write(text) = reply(status, body) else { unreachable!("reply returns Act::Write") };
     Act::Write(text.replacen("\r\n", &format!("\r\nStore-Era: {epoch}\r\n"), 1))
 }
 
@@ -116,13 +116,13 @@
     let update = store.backends(call(None)).await.unwrap();
 
     let BackendsUpdate::List(list) = update else { panic!("{update:?}") };
-    assert_eq!(list.revision, 10, "changes since the first page are watched again");
+    assert_eq!(list.revision, 10, "changes since the first page must be watched");
     assert_eq!(list.items.iter().map(|i| i.id.as_str()).collect::<Vec<_>>(), ["i 1", "i-2"]);
     assert_eq!(target(&server.seen()[1]), "/objects/servers?after=i+1");
 }
 
 #[tokio::test]
-async fn a_watch_tells_what_has_changed() {
+async fn a_watch_returns_changes() {
     let gone = r#"{"metadata":{"name":"i-3","revision":8},"spec":null}"#;
     let events = format!(
         r#"{{"events":[{{"object":{},"deleted":false}},{{"object":{gone},"deleted":true}}],"currentRev":533}}"#,
@@ -138,10 +138,10 @@
     assert!(target(&server.seen()[0]).starts_with("/objects/servers?watch=530&waitMs="));
 }
 
-/// A list of many pages. A host that has just started leaves it to others at first, so that not all hosts of a large fleet
+/// A list has many pages. A starting host first leaves reading it to its peers, so that the hosts of a large fleet do not all
 /// read it at the same time.
 #[tokio::test]
-async fn a_long_list_is_read_only_when_it_is_wanted_whole() {
+async fn a_long_list_is_read_only_if_all_pages_are_requested() {
     let page = format!(r#"{{"items":[{}],"hasMore":true,"currentRev":9}}"#, server("i-1", "ready"));
     let (mut store, server) = store(vec![reply("200 OK", &page)]).await;
 
@@ -151,9 +151,9 @@
     assert_eq!(server.seen().len(), 1);
 }
 
-/// A host that starts reads a copy, page by page: it costs a tenth, and who is ahead tells what it lacks.
+/// A starting host reads a stale copy on every page: it costs a tenth, and peers with newer data send what is missing.
 #[tokio::test]
-async fn a_copy_is_read_as_such_on_each_page() {
+async fn a_stale_copy_is_requested_on_each_page() {
     let page = |name: &str, more: bool| {
         format!(r#"{{"items":[{}],"hasMore":{more},"currentRev":9}}"#, server(name, "ready"))
     };
@@ -177,9 +177,9 @@
     assert_eq!(targets, expected);
 }
 
-/// A thousand servers: the first of several pages is larger than a configuration may be, but its length says nothing of the
-/// others. The list counts as one of many pages, which few hosts read at a time; taken for one large answer, 300 hosts that
-/// start together read 3,000 entries each within half a second, and served after 30 s instead of 8.5 s.
+/// A list of a thousand servers, whose first page exceeds the size limit of a configuration. It must count as a long list,
+/// which few hosts read at a time, and not as one large response. Otherwise 300 hosts that started together read 3,000
+/// entries each within half a second, and became ready after 30 s instead of 8.5 s.
 #[tokio::test]
 async fn a_large_first_page_is_the_first_of_a_long_list() {
     let items: Vec<_> = (0..500).map(|i| server(&format!("i-{i}"), "ready")).collect();
@@ -192,10 +192,10 @@
     assert_eq!(e, StoreError::Long);
 }
 
-/// A configuration of half a megabyte. A host that has just started leaves it to others at first: 249 hosts that each read
-/// it at once shared the store's link and had it 1.3 s later. The next call, for all of it, goes over a new connection.
+/// A configuration of half a megabyte. A starting host first leaves reading it to its peers: 249 hosts that read it at once
+/// shared the store's link and received it 1.3 s later. The next call, for all of it, uses a new connection.
 #[tokio::test]
-async fn a_long_configuration_is_read_only_when_it_is_wanted_whole() {
+async fn a_large_configuration_is_read_only_if_all_of_it_is_requested() {
     let padding = " ".repeat(70 << 10);
     let page = format!(
         r#"{{"items":[{}],"hasMore":false,"currentRev":530}}{padding}"#,
@@ -211,10 +211,10 @@
     assert_eq!(server.seen().len(), 2);
 }
 
-/// The head of an answer comes at once and the rest a while later, as over a link that many share. Who gives it up then
-/// begins anew and makes it later for all.
+/// The head of a response arrives at once and its body later, as on a congested link. A client that timed out would start
+/// again and add to the congestion.
 #[tokio::test]
-async fn an_answer_that_has_begun_is_waited_for() {
+async fn a_response_body_has_its_own_timeout() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut store = StoreClient::new(listener.local_addr().unwrap());
     let patience = Duration::from_millis(200);
@@ -233,9 +233,9 @@
     assert!(matches!(update, Ok(BackendsUpdate::List(_))), "{update:?}");
 }
 
-/// One object of a list can't be read. The others are, and what was known of that one stays in force.
+/// One object of a list can't be decoded. The others are used; that one has no address, so its last known state stays active.
 #[tokio::test]
-async fn an_object_that_can_not_be_read_spoils_no_other() {
+async fn an_undecodable_object_does_not_invalidate_others() {
     let bad = r#"{"metadata":{"name":"i-0","revision":2},"spec":{"service":7}}"#;
     let page = format!(r#"{{"items":[{bad},{}],"hasMore":false,"currentRev":9}}"#, server("i-1", "ready"));
     let (mut store, _) = store(vec![reply("200 OK", &page)]).await;
@@ -247,7 +247,7 @@
     assert_eq!(items, [("i-0", ""), ("i-1", "10.0.0.9:80")]);
 }
 
-/// The entry of one server with one field of its spec replaced by another value, or left out.
+/// Entry of a server with one field of its spec replaced by another value, or omitted.
 fn entry_with(field: &str, value: Option<&str>) -> String {
     let fields = [
         ("service", r#""s1""#),
@@ -268,10 +268,10 @@
     format!(r#"{{"metadata":{{"name":"i-0","revision":3}},"spec":{{{spec}}}}}"#)
 }
 
-/// Somebody else writes an entry of a server: fields missing or of another type, a state that is not known, a start that
-/// is no whole number. It names no server to use, and the hundred others of the page hold.
+/// Another writer creates an invalid entry of a server: with fields that are missing or of another type, an unknown state, or
+/// a start that is not an integer. The entry gets no address, and the hundred others of the page are used.
 #[tokio::test]
-async fn an_entry_of_another_writer_has_no_address() {
+async fn an_invalid_entry_gets_no_address() {
     let bad = [
         ("service", None),
         ("service", Some("7")),
@@ -320,10 +320,10 @@
     }
 }
 
-/// A list or a watch holds things that are no entries: without a name, of another type, with bytes that are no text. All
-/// others of the same answer hold.
+/// A list or a watch contains invalid entries: without a name or of another type. They are skipped, and all others of the
+/// same response are used.
 #[tokio::test]
-async fn what_is_no_entry_spoils_no_other() {
+async fn an_entry_without_a_name_does_not_invalidate_others() {
     let junk =
         ["{}", "7", "null", r#"{"metadata":{"name":4}}"#, r#"{"metadata":{},"spec":{"service":"s1"}}"#];
     for junk in junk {
@@ -344,7 +344,7 @@
     }
 }
 
-/// Another object lies beside the configuration, with a higher version. It is not the operator's.
+/// The store has another object of the configuration's kind, with a higher version. It must be ignored.
 #[tokio::test]
 async fn only_the_operators_object_is_the_configuration() {
     let other = configuration(&CONFIGURATION.replace(r#""version":7"#, r#""version":9"#));
@@ -359,15 +359,15 @@
 }
 
 #[tokio::test]
-async fn answers_that_are_none_are_told_apart() {
-    let cut = Act::WriteAndClose("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"items\"".into());
+async fn failed_calls_are_distinguished() {
+    let truncated = Act::WriteAndClose("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"items\"".into());
     let cases = [
-        ("its history is gone", reply("410 Gone", "{}"), "HistoryGone"),
-        ("it refuses for now", reply("503 Service Unavailable", "{}"), "Unavailable"),
+        ("history expired", reply("410 Gone", "{}"), "HistoryGone"),
+        ("temporary refusal", reply("503 Service Unavailable", "{}"), "Unavailable"),
         ("too many calls", reply("429 Too Many Requests", "{}"), "Unavailable"),
-        ("the answer is lost", Act::WriteAndReset(String::new()), "Unavailable"),
-        ("the answer is cut", cut, "Unavailable"),
-        ("the answer is no JSON", reply("200 OK", "hello"), "Unreadable"),
+        ("lost response", Act::WriteAndReset(String::new()), "Unavailable"),
+        ("truncated response", truncated, "Unavailable"),
+        ("invalid JSON", reply("200 OK", "hello"), "Unreadable"),
     ];
     for (name, act, expected) in cases {
         let (mut store, _) = store(vec![act]).await;
@@ -378,9 +378,9 @@
     }
 }
 
-/// An answer was lost. Nothing more comes on that connection, so the next call goes over a new one.
+/// A response was lost. That connection can't be used any more, so the next call uses a new one.
 #[tokio::test]
-async fn a_call_after_a_lost_answer_succeeds() {
+async fn a_call_after_a_lost_response_succeeds() {
     let page = format!(r#"{{"items":[{}],"hasMore":false,"currentRev":9}}"#, server("i-1", "ready"));
     let (mut store, server) = store(vec![Act::WriteAndReset(String::new()), reply("200 OK", &page)]).await;
 
@@ -400,13 +400,13 @@
     }
 }
 
-/// The hosts of a data centre are entered under its name, in place of those before or for the first time.
+/// The hosts of a data centre are stored under its name; an existing entry is replaced, otherwise one is created.
 #[tokio::test]
 async fn hosts_of_a_data_centre_have_one_entry() {
     let cases = [
-        ("its entry is replaced", vec![reply("200 OK", "{}")], vec!["PUT /objects/hosts/a+1"]),
+        ("existing entry", vec![reply("200 OK", "{}")], vec!["PUT /objects/hosts/a+1"]),
         (
-            "there was none",
+            "no entry yet",
             vec![reply("404 Not Found", "{}"), reply("200 OK", "{}")],
             vec!["PUT /objects/hosts/a+1", "POST /objects/hosts"],
         ),
@@ -426,7 +426,7 @@
     store.enter("a 1", &hosts).await.unwrap_err();
 }
 
-/// The hosts that are entered are read from an old copy, which costs a tenth. An entry that can't be read spoils no other.
+/// Hosts are read from a stale copy, which costs a tenth. An invalid entry does not invalidate the others.
 #[tokio::test]
 async fn hosts_are_found_in_the_store() {
     let spec = serde_json::json!({ "members": [member()], "count": 59 });
@@ -442,39 +442,39 @@
     assert_eq!(target(&server.seen()[0]), "/objects/hosts?staleOk=1");
 }
 
-/// A watch that goes on behind the changes of a restored store, or a list put together of two epochs.
+/// After the store was restored, a watch must not continue from an old revision, and a list must not mix two epochs.
 #[tokio::test]
-async fn answers_of_another_epoch_are_no_continuation() {
+async fn responses_of_another_epoch_are_rejected() {
     let events = r#"{"events":[],"currentRev":533}"#;
     let page = |name: &str, more: bool| {
         format!(r#"{{"items":[{}],"hasMore":{more},"currentRev":9}}"#, server(name, "ready"))
     };
     let acts = vec![
-        reply_of("3", "200 OK", events),
-        reply_of("3", "410 Gone", "{}"),
-        reply_of("2", "410 Gone", "{}"),
-        reply_of("2", "200 OK", &page("i-1", true)),
-        reply_of("3", "200 OK", &page("i-2", false)),
+        reply_with_epoch("3", "200 OK", events),
+        reply_with_epoch("3", "410 Gone", "{}"),
+        reply_with_epoch("2", "410 Gone", "{}"),
+        reply_with_epoch("2", "200 OK", &page("i-1", true)),
+        reply_with_epoch("3", "200 OK", &page("i-2", false)),
     ];
     let (mut store, _server) = store(acts).await;
     let watch = Call { after: Some(Revision::new(2, 530)), epoch: 2, ..call(None) };
 
     let changes = store.backends(watch).await;
-    let gone_by_restore = store.backends(watch).await;
-    let gone_by_age = store.backends(watch).await;
+    let expired_by_restore = store.backends(watch).await;
+    let expired_by_age = store.backends(watch).await;
     let list = store.backends(Call { epoch: 2, ..call(None) }).await;
 
     let restored = Err(StoreError::Restored { epoch: 3 });
-    assert_eq!((changes, gone_by_restore, list), (restored.clone(), restored.clone(), restored));
-    assert_eq!(gone_by_age, Err(StoreError::HistoryGone));
+    assert_eq!((changes, expired_by_restore, list), (restored.clone(), restored.clone(), restored));
+    assert_eq!(expired_by_age, Err(StoreError::HistoryGone));
 }
 
-/// An epoch that can't be read taken for another one, so that all would be listed anew with each answer.
+/// Treated as a different epoch, an invalid epoch header would cause a full list with each response.
 #[tokio::test]
-async fn an_answer_without_a_readable_epoch_is_of_the_one_known() {
+async fn a_response_without_a_valid_epoch_keeps_the_known_one() {
     let page = format!(r#"{{"items":[{}],"hasMore":false,"currentRev":9}}"#, server("i-1", "ready"));
     let unreadable = ["", "two", "-1", "2.5", "99999999999999999999999"];
-    let mut acts: Vec<_> = unreadable.iter().map(|epoch| reply_of(epoch, "200 OK", &page)).collect();
+    let mut acts: Vec<_> = unreadable.iter().map(|epoch| reply_with_epoch(epoch, "200 OK", &page)).collect();
     acts.push(reply("200 OK", &page));
     let (mut store, _server) = store(acts).await;
 
