--- a/benches/claims/keeper.rs
+++ b/benches/claims/keeper.rs
@@ -80,7 +80,7 @@
         req: ReqId,
     ) {
         let clock = self.clock();
-        let step = self.routers[router].local.ask(clock, &ask, true);
+        let step = self.routers[router].local.request_claim(clock, &ask, true);
         match step {
             Step::Answer(verdict) => {
                 self.frame(router, from, Msg::Verdict { req, attempt: ask.attempt, verdict });
@@ -101,7 +101,7 @@
         let clock = self.clock();
         let id = self.book_id(router, ask.key);
         let waiter = self.id();
-        let verdict = self.book(router, id).ask(clock, ask, waiter);
+        let verdict = self.book(router, id).request_claim(clock, ask, waiter);
         let verdict = match verdict {
             None if self.weak == Weak::GrantAtOnce && !ask.lookup_only => Some(Verdict::Granted),
             verdict => verdict,
--- a/src/claim/shard_claims.rs
+++ b/src/claim/shard_claims.rs
@@ -186,7 +186,7 @@
     }
 
     /// Requests a claim; on `None` the verdict follows from [`ShardClaims::handle_result`] or [`ShardClaims::expire`].
-    pub fn ask(&mut self, clock: Clock, ask: ClaimRequest, id: WaiterId) -> Option<Verdict> {
+    pub fn request_claim(&mut self, clock: Clock, ask: ClaimRequest, id: WaiterId) -> Option<Verdict> {
         if self.waiting.len() >= self.cfg.max_waiting {
             return Some(Verdict::Unavailable);
         }
--- a/src/claim/ticket_claims.rs
+++ b/src/claim/ticket_claims.rs
@@ -43,7 +43,7 @@
 
 impl TicketClaims {
     /// Handles a claim request; `accepts_new_keys` says whether the key's ticket still accepts new keys.
-    pub fn ask(&mut self, clock: Clock, ask: &ClaimRequest, accepts_new_keys: bool) -> Step {
+    pub fn request_claim(&mut self, clock: Clock, ask: &ClaimRequest, accepts_new_keys: bool) -> Step {
         if self.released.contains_key(&ask.attempt) {
             return Step::Answer(Verdict::Unavailable);
         }
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -226,7 +226,7 @@
         let step = {
             let mut local = lock(&self.local);
             local.evict_expired(Clock::read());
-            local.ask(Clock::read(), &ask, accepts_new_keys(ticket, now()))
+            local.request_claim(Clock::read(), &ask, accepts_new_keys(ticket, now()))
         };
         match step {
             Step::Answer(verdict) => verdict,
--- a/src/gateway/claim/desk.rs
+++ b/src/gateway/claim/desk.rs
@@ -55,7 +55,7 @@
             let mut state = lock(&self.state);
             state.next += 1;
             let id = state.next;
-            if let Some(verdict) = state.book.ask(Clock::read(), ask, id) {
+            if let Some(verdict) = state.book.request_claim(Clock::read(), ask, id) {
                 return verdict;
             }
             let (tx, rx) = oneshot::channel();
--- a/tests/shard_claims.rs
+++ b/tests/shard_claims.rs
@@ -102,7 +102,7 @@
     fn ask(&mut self, ask: ClaimRequest) -> Verdict {
         self.next += 1;
         let id = self.next;
-        let at_once = self.claims.ask(self.clock(), ask, id);
+        let at_once = self.claims.request_claim(self.clock(), ask, id);
         at_once.unwrap_or_else(|| self.settle().remove(&id).unwrap())
     }
 
@@ -151,7 +151,7 @@
     let mut harness = Harness::new();
     for key in 0..3000 {
         let request = ask(key, key);
-        if let Some(verdict) = harness.claims.ask(harness.clock(), request, 100_000 + key) {
+        if let Some(verdict) = harness.claims.request_claim(harness.clock(), request, 100_000 + key) {
             panic!("{verdict:?}");
         }
         if key % 100 == 99 {
@@ -178,7 +178,7 @@
 fn old_archives_are_deleted() {
     let mut harness = Harness::new();
     for key in 0..2000 {
-        assert_eq!(harness.claims.ask(harness.clock(), ask(key, key), 100_000 + key), None);
+        assert_eq!(harness.claims.request_claim(harness.clock(), ask(key, key), 100_000 + key), None);
     }
     harness.settle();
     let before = harness.store.archives();
@@ -229,12 +229,12 @@
 fn an_expired_ticket_accepts_no_new_key() {
     let mut local = TicketClaims::default();
     let clock = Harness::new().clock();
-    assert_eq!(local.ask(clock, &ask(1, 1), true), Step::Record);
+    assert_eq!(local.request_claim(clock, &ask(1, 1), true), Step::Record);
     assert_eq!(local.apply_shard_verdict(&ask(1, 1), Verdict::Granted), Verdict::Granted);
     local.finish(ask(1, 1).key, ask(1, 1).attempt, Record::Completed(response(1)));
 
-    let used_key = local.ask(clock, &ask(1, 2), false);
-    let new = local.ask(clock, &ask(2, 3), false);
+    let used_key = local.request_claim(clock, &ask(1, 2), false);
+    let new = local.request_claim(clock, &ask(2, 3), false);
 
     assert_eq!(used_key, Step::Answer(Verdict::Recorded(response(1))));
     assert_eq!(new, Step::Lookup);
@@ -246,10 +246,10 @@
 fn a_closed_process_grants_nothing_from_memory() {
     let clock = Harness::new().clock();
     let mut stored_only = TicketClaims::default();
-    assert_eq!(stored_only.ask(clock, &ask(1, 1), true), Step::Record);
-    assert_eq!(stored_only.ask(clock, &ask(2, 2), true), Step::Record);
+    assert_eq!(stored_only.request_claim(clock, &ask(1, 1), true), Step::Record);
+    assert_eq!(stored_only.request_claim(clock, &ask(2, 2), true), Step::Record);
     let mut memory_granted = TicketClaims::default();
-    assert_eq!(memory_granted.ask(clock, &ask(1, 1), true), Step::Record);
+    assert_eq!(memory_granted.request_claim(clock, &ask(1, 1), true), Step::Record);
     assert_eq!(memory_granted.apply_shard_verdict(&ask(1, 1), Verdict::Unavailable), Verdict::Granted);
 
     let closed = (stored_only.close(), memory_granted.close());
