--- a/src/claim/attempt.rs
+++ b/src/claim/attempt.rs
@@ -56,7 +56,7 @@
 
 /// An attempt to which the claim was not granted.
 #[derive(Debug)]
-pub struct Refused {
+pub struct RefusedClaim {
     /// Reason.
     pub verdict: Verdict,
     /// Token with which to refuse the request.
@@ -80,14 +80,14 @@
     ///
     /// # Errors
     /// If the attempt may not run. A late verdict has no [`RequestedClaim`] left to apply to, so it can't start a run.
-    pub fn decide(self, verdict: Verdict) -> Result<GrantedClaim, Box<Refused>> {
+    pub fn decide(self, verdict: Verdict) -> Result<GrantedClaim, Box<RefusedClaim>> {
         let Self { ask, token } = self;
         if verdict == Verdict::Granted {
             return Ok(GrantedClaim { ask, token });
         }
         let release =
             (verdict == Verdict::Unavailable).then_some(Release { key: ask.key, attempt: ask.attempt });
-        Err(Box::new(Refused { verdict, token, release }))
+        Err(Box::new(RefusedClaim { verdict, token, release }))
     }
 }
 
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -8,7 +8,7 @@
 use crate::{
     claim::{
         ClaimRequest, MAX_KEPT_BODY_BYTES, Record, StoredResponse, Verdict,
-        attempt::{DispatchedClaim, GrantedClaim, Refused, RequestedClaim, error_kind},
+        attempt::{DispatchedClaim, GrantedClaim, RefusedClaim, RequestedClaim, error_kind},
     },
     error::{Fault, Kind},
     gateway::{admit::Entered, ask::header, attempt::Started, relay::STALL},
@@ -66,8 +66,8 @@
     }
 }
 
-fn refuse(claims: &Arc<Claims>, key: &str, refused: Refused) -> Result<Answer, Fault> {
-    let Refused { verdict, token, release } = refused;
+fn refuse(claims: &Arc<Claims>, key: &str, refused: RefusedClaim) -> Result<Answer, Fault> {
+    let RefusedClaim { verdict, token, release } = refused;
     if let Some(release) = release {
         claims.release(release, key);
     }
