--- a/benches/claims/holder.rs
+++ b/benches/claims/holder.rs
@@ -130,7 +130,7 @@
         let ticket = self.callers[r.caller].ticket;
         match r.stage {
             Some(Stage::Asking(asking)) => {
-                let attempt = asking.ask().attempt;
+                let attempt = asking.request().attempt;
                 self.routers[router].late.insert(attempt, (r.caller, req));
                 if let Err(refused) = asking.decide(Verdict::Unavailable)
                     && let Some(release) = refused.release
@@ -142,7 +142,7 @@
             Some(Stage::Running(running)) => {
                 let (token, finish) = running.finish(Record::Unknown);
                 let _ = token.fail::<()>(AfterDispatch::Broken, "no answer in time");
-                self.finish(router, &r.asked, finish.ask, finish.record, ticket);
+                self.finish(router, &r.asked, finish.request, finish.record, ticket);
                 self.told_unknown(r.caller);
             }
             Some(Stage::Held(held)) => {
@@ -171,7 +171,7 @@
             self.release(router, &asked, release.key, release.attempt, ticket);
             return self.told_not_run(caller, release.attempt);
         }
-        let attempt = running.ask().attempt;
+        let attempt = running.request().attempt;
         if let Some(r) = self.routers[router].reqs.get_mut(&req) {
             r.stage = Some(Stage::Running(running));
         }
@@ -195,22 +195,22 @@
         let Some(r) = self.routers[router].reqs.remove(&req) else { return };
         let ticket = self.callers[r.caller].ticket;
         let Some(Stage::Running(running)) = r.stage else { return };
-        let attempt = running.ask().attempt;
+        let attempt = running.request().attempt;
         match run {
             Some(run) => {
                 let body = Some(run.to_le_bytes().to_vec());
                 let answered = StoredResponse { status: 200, content_type: "application/json".into(), body };
                 let (_, finish) = running.finish(Record::Completed(answered));
-                self.finish(router, &r.asked, finish.ask, finish.record, ticket);
+                self.finish(router, &r.asked, finish.request, finish.record, ticket);
                 self.told_ran(r.caller, run, false);
             }
             None if self.weak == Weak::BrokenIsNotRun => {
-                self.release(router, &r.asked, running.ask().key, attempt, ticket);
+                self.release(router, &r.asked, running.request().key, attempt, ticket);
                 self.told_not_run(r.caller, attempt);
             }
             None => {
                 let (_, finish) = running.finish(Record::Unknown);
-                self.finish(router, &r.asked, finish.ask, finish.record, ticket);
+                self.finish(router, &r.asked, finish.request, finish.record, ticket);
                 self.told_unknown(r.caller);
             }
         }
--- a/src/claim/attempt.rs
+++ b/src/claim/attempt.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 #[must_use]
 pub struct RequestedClaim {
-    ask: ClaimRequest,
+    request: ClaimRequest,
     token: Undispatched,
 }
 
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 #[must_use]
 pub struct GrantedClaim {
-    ask: ClaimRequest,
+    request: ClaimRequest,
     token: Undispatched,
 }
 
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 #[must_use]
 pub struct DispatchedClaim {
-    ask: ClaimRequest,
+    request: ClaimRequest,
     token: Dispatched,
 }
 
@@ -49,7 +49,7 @@
 #[must_use]
 pub struct Finish {
     /// Request for the claim.
-    pub ask: ClaimRequest,
+    pub request: ClaimRequest,
     /// Result of the run.
     pub record: Record,
 }
@@ -66,14 +66,14 @@
 }
 
 impl RequestedClaim {
-    /// Starts an attempt with the request `ask`.
-    pub fn new(ask: ClaimRequest, token: Undispatched) -> Self {
-        Self { ask, token }
+    /// Starts an attempt that asks for a claim.
+    pub fn new(request: ClaimRequest, token: Undispatched) -> Self {
+        Self { request, token }
     }
 
     /// Request for the claim.
-    pub fn ask(&self) -> &ClaimRequest {
-        &self.ask
+    pub fn request(&self) -> &ClaimRequest {
+        &self.request
     }
 
     /// Applies the verdict; on a timeout pass [`Verdict::Unavailable`].
@@ -81,12 +81,12 @@
     /// # Errors
     /// If the attempt may not run. A late verdict has no [`RequestedClaim`] left to apply to, so it can't start a run.
     pub fn decide(self, verdict: Verdict) -> Result<GrantedClaim, Box<RefusedClaim>> {
-        let Self { ask, token } = self;
+        let Self { request, token } = self;
         if verdict == Verdict::Granted {
-            return Ok(GrantedClaim { ask, token });
+            return Ok(GrantedClaim { request, token });
         }
-        let release =
-            (verdict == Verdict::Unavailable).then_some(Release { key: ask.key, attempt: ask.attempt });
+        let release = (verdict == Verdict::Unavailable)
+            .then_some(Release { key: request.key, attempt: request.attempt });
         Err(Box::new(RefusedClaim { verdict, token, release }))
     }
 }
@@ -94,29 +94,29 @@
 impl GrantedClaim {
     /// Marks the request as handed to a connection.
     pub fn dispatch(self) -> DispatchedClaim {
-        DispatchedClaim { ask: self.ask, token: self.token.dispatch() }
+        DispatchedClaim { request: self.request, token: self.token.dispatch() }
     }
 
     /// Releases the claim.
     pub fn release(self) -> (Undispatched, Release) {
-        (self.token, Release { key: self.ask.key, attempt: self.ask.attempt })
+        (self.token, Release { key: self.request.key, attempt: self.request.attempt })
     }
 }
 
 impl DispatchedClaim {
     /// Request for the claim.
-    pub fn ask(&self) -> &ClaimRequest {
-        &self.ask
+    pub fn request(&self) -> &ClaimRequest {
+        &self.request
     }
 
     /// Undoes the dispatch, given proof that the request did not run; it may be dispatched again.
     pub fn take_back(self, proof: Unsent) -> GrantedClaim {
-        GrantedClaim { ask: self.ask, token: self.token.take_back(proof) }
+        GrantedClaim { request: self.request, token: self.token.take_back(proof) }
     }
 
     /// Ends the run with its result.
     pub fn finish(self, record: Record) -> (Dispatched, Finish) {
-        (self.token, Finish { ask: self.ask, record })
+        (self.token, Finish { request: self.request, record })
     }
 }
 
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -138,15 +138,15 @@
 
     /// Tells those that keep the claim what became of a run, in the background.
     pub(crate) fn finish(self: &Arc<Self>, finish: Finish, key: &str) {
-        let Finish { ask, record } = finish;
+        let Finish { request, record } = finish;
         let call = Call::Finish(ClaimFinish {
-            key: ask.key.0.to_vec(),
-            content: ask.content.0.to_vec(),
-            attempt: ask.attempt.0.to_vec(),
+            key: request.key.0.to_vec(),
+            content: request.content.0.to_vec(),
+            attempt: request.attempt.0.to_vec(),
             record: Some((&record).into()),
             ticket: self.ticket_text(key),
         });
-        let owners = self.owners(ask.key).into_iter().take(MOST_OWNERS).collect();
+        let owners = self.owners(request.key).into_iter().take(MOST_OWNERS).collect();
         tokio::spawn(self.clone().tell_first(owners, call.clone()));
         if let Some(authority) = self.authority(key) {
             tokio::spawn(self.clone().tell_first(vec![authority], call));
