--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -21,7 +21,7 @@
         Status,
     },
     metrics::{Counter, Metrics},
-    probe::{EngineSpec, PROBE_BYTES, Probe, ProbeConfig, ProbeResult},
+    probe::{EngineSpec, PROBE_WIRE_BYTES, Probe, ProbeConfig, ProbeResult},
     util::{lock, now, wall_ms},
 };
 
@@ -148,14 +148,14 @@
                 m.set_in_force(now(), version);
             }
             for engine in &unreached {
-                m.engines.dispatched(now(), engine, ProbeResult::Unreachable);
+                m.engines.on_dispatch_result(now(), engine, ProbeResult::Unreachable);
             }
-            (m.tick(now()), m.engines.due(now()))
+            (m.tick(now()), m.engines.due_probes(now()))
         });
         let Some((out, due)) = step else { return };
         shared.handle_output(out);
         for probe in due {
-            shared.metrics.add(Counter::ControlBytes, "probes", PROBE_BYTES as u64);
+            shared.metrics.add(Counter::ControlBytes, "probes", PROBE_WIRE_BYTES as u64);
             tokio::spawn(probes::probe(shared.clone(), probe));
         }
         if ticks.is_multiple_of(VIEW_REFRESH_INTERVAL_TICKS) {
