--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -1,18 +1,18 @@
-//! Backend servers that are known, each start of a server under a key of its own.
+//! The backend servers that this host knows, with each incarnation of a server under its own key.
 //!
-//! A server keeps its identifier when it starts again; a start is named by the identifier and the time at which it began.
-//! With a later start all that was believed of the one before ends: its key is not used any more. What tells of an earlier
-//! start, as a host that hears late, changes nothing.
+//! A server keeps its identifier when it restarts; an incarnation is identified by the identifier and its start
+//! time. A new incarnation replaces the previous one and everything recorded about it, and the old key is no longer
+//! used. Information about an earlier incarnation, such as a late message from another host, is ignored.
 //!
-//! An entry that can't be read, or that tells another service or address for the same start, was written by somebody
-//! else. It names no server to use until the server has written its own again.
+//! An entry that cannot be read, or that has a different service or address for the same incarnation, was written
+//! by another party. The server gets no new requests until it has written its own entry again.
 //!
-//! A store that was restored lists servers as they were. One that was seen leaving stays leaving, one whose entry had been
-//! removed takes work only once it has written again or its entry has outlasted a dead server's, and one whose entry is
-//! missing has time to write it again.
+//! A store restored from a backup lists servers as they were. A server that was seen leaving stays leaving. A
+//! server whose entry had been removed gets requests only once it has written its entry again, or once the entry
+//! has outlived that of a dead server. A server whose entry is missing gets a grace period to write it again.
 //!
-//! The store's list is the source; a server that leaves stays in the arena until its last request is done, so that
-//! a key is never used for another server.
+//! The store's list is authoritative. A server that leaves stays in the arena until its last request is done, so
+//! that a key never refers to a different server.
 
 use std::{collections::VecDeque, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -27,103 +27,106 @@
 mod ended;
 mod entry;
 mod intake;
-mod left;
-mod tell;
+mod leaving;
+mod snapshot;
 
 use ended::Ended;
 
-/// Names one start of a backend server in messages between hosts.
+/// Identifies an incarnation of a backend server in messages between hosts.
 pub type Tag = u32;
-/// When a start of a backend server began, in milliseconds since 1970; 0 where it is not told.
+/// Start time of an incarnation in milliseconds since 1970; 0 if unknown.
 pub type StartMs = u64;
 
-/// How long a server whose entry was removed may still be asked for prompt parts; leaving servers serve for two
-/// seconds and more.
-const LINGERS: Duration = Duration::from_secs(3);
+/// How long a server whose entry was removed can still be asked for prompt parts; leaving servers keep serving for
+/// at least two seconds.
+const REMOVED_RETENTION: Duration = Duration::from_secs(3);
 
-/// Longest time for which an entry may tell that its server stays cold; more was written by somebody else.
-const MOST_COLD: Duration = Duration::from_secs(60);
+/// Maximum time for which an entry can declare its server cold; a longer one was written by another party.
+const MAX_COLD: Duration = Duration::from_secs(60);
 
-/// Changes remembered for other hosts.
-const MOST_LOGGED: usize = 512;
+/// Maximum number of changes kept for other hosts.
+const MAX_LOG_ENTRIES: usize = 512;
 
 new_key_type! {
-    /// Names one start of a backend server in this process.
+    /// Identifies an incarnation of a backend server in this process.
     pub struct BackendKey;
 }
 
-/// Whether a backend server takes new work.
+/// State of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It is leaving: requests in progress end, nothing new is sent.
+    /// It is leaving: requests in progress finish, no new ones are sent.
     Leaving,
-    /// Its entry can't be read or is another's; nothing new is sent until it has written its own again.
+    /// Its entry cannot be read or was written by another party; no new requests are sent until it has written its
+    /// own entry again.
     Unreadable,
-    /// Its entry is missing since the store came back; it takes work until that is settled.
+    /// Its entry has been missing since the store became reachable again; it accepts requests until the grace
+    /// period ends.
     Missing {
-        /// When it counts as gone.
+        /// When it counts as removed.
         until: Instant,
     },
-    /// Its entry had been removed and is back since the store was restored; nothing new is sent until that is settled.
+    /// Its entry had been removed and is listed again since the store was restored; no new requests are sent until
+    /// it is known to be alive.
     Unconfirmed {
         /// When it counts as alive.
         until: Instant,
     },
 }
 
-/// One start of a backend server.
+/// An incarnation of a backend server.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Identifier, which later starts keep.
+    /// Identifier, the same for all incarnations of the server.
     pub id: Arc<str>,
-    /// When this start began, in milliseconds since 1970; 0 where it is not told.
+    /// Start time of this incarnation in milliseconds since 1970; 0 if unknown.
     pub born: StartMs,
-    /// Tag of the identifier and the start.
+    /// Hash of the identifier and the start time.
     pub tag: Tag,
-    /// Service that it runs.
+    /// Service that it belongs to.
     pub service: Arc<str>,
     /// Address.
     pub addr: SocketAddr,
-    /// Data centre in which it stands.
+    /// Data centre in which it is located.
     pub data_centre: Arc<str>,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// State, which decides whether it gets new requests.
     pub state: State,
-    /// Requests of this process in progress there.
+    /// Requests of this process in progress at the server.
     pub in_progress: u32,
     /// When its entry was removed.
     pub removed_at: Option<Instant>,
-    /// When it was first said to leave, by itself, the store or another host.
-    left: Option<Instant>,
-    /// Until when it is cold, as far as is told.
+    /// When it was first reported to be leaving, by itself, the store or another host.
+    leaving_since: Option<Instant>,
+    /// Until when it is cold according to its entries.
     pub cold_until: Instant,
-    /// Whether its entry told last that it is cold.
-    told_cold: bool,
+    /// Whether its latest entry declared it cold.
+    reported_cold: bool,
 }
 
 impl Backend {
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub fn accepts_work(&self) -> bool {
         matches!(self.state, State::Ready | State::Missing { .. })
     }
 
-    fn leave(&mut self, now: Instant) {
+    fn set_leaving(&mut self, now: Instant) {
         self.state = State::Leaving;
-        self.left.get_or_insert(now);
+        self.leaving_since.get_or_insert(now);
     }
 
     fn is_missing(&self) -> bool {
         matches!(self.state, State::Missing { .. })
     }
 
-    /// Takes in for how long its entry tells that it is cold; returns whether that is news. An entry that tells no more of it
-    /// may be older than what ends it, so that the time told before runs out by itself.
-    fn hear_cold(&mut self, now: Instant, cold_ms: u32) -> bool {
-        let before = std::mem::replace(&mut self.told_cold, cold_ms > 0);
-        let cold = Duration::from_millis(cold_ms.into()).min(MOST_COLD);
+    /// Updates the cold period from an entry; returns whether the server has turned cold. An entry that no longer
+    /// declares the server cold may be older than one that did, so that the period is left to expire.
+    fn update_cold(&mut self, now: Instant, cold_ms: u32) -> bool {
+        let before = std::mem::replace(&mut self.reported_cold, cold_ms > 0);
+        let cold = Duration::from_millis(cold_ms.into()).min(MAX_COLD);
         if cold_ms > 0 {
             self.cold_until = self.cold_until.max(now + cold);
         }
@@ -131,22 +134,22 @@
     }
 }
 
-/// A change of what is known of one backend server.
+/// A change in what is known about a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Listed for the first time.
+    /// It was listed for the first time, or accepts requests again.
     Seen,
-    /// Takes no new work from now on.
+    /// It no longer accepts new requests.
     Leaving,
-    /// Its entry is missing since the store came back.
+    /// Its entry is missing since the store became reachable again.
     Missing,
-    /// Its entry can't be read or is another's.
+    /// Its entry cannot be read or was written by another party.
     Unreadable,
-    /// It has started again: what was believed of this start ends.
+    /// It has restarted; what was recorded about this incarnation is obsolete.
     Restarted,
-    /// It is cold without having started.
+    /// It is cold without having restarted.
     Cold,
-    /// Its entry had been removed and is back since the store was restored.
+    /// Its entry had been removed and is listed again since the store was restored.
     Unconfirmed,
 }
 
@@ -165,35 +168,35 @@
     }
 }
 
-/// Tag of one start of a backend server.
+/// Tag of an incarnation of a backend server.
 pub fn tag(id: &str, born: StartMs) -> Tag {
     hash((id, born)) as Tag
 }
 
-/// All backend servers that are known.
+/// The known backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct Backends {
     arena: SlotMap<BackendKey, Backend>,
     by_id: Map<Arc<str>, BackendKey>,
     by_tag: Map<Tag, BackendKey>,
     revision: Revision,
-    /// Changes that led to the revision, for hosts that lack only these; the oldest are dropped.
+    /// Changes up to the revision, for hosts that lack only these; the oldest are dropped.
     log: VecDeque<(Revision, Arc<str>)>,
-    /// Changes after this revision are all in the log.
+    /// The log contains all changes after this revision.
     logged_from: Revision,
     digest: u32,
     ended: Ended,
-    /// Identifiers whose entries could not be read and that have had their line.
+    /// Identifiers whose unreadable entries have already been logged.
     unreadable: Set<Arc<str>>,
 }
 
 impl Backends {
-    /// Revision up to which the list is known.
+    /// Revision of the list.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Takes what is known for that of a copy, which any list replaces.
+    /// Marks the list as read from a copy of the store, so that any list replaces it.
     pub fn forget_revision(&mut self) {
         if self.revision.is_known() {
             self.revision = Revision::COPY;
@@ -202,10 +205,11 @@
         }
     }
 
-    /// Takes a whole list as of `revision`; an older one than known tells only who leaves.
+    /// Applies a full list; from one with an older revision than the known one, only leaving servers are taken.
     ///
-    /// `grace` is set for a while after the store's return: entries that lapsed while it was away come back only
-    /// when their servers have written again, so that a missing one counts as gone only then.
+    /// `grace` is set for some time after the store became reachable again. Entries that expired during the outage
+    /// return only when their servers have written them again, so that a missing entry counts as removed only after
+    /// this period.
     pub fn apply_list(
         &mut self,
         now: Instant,
@@ -213,10 +217,10 @@
         grace: Option<Duration>,
     ) -> Vec<(BackendKey, Change)> {
         if list.as_of() < self.revision {
-            return self.hear_leaving(now, &list.items);
+            return self.apply_leaving_entries(now, &list.items);
         }
-        let knows = self.revision.is_known() && self.revision != Revision::COPY;
-        let restored = knows && list.epoch > self.revision.epoch;
+        let has_store_list = self.revision.is_known() && self.revision != Revision::COPY;
+        let restored = has_store_list && list.epoch > self.revision.epoch;
         let grace = if restored { grace.max(Some(GRACE)) } else { grace };
         self.revision = list.as_of();
         self.log.clear();
@@ -225,11 +229,12 @@
         let listed: Set<&str> = list.items.iter().map(|i| i.id.as_str()).collect();
         let missing: Vec<_> = self.by_id.keys().filter(|id| !listed.contains(&***id)).cloned().collect();
         changes.extend(missing.iter().filter_map(|id| self.remove(now, id, grace)));
-        self.renew_digest();
+        self.update_digest();
         changes
     }
 
-    /// Takes changes that lead to `revision`; those of an older revision than known tell only who leaves.
+    /// Applies changes that lead to `revision`; from changes with an older revision than the known one, only
+    /// leaving servers are taken.
     pub fn apply_changes(
         &mut self,
         now: Instant,
@@ -239,30 +244,31 @@
         grace: Option<Duration>,
     ) -> Vec<(BackendKey, Change)> {
         if revision < self.revision {
-            return self.hear_leaving(now, puts);
+            return self.apply_leaving_entries(now, puts);
         }
         self.revision = revision;
         let ids = puts.iter().map(|p| &p.id).chain(removed);
         self.log.extend(ids.map(|id| (revision, id.as_str().into())));
-        while self.log.len() > MOST_LOGGED {
+        while self.log.len() > MAX_LOG_ENTRIES {
             self.logged_from = self.log.pop_front().map_or(revision, |(dropped, _)| dropped);
         }
         let mut changes: Vec<_> = puts.iter().flat_map(|item| self.put(now, item, true)).collect();
         changes.extend(removed.iter().filter_map(|id| self.remove(now, id, grace)));
-        self.renew_digest();
+        self.update_digest();
         changes
     }
 
-    /// Counts the backend servers of a data centre as cold for a while, by service; returns those that are.
+    /// Marks the backend servers of a data centre as cold for a period that depends on the service; returns those
+    /// that are.
     pub fn mark_cold(
         &mut self,
         now: Instant,
         data_centre: &str,
-        lasts: impl Fn(&str) -> Duration,
+        cold_period: impl Fn(&str) -> Duration,
     ) -> Vec<BackendKey> {
         let mut cold = Vec::new();
         for (key, b) in self.arena.iter_mut().filter(|(_, b)| &*b.data_centre == data_centre) {
-            b.cold_until = b.cold_until.max(now + lasts(&b.service));
+            b.cold_until = b.cold_until.max(now + cold_period(&b.service));
             if b.cold_until > now {
                 cold.push(key);
             }
@@ -270,19 +276,22 @@
         cold
     }
 
-    /// Settles entries whose grace is over, and forgets servers that are gone and have no request in progress. A server
-    /// that is gone still serves for a while, so that others can fetch prompt parts from it. Returns the changes and
-    /// the keys that are forgotten.
+    /// Ends grace periods that are over, and drops removed servers without requests in progress. A removed server
+    /// is kept for a while because others can still fetch prompt parts from it. Returns the changes and the dropped
+    /// keys.
     pub fn expire(&mut self, now: Instant) -> (Vec<(BackendKey, Change)>, Vec<BackendKey>) {
-        let over = |b: &Backend| matches!(b.state, State::Missing { until } if until <= now);
-        let over: Vec<_> = self.arena.iter().filter(|(_, b)| over(b)).map(|(key, _)| key).collect();
-        let mut changes: Vec<_> = over.into_iter().filter_map(|key| self.drop_entry(now, key)).collect();
-        changes.extend(self.confirm(now));
+        let grace_expired = |b: &Backend| matches!(b.state, State::Missing { until } if until <= now);
+        let grace_expired: Vec<_> =
+            self.arena.iter().filter(|(_, b)| grace_expired(b)).map(|(key, _)| key).collect();
+        let mut changes: Vec<_> =
+            grace_expired.into_iter().filter_map(|key| self.drop_entry(now, key)).collect();
+        changes.extend(self.confirm_due(now));
         if !changes.is_empty() {
-            self.renew_digest();
+            self.update_digest();
         }
         self.ended.expire(now);
-        let done = |b: &Backend| b.in_progress == 0 && b.removed_at.is_some_and(|gone| gone + LINGERS <= now);
+        let done =
+            |b: &Backend| b.in_progress == 0 && b.removed_at.is_some_and(|at| at + REMOVED_RETENTION <= now);
         let done: Vec<_> = self.arena.iter().filter(|(_, b)| done(b)).map(|(key, _)| key).collect();
         for key in &done {
             self.arena.remove(*key);
@@ -290,49 +299,49 @@
         (changes, done)
     }
 
-    /// One backend server, unless it is gone and forgotten.
+    /// A backend server, unless it has been dropped.
     pub fn get(&self, key: BackendKey) -> Option<&Backend> {
         self.arena.get(key)
     }
 
-    /// The backend server with a tag.
+    /// The key of the backend server with this tag.
     pub fn by_tag(&self, tag: Tag) -> Option<BackendKey> {
         self.by_tag.get(&tag).copied()
     }
 
-    /// Counts a request that starts at a backend server.
+    /// Counts a request in progress at a backend server.
     pub fn begin_request(&mut self, key: BackendKey) {
         if let Some(b) = self.arena.get_mut(key) {
             b.in_progress += 1;
         }
     }
 
-    /// Counts a request that ends at a backend server.
+    /// Ends a request in progress at a backend server.
     pub fn end_request(&mut self, key: BackendKey) {
         if let Some(b) = self.arena.get_mut(key) {
             b.in_progress = b.in_progress.saturating_sub(1);
         }
     }
 
-    /// All backend servers, those that leave included.
+    /// All backend servers, including those that are leaving.
     pub fn iter(&self) -> impl Iterator<Item = (BackendKey, &Backend)> {
         self.arena.iter()
     }
 
-    /// Backend servers of a service that take new work.
+    /// Backend servers of a service that accept new requests.
     pub fn available(&self, service: &str) -> impl Iterator<Item = (BackendKey, &Backend)> {
         self.arena.iter().filter(move |(_, b)| &*b.service == service && b.accepts_work())
     }
 
-    /// Digest of the list; the same at hosts that know the same.
+    /// Digest of the list, equal on hosts with the same list.
     pub fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// Kept with each change, since every beat that is sent or heard asks for it.
-    fn renew_digest(&mut self) {
+    /// Recomputed on each change rather than on use, since every heartbeat that is sent or received needs it.
+    fn update_digest(&mut self) {
         let listed = self.arena.iter().filter(|(key, b)| self.by_id.get(&b.id) == Some(key));
-        self.digest =
-            listed.fold(0, |sum, (_, b)| sum ^ hash((&*b.id, b.born, b.accepts_work(), b.told_cold)) as u32);
+        self.digest = listed
+            .fold(0, |sum, (_, b)| sum ^ hash((&*b.id, b.born, b.accepts_work(), b.reported_cold)) as u32);
     }
 }
--- a/src/relay/backends/ended.rs
+++ b/src/relay/backends/ended.rs
@@ -1,7 +1,7 @@
-//! Starts of backend servers that have ended.
+//! Incarnations of backend servers that have ended.
 //!
-//! A store that is restored from a copy lists servers again that have left since. One that was seen leaving never takes work
-//! again; one whose entry was only removed may live and counts once that is settled.
+//! A store that is restored from a backup lists servers again that have left since. A server that was seen leaving
+//! never gets requests again; one whose entry was only removed may be alive and is used once that is confirmed.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -12,34 +12,35 @@
     util::{Instant, Map},
 };
 
-/// How long an end is remembered. A copy is some seconds old, and entries of servers that are gone lapse within seconds.
-const KEPT: Duration = Duration::from_secs(600);
-/// Ends remembered; beyond that the oldest are forgotten.
-const MOST: usize = 4_096;
+/// How long the end of an incarnation is remembered. A backup is some seconds old, and entries of dead servers
+/// expire within seconds.
+const RETENTION: Duration = Duration::from_secs(600);
+/// Maximum number of ends remembered; beyond it the oldest are dropped.
+const MAX_ENTRIES: usize = 4_096;
 
-/// The end of a start of a server.
+/// The end of an incarnation of a server.
 #[derive(Clone, Copy, Debug)]
 struct End {
     born: StartMs,
-    left: bool,
+    seen_leaving: bool,
     epoch: Epoch,
     at: Instant,
 }
 
-/// What an entry under an identifier that is not listed tells of.
+/// What is known about the incarnation in an entry whose identifier is not listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Past {
-    /// A server that lives.
+pub(super) enum History {
+    /// It has not ended, as far as this host knows.
     New,
-    /// A start before one that has ended.
+    /// A later incarnation of the server has already ended.
     Earlier,
-    /// A start that was seen leaving.
-    Left,
-    /// A start whose entry was removed before the store was restored.
+    /// It was seen leaving.
+    SeenLeaving,
+    /// Its entry was removed before the store was restored.
     Removed,
 }
 
-/// Ends of starts, by identifier; of each server the last one.
+/// The last end of each server, by identifier.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ended {
     by_id: Map<Arc<str>, End>,
@@ -47,20 +48,27 @@
 }
 
 impl Ended {
-    /// Notes that a start has ended, in an epoch of the store; `left` where the server was seen leaving.
-    pub(super) fn note(&mut self, now: Instant, id: &Arc<str>, born: StartMs, left: bool, epoch: Epoch) {
-        let known = self.by_id.get(id).filter(|end| end.born == born);
-        let left = left || known.is_some_and(|end| end.left);
-        self.by_id.insert(id.clone(), End { born, left, epoch, at: now });
+    /// Records the end of an incarnation, with the store's epoch and whether the server was seen leaving.
+    pub(super) fn record(
+        &mut self,
+        now: Instant,
+        id: &Arc<str>,
+        born: StartMs,
+        seen_leaving: bool,
+        epoch: Epoch,
+    ) {
+        let previous = self.by_id.get(id).filter(|end| end.born == born);
+        let seen_leaving = seen_leaving || previous.is_some_and(|end| end.seen_leaving);
+        self.by_id.insert(id.clone(), End { born, seen_leaving, epoch, at: now });
         self.order.push_back((now, id.clone()));
-        while self.order.len() > MOST {
+        while self.order.len() > MAX_ENTRIES {
             self.forget_oldest();
         }
     }
 
-    /// Forgets what is old.
+    /// Drops ends that are older than the retention period.
     pub(super) fn expire(&mut self, now: Instant) {
-        while self.order.front().is_some_and(|(at, _)| *at + KEPT <= now) {
+        while self.order.front().is_some_and(|(at, _)| *at + RETENTION <= now) {
             self.forget_oldest();
         }
     }
@@ -72,27 +80,27 @@
         }
     }
 
-    /// Forgets the end of a server that lives.
-    pub(super) fn forget(&mut self, id: &str) {
+    /// Removes the end of a server that has proved to be alive.
+    pub(super) fn remove(&mut self, id: &str) {
         self.by_id.remove(id);
     }
 
-    /// What an entry that the store lists in an epoch tells of.
-    pub(super) fn past(&self, item: &Backend, epoch: Epoch) -> Past {
-        let Some(end) = self.by_id.get(item.id.as_str()) else { return Past::New };
+    /// Looks up the incarnation in an entry that the store lists in `epoch`.
+    pub(super) fn history(&self, item: &Backend, epoch: Epoch) -> History {
+        let Some(end) = self.by_id.get(item.id.as_str()) else { return History::New };
         match item.born.cmp(&end.born) {
-            std::cmp::Ordering::Less => Past::Earlier,
-            std::cmp::Ordering::Greater => Past::New,
-            std::cmp::Ordering::Equal if end.left => Past::Left,
-            std::cmp::Ordering::Equal if end.epoch < epoch => Past::Removed,
-            std::cmp::Ordering::Equal => Past::New,
+            std::cmp::Ordering::Less => History::Earlier,
+            std::cmp::Ordering::Greater => History::New,
+            std::cmp::Ordering::Equal if end.seen_leaving => History::SeenLeaving,
+            std::cmp::Ordering::Equal if end.epoch < epoch => History::Removed,
+            std::cmp::Ordering::Equal => History::New,
         }
     }
 
-    /// The last starts that were seen leaving, the newest first.
-    pub(super) fn left(&self) -> impl Iterator<Item = Start> {
+    /// Incarnations that were seen leaving, the latest first.
+    pub(super) fn seen_leaving(&self) -> impl Iterator<Item = Start> {
         let newest = self.order.iter().rev().filter_map(|(at, id)| Some((id, at, self.by_id.get(id)?)));
-        let left = newest.filter(|(_, at, end)| end.left && end.at == **at);
-        left.map(|(id, _, end)| Start { id: id.to_string(), born: end.born })
+        let seen_leaving = newest.filter(|(_, at, end)| end.seen_leaving && end.at == **at);
+        seen_leaving.map(|(id, _, end)| Start { id: id.to_string(), born: end.born })
     }
 }
--- a/src/relay/backends/entry.rs
+++ b/src/relay/backends/entry.rs
@@ -1,34 +1,35 @@
-//! Whose an entry of the store is: a start's own, a later or earlier one's of the same server, or another writer's.
+//! Compares an entry of the store with the known incarnation of the server: the same, a later or an earlier one, or
+//! written by another party.
 
 use std::{cmp::Ordering, net::SocketAddr};
 
 use super::Backend;
 use crate::schema::fleet;
 
-/// How an entry compares with the start that is known under its identifier.
+/// Result of comparing an entry with the incarnation known under its identifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Entry {
-    /// It tells of the same start.
+pub(super) enum Comparison {
+    /// It describes the same incarnation.
     Same,
-    /// The server has started again.
+    /// It describes a later incarnation: the server has restarted.
     Later,
-    /// It tells of a start before.
+    /// It describes an earlier incarnation.
     Earlier,
-    /// Somebody else wrote it.
+    /// It was written by another party.
     Foreign,
 }
 
 impl Backend {
-    /// How an entry under the same identifier compares with this start.
-    pub(super) fn compare(&self, item: &fleet::Backend) -> Entry {
+    /// Compares an entry with the same identifier to this incarnation.
+    pub(super) fn compare(&self, item: &fleet::Backend) -> Comparison {
         let own = item.addr.parse() == Ok(self.addr) && item.service == *self.service;
         match item.born.cmp(&self.born) {
-            // A server that has told its start always tells it.
-            _ if item.born == 0 && self.born > 0 => Entry::Foreign,
-            Ordering::Less => Entry::Earlier,
-            Ordering::Greater if item.addr.parse::<SocketAddr>().is_ok() => Entry::Later,
-            Ordering::Equal if own => Entry::Same,
-            _ => Entry::Foreign,
+            // A server whose entries have a start time always writes it.
+            _ if item.born == 0 && self.born > 0 => Comparison::Foreign,
+            Ordering::Less => Comparison::Earlier,
+            Ordering::Greater if item.addr.parse::<SocketAddr>().is_ok() => Comparison::Later,
+            Ordering::Equal if own => Comparison::Same,
+            _ => Comparison::Foreign,
         }
     }
 }
--- a/src/relay/backends/intake.rs
+++ b/src/relay/backends/intake.rs
@@ -1,26 +1,28 @@
-//! Entries of backend servers as they are taken in: listed, written, removed.
+//! Applies entries of backend servers that were listed, written or removed.
 
 use std::{sync::Arc, time::Duration};
 
-use super::{Backend, BackendKey, Backends, Change, State, ended::Past, entry::Entry, tag};
+use super::{Backend, BackendKey, Backends, Change, State, ended::History, entry::Comparison, tag};
 use crate::{schema::fleet, util::Instant};
 
-/// How long an entry that had been removed must be listed by a restored store to count without a word of its server: an
-/// entry lapses after three heartbeats of one to two seconds.
-const OUTLASTS: Duration = Duration::from_secs(6);
+/// How long an entry that had been removed must be listed by a restored store before its server counts as alive
+/// without having written it: entries expire after three missed heartbeats of one to two seconds.
+const UNCONFIRMED_PERIOD: Duration = Duration::from_secs(6);
 
-/// Unreadable entries remembered, so that each has one line; beyond that some have another one.
-const MOST_UNREADABLE: usize = 1_024;
+/// Maximum number of unreadable entries remembered so that each is logged once; beyond it some are logged again.
+const MAX_UNREADABLE: usize = 1_024;
 
-/// The state of a server whose entry had been removed, for as long as another host tells or as a dead server's entry lasts.
-fn unconfirmed(now: Instant, item: &fleet::Backend) -> State {
-    let told = Some(Duration::from_millis(item.unconfirmed_ms.into())).filter(|told| !told.is_zero());
-    State::Unconfirmed { until: now + told.unwrap_or(OUTLASTS).min(OUTLASTS) }
+/// State of a server whose entry had been removed. It ends after the time that another host reports, at most after
+/// the lifetime of a dead server's entry.
+fn unconfirmed_state(now: Instant, item: &fleet::Backend) -> State {
+    let reported =
+        Some(Duration::from_millis(item.unconfirmed_ms.into())).filter(|reported| !reported.is_zero());
+    State::Unconfirmed { until: now + reported.unwrap_or(UNCONFIRMED_PERIOD).min(UNCONFIRMED_PERIOD) }
 }
 
 impl Backends {
-    /// Takes one entry in; a start that replaces another brings two changes. An entry that was `written` since the revision
-    /// known, and is not only listed, shows that its server lives.
+    /// Applies an entry; a restart produces two changes. An entry that was `written` since the known revision,
+    /// rather than only listed, proves that its server is alive.
     pub(super) fn put(
         &mut self,
         now: Instant,
@@ -31,80 +33,80 @@
             return Vec::from_iter(self.add(now, item, written));
         };
         match self.arena[key].compare(item) {
-            Entry::Earlier => Vec::new(),
-            Entry::Same => {
-                let cold = self.arena[key].hear_cold(now, item.cold_ms).then_some((key, Change::Cold));
-                self.renew(now, key, item, written).into_iter().chain(cold).collect()
+            Comparison::Earlier => Vec::new(),
+            Comparison::Same => {
+                let cold = self.arena[key].update_cold(now, item.cold_ms).then_some((key, Change::Cold));
+                self.refresh(now, key, item, written).into_iter().chain(cold).collect()
             }
-            Entry::Foreign => Vec::from_iter(self.distrust(key)),
-            Entry::Later => {
+            Comparison::Foreign => Vec::from_iter(self.mark_unreadable(key)),
+            Comparison::Later => {
                 self.drop_entry(now, key);
                 [(key, Change::Restarted)].into_iter().chain(self.add(now, item, written)).collect()
             }
         }
     }
 
-    /// What a start tells of itself. One that has left never takes work again.
-    fn renew(
+    /// Applies an entry of the known incarnation. One that has left never gets requests again.
+    fn refresh(
         &mut self,
         now: Instant,
         key: BackendKey,
         item: &fleet::Backend,
         written: bool,
     ) -> Option<(BackendKey, Change)> {
-        let known = &mut self.arena[key];
-        match known.state {
+        let backend = &mut self.arena[key];
+        match backend.state {
             _ if item.leaving => {
-                let news = known.state != State::Leaving;
-                known.leave(now);
-                news.then_some((key, Change::Leaving))
+                let changed = backend.state != State::Leaving;
+                backend.set_leaving(now);
+                changed.then_some((key, Change::Leaving))
             }
             State::Leaving => None,
             State::Unconfirmed { .. } if item.unconfirmed_ms > 0 || !written => None,
             State::Ready if item.unconfirmed_ms == 0 => None,
             State::Ready => {
-                known.state = unconfirmed(now, item);
+                backend.state = unconfirmed_state(now, item);
                 Some((key, Change::Unconfirmed))
             }
             State::Missing { .. } | State::Unreadable | State::Unconfirmed { .. } => {
-                known.state = State::Ready;
-                self.ended.forget(&item.id);
+                backend.state = State::Ready;
+                self.ended.remove(&item.id);
                 Some((key, Change::Seen))
             }
         }
     }
 
-    /// Sends nothing new to a server whose entry is not its own.
-    fn distrust(&mut self, key: BackendKey) -> Option<(BackendKey, Change)> {
-        let known = &mut self.arena[key];
-        if !known.accepts_work() {
+    /// Stops sending new requests to a server whose entry was written by another party.
+    fn mark_unreadable(&mut self, key: BackendKey) -> Option<(BackendKey, Change)> {
+        let backend = &mut self.arena[key];
+        if !backend.accepts_work() {
             return None;
         }
-        known.state = State::Unreadable;
+        backend.state = State::Unreadable;
         Some((key, Change::Unreadable))
     }
 
     fn add(&mut self, now: Instant, item: &fleet::Backend, written: bool) -> Option<(BackendKey, Change)> {
         let id: Arc<str> = item.id.as_str().into();
-        let past = self.ended.past(item, self.revision.epoch);
-        if past == Past::Earlier {
+        let history = self.ended.history(item, self.revision.epoch);
+        if history == History::Earlier {
             return None;
         }
         let Ok(addr) = item.addr.parse() else {
-            self.note_unreadable(id, &item.addr);
+            self.log_unreadable(id, &item.addr);
             return None;
         };
         self.unreadable.remove(&id);
         let tag = tag(&id, item.born);
-        let (state, change) = match past {
+        let (state, change) = match history {
             _ if item.leaving => (State::Leaving, Change::Seen),
-            Past::Left => (State::Leaving, Change::Leaving),
-            _ if item.unconfirmed_ms > 0 => (unconfirmed(now, item), Change::Unconfirmed),
-            Past::Removed if !written => (unconfirmed(now, item), Change::Unconfirmed),
+            History::SeenLeaving => (State::Leaving, Change::Leaving),
+            _ if item.unconfirmed_ms > 0 => (unconfirmed_state(now, item), Change::Unconfirmed),
+            History::Removed if !written => (unconfirmed_state(now, item), Change::Unconfirmed),
             _ => (State::Ready, Change::Seen),
         };
         if state == State::Ready {
-            self.ended.forget(&id);
+            self.ended.remove(&id);
         }
         let key = self.arena.insert(Backend {
             id: id.clone(),
@@ -117,23 +119,23 @@
             state,
             in_progress: 0,
             removed_at: None,
-            left: (state == State::Leaving).then_some(now),
+            leaving_since: (state == State::Leaving).then_some(now),
             cold_until: Instant::ZERO,
-            told_cold: false,
+            reported_cold: false,
         });
-        self.arena[key].hear_cold(now, item.cold_ms);
+        self.arena[key].update_cold(now, item.cold_ms);
         self.by_id.insert(id, key);
         self.by_tag.insert(tag, key);
         Some((key, change))
     }
 
-    /// Writes a line about an entry that can't be read, one for each identifier until it can be read.
-    fn note_unreadable(&mut self, id: Arc<str>, addr: &str) {
-        if self.unreadable.len() >= MOST_UNREADABLE {
+    /// Logs an entry that cannot be read, once per identifier until it can be read.
+    fn log_unreadable(&mut self, id: Arc<str>, addr: &str) {
+        if self.unreadable.len() >= MAX_UNREADABLE {
             self.unreadable.clear();
         }
         if self.unreadable.insert(id.clone()) {
-            spdlog::warn!("the entry of backend server {id} names none to use: address {addr:?}");
+            spdlog::warn!("entry of backend server {id} is unusable: invalid address {addr:?}");
         }
     }
 
@@ -144,10 +146,10 @@
         grace: Option<Duration>,
     ) -> Option<(BackendKey, Change)> {
         let key = *self.by_id.get(id)?;
-        let known = &mut self.arena[key];
-        match (known.state, grace) {
+        let backend = &mut self.arena[key];
+        match (backend.state, grace) {
             (State::Ready, Some(grace)) => {
-                known.state = State::Missing { until: now + grace };
+                backend.state = State::Missing { until: now + grace };
                 Some((key, Change::Missing))
             }
             (State::Missing { until }, _) if until > now => None,
@@ -156,27 +158,27 @@
     }
 
     pub(super) fn drop_entry(&mut self, now: Instant, key: BackendKey) -> Option<(BackendKey, Change)> {
-        let known = &mut self.arena[key];
-        let news = known.accepts_work();
-        let left = known.left.is_some();
-        self.ended.note(now, &known.id, known.born, left, self.revision.epoch);
-        known.state = State::Leaving;
-        known.removed_at = Some(now);
-        let (id, tag) = (known.id.clone(), known.tag);
+        let backend = &mut self.arena[key];
+        let changed = backend.accepts_work();
+        let seen_leaving = backend.leaving_since.is_some();
+        self.ended.record(now, &backend.id, backend.born, seen_leaving, self.revision.epoch);
+        backend.state = State::Leaving;
+        backend.removed_at = Some(now);
+        let (id, tag) = (backend.id.clone(), backend.tag);
         self.by_id.remove(&id);
         if self.by_tag.get(&tag) == Some(&key) {
             self.by_tag.remove(&tag);
         }
-        news.then_some((key, Change::Leaving))
+        changed.then_some((key, Change::Leaving))
     }
 
-    /// Counts servers as alive whose entries have outlasted those of dead ones.
-    pub(super) fn confirm(&mut self, now: Instant) -> Vec<(BackendKey, Change)> {
+    /// Marks unconfirmed servers as alive whose entries have outlived those of dead servers.
+    pub(super) fn confirm_due(&mut self, now: Instant) -> Vec<(BackendKey, Change)> {
         let mut confirmed = Vec::new();
         for (key, b) in &mut self.arena {
             if matches!(b.state, State::Unconfirmed { until } if until <= now) {
                 b.state = State::Ready;
-                self.ended.forget(&b.id);
+                self.ended.remove(&b.id);
                 confirmed.push((key, Change::Seen));
             }
         }
