--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -72,7 +72,7 @@
     let centre = targets.iter().any(|(_, scope)| *scope == Scope::Centre);
     let centre = if centre { encode(&relay.summarise(&beat)) } else { Vec::new() };
     for (target, scope) in targets {
-        let buf = if scope == Scope::Own { &own } else { &centre };
+        let buf = if scope == Scope::Host { &own } else { &centre };
         send(socket, buf, target).await;
     }
 }
--- a/src/relay/peers/targets.rs
+++ b/src/relay/peers/targets.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// The sender's own requests in progress.
-    Own,
+    Host,
     /// The summary of the sender's data centre.
     Centre,
 }
@@ -58,10 +58,10 @@
         for (addr, peer) in &self.peers {
             let near = self.is_near(peer);
             match &peer.member {
-                _ if near && heard(peer) => targets.push((*addr, Scope::Own)),
+                _ if near && heard(peer) => targets.push((*addr, Scope::Host)),
                 Some(member) if !near => far.entry(member.data_centre.clone()).or_default().push(*addr),
                 _ if peer.sought.is_none_or(|sought| sought + SEEK <= now) => {
-                    targets.push((*addr, Scope::Own))
+                    targets.push((*addr, Scope::Host))
                 }
                 _ => {}
             }
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -227,7 +227,7 @@
 
     let targets = peers.targets(ms(10), &mut rng());
 
-    let own = targets.iter().filter(|(_, scope)| *scope == Scope::Own).count();
+    let own = targets.iter().filter(|(_, scope)| *scope == Scope::Host).count();
     let centre = targets.iter().filter(|(_, scope)| *scope == Scope::Centre).count();
     assert_eq!((own, centre), (19, 2));
     assert!(peers.period() < ms(500), "{:?}", peers.period());
@@ -251,7 +251,7 @@
     }
 
     // Near ones are sought; a summary of `b` suffices to hand out all of its hosts.
-    let near = new.targets(ms(5_000), &mut rng()).into_iter().filter(|(_, scope)| *scope == Scope::Own);
+    let near = new.targets(ms(5_000), &mut rng()).into_iter().filter(|(_, scope)| *scope == Scope::Host);
     assert_eq!(near.count(), 20);
     let mut other = Peers::new(addr(1), "b", &[]);
     let centre_b = (4..60).filter(|i| i % 3 == 1);
