--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -69,7 +69,7 @@
     }
     let beat = relay.beat(false);
     let own = encode(&beat);
-    let centre = targets.iter().any(|(_, scope)| *scope == Scope::Centre);
+    let centre = targets.iter().any(|(_, scope)| *scope == Scope::DataCentre);
     let centre = if centre { encode(&relay.summarise(&beat)) } else { Vec::new() };
     for (target, scope) in targets {
         let buf = if scope == Scope::Host { &own } else { &centre };
--- a/src/relay/peers/targets.rs
+++ b/src/relay/peers/targets.rs
@@ -34,7 +34,7 @@
     /// The sender's own requests in progress.
     Host,
     /// The summary of the sender's data centre.
-    Centre,
+    DataCentre,
 }
 
 impl Peers {
@@ -67,7 +67,7 @@
             }
         }
         let drawn = far.into_values().map(|hosts| hosts[rng.random_range(0..hosts.len())]);
-        targets.extend(drawn.map(|addr| (addr, Scope::Centre)));
+        targets.extend(drawn.map(|addr| (addr, Scope::DataCentre)));
         for (addr, _) in &targets {
             if let Some(peer) = self.peers.get_mut(addr) {
                 peer.sought = Some(now);
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -228,7 +228,7 @@
     let targets = peers.targets(ms(10), &mut rng());
 
     let own = targets.iter().filter(|(_, scope)| *scope == Scope::Host).count();
-    let centre = targets.iter().filter(|(_, scope)| *scope == Scope::Centre).count();
+    let centre = targets.iter().filter(|(_, scope)| *scope == Scope::DataCentre).count();
     assert_eq!((own, centre), (19, 2));
     assert!(peers.period() < ms(500), "{:?}", peers.period());
 }
