--- a/benches/relay.rs
+++ b/benches/relay.rs
@@ -11,7 +11,7 @@
         admission::{Admission, AdmissionRequest, ServiceLoad},
         backends::Backends,
         holders::Holders,
-        peers::{Own, Peers},
+        peers::{LocalVersions, Peers},
         place::{Candidate, Placer},
         request::Part,
     },
@@ -146,6 +146,6 @@
             sender: Some(sender.clone()),
             ..Beat::default()
         };
-        peers.hear(Duration::from_millis(i), "10.0.0.2:1".parse().unwrap(), &beat, Own::default());
+        peers.hear(Duration::from_millis(i), "10.0.0.2:1".parse().unwrap(), &beat, LocalVersions::default());
     })
 }
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -76,7 +76,7 @@
 use holders::Holders;
 use leave::Leaving;
 
-use peers::{Own, Peers};
+use peers::{LocalVersions, Peers};
 use pool::{Conn, Pool};
 use request::Request;
 use revision::{Epochs, Revision};
@@ -334,10 +334,10 @@
         self.leaving.is_none() && self.routes.is_some() && self.listed
     }
 
-    pub(crate) fn own(&self) -> Own {
+    pub(crate) fn own(&self) -> LocalVersions {
         let configuration = self.routes.as_ref().map_or(0, |r| r.version());
         let backends = if self.listed { self.backends.revision() } else { Revision::default() };
-        Own { configuration, backends, digest: self.backends.digest() }
+        LocalVersions { configuration, backends, digest: self.backends.digest() }
     }
 }
 
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -16,7 +16,7 @@
     datagram::{self, MOST_BYTES},
     follow::BackendsUpdate,
     inbound::accept_all,
-    peers::{Own, Scope},
+    peers::{LocalVersions, Scope},
     pool,
     revision::Revision,
 };
@@ -165,7 +165,7 @@
 }
 
 /// A peer to fetch from, with what is known here.
-fn source<W: Wire>(relay: &Relay<W>, wants_held: bool) -> Option<(SocketAddr, Own)> {
+fn source<W: Wire>(relay: &Relay<W>, wants_held: bool) -> Option<(SocketAddr, LocalVersions)> {
     let mut state = relay.state();
     let own = state.own();
     let State { peers, rng, listed, .. } = &mut *state;
--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -111,7 +111,7 @@
 
 /// What is in force here, to compare with the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Own {
+pub struct LocalVersions {
     /// Version of the configuration; 0 without one.
     pub configuration: Version,
     /// Revision of the backend servers.
@@ -196,7 +196,7 @@
     }
 
     /// Takes a beat in; one that comes twice or late changes nothing.
-    pub fn hear(&mut self, now: Instant, from: SocketAddr, beat: &Beat, own: Own) -> Heard {
+    pub fn hear(&mut self, now: Instant, from: SocketAddr, beat: &Beat, own: LocalVersions) -> Heard {
         if self.me == Some(from) {
             return Heard::default();
         }
--- a/src/relay/peers/ahead.rs
+++ b/src/relay/peers/ahead.rs
@@ -4,7 +4,7 @@
 
 use rand::{Rng, seq::IteratorRandom};
 
-use super::{Own, Peer, Peers};
+use super::{LocalVersions, Peer, Peers};
 use crate::util::Instant;
 
 /// How long a peer must be ahead before its newer state is fetched; the store mostly tells both within this time.
@@ -21,7 +21,7 @@
     /// A peer that has had something newer for a while, to fetch it from: one of the own data centre if any is ahead, since
     /// bytes within it cost nothing. It is drawn, since all hosts start or hear of a change at the same moment
     /// and would all ask the same one.
-    pub fn ahead(&self, now: Instant, own: Own, rng: &mut impl Rng) -> Option<SocketAddr> {
+    pub fn ahead(&self, now: Instant, own: LocalVersions, rng: &mut impl Rng) -> Option<SocketAddr> {
         let failed = |p: &Peer| p.failed.is_some_and(|failed| failed + FAILED > now);
         let order = |p: &Peer| (failed(p), !self.is_near(p));
         let best = self.all_ahead(now, own).map(|(_, p)| order(p)).min()?;
@@ -36,11 +36,11 @@
     }
 
     /// Whether any peer has had something newer for a while.
-    pub fn is_any_ahead(&self, now: Instant, own: Own) -> bool {
+    pub fn is_any_ahead(&self, now: Instant, own: LocalVersions) -> bool {
         self.all_ahead(now, own).next().is_some()
     }
 
-    fn all_ahead(&self, now: Instant, own: Own) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
+    fn all_ahead(&self, now: Instant, own: LocalVersions) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
         let follows = self.tells_news();
         let first = own.configuration == 0 || !own.backends.is_known() || !follows;
         let near = if first { Duration::ZERO } else { AHEAD };
@@ -60,7 +60,7 @@
     }
 }
 
-pub(super) fn is_ahead(peer: &Peer, own: Own) -> bool {
+pub(super) fn is_ahead(peer: &Peer, own: LocalVersions) -> bool {
     let backends = peer.backends > own.backends && peer.backends_digest != own.digest;
     peer.configuration > own.configuration || backends
 }
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -7,7 +7,7 @@
     confirm::Topic,
     datagram::Fault,
     followers::Contact,
-    peers::{Own, Scope},
+    peers::{LocalVersions, Scope},
 };
 use crate::{
     logs::lines::{Weight, line},
@@ -143,7 +143,7 @@
 
 /// Takes in up to when another host knew all changes, where it knows nothing that this host does not. Returns whether the
 /// others of the data centre must be told at once: the host of another one has told it few hosts.
-fn hear_confirmed(state: &mut State, sent: Instant, beat: &Beat, own: Own) -> bool {
+fn hear_confirmed(state: &mut State, sent: Instant, beat: &Beat, own: LocalVersions) -> bool {
     let Some(told) = &beat.confirmed else { return false };
     let backends = beat.backends_as_of();
     let is_passed = backends.epoch == own.backends.epoch && backends <= own.backends;
--- a/tests/relay_confirmations.rs
+++ b/tests/relay_confirmations.rs
@@ -9,7 +9,7 @@
     relay::{
         confirm::{Change, Confirmations, Topic, Turn, in_force},
         followers::Contact,
-        peers::{Own, Peers},
+        peers::{LocalVersions, Peers},
         revision::{Epochs, Heard, Revision},
     },
     schema::fleet::{Beat, Confirmed, Member},
@@ -69,8 +69,8 @@
         }
     }
 
-    fn own(&self) -> Own {
-        Own { configuration: self.version, backends: Revision::new(1, 1), digest: 1 }
+    fn own(&self) -> LocalVersions {
+        LocalVersions { configuration: self.version, backends: Revision::new(1, 1), digest: 1 }
     }
 
     fn confirm(&mut self, at: Duration) {
@@ -254,7 +254,7 @@
         confirmed: Some(Confirmed { sent_ms, ..Confirmed::default() }),
         ..Beat::default()
     };
-    let own = Own::default();
+    let own = LocalVersions::default();
 
     let first = peers.hear(ms(5_000), addr(1), &beat(1, 1_000), own).late;
     let queued = peers.hear(ms(9_000), addr(1), &beat(2, 1_250), own).late;
--- a/tests/relay_datagrams.rs
+++ b/tests/relay_datagrams.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     relay::{
         datagram::{Fault, MOST_BYTES, decode, encode},
-        peers::{Own, Peers},
+        peers::{LocalVersions, Peers},
         suspects::Suspects,
     },
     schema::fleet::{Beat, Centre, Held, InProgress, Member, Suspect},
@@ -44,7 +44,7 @@
 #[test]
 fn a_beat_that_comes_twice_is_told_apart() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    let own = Own::default();
+    let own = LocalVersions::default();
 
     let first = peers.hear(Duration::ZERO, addr(1), &beat(1, 2), own);
     let again = peers.hear(Duration::ZERO, addr(1), &beat(1, 2), own);
@@ -79,7 +79,7 @@
     for i in 1..4_000 {
         let member = |n| Member { peers: addr(n).to_string(), ..Member::default() };
         let members = (0..16).map(|n| member(i * 16 + n)).collect();
-        peers.hear(Duration::ZERO, addr(i), &Beat { members, ..beat(1, 1) }, Own::default());
+        peers.hear(Duration::ZERO, addr(i), &Beat { members, ..beat(1, 1) }, LocalVersions::default());
         suspects.merge(Duration::ZERO, &[Suspect { fingerprint: i.into(), crashes: 9 }]);
     }
 
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -12,7 +12,7 @@
         configurations,
         follow::BackendsUpdate,
         followers::Contact,
-        peers::{Own, Peers, Scope},
+        peers::{LocalVersions, Peers, Scope},
         revision::Revision,
     },
     schema::fleet::{Backend, Backends, Beat, Centre, Configuration, Fetch, Fetched, InProgress, Member},
@@ -24,7 +24,8 @@
     net::TcpStream,
 };
 
-const OWN: Own = Own { configuration: 5, backends: Revision { epoch: 0, number: 9 }, digest: 1 };
+const OWN: LocalVersions =
+    LocalVersions { configuration: 5, backends: Revision { epoch: 0, number: 9 }, digest: 1 };
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -143,14 +144,14 @@
 #[test]
 fn what_a_peer_has_had_for_a_while_is_fetched() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    let none = Own::default();
+    let none = LocalVersions::default();
     peers.hear(ms(0), addr(1), &Beat { configuration: 6, ..beat(1, "a", 1) }, OWN);
     peers.hear(ms(250), addr(1), &Beat { configuration: 6, ..beat(1, "a", 2) }, OWN);
 
     assert_eq!(peers.ahead(ms(199), OWN, &mut rng()), None);
     assert_eq!(peers.ahead(ms(250), OWN, &mut rng()), Some(addr(1)));
     assert_eq!(peers.ahead(ms(0), none, &mut rng()), Some(addr(1)));
-    assert_eq!(peers.ahead(ms(250), Own { configuration: 6, ..OWN }, &mut rng()), None);
+    assert_eq!(peers.ahead(ms(250), LocalVersions { configuration: 6, ..OWN }, &mut rng()), None);
 }
 
 /// A data centre of 30 hosts hears of a change at the same moment, from several that have it. If all asked the same one
