--- a/src/relay.rs
+++ b/src/relay.rs
@@ -334,7 +334,7 @@
         self.leaving.is_none() && self.routes.is_some() && self.listed
     }
 
-    pub(crate) fn own(&self) -> LocalVersions {
+    pub(crate) fn local_versions(&self) -> LocalVersions {
         let configuration = self.routes.as_ref().map_or(0, |r| r.version());
         let backends = if self.listed { self.backends.revision() } else { Revision::default() };
         LocalVersions { configuration, backends, digest: self.backends.digest() }
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -251,7 +251,7 @@
             let age = state.confirmations.age(now, topic);
             self.metrics.set(Gauge::RelayUnconfirmed, topic.as_str(), age.as_secs_f64());
         }
-        let versions = state.own();
+        let versions = state.local_versions();
         for change in state.confirmations.changes(now) {
             let fill = |l: Line, topic: Topic, after| {
                 let l = l.text("kind", topic.as_str()).ms("after_ms", after);
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -167,7 +167,7 @@
 /// A peer to fetch from, with what is known here.
 fn source<W: Wire>(relay: &Relay<W>, wants_held: bool) -> Option<(SocketAddr, LocalVersions)> {
     let mut state = relay.state();
-    let own = state.own();
+    let own = state.local_versions();
     let State { peers, rng, listed, .. } = &mut *state;
     let ahead = peers.ahead(now(), own, rng);
     let peer = ahead.or_else(|| peers.long_up(rng).filter(|_| wants_held && *listed))?;
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -39,7 +39,7 @@
     pub(crate) fn beat(&self, full: bool) -> Beat {
         let now = now();
         let mut state = self.state();
-        let own = state.own();
+        let own = state.local_versions();
         let at = state.backends.iter().filter(|(_, b)| b.in_progress > 0);
         let in_progress = at.map(|(_, b)| InProgress { backend: b.tag, requests: b.in_progress }).collect();
         let service: Vec<_> = state.backends.iter().map(|(key, _)| key).collect();
@@ -81,7 +81,7 @@
     pub(crate) fn hear(&self, from: SocketAddr, beat: &Beat) -> Result<bool, Fault> {
         let now = now();
         let mut state = self.state();
-        let own = state.own();
+        let own = state.local_versions();
         let beat = &trusted(&state, beat);
         let heard = state.peers.hear(now, from, beat, own);
         if heard.old {
