--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -98,7 +98,7 @@
 
 /// What a beat brought that the caller acts on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct BeatReceipt {
     /// The sender was unknown, lost, or started anew.
     pub joined: bool,
     /// The sender wants a full beat at once.
@@ -196,12 +196,12 @@
     }
 
     /// Takes a beat in; one that comes twice or late changes nothing.
-    pub fn hear(&mut self, now: Instant, from: SocketAddr, beat: &Beat, own: LocalVersions) -> Heard {
+    pub fn hear(&mut self, now: Instant, from: SocketAddr, beat: &Beat, own: LocalVersions) -> BeatReceipt {
         if self.me == Some(from) {
-            return Heard::default();
+            return BeatReceipt::default();
         }
         if !self.peers.contains_key(&from) && self.is_full() {
-            return Heard::default();
+            return BeatReceipt::default();
         }
         let lost = self.lost();
         let peer = self.peers.entry(from).or_default();
@@ -209,7 +209,7 @@
             self.grew = now;
         }
         if (beat.start, beat.number) <= (peer.start, peer.number) {
-            return Heard { old: true, ..Heard::default() };
+            return BeatReceipt { old: true, ..BeatReceipt::default() };
         }
         let joined = peer.heard.is_none_or(|heard| heard + lost < now) || beat.start != peer.start;
         if beat.start != peer.start {
@@ -246,7 +246,7 @@
         // Of many hosts that are asked, some answer: each knows most of the others.
         let chosen = self.is_small() || hash((self.me, beat.number)).is_multiple_of(ANSWERS);
         let answer = unknown || (beat.wants_full && chosen);
-        Heard { joined: joined || unknown, answer, old: false, late }
+        BeatReceipt { joined: joined || unknown, answer, old: false, late }
     }
 
     fn count(&mut self, old: &Map<Tag, u32>, new: &Map<Tag, u32>) {
