--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -104,7 +104,7 @@
     /// The sender wants a full beat at once.
     pub answer: bool,
     /// It has come before, or later than a newer one, and changed nothing.
-    pub old: bool,
+    pub stale: bool,
     /// How much later it has come than others of its sender.
     pub late: Duration,
 }
@@ -209,7 +209,7 @@
             self.grew = now;
         }
         if (beat.start, beat.number) <= (peer.start, peer.number) {
-            return BeatReceipt { old: true, ..BeatReceipt::default() };
+            return BeatReceipt { stale: true, ..BeatReceipt::default() };
         }
         let joined = peer.heard.is_none_or(|heard| heard + lost < now) || beat.start != peer.start;
         if beat.start != peer.start {
@@ -246,7 +246,7 @@
         // Of many hosts that are asked, some answer: each knows most of the others.
         let chosen = self.is_small() || hash((self.me, beat.number)).is_multiple_of(ANSWERS);
         let answer = unknown || (beat.wants_full && chosen);
-        BeatReceipt { joined: joined || unknown, answer, old: false, late }
+        BeatReceipt { joined: joined || unknown, answer, stale: false, late }
     }
 
     fn count(&mut self, old: &Map<Tag, u32>, new: &Map<Tag, u32>) {
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -84,7 +84,7 @@
         let own = state.local_versions();
         let beat = &trusted(&state, beat);
         let heard = state.peers.hear(now, from, beat, own);
-        if heard.old {
+        if heard.stale {
             return Err(Fault::Old);
         }
         if state.peers.is_any_ahead(now, own) {
--- a/tests/relay_confirmations.rs
+++ b/tests/relay_confirmations.rs
@@ -177,7 +177,7 @@
             let host = &mut hosts[to];
             let own = host.own();
             let heard = host.peers.hear(now, addr(from), &beat, own);
-            if !heard.old && beat.configuration <= host.version {
+            if !heard.stale && beat.configuration <= host.version {
                 let sent = now.saturating_sub(heard.late);
                 let told = beat.confirmed.unwrap();
                 for topic in Topic::ALL {
--- a/tests/relay_datagrams.rs
+++ b/tests/relay_datagrams.rs
@@ -50,7 +50,7 @@
     let again = peers.hear(Duration::ZERO, addr(1), &beat(1, 2), own);
     let earlier = peers.hear(Duration::ZERO, addr(1), &beat(1, 1), own);
 
-    assert_eq!((first.old, again.old, earlier.old), (false, true, true));
+    assert_eq!((first.stale, again.stale, earlier.stale), (false, true, true));
 }
 
 /// Ten thousand tags, parts or members: a datagram is as long as it may be, and the rest is left out.
