--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -90,7 +90,7 @@
         if state.peers.is_any_ahead(now, own) {
             self.behind.notify_one();
         }
-        if hear_confirmed(&mut state, now.saturating_sub(heard.late), beat, own) {
+        if hear_confirmed(&mut state, now.saturating_sub(heard.delay), beat, own) {
             self.tell.notify_one();
         }
         let hosts = state.peers.hosts();
