--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -106,7 +106,7 @@
     /// It has come before, or later than a newer one, and changed nothing.
     pub stale: bool,
     /// How much later it has come than others of its sender.
-    pub late: Duration,
+    pub delay: Duration,
 }
 
 /// What is in force here, to compare with the others.
@@ -215,7 +215,7 @@
         if beat.start != peer.start {
             peer.lag_ms = None;
         }
-        let late = beat.confirmed.as_ref().map(|told| peer.lateness(now, told.sent_ms)).unwrap_or_default();
+        let delay = beat.confirmed.as_ref().map(|told| peer.lateness(now, told.sent_ms)).unwrap_or_default();
         let old = std::mem::take(&mut peer.loads);
         if beat.centre.is_none() {
             peer.loads = beat.in_progress.iter().map(|l| (l.backend, l.requests)).collect();
@@ -246,7 +246,7 @@
         // Of many hosts that are asked, some answer: each knows most of the others.
         let chosen = self.is_small() || hash((self.me, beat.number)).is_multiple_of(ANSWERS);
         let answer = unknown || (beat.wants_full && chosen);
-        BeatReceipt { joined: joined || unknown, answer, stale: false, late }
+        BeatReceipt { joined: joined || unknown, answer, stale: false, delay }
     }
 
     fn count(&mut self, old: &Map<Tag, u32>, new: &Map<Tag, u32>) {
