--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -102,7 +102,7 @@
     /// The sender was unknown, lost, or started anew.
     pub joined: bool,
     /// The sender wants a full beat at once.
-    pub answer: bool,
+    pub wants_full: bool,
     /// It has come before, or later than a newer one, and changed nothing.
     pub stale: bool,
     /// How much later it has come than others of its sender.
@@ -245,8 +245,8 @@
         }
         // Of many hosts that are asked, some answer: each knows most of the others.
         let chosen = self.is_small() || hash((self.me, beat.number)).is_multiple_of(ANSWERS);
-        let answer = unknown || (beat.wants_full && chosen);
-        BeatReceipt { joined: joined || unknown, answer, stale: false, delay }
+        let wants_full = unknown || (beat.wants_full && chosen);
+        BeatReceipt { joined: joined || unknown, wants_full, stale: false, delay }
     }
 
     fn count(&mut self, old: &Map<Tag, u32>, new: &Map<Tag, u32>) {
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -111,7 +111,7 @@
         }
         drop(state);
         self.hear_held(&beat.held);
-        Ok(heard.answer)
+        Ok(heard.wants_full)
     }
 
     /// Holders of prompt parts for a host that has just started.
