--- a/benches/relay.rs
+++ b/benches/relay.rs
@@ -146,6 +146,11 @@
             sender: Some(sender.clone()),
             ..Beat::default()
         };
-        peers.hear(Duration::from_millis(i), "10.0.0.2:1".parse().unwrap(), &beat, LocalVersions::default());
+        peers.receive(
+            Duration::from_millis(i),
+            "10.0.0.2:1".parse().unwrap(),
+            &beat,
+            LocalVersions::default(),
+        );
     })
 }
--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -196,7 +196,13 @@
     }
 
     /// Takes a beat in; one that comes twice or late changes nothing.
-    pub fn hear(&mut self, now: Instant, from: SocketAddr, beat: &Beat, own: LocalVersions) -> BeatReceipt {
+    pub fn receive(
+        &mut self,
+        now: Instant,
+        from: SocketAddr,
+        beat: &Beat,
+        own: LocalVersions,
+    ) -> BeatReceipt {
         if self.me == Some(from) {
             return BeatReceipt::default();
         }
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -83,7 +83,7 @@
         let mut state = self.state();
         let own = state.local_versions();
         let beat = &trusted(&state, beat);
-        let heard = state.peers.hear(now, from, beat, own);
+        let heard = state.peers.receive(now, from, beat, own);
         if heard.stale {
             return Err(Fault::Old);
         }
--- a/tests/relay_confirmations.rs
+++ b/tests/relay_confirmations.rs
@@ -176,7 +176,7 @@
         for (_, from, to, beat) in arrived {
             let host = &mut hosts[to];
             let own = host.own();
-            let heard = host.peers.hear(now, addr(from), &beat, own);
+            let heard = host.peers.receive(now, addr(from), &beat, own);
             if !heard.stale && beat.configuration <= host.version {
                 let sent = now.saturating_sub(heard.delay);
                 let told = beat.confirmed.unwrap();
@@ -239,7 +239,7 @@
     let (copied, mut other) =
         (Confirmations::new(ms(0), BOUND, false), Confirmations::new(ms(0), BOUND, false));
 
-    let is_news = other.hear(ms(5_000), Topic::Configuration, &copied.told(ms(5_000)));
+    let is_news = other.receive(ms(5_000), Topic::Configuration, &copied.told(ms(5_000)));
 
     assert!(!is_news && other.is_old(ms(5_000), Topic::Configuration));
 }
@@ -256,10 +256,10 @@
     };
     let own = LocalVersions::default();
 
-    let first = peers.hear(ms(5_000), addr(1), &beat(1, 1_000), own).delay;
-    let queued = peers.hear(ms(9_000), addr(1), &beat(2, 1_250), own).delay;
-    let fresh = peers.hear(ms(9_001), addr(1), &beat(3, 5_000), own).delay;
-    let restarted = peers.hear(ms(9_002), addr(1), &Beat { start: 2, ..beat(1, 10) }, own).delay;
+    let first = peers.receive(ms(5_000), addr(1), &beat(1, 1_000), own).delay;
+    let queued = peers.receive(ms(9_000), addr(1), &beat(2, 1_250), own).delay;
+    let fresh = peers.receive(ms(9_001), addr(1), &beat(3, 5_000), own).delay;
+    let restarted = peers.receive(ms(9_002), addr(1), &Beat { start: 2, ..beat(1, 10) }, own).delay;
 
     assert_eq!([first, queued, fresh, restarted], [ms(0), ms(3_750), ms(1), ms(0)]);
 }
--- a/tests/relay_datagrams.rs
+++ b/tests/relay_datagrams.rs
@@ -46,9 +46,9 @@
     let mut peers = Peers::new(addr(0), "a", &[]);
     let own = LocalVersions::default();
 
-    let first = peers.hear(Duration::ZERO, addr(1), &beat(1, 2), own);
-    let again = peers.hear(Duration::ZERO, addr(1), &beat(1, 2), own);
-    let earlier = peers.hear(Duration::ZERO, addr(1), &beat(1, 1), own);
+    let first = peers.receive(Duration::ZERO, addr(1), &beat(1, 2), own);
+    let again = peers.receive(Duration::ZERO, addr(1), &beat(1, 2), own);
+    let earlier = peers.receive(Duration::ZERO, addr(1), &beat(1, 1), own);
 
     assert_eq!((first.stale, again.stale, earlier.stale), (false, true, true));
 }
@@ -79,7 +79,7 @@
     for i in 1..4_000 {
         let member = |n| Member { peers: addr(n).to_string(), ..Member::default() };
         let members = (0..16).map(|n| member(i * 16 + n)).collect();
-        peers.hear(Duration::ZERO, addr(i), &Beat { members, ..beat(1, 1) }, LocalVersions::default());
+        peers.receive(Duration::ZERO, addr(i), &Beat { members, ..beat(1, 1) }, LocalVersions::default());
         suspects.merge(Duration::ZERO, &[Suspect { fingerprint: i.into(), crashes: 9 }]);
     }
 
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -75,14 +75,14 @@
 #[test]
 fn loads_are_summed_and_replaced_by_newer_beats_only() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.hear(ms(0), addr(1), &busy(1, 2, &[(77, 3), (78, 1)]), OWN);
-    peers.hear(ms(0), addr(2), &busy(2, 1, &[(77, 4)]), OWN);
+    peers.receive(ms(0), addr(1), &busy(1, 2, &[(77, 3), (78, 1)]), OWN);
+    peers.receive(ms(0), addr(2), &busy(2, 1, &[(77, 4)]), OWN);
     assert_eq!((peers.load(77), peers.load(78)), (7, 1));
 
     // One that comes late, one that comes twice, and a newer one.
-    peers.hear(ms(10), addr(1), &busy(1, 1, &[(77, 9)]), OWN);
-    peers.hear(ms(10), addr(2), &busy(2, 1, &[(77, 4)]), OWN);
-    peers.hear(ms(20), addr(1), &busy(1, 3, &[(78, 2)]), OWN);
+    peers.receive(ms(10), addr(1), &busy(1, 1, &[(77, 9)]), OWN);
+    peers.receive(ms(10), addr(2), &busy(2, 1, &[(77, 4)]), OWN);
+    peers.receive(ms(20), addr(1), &busy(1, 3, &[(78, 2)]), OWN);
 
     assert_eq!((peers.load(77), peers.load(78)), (4, 2));
 }
@@ -91,9 +91,9 @@
 #[test]
 fn a_restarted_host_is_heard() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.hear(ms(0), addr(1), &busy(1, 100, &[(77, 3)]), OWN);
+    peers.receive(ms(0), addr(1), &busy(1, 100, &[(77, 3)]), OWN);
 
-    let heard = peers.hear(ms(10), addr(1), &Beat { start: 2, ..busy(1, 1, &[(77, 1)]) }, OWN);
+    let heard = peers.receive(ms(10), addr(1), &Beat { start: 2, ..busy(1, 1, &[(77, 1)]) }, OWN);
 
     assert!(heard.joined);
     assert_eq!(peers.load(77), 1);
@@ -103,8 +103,8 @@
 #[test]
 fn a_silent_host_stops_counting() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.hear(ms(0), addr(1), &busy(1, 1, &[(77, 3)]), OWN);
-    peers.hear(ms(900), addr(2), &busy(2, 1, &[(77, 2)]), OWN);
+    peers.receive(ms(0), addr(1), &busy(1, 1, &[(77, 3)]), OWN);
+    peers.receive(ms(900), addr(2), &busy(2, 1, &[(77, 2)]), OWN);
 
     let lost = peers.expire(ms(1_400));
 
@@ -119,11 +119,11 @@
 fn hosts_that_avoid_a_server_are_counted() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     let avoids = |i, number, tags: &[u32]| Beat { avoided: tags.to_vec(), ..beat(i, "a", number) };
-    peers.hear(ms(0), addr(1), &avoids(1, 1, &[77, 78]), OWN);
-    peers.hear(ms(0), addr(2), &avoids(2, 1, &[77]), OWN);
+    peers.receive(ms(0), addr(1), &avoids(1, 1, &[77, 78]), OWN);
+    peers.receive(ms(0), addr(2), &avoids(2, 1, &[77]), OWN);
     assert_eq!((peers.avoiding(77), peers.avoiding(78)), (2, 1));
 
-    peers.hear(ms(1_000), addr(1), &avoids(1, 2, &[78]), OWN);
+    peers.receive(ms(1_000), addr(1), &avoids(1, 2, &[78]), OWN);
     assert_eq!(peers.avoiding(77), 1);
     peers.expire(ms(1_400));
 
@@ -133,8 +133,8 @@
 #[test]
 fn a_leaving_host_is_not_handed_out() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.hear(ms(0), addr(1), &beat(1, "a", 1), OWN);
-    peers.hear(ms(10), addr(1), &Beat { ready: false, ..beat(1, "a", 2) }, OWN);
+    peers.receive(ms(0), addr(1), &beat(1, "a", 1), OWN);
+    peers.receive(ms(10), addr(1), &Beat { ready: false, ..beat(1, "a", 2) }, OWN);
 
     assert_eq!(ready(&peers, ms(10)), BTreeSet::new());
 }
@@ -145,8 +145,8 @@
 fn what_a_peer_has_had_for_a_while_is_fetched() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     let none = LocalVersions::default();
-    peers.hear(ms(0), addr(1), &Beat { configuration: 6, ..beat(1, "a", 1) }, OWN);
-    peers.hear(ms(250), addr(1), &Beat { configuration: 6, ..beat(1, "a", 2) }, OWN);
+    peers.receive(ms(0), addr(1), &Beat { configuration: 6, ..beat(1, "a", 1) }, OWN);
+    peers.receive(ms(250), addr(1), &Beat { configuration: 6, ..beat(1, "a", 2) }, OWN);
 
     assert_eq!(peers.ahead(ms(199), OWN, &mut rng()), None);
     assert_eq!(peers.ahead(ms(250), OWN, &mut rng()), Some(addr(1)));
@@ -160,7 +160,7 @@
 fn hosts_that_lack_the_same_ask_different_peers() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..9 {
-        peers.hear(ms(0), addr(i), &Beat { configuration: 6, ..beat(i, "a", 1) }, OWN);
+        peers.receive(ms(0), addr(i), &Beat { configuration: 6, ..beat(i, "a", 1) }, OWN);
     }
     let mut rng = rng();
 
@@ -176,10 +176,10 @@
     let mut peers = large();
     assert!(!peers.decide_duty(ms(10), Contact::Idle), "two of its data centre follow");
     let next = |i, centre| Beat { configuration: 6, ..beat(i, centre, 2) };
-    peers.hear(ms(100), addr(4), &next(4, "b"), OWN);
+    peers.receive(ms(100), addr(4), &next(4, "b"), OWN);
     let before = peers.ahead(ms(400), OWN, &mut rng());
     let alone = peers.ahead(ms(800), OWN, &mut rng());
-    peers.hear(ms(800), addr(3), &next(3, "a"), OWN);
+    peers.receive(ms(800), addr(3), &next(3, "a"), OWN);
 
     let near = peers.ahead(ms(800), OWN, &mut rng());
 
@@ -204,10 +204,10 @@
 #[test]
 fn a_higher_revision_of_the_same_list_is_not_fetched() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.hear(ms(0), addr(1), &Beat { backends: 12, ..beat(1, "a", 1) }, OWN);
+    peers.receive(ms(0), addr(1), &Beat { backends: 12, ..beat(1, "a", 1) }, OWN);
     assert_eq!(peers.ahead(ms(1_000), OWN, &mut rng()), None);
 
-    peers.hear(ms(1), addr(1), &Beat { backends: 12, backends_digest: 2, ..beat(1, "a", 2) }, OWN);
+    peers.receive(ms(1), addr(1), &Beat { backends: 12, backends_digest: 2, ..beat(1, "a", 2) }, OWN);
 
     assert_eq!(peers.ahead(ms(1_000), OWN, &mut rng()), Some(addr(1)));
 }
@@ -217,7 +217,7 @@
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..60 {
         let centre = ["a", "b", "c"][usize::from(i) % 3];
-        peers.hear(ms(0), addr(i), &beat(i, centre, 1), OWN);
+        peers.receive(ms(0), addr(i), &beat(i, centre, 1), OWN);
     }
     peers
 }
@@ -248,7 +248,7 @@
         assert!(asks.wants_full);
         let mut answer = Beat { number: 0, ..beat(0, "a", 0) };
         seed.number(&mut answer, &me, true);
-        new.hear(ms(n), addr(0), &answer, OWN);
+        new.receive(ms(n), addr(0), &answer, OWN);
     }
 
     // Near ones are sought; a summary of `b` suffices to hand out all of its hosts.
@@ -257,10 +257,10 @@
     let mut other = Peers::new(addr(1), "b", &[]);
     let centre_b = (4..60).filter(|i| i % 3 == 1);
     for i in centre_b.clone() {
-        other.hear(ms(0), addr(i), &beat(i, "b", 1), OWN);
+        other.receive(ms(0), addr(i), &beat(i, "b", 1), OWN);
     }
     let summary = other.centre(&[], &member(1, "b"), true);
-    new.hear(ms(5_001), addr(1), &Beat { centre: Some(summary), ..beat(1, "b", 9) }, OWN);
+    new.receive(ms(5_001), addr(1), &Beat { centre: Some(summary), ..beat(1, "b", 9) }, OWN);
     let handed_out = ready(&new, ms(5_001));
     assert!(centre_b.clone().all(|i| handed_out.contains(&format!("host-{i}"))), "{handed_out:?}");
 }
@@ -279,7 +279,7 @@
             let centre = ["a", "b", "c"][usize::from(i) % 3];
             let follows_store = contact(i) == Contact::Follows;
             let lost_store = contact(i) == Contact::Lost;
-            peers.hear(ms(0), addr(i), &Beat { follows_store, lost_store, ..beat(i, centre, 1) }, OWN);
+            peers.receive(ms(0), addr(i), &Beat { follows_store, lost_store, ..beat(i, centre, 1) }, OWN);
         }
         peers.decide_duty(ms(10), contact(*me))
     };
@@ -306,7 +306,7 @@
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..20 {
         let leaves = Beat { ready: false, follows_store: true, ..beat(i, "a", 1) };
-        peers.hear(ms(0), addr(i), &leaves, OWN);
+        peers.receive(ms(0), addr(i), &leaves, OWN);
     }
 
     assert!(peers.decide_duty(ms(10), Contact::Idle));
@@ -335,7 +335,7 @@
 fn a_host_that_hears_others_lets_them_follow_the_store_first() {
     let start = |i: u8| Peers::new(addr(i), "a", &[]).with_start(ms(50_000));
     let tell = |peers: &mut Peers, follows_store, at| {
-        peers.hear(ms(at), addr(1), &Beat { follows_store, ..beat(1, "a", at) }, OWN);
+        peers.receive(ms(at), addr(1), &Beat { follows_store, ..beat(1, "a", at) }, OWN);
     };
     let [mut alone, mut heard, mut told] = [9, 9, 9].map(start);
     tell(&mut heard, false, 50_100);
@@ -357,7 +357,7 @@
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..40 {
         let start = u64::from(100 - i);
-        peers.hear(ms(0), addr(i), &Beat { start, ..beat(i, ["a", "b"][usize::from(i) % 2], 1) }, OWN);
+        peers.receive(ms(0), addr(i), &Beat { start, ..beat(i, ["a", "b"][usize::from(i) % 2], 1) }, OWN);
     }
 
     let near: Vec<_> = peers.near_ready(3).into_iter().map(|m| m.name).collect();
@@ -372,16 +372,16 @@
     let mut peers = large();
     peers.expire(ms(2_000));
     let mut sender = Peers::new(addr(4), "b", &[]);
-    sender.hear(ms(0), addr(7), &Beat { sender: Some(member(7, "b")), ..busy(7, 1, &[(77, 3)]) }, OWN);
+    sender.receive(ms(0), addr(7), &Beat { sender: Some(member(7, "b")), ..busy(7, 1, &[(77, 3)]) }, OWN);
     let own = [InProgress { backend: 77, requests: 2 }];
     let told = sender.centre(&own, &member(4, "b"), true);
     assert_eq!(told.in_progress, [InProgress { backend: 77, requests: 5 }]);
 
-    peers.hear(ms(2_000), addr(4), &Beat { centre: Some(told), ..beat(4, "b", 2) }, OWN);
+    peers.receive(ms(2_000), addr(4), &Beat { centre: Some(told), ..beat(4, "b", 2) }, OWN);
     assert_eq!(peers.load(77), 5);
     assert_eq!(ready(&peers, ms(2_000)), BTreeSet::from(["host-4".into(), "host-7".into()]));
     let less = Centre { in_progress: vec![InProgress { backend: 77, requests: 1 }], ready: Vec::new() };
-    peers.hear(ms(2_100), addr(7), &Beat { centre: Some(less), ..beat(7, "b", 2) }, OWN);
+    peers.receive(ms(2_100), addr(7), &Beat { centre: Some(less), ..beat(7, "b", 2) }, OWN);
     assert_eq!(peers.load(77), 1);
     peers.expire(ms(5_200));
 
@@ -399,17 +399,17 @@
     let summary = |hosts: &[u8], number| {
         let mut sender = Peers::new(addr(1), "b", &[]);
         for i in hosts {
-            sender.hear(ms(0), addr(*i), &beat(*i, "b", 1), OWN);
+            sender.receive(ms(0), addr(*i), &beat(*i, "b", 1), OWN);
         }
         Beat { centre: Some(sender.centre(&[], &member(1, "b"), true)), ..beat(1, "b", number) }
     };
     let in_b = |peers: &Peers, now| ready(peers, now).iter().filter(|name| is_of(name, &of_b)).count();
-    peers.hear(ms(100), addr(1), &summary(&of_b, 2), OWN);
+    peers.receive(ms(100), addr(1), &summary(&of_b, 2), OWN);
     assert_eq!(in_b(&peers, ms(100)), 20);
 
-    peers.hear(ms(200), addr(1), &summary(&of_b[..19], 3), OWN);
+    peers.receive(ms(200), addr(1), &summary(&of_b[..19], 3), OWN);
     let lost = in_b(&peers, ms(200));
-    peers.hear(ms(300), addr(1), &summary(&of_b[..3], 4), OWN);
+    peers.receive(ms(300), addr(1), &summary(&of_b[..3], 4), OWN);
 
     assert_eq!(lost, 19);
     assert_eq!(in_b(&peers, ms(300)), 19, "a host that knows three says nothing of the others");
@@ -425,13 +425,13 @@
 fn hosts_of_other_data_centres_are_known_from_neighbours() {
     let mut peers = large();
     let told = Beat { members: vec![member(70, "b"), member(71, "b")], ..beat(3, "a", 2) };
-    peers.hear(ms(10), addr(3), &told, OWN);
-    peers.hear(ms(20), addr(70), &Beat { sender: None, ..beat(70, "b", 1) }, OWN);
+    peers.receive(ms(10), addr(3), &told, OWN);
+    peers.receive(ms(20), addr(70), &Beat { sender: None, ..beat(70, "b", 1) }, OWN);
     let mut sender = Peers::new(addr(4), "b", &[]);
-    sender.hear(ms(0), addr(71), &beat(71, "b", 1), OWN);
+    sender.receive(ms(0), addr(71), &beat(71, "b", 1), OWN);
     let summary = sender.centre(&[], &member(4, "b"), true);
 
-    peers.hear(ms(30), addr(4), &Beat { centre: Some(summary), ..beat(4, "b", 2) }, OWN);
+    peers.receive(ms(30), addr(4), &Beat { centre: Some(summary), ..beat(4, "b", 2) }, OWN);
 
     let mut next = Beat::default();
     (0..13).for_each(|_| peers.number(&mut next, &member(0, "a"), false));
@@ -445,13 +445,13 @@
 #[test]
 fn a_host_that_nobody_hears_is_not_told_on() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.hear(ms(0), addr(1), &Beat { members: vec![member(9, "a")], ..beat(1, "a", 1) }, OWN);
+    peers.receive(ms(0), addr(1), &Beat { members: vec![member(9, "a")], ..beat(1, "a", 1) }, OWN);
     let mut full = Beat::default();
     peers.number(&mut full, &member(0, "a"), true);
     let sought = |peers: &mut Peers, at| peers.targets(at, &mut rng()).iter().any(|(to, _)| *to == addr(9));
     let first = sought(&mut peers, ms(10));
 
-    peers.hear(ms(61_000), addr(1), &beat(1, "a", 2), OWN);
+    peers.receive(ms(61_000), addr(1), &beat(1, "a", 2), OWN);
     peers.expire(ms(61_000));
 
     assert!(first);
@@ -561,7 +561,7 @@
 fn hosts_that_did_not_give_what_they_have_are_asked_last() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..=7 {
-        peers.hear(ms(0), addr(i), &Beat { configuration: 6, ..beat(i, "a", 1) }, OWN);
+        peers.receive(ms(0), addr(i), &Beat { configuration: 6, ..beat(i, "a", 1) }, OWN);
     }
     let later = ms(700);
 
