--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -389,6 +389,6 @@
 
     /// Seeks hosts of which the store tells.
     pub fn learn(&self, hosts: &[Member]) {
-        self.state().peers.learn_members(now(), hosts);
+        self.state().peers.add_members(now(), hosts);
     }
 }
--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -176,7 +176,7 @@
     /// Takes in members that another host or the store tells; they are sought, and forgotten when they are never heard. Most
     /// hosts of other data centres are never heard in full, so that waiting for their own word would ask for full beats all
     /// the time.
-    pub fn learn_members(&mut self, now: Instant, members: &[Member]) {
+    pub fn add_members(&mut self, now: Instant, members: &[Member]) {
         for member in members {
             let Ok(addr) = member.peers.parse() else { continue };
             if self.me == Some(addr) || !self.peers.contains_key(&addr) && self.is_full() {
@@ -243,7 +243,7 @@
         let centre = peer.member.as_ref().map(|m| m.data_centre.clone());
         let unknown = centre.is_none();
         let new = peer.loads.clone();
-        self.learn_members(now, &beat.members);
+        self.add_members(now, &beat.members);
         self.count(&old, &new);
         self.count_avoided(&avoided, &beat.avoided);
         if let (Some(told), Some(centre)) = (&beat.centre, centre) {
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -42,7 +42,7 @@
     let member = |i| Member { peers: addr(i).to_string(), data_centre: "a".into(), ..Member::default() };
     let members: Vec<_> = known.map(member).collect();
     let mut peers = Peers::new(addr(me), "a", &[]);
-    peers.learn_members(ms(1), &members);
+    peers.add_members(ms(1), &members);
     peers
 }
 
