--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -169,7 +169,7 @@
     let mut state = relay.state();
     let own = state.local_versions();
     let State { peers, rng, listed, .. } = &mut *state;
-    let ahead = peers.ahead(now(), own, rng);
+    let ahead = peers.fetch_source(now(), own, rng);
     let peer = ahead.or_else(|| peers.long_up(rng).filter(|_| wants_held && *listed))?;
     Some((peer, own))
 }
--- a/src/relay/peers/ahead.rs
+++ b/src/relay/peers/ahead.rs
@@ -21,7 +21,7 @@
     /// A peer that has had something newer for a while, to fetch it from: one of the own data centre if any is ahead, since
     /// bytes within it cost nothing. It is drawn, since all hosts start or hear of a change at the same moment
     /// and would all ask the same one.
-    pub fn ahead(&self, now: Instant, own: LocalVersions, rng: &mut impl Rng) -> Option<SocketAddr> {
+    pub fn fetch_source(&self, now: Instant, own: LocalVersions, rng: &mut impl Rng) -> Option<SocketAddr> {
         let failed = |p: &Peer| p.failed.is_some_and(|failed| failed + FAILED > now);
         let order = |p: &Peer| (failed(p), !self.is_near(p));
         let best = self.all_ahead(now, own).map(|(_, p)| order(p)).min()?;
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -148,10 +148,10 @@
     peers.receive(ms(0), addr(1), &Beat { configuration: 6, ..beat(1, "a", 1) }, OWN);
     peers.receive(ms(250), addr(1), &Beat { configuration: 6, ..beat(1, "a", 2) }, OWN);
 
-    assert_eq!(peers.ahead(ms(199), OWN, &mut rng()), None);
-    assert_eq!(peers.ahead(ms(250), OWN, &mut rng()), Some(addr(1)));
-    assert_eq!(peers.ahead(ms(0), none, &mut rng()), Some(addr(1)));
-    assert_eq!(peers.ahead(ms(250), LocalVersions { configuration: 6, ..OWN }, &mut rng()), None);
+    assert_eq!(peers.fetch_source(ms(199), OWN, &mut rng()), None);
+    assert_eq!(peers.fetch_source(ms(250), OWN, &mut rng()), Some(addr(1)));
+    assert_eq!(peers.fetch_source(ms(0), none, &mut rng()), Some(addr(1)));
+    assert_eq!(peers.fetch_source(ms(250), LocalVersions { configuration: 6, ..OWN }, &mut rng()), None);
 }
 
 /// A data centre of 30 hosts hears of a change at the same moment, from several that have it. If all asked the same one
@@ -164,7 +164,7 @@
     }
     let mut rng = rng();
 
-    let asked: BTreeSet<_> = (0..100).filter_map(|_| peers.ahead(ms(250), OWN, &mut rng)).collect();
+    let asked: BTreeSet<_> = (0..100).filter_map(|_| peers.fetch_source(ms(250), OWN, &mut rng)).collect();
 
     assert_eq!(asked.len(), 8);
 }
@@ -177,11 +177,11 @@
     assert!(!peers.decide_duty(ms(10), Contact::Idle), "two of its data centre follow");
     let next = |i, centre| Beat { configuration: 6, ..beat(i, centre, 2) };
     peers.receive(ms(100), addr(4), &next(4, "b"), OWN);
-    let before = peers.ahead(ms(400), OWN, &mut rng());
-    let alone = peers.ahead(ms(800), OWN, &mut rng());
+    let before = peers.fetch_source(ms(400), OWN, &mut rng());
+    let alone = peers.fetch_source(ms(800), OWN, &mut rng());
     peers.receive(ms(800), addr(3), &next(3, "a"), OWN);
 
-    let near = peers.ahead(ms(800), OWN, &mut rng());
+    let near = peers.fetch_source(ms(800), OWN, &mut rng());
 
     assert_eq!((before, alone, near), (None, Some(addr(4)), Some(addr(3))));
 }
@@ -205,11 +205,11 @@
 fn a_higher_revision_of_the_same_list_is_not_fetched() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     peers.receive(ms(0), addr(1), &Beat { backends: 12, ..beat(1, "a", 1) }, OWN);
-    assert_eq!(peers.ahead(ms(1_000), OWN, &mut rng()), None);
+    assert_eq!(peers.fetch_source(ms(1_000), OWN, &mut rng()), None);
 
     peers.receive(ms(1), addr(1), &Beat { backends: 12, backends_digest: 2, ..beat(1, "a", 2) }, OWN);
 
-    assert_eq!(peers.ahead(ms(1_000), OWN, &mut rng()), Some(addr(1)));
+    assert_eq!(peers.fetch_source(ms(1_000), OWN, &mut rng()), Some(addr(1)));
 }
 
 /// Sixty hosts in three data centres, as host 0 in `a` knows them.
@@ -566,9 +566,9 @@
     let later = ms(700);
 
     (1..=6).for_each(|i| peers.note_failed(later, addr(i)));
-    let asked: BTreeSet<_> = (0..50).filter_map(|_| peers.ahead(later, OWN, &mut rng())).collect();
+    let asked: BTreeSet<_> = (0..50).filter_map(|_| peers.fetch_source(later, OWN, &mut rng())).collect();
     peers.note_failed(later, addr(7));
-    let again = peers.ahead(later, OWN, &mut rng());
+    let again = peers.fetch_source(later, OWN, &mut rng());
 
     assert_eq!(asked, BTreeSet::from([addr(7)]));
     assert!(again.is_some(), "where all have failed they are asked again");
