--- a/src/relay/peers/ahead.rs
+++ b/src/relay/peers/ahead.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether any peer has had something newer for a while.
-    pub fn is_any_ahead(&self, now: Instant, own: LocalVersions) -> bool {
+    pub fn has_fetch_source(&self, now: Instant, own: LocalVersions) -> bool {
         self.all_ahead(now, own).next().is_some()
     }
 
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -87,7 +87,7 @@
         if heard.stale {
             return Err(Fault::Old);
         }
-        if state.peers.is_any_ahead(now, own) {
+        if state.peers.has_fetch_source(now, own) {
             self.behind.notify_one();
         }
         if hear_confirmed(&mut state, now.saturating_sub(heard.delay), beat, own) {
