--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -154,7 +154,7 @@
             }
             Err(e) => {
                 let why = format!("{e:#}");
-                relay.state().peers.note_failed(now(), peer);
+                relay.state().peers.record_fetch_failure(now(), peer);
                 line(Weight::Notable, "fetch_failed", |l| {
                     l.text("peer", &peer.to_string()).text("why", &why)
                 });
--- a/src/relay/peers/ahead.rs
+++ b/src/relay/peers/ahead.rs
@@ -29,7 +29,7 @@
     }
 
     /// Notes that a host did not give what it has: the others that have it are asked first.
-    pub fn note_failed(&mut self, now: Instant, addr: SocketAddr) {
+    pub fn record_fetch_failure(&mut self, now: Instant, addr: SocketAddr) {
         if let Some(peer) = self.peers.get_mut(&addr) {
             peer.failed = Some(now);
         }
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -565,9 +565,9 @@
     }
     let later = ms(700);
 
-    (1..=6).for_each(|i| peers.note_failed(later, addr(i)));
+    (1..=6).for_each(|i| peers.record_fetch_failure(later, addr(i)));
     let asked: BTreeSet<_> = (0..50).filter_map(|_| peers.fetch_source(later, OWN, &mut rng())).collect();
-    peers.note_failed(later, addr(7));
+    peers.record_fetch_failure(later, addr(7));
     let again = peers.fetch_source(later, OWN, &mut rng());
 
     assert_eq!(asked, BTreeSet::from([addr(7)]));
