--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -170,7 +170,7 @@
     let own = state.local_versions();
     let State { peers, rng, listed, .. } = &mut *state;
     let ahead = peers.fetch_source(now(), own, rng);
-    let peer = ahead.or_else(|| peers.long_up(rng).filter(|_| wants_held && *listed))?;
+    let peer = ahead.or_else(|| peers.longest_up(rng).filter(|_| wants_held && *listed))?;
     Some((peer, own))
 }
 
--- a/src/relay/peers/ahead.rs
+++ b/src/relay/peers/ahead.rs
@@ -51,7 +51,7 @@
     }
 
     /// One of the peers that are heard and have been up for the longest, which know most.
-    pub fn long_up(&self, rng: &mut impl Rng) -> Option<SocketAddr> {
+    pub fn longest_up(&self, rng: &mut impl Rng) -> Option<SocketAddr> {
         let mut up: Vec<_> =
             self.peers.iter().filter(|(_, p)| p.ready).map(|(addr, p)| (p.start, *addr)).collect();
         up.sort_unstable();
