--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -287,10 +287,10 @@
     }
 
     /// Decides whether this host follows the store now.
-    fn is_on_duty(&self) -> bool {
+    fn should_follow_store(&self) -> bool {
         let mut state = self.state();
         let state = &mut *state;
-        let on_duty = state.leaving.is_none() && state.peers.is_on_duty(now(), state.contact);
+        let on_duty = state.leaving.is_none() && state.peers.should_follow_store(now(), state.contact);
         if !on_duty && state.peers.is_settled() {
             state.contact = OwnContact::Idle;
         }
@@ -340,7 +340,7 @@
 /// Waits while enough other hosts of the data centre follow the store and tell this one; returns whether it has waited.
 async fn rest<W: Wire>(relay: &Relay<W>) -> bool {
     let mut rested = false;
-    while !relay.is_on_duty() {
+    while !relay.should_follow_store() {
         rested = true;
         tokio::time::sleep(REST).await;
     }
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -27,7 +27,7 @@
 impl Peers {
     /// Whether this host, with its contact to the store, follows it now. Before it knows the others only a seed does: after a
     /// start of all hosts nobody else would see what changes until they have decided.
-    pub fn is_on_duty(&mut self, now: Instant, contact: Contact) -> bool {
+    pub fn should_follow_store(&mut self, now: Instant, contact: Contact) -> bool {
         // Who follows the store already tells this host what changes, and in a large fleet some soon do.
         let can_wait = !self.seed && (!self.is_small() || self.some_follow_store(now));
         let first = if self.seed || self.is_alone(now) { SETTLE.start } else { SETTLE_HEARD };
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -320,7 +320,8 @@
     let seeds = [addr(1), addr(2)];
     let mut peers = [1, 9].map(|i| Peers::new(addr(i), "a", &seeds).with_start(ms(50_000)));
 
-    let duty = |peers: &mut [Peers; 2], at| peers.each_mut().map(|p| p.is_on_duty(at, Contact::Idle));
+    let duty =
+        |peers: &mut [Peers; 2], at| peers.each_mut().map(|p| p.should_follow_store(at, Contact::Idle));
     let first = duty(&mut peers, ms(50_010));
     let early = duty(&mut peers, ms(50_900));
     let settled = duty(&mut peers, ms(51_100));
@@ -341,7 +342,7 @@
     tell(&mut heard, false, 50_100);
     (0..8).for_each(|n| tell(&mut told, true, 50_100 + 500 * n));
 
-    let at = |peers: &mut Peers, at| peers.is_on_duty(ms(at), Contact::Idle);
+    let at = |peers: &mut Peers, at| peers.should_follow_store(ms(at), Contact::Idle);
     let alones = [at(&mut alone, 50_900), at(&mut alone, 51_100)];
     tell(&mut heard, false, 51_900);
     let heards = [at(&mut heard, 51_950), at(&mut heard, 52_100)];
