--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -33,12 +33,12 @@
         let first = if self.seed || self.is_alone(now) { SETTLE.start } else { SETTLE_HEARD };
         let known = !can_wait && self.grew + SETTLED <= now && self.started + first <= now;
         self.settled |= known || self.started + SETTLE.end <= now;
-        if self.settled { self.decide_duty(now, contact) } else { self.seed }
+        if self.settled { self.decide_following(now, contact) } else { self.seed }
     }
 
     /// Decides whether this host, with its contact to the store, follows it from now on: every one in a small fleet, else a
     /// few of each data centre.
-    pub fn decide_duty(&mut self, now: Instant, contact: Contact) -> bool {
+    pub fn decide_following(&mut self, now: Instant, contact: Contact) -> bool {
         self.follows = match self.me {
             Some(me) if !self.is_small() => {
                 let me = Neighbour { rank: hash(me), contact };
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -174,7 +174,7 @@
 #[test]
 fn news_are_fetched_from_the_own_data_centre_if_it_has_them_soon() {
     let mut peers = large();
-    assert!(!peers.decide_duty(ms(10), Contact::Idle), "two of its data centre follow");
+    assert!(!peers.decide_following(ms(10), Contact::Idle), "two of its data centre follow");
     let next = |i, centre| Beat { configuration: 6, ..beat(i, centre, 2) };
     peers.receive(ms(100), addr(4), &next(4, "b"), OWN);
     let before = peers.fetch_source(ms(400), OWN, &mut rng());
@@ -281,7 +281,7 @@
             let lost_store = contact(i) == Contact::Lost;
             peers.receive(ms(0), addr(i), &Beat { follows_store, lost_store, ..beat(i, centre, 1) }, OWN);
         }
-        peers.decide_duty(ms(10), contact(*me))
+        peers.decide_following(ms(10), contact(*me))
     };
     (0..60).filter(|i| i % 3 == 0).filter(decides).collect()
 }
@@ -309,7 +309,7 @@
         peers.receive(ms(0), addr(i), &leaves, OWN);
     }
 
-    assert!(peers.decide_duty(ms(10), Contact::Idle));
+    assert!(peers.decide_following(ms(10), Contact::Idle));
 }
 
 /// All hosts were killed while the store was away. After its return the entries of servers come back one by one, and callers
