--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -131,7 +131,7 @@
         let cfg = Arc::new(cfg);
         state.configurations.note(cfg.clone());
         state.routes = Some(Arc::new(Routes::new(cfg)));
-        if state.peers.tells_news() {
+        if state.peers.pushes_changes() {
             self.tell.notify_one();
         } else {
             self.tell_few.notify_one();
@@ -221,7 +221,7 @@
 
     /// Sends a beat at once that tells of something newer.
     fn tell_news(&self, state: &State) {
-        if state.peers.tells_news() {
+        if state.peers.pushes_changes() {
             self.tell.notify_one();
         }
     }
--- a/src/relay/peers/ahead.rs
+++ b/src/relay/peers/ahead.rs
@@ -41,7 +41,7 @@
     }
 
     fn all_ahead(&self, now: Instant, own: LocalVersions) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
-        let follows = self.tells_news();
+        let follows = self.pushes_changes();
         let first = own.configuration == 0 || !own.backends.is_known() || !follows;
         let near = if first { Duration::ZERO } else { AHEAD };
         let far = if follows { near } else { AHEAD_FAR };
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -52,7 +52,7 @@
 
     /// Whether this host tells at once what is new to it. Hosts that have it from a follower of the store don't, since the
     /// others have heard that follower as well: with a hundred hosts each change would cost ten thousand beats.
-    pub fn tells_news(&self) -> bool {
+    pub fn pushes_changes(&self) -> bool {
         self.follows || self.is_small()
     }
 
