--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -203,7 +203,7 @@
         cold: &[BackendKey],
         limit: Option<ColdLimit>,
     ) -> Vec<Candidate> {
-        let Some(limit) = limit.filter(|_| self.peers.is_settled()) else { return Vec::new() };
+        let Some(limit) = limit.filter(|_| self.peers.knows_fleet()) else { return Vec::new() };
         let (backends, peers, warmup) = (&self.backends, &self.peers, &mut self.warmup);
         let allowed = |key: &BackendKey| {
             let tag = backends.get(*key)?.tag;
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -291,7 +291,7 @@
         let mut state = self.state();
         let state = &mut *state;
         let on_duty = state.leaving.is_none() && state.peers.should_follow_store(now(), state.contact);
-        if !on_duty && state.peers.is_settled() {
+        if !on_duty && state.peers.knows_fleet() {
             state.contact = OwnContact::Idle;
         }
         on_duty
@@ -300,7 +300,7 @@
     /// Notes whether the store has answered this host, and tells the others where that has changed: they step in or rest.
     fn note_contact(&self, contact: OwnContact) {
         let mut state = self.state();
-        if !state.peers.is_settled() {
+        if !state.peers.knows_fleet() {
             return;
         }
         let before = std::mem::replace(&mut state.contact, contact);
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -57,7 +57,7 @@
     }
 
     /// Whether this host has heard of most others since its start.
-    pub fn is_settled(&self) -> bool {
+    pub fn knows_fleet(&self) -> bool {
         self.settled
     }
 
