--- a/src/relay/follow/confirm.rs
+++ b/src/relay/follow/confirm.rs
@@ -161,7 +161,7 @@
     /// When this host asks the store, as far as is known now.
     fn asks_at(&self) -> Instant {
         let state = self.state();
-        state.confirmations.asks_at(state.peers.turn(now(), state.contact))
+        state.confirmations.asks_at(state.peers.confirmation_turn(now(), state.contact))
     }
 
     /// Whether a topic is known as of a revision of the store, so that nothing of it has changed up to there.
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -63,7 +63,7 @@
 
     /// This host's place among those that could ask the store whether what all know is the newest. Only hosts that were heard
     /// since about the last confirmation count: who hears nobody must ask itself.
-    pub fn turn(&self, now: Instant, contact: Contact) -> Turn {
+    pub fn confirmation_turn(&self, now: Instant, contact: Contact) -> Turn {
         let lately = self.period() * LATELY;
         let heard = |at: Instant| at + lately >= now;
         let near = || {
--- a/tests/relay_confirmations.rs
+++ b/tests/relay_confirmations.rs
@@ -140,7 +140,7 @@
                 host.confirm(asked);
                 host.next_beat = now;
             }
-            let turn = host.peers.turn(now, Contact::Follows);
+            let turn = host.peers.confirmation_turn(now, Contact::Follows);
             if host.asks.is_none() && host.confirmations.asks_at(turn) <= now {
                 host.confirmations.note_asked(now);
                 let is_lost = !lost_last[i] && rng.random_ratio(1, days.lost);
