--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -382,7 +382,7 @@
         }
         some.extend(state.peers.near_ready(MOST_ENTERED - 1));
         let left = entered.some.iter().filter(|m| some.contains(m)).count();
-        let count = state.peers.near_hosts();
+        let count = state.peers.data_centre_size();
         let grown = count >= entered.count * 2;
         (grown || left * 2 < entered.some.len()).then_some(Hosts { some, count })
     }
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -100,7 +100,7 @@
     }
 
     /// Hosts of the own data centre, this one included.
-    pub fn near_hosts(&self) -> usize {
+    pub fn data_centre_size(&self) -> usize {
         let of_centre = |p: &&Peer| p.member.as_ref().is_some_and(|m| m.data_centre == self.data_centre);
         self.peers.values().filter(of_centre).count() + 1
     }
