--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -380,7 +380,7 @@
             some.extend(others.take(MOST_ENTERED - 1).cloned());
             return (!entered.some.contains(me)).then_some(Hosts { count: some.len(), some });
         }
-        some.extend(state.peers.near_ready(MOST_ENTERED - 1));
+        some.extend(state.peers.ready_in_data_centre(MOST_ENTERED - 1));
         let left = entered.some.iter().filter(|m| some.contains(m)).count();
         let count = state.peers.data_centre_size();
         let grown = count >= entered.count * 2;
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -106,7 +106,7 @@
     }
 
     /// Hosts of the own data centre that are heard and ready, those that have been up for the longest first.
-    pub fn near_ready(&self, most: usize) -> Vec<Member> {
+    pub fn ready_in_data_centre(&self, most: usize) -> Vec<Member> {
         let mut near: Vec<_> = self.peers.values().filter(|p| p.ready && self.is_near(p)).collect();
         near.sort_unstable_by_key(|p| p.start);
         let of_centre = |m: &&Member| m.data_centre == self.data_centre;
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -361,7 +361,7 @@
         peers.receive(ms(0), addr(i), &Beat { start, ..beat(i, ["a", "b"][usize::from(i) % 2], 1) }, OWN);
     }
 
-    let near: Vec<_> = peers.near_ready(3).into_iter().map(|m| m.name).collect();
+    let near: Vec<_> = peers.ready_in_data_centre(3).into_iter().map(|m| m.name).collect();
 
     assert_eq!(near, ["host-38", "host-36", "host-34"]);
 }
