--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -207,7 +207,7 @@
         let (backends, peers, warmup) = (&self.backends, &self.peers, &mut self.warmup);
         let allowed = |key: &BackendKey| {
             let tag = backends.get(*key)?.tag;
-            warmup.may_send(now, tag, limit, || peers.is_among_first(tag, COLD_SENDERS)).then_some(*key)
+            warmup.may_send(now, tag, limit, || peers.is_top_ranked(tag, COLD_SENDERS)).then_some(*key)
         };
         let cold_candidates: Vec<_> = cold.iter().filter_map(allowed).collect();
         let failure_summary = self.health.failure_summary(now, &cold_candidates);
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -115,7 +115,7 @@
 
     /// Whether this host is one of the first of the fleet for a backend server, by rendezvous hashing. Hosts that have fallen
     /// silent count for as long as they are remembered: they may be cut off and go on.
-    pub fn is_among_first(&self, tag: Tag, most: usize) -> bool {
+    pub fn is_top_ranked(&self, tag: Tag, most: usize) -> bool {
         let Some(me) = self.me.map(|me| hash((me, tag))) else { return false };
         let known = self.peers.iter().filter(|(_, p)| p.heard.is_some() || p.member.is_some());
         known.filter(|(addr, _)| hash((**addr, tag)) > me).take(most).count() < most
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -83,7 +83,7 @@
                 nodes[*i] = node(*i, hosts, sides, false, ms(at));
             }
             for node in nodes.iter_mut().filter(|_| rng.random_bool(0.7)) {
-                let feeds = || node.peers.is_among_first(TAG, COLD_SENDERS);
+                let feeds = || node.peers.is_top_ranked(TAG, COLD_SENDERS);
                 if node.warmup.may_send(ms(at), TAG, LIMIT, feeds) {
                     node.warmup.record_send(ms(at), TAG, LIMIT);
                     sent.push(ms(at));
