--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -29,7 +29,7 @@
     /// start of all hosts nobody else would see what changes until they have decided.
     pub fn should_follow_store(&mut self, now: Instant, contact: Contact) -> bool {
         // Who follows the store already tells this host what changes, and in a large fleet some soon do.
-        let can_wait = !self.seed && (!self.is_small() || self.some_follow_store(now));
+        let can_wait = !self.seed && (!self.is_small() || self.any_follows_store(now));
         let first = if self.seed || self.is_alone(now) { SETTLE.start } else { SETTLE_HEARD };
         let known = !can_wait && self.grew + SETTLED <= now && self.started + first <= now;
         self.settled |= known || self.started + SETTLE.end <= now;
@@ -122,7 +122,7 @@
     }
 
     /// Whether some other host that is heard reaches the store.
-    pub fn some_follow_store(&self, now: Instant) -> bool {
+    pub fn any_follows_store(&self, now: Instant) -> bool {
         let limit = self.lost();
         let heard = |p: &&Peer| p.heard.is_some_and(|heard| heard + limit >= now);
         self.peers.values().filter(heard).any(|p| p.contact == Contact::Follows)
