--- a/src/relay/peers/summary.rs
+++ b/src/relay/peers/summary.rs
@@ -44,7 +44,7 @@
     }
 
     /// The summary of the own data centre, with this host's own requests in progress.
-    pub fn centre(&self, own: &[InProgress], me: &Member, ready: bool) -> Centre {
+    pub fn data_centre_summary(&self, own: &[InProgress], me: &Member, ready: bool) -> Centre {
         let mut loads: Map<Tag, u32> = own.iter().map(|l| (l.backend, l.requests)).collect();
         let near = self
             .peers
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -70,7 +70,7 @@
 
     /// The same beat as other data centres are told it.
     pub(crate) fn summarise(&self, beat: &Beat) -> Beat {
-        let centre = self.state().peers.centre(&beat.in_progress, &self.cfg.me, beat.ready);
+        let centre = self.state().peers.data_centre_summary(&beat.in_progress, &self.cfg.me, beat.ready);
         Beat { in_progress: Vec::new(), centre: Some(centre), ..beat.clone() }
     }
 
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -259,7 +259,7 @@
     for i in centre_b.clone() {
         other.receive(ms(0), addr(i), &beat(i, "b", 1), OWN);
     }
-    let summary = other.centre(&[], &member(1, "b"), true);
+    let summary = other.data_centre_summary(&[], &member(1, "b"), true);
     new.receive(ms(5_001), addr(1), &Beat { centre: Some(summary), ..beat(1, "b", 9) }, OWN);
     let handed_out = ready(&new, ms(5_001));
     assert!(centre_b.clone().all(|i| handed_out.contains(&format!("host-{i}"))), "{handed_out:?}");
@@ -375,7 +375,7 @@
     let mut sender = Peers::new(addr(4), "b", &[]);
     sender.receive(ms(0), addr(7), &Beat { sender: Some(member(7, "b")), ..busy(7, 1, &[(77, 3)]) }, OWN);
     let own = [InProgress { backend: 77, requests: 2 }];
-    let told = sender.centre(&own, &member(4, "b"), true);
+    let told = sender.data_centre_summary(&own, &member(4, "b"), true);
     assert_eq!(told.in_progress, [InProgress { backend: 77, requests: 5 }]);
 
     peers.receive(ms(2_000), addr(4), &Beat { centre: Some(told), ..beat(4, "b", 2) }, OWN);
@@ -402,7 +402,7 @@
         for i in hosts {
             sender.receive(ms(0), addr(*i), &beat(*i, "b", 1), OWN);
         }
-        Beat { centre: Some(sender.centre(&[], &member(1, "b"), true)), ..beat(1, "b", number) }
+        Beat { centre: Some(sender.data_centre_summary(&[], &member(1, "b"), true)), ..beat(1, "b", number) }
     };
     let in_b = |peers: &Peers, now| ready(peers, now).iter().filter(|name| is_of(name, &of_b)).count();
     peers.receive(ms(100), addr(1), &summary(&of_b, 2), OWN);
@@ -430,7 +430,7 @@
     peers.receive(ms(20), addr(70), &Beat { sender: None, ..beat(70, "b", 1) }, OWN);
     let mut sender = Peers::new(addr(4), "b", &[]);
     sender.receive(ms(0), addr(71), &beat(71, "b", 1), OWN);
-    let summary = sender.centre(&[], &member(4, "b"), true);
+    let summary = sender.data_centre_summary(&[], &member(4, "b"), true);
 
     peers.receive(ms(30), addr(4), &Beat { centre: Some(summary), ..beat(4, "b", 2) }, OWN);
 
