--- a/src/relay/peers/targets.rs
+++ b/src/relay/peers/targets.rs
@@ -78,7 +78,7 @@
 
     /// A few hosts of the own data centre to tell of something new, drawn. What spreads from each host that has it to a few
     /// more reaches all soon, though each can give it to few at a time.
-    pub fn few(&self, now: Instant, rng: &mut impl Rng) -> Vec<SocketAddr> {
+    pub fn gossip_targets(&self, now: Instant, rng: &mut impl Rng) -> Vec<SocketAddr> {
         let limit = self.lost();
         let heard = |p: &Peer| p.heard.is_some_and(|heard| heard + limit >= now);
         let near = self.peers.iter().filter(|(_, p)| heard(p) && self.is_near(p));
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -32,7 +32,12 @@
     pub(crate) fn few_targets(&self) -> Vec<(SocketAddr, Scope)> {
         let mut state = self.state();
         let state = &mut *state;
-        state.peers.few(now(), &mut state.rng).into_iter().map(|addr| (addr, Scope::Host)).collect()
+        state
+            .peers
+            .gossip_targets(now(), &mut state.rng)
+            .into_iter()
+            .map(|addr| (addr, Scope::Host))
+            .collect()
     }
 
     /// Composes the next beat.
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -193,7 +193,7 @@
     let peers = large();
     let mut rng = rng();
 
-    let told: Vec<_> = (0..40).map(|_| peers.few(ms(10), &mut rng)).collect();
+    let told: Vec<_> = (0..40).map(|_| peers.gossip_targets(ms(10), &mut rng)).collect();
 
     assert!(told.iter().all(|few| few.len() == 4));
     let all: BTreeSet<_> = told.iter().flatten().collect();
