--- a/src/relay/peers/targets.rs
+++ b/src/relay/peers/targets.rs
@@ -86,7 +86,7 @@
     }
 
     /// Completes a beat: numbers it, and adds the members to every eighth and to those that are asked for.
-    pub fn number(&mut self, beat: &mut Beat, me: &Member, full: bool) {
+    pub fn finish_beat(&mut self, beat: &mut Beat, me: &Member, full: bool) {
         self.number += 1;
         beat.number = self.number;
         if full || self.number % FULL_EVERY == 1 {
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -69,7 +69,7 @@
             confirmed: Some(state.confirmations.told(now)),
             ..Beat::default()
         };
-        state.peers.number(&mut beat, &self.cfg.me, full);
+        state.peers.finish_beat(&mut beat, &self.cfg.me, full);
         beat
     }
 
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -244,10 +244,10 @@
 
     for n in 0..5 {
         let mut asks = Beat::default();
-        new.number(&mut asks, &member(100, "a"), false);
+        new.finish_beat(&mut asks, &member(100, "a"), false);
         assert!(asks.wants_full);
         let mut answer = Beat { number: 0, ..beat(0, "a", 0) };
-        seed.number(&mut answer, &me, true);
+        seed.finish_beat(&mut answer, &me, true);
         new.receive(ms(n), addr(0), &answer, OWN);
     }
 
@@ -435,7 +435,7 @@
     peers.receive(ms(30), addr(4), &Beat { centre: Some(summary), ..beat(4, "b", 2) }, OWN);
 
     let mut next = Beat::default();
-    (0..13).for_each(|_| peers.number(&mut next, &member(0, "a"), false));
+    (0..13).for_each(|_| peers.finish_beat(&mut next, &member(0, "a"), false));
     assert!(!next.wants_full);
     assert!(ready(&peers, ms(30)).contains("host-71"));
     assert_eq!(peers.hosts(), 62);
@@ -448,7 +448,7 @@
     let mut peers = Peers::new(addr(0), "a", &[]);
     peers.receive(ms(0), addr(1), &Beat { members: vec![member(9, "a")], ..beat(1, "a", 1) }, OWN);
     let mut full = Beat::default();
-    peers.number(&mut full, &member(0, "a"), true);
+    peers.finish_beat(&mut full, &member(0, "a"), true);
     let sought = |peers: &mut Peers, at| peers.targets(at, &mut rng()).iter().any(|(to, _)| *to == addr(9));
     let first = sought(&mut peers, ms(10));
 
