--- a/src/relay.rs
+++ b/src/relay.rs
@@ -233,7 +233,7 @@
     /// Whether this host has known no configuration for so long and hears of no host that callers may be sent to.
     pub(crate) fn is_alone_without_configuration(&self, time: Duration) -> bool {
         let state = self.state();
-        state.routes.is_none() && self.has_run_for(time) && state.peers.ready(now()).next().is_none()
+        state.routes.is_none() && self.has_run_for(time) && state.peers.ready_members(now()).next().is_none()
     }
 
     /// The counters and histograms.
@@ -256,7 +256,7 @@
         let state = self.state();
         let own = state.is_ready().then_some(&self.cfg.me);
         let mut all: Vec<_> =
-            own.into_iter().chain(state.peers.ready(now())).map(|m| m.callers.clone()).collect();
+            own.into_iter().chain(state.peers.ready_members(now())).map(|m| m.callers.clone()).collect();
         if all.is_empty() && state.leaving.is_none() {
             all.push(self.cfg.me.callers.clone());
         }
--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -347,7 +347,7 @@
     }
 
     /// Hosts that callers may be sent to, this one not included.
-    pub fn ready(&self, now: Instant) -> impl Iterator<Item = &Member> {
+    pub fn ready_members(&self, now: Instant) -> impl Iterator<Item = &Member> {
         let limit = self.lost_summary();
         let named = move |p: &Peer| p.named.is_some_and(|named| named + limit >= now);
         let ready = move |p: &&Peer| if self.is_near(p) { p.ready } else { named(p) };
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -69,7 +69,7 @@
 }
 
 fn ready(peers: &Peers, now: Duration) -> BTreeSet<String> {
-    peers.ready(now).map(|m| m.name.clone()).collect()
+    peers.ready_members(now).map(|m| m.name.clone()).collect()
 }
 
 #[test]
