--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -342,7 +342,7 @@
 
     /// Hosts that share budgets, this one included. Those of which others tell count at once: too many make each share
     /// smaller, too few would overdraw the budget after a start.
-    pub fn hosts(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.peers.values().filter(|p| p.heard.is_some() || p.member.is_some()).count() + 1
     }
 
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -98,7 +98,7 @@
         if hear_confirmed(&mut state, now.saturating_sub(heard.delay), beat, own) {
             self.tell.notify_one();
         }
-        let hosts = state.peers.hosts();
+        let hosts = state.peers.host_count();
         state.budget.set_hosts(hosts);
         state.suspects.merge(now, &beat.suspects);
         state.treat_avoided_as_cold(now, &beat.avoided);
--- a/tests/relay_datagrams.rs
+++ b/tests/relay_datagrams.rs
@@ -83,7 +83,7 @@
         suspects.merge(Duration::ZERO, &[Suspect { fingerprint: i.into(), crashes: 9 }]);
     }
 
-    assert!(peers.hosts() <= 2_049, "{}", peers.hosts());
+    assert!(peers.host_count() <= 2_049, "{}", peers.host_count());
     assert!(suspects.len() <= 1_024, "{}", suspects.len());
 }
 
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -111,7 +111,7 @@
     assert_eq!(lost, [addr(1)]);
     assert_eq!(peers.load(77), 2);
     assert_eq!(ready(&peers, ms(1_400)), BTreeSet::from(["host-2".into()]));
-    assert_eq!(peers.hosts(), 3, "it may be cut off and still spend its share of budgets");
+    assert_eq!(peers.host_count(), 3, "it may be cut off and still spend its share of budgets");
 }
 
 /// Two hosts keep away from a server, one of them takes it back, the other falls silent.
@@ -438,7 +438,7 @@
     (0..13).for_each(|_| peers.finish_beat(&mut next, &member(0, "a"), false));
     assert!(!next.wants_full);
     assert!(ready(&peers, ms(30)).contains("host-71"));
-    assert_eq!(peers.hosts(), 62);
+    assert_eq!(peers.host_count(), 62);
 }
 
 /// A host is gone, and others still tell of it. It is not told on, and forgotten after a minute, or the fleet would seek
