--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -238,7 +238,7 @@
 
     /// Whether enough other hosts avoid a server for this host to avoid it without trying.
     pub(crate) fn is_widely_avoided(&self, tag: Tag) -> bool {
-        self.peers.avoiding(tag) >= MIN_AVOIDING_HOSTS
+        self.peers.avoiding_hosts(tag) >= MIN_AVOIDING_HOSTS
     }
 
     /// Requests in progress at the usable servers of a service. Unreachable and cold servers have no slots to
--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -283,7 +283,7 @@
     }
 
     /// Other hosts that keep away from a backend server.
-    pub fn avoiding(&self, tag: Tag) -> u32 {
+    pub fn avoiding_hosts(&self, tag: Tag) -> u32 {
         self.avoiding.get(&tag).copied().unwrap_or(0)
     }
 
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -121,13 +121,13 @@
     let avoids = |i, number, tags: &[u32]| Beat { avoided: tags.to_vec(), ..beat(i, "a", number) };
     peers.receive(ms(0), addr(1), &avoids(1, 1, &[77, 78]), OWN);
     peers.receive(ms(0), addr(2), &avoids(2, 1, &[77]), OWN);
-    assert_eq!((peers.avoiding(77), peers.avoiding(78)), (2, 1));
+    assert_eq!((peers.avoiding_hosts(77), peers.avoiding_hosts(78)), (2, 1));
 
     peers.receive(ms(1_000), addr(1), &avoids(1, 2, &[78]), OWN);
-    assert_eq!(peers.avoiding(77), 1);
+    assert_eq!(peers.avoiding_hosts(77), 1);
     peers.expire(ms(1_400));
 
-    assert_eq!((peers.avoiding(77), peers.avoiding(78)), (0, 1));
+    assert_eq!((peers.avoiding_hosts(77), peers.avoiding_hosts(78)), (0, 1));
 }
 
 #[test]
