--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -148,7 +148,7 @@
 
     /// Requests in progress at a server, of this host and of the others as last reported.
     fn load(&self, b: &Backend) -> u32 {
-        b.in_progress + self.peers.load(b.tag)
+        b.in_progress + self.peers.remote_load(b.tag)
     }
 
     fn cold_limit(&self, service: &str) -> Option<ColdLimit> {
--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -267,7 +267,7 @@
     }
 
     /// Requests in progress that the other hosts have at a backend server.
-    pub fn load(&self, tag: Tag) -> u32 {
+    pub fn remote_load(&self, tag: Tag) -> u32 {
         self.totals.get(&tag).copied().unwrap_or(0)
     }
 
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -77,14 +77,14 @@
     let mut peers = Peers::new(addr(0), "a", &[]);
     peers.receive(ms(0), addr(1), &busy(1, 2, &[(77, 3), (78, 1)]), OWN);
     peers.receive(ms(0), addr(2), &busy(2, 1, &[(77, 4)]), OWN);
-    assert_eq!((peers.load(77), peers.load(78)), (7, 1));
+    assert_eq!((peers.remote_load(77), peers.remote_load(78)), (7, 1));
 
     // One that comes late, one that comes twice, and a newer one.
     peers.receive(ms(10), addr(1), &busy(1, 1, &[(77, 9)]), OWN);
     peers.receive(ms(10), addr(2), &busy(2, 1, &[(77, 4)]), OWN);
     peers.receive(ms(20), addr(1), &busy(1, 3, &[(78, 2)]), OWN);
 
-    assert_eq!((peers.load(77), peers.load(78)), (4, 2));
+    assert_eq!((peers.remote_load(77), peers.remote_load(78)), (4, 2));
 }
 
 /// A host restarts: its numbers begin again, and its beats must count at once.
@@ -96,7 +96,7 @@
     let heard = peers.receive(ms(10), addr(1), &Beat { start: 2, ..busy(1, 1, &[(77, 1)]) }, OWN);
 
     assert!(heard.joined);
-    assert_eq!(peers.load(77), 1);
+    assert_eq!(peers.remote_load(77), 1);
 }
 
 /// A host loses its power. Callers must not be sent there any more, and its requests are none any more.
@@ -109,7 +109,7 @@
     let lost = peers.expire(ms(1_400));
 
     assert_eq!(lost, [addr(1)]);
-    assert_eq!(peers.load(77), 2);
+    assert_eq!(peers.remote_load(77), 2);
     assert_eq!(ready(&peers, ms(1_400)), BTreeSet::from(["host-2".into()]));
     assert_eq!(peers.host_count(), 3, "it may be cut off and still spend its share of budgets");
 }
@@ -379,14 +379,14 @@
     assert_eq!(told.in_progress, [InProgress { backend: 77, requests: 5 }]);
 
     peers.receive(ms(2_000), addr(4), &Beat { centre: Some(told), ..beat(4, "b", 2) }, OWN);
-    assert_eq!(peers.load(77), 5);
+    assert_eq!(peers.remote_load(77), 5);
     assert_eq!(ready(&peers, ms(2_000)), BTreeSet::from(["host-4".into(), "host-7".into()]));
     let less = Centre { in_progress: vec![InProgress { backend: 77, requests: 1 }], ready: Vec::new() };
     peers.receive(ms(2_100), addr(7), &Beat { centre: Some(less), ..beat(7, "b", 2) }, OWN);
-    assert_eq!(peers.load(77), 1);
+    assert_eq!(peers.remote_load(77), 1);
     peers.expire(ms(5_200));
 
-    assert_eq!(peers.load(77), 0);
+    assert_eq!(peers.remote_load(77), 0);
     assert_eq!(ready(&peers, ms(5_200)), BTreeSet::new());
 }
 
