--- a/tests/relay_confirmations.rs
+++ b/tests/relay_confirmations.rs
@@ -239,7 +239,7 @@
     let (copied, mut other) =
         (Confirmations::new(ms(0), BOUND, false), Confirmations::new(ms(0), BOUND, false));
 
-    let is_news = other.receive(ms(5_000), Topic::Configuration, &copied.told(ms(5_000)));
+    let is_news = other.hear(ms(5_000), Topic::Configuration, &copied.told(ms(5_000)));
 
     assert!(!is_news && other.is_old(ms(5_000), Topic::Configuration));
 }
