--- a/src/relay.rs
+++ b/src/relay.rs
@@ -145,7 +145,7 @@
     pub(crate) pool: Pool,
     pub(crate) metrics: Metrics,
     /// Wakes the sender of beats when something must be told at once.
-    pub(crate) tell: Notify,
+    pub(crate) beat_due: Notify,
     /// Wakes the sender of beats when a few others must be told.
     pub(crate) tell_few: Notify,
     /// Wakes the fetching of what another host has had for long enough.
@@ -194,7 +194,7 @@
             connections: 0,
             rng: SmallRng::from_os_rng(),
         };
-        let (pool, tell, behind) = (Pool::default(), Notify::new(), Notify::new());
+        let (pool, beat_due, behind) = (Pool::default(), Notify::new(), Notify::new());
         let tell_few = Notify::new();
         let closing = watch::Sender::new(false);
         let metrics = Metrics::new()?;
@@ -203,7 +203,7 @@
             wire,
             pool,
             metrics,
-            tell,
+            beat_due,
             tell_few,
             behind,
             woken: Notify::new(),
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -132,7 +132,7 @@
         state.configurations.note(cfg.clone());
         state.routes = Some(Arc::new(Routes::new(cfg)));
         if state.peers.pushes_changes() {
-            self.tell.notify_one();
+            self.beat_due.notify_one();
         } else {
             self.tell_few.notify_one();
         }
@@ -222,7 +222,7 @@
     /// Sends a beat at once that tells of something newer.
     fn tell_news(&self, state: &State) {
         if state.peers.pushes_changes() {
-            self.tell.notify_one();
+            self.beat_due.notify_one();
         }
     }
 
@@ -296,7 +296,7 @@
         let Some(id) = state.backends.get(key).map(|b| b.id.clone()) else { return };
         drop(state);
         line(Weight::Notable, "avoided", |l| l.text("backend", &id).text("why", why).ms("for_ms", pause));
-        self.tell.notify_one();
+        self.beat_due.notify_one();
     }
 
     /// Notes a whole answer of a server, which ends a pause.
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -306,7 +306,7 @@
         let before = std::mem::replace(&mut state.contact, contact);
         drop(state);
         if before != contact {
-            self.tell.notify_one();
+            self.beat_due.notify_one();
         }
     }
 
--- a/src/relay/follow/confirm.rs
+++ b/src/relay/follow/confirm.rs
@@ -32,7 +32,7 @@
             continue;
         }
         match ask(&relay, &mut store).await {
-            Ok(()) => relay.tell.notify_one(),
+            Ok(()) => relay.beat_due.notify_one(),
             Err(e) => {
                 line(Weight::Notable, "confirm_failed", |l| l.text("why", &format!("{e:?}")));
                 tokio::time::sleep(LOOKS.0).await;
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -53,7 +53,7 @@
         loop {
             tokio::select! {
                 () = tokio::time::sleep_until(due) => break,
-                () = relay.tell.notified() => {
+                () = relay.beat_due.notified() => {
                     tokio::time::sleep(SETTLE).await;
                     break;
                 }
--- a/src/relay/stop.rs
+++ b/src/relay/stop.rs
@@ -18,7 +18,7 @@
             line(Weight::Notable, "leaving", |l| l.number("in_progress", in_progress));
         }
         drop(state);
-        self.tell.notify_one();
+        self.beat_due.notify_one();
     }
 
     /// Whether a request that ends at `deadline` can still be taken.
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -96,7 +96,7 @@
             self.behind.notify_one();
         }
         if hear_confirmed(&mut state, now.saturating_sub(heard.delay), beat, own) {
-            self.tell.notify_one();
+            self.beat_due.notify_one();
         }
         let hosts = state.peers.host_count();
         state.budget.set_hosts(hosts);
