--- a/src/relay.rs
+++ b/src/relay.rs
@@ -147,7 +147,7 @@
     /// Wakes the sender of beats when something must be told at once.
     pub(crate) beat_due: Notify,
     /// Wakes the sender of beats when a few others must be told.
-    pub(crate) tell_few: Notify,
+    pub(crate) gossip_due: Notify,
     /// Wakes the fetching of what another host has had for long enough.
     pub(crate) behind: Notify,
     /// Wakes the followers of the store after the host was suspended.
@@ -195,7 +195,7 @@
             rng: SmallRng::from_os_rng(),
         };
         let (pool, beat_due, behind) = (Pool::default(), Notify::new(), Notify::new());
-        let tell_few = Notify::new();
+        let gossip_due = Notify::new();
         let closing = watch::Sender::new(false);
         let metrics = Metrics::new()?;
         Ok(Self {
@@ -204,7 +204,7 @@
             pool,
             metrics,
             beat_due,
-            tell_few,
+            gossip_due,
             behind,
             woken: Notify::new(),
             restored: Notify::new(),
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -134,7 +134,7 @@
         if state.peers.pushes_changes() {
             self.beat_due.notify_one();
         } else {
-            self.tell_few.notify_one();
+            self.gossip_due.notify_one();
         }
         true
     }
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -57,7 +57,7 @@
                     tokio::time::sleep(SETTLE).await;
                     break;
                 }
-                () = relay.tell_few.notified() => send_to(&relay, &socket, relay.few_targets()).await,
+                () = relay.gossip_due.notified() => send_to(&relay, &socket, relay.few_targets()).await,
             }
         }
     }
