--- a/src/relay.rs
+++ b/src/relay.rs
@@ -149,7 +149,7 @@
     /// Wakes the sender of beats when a few others must be told.
     pub(crate) gossip_due: Notify,
     /// Wakes the fetching of what another host has had for long enough.
-    pub(crate) behind: Notify,
+    pub(crate) fetch_due: Notify,
     /// Wakes the followers of the store after the host was suspended.
     pub(crate) woken: Notify,
     /// Wakes the followers of the store after it was restored.
@@ -194,7 +194,7 @@
             connections: 0,
             rng: SmallRng::from_os_rng(),
         };
-        let (pool, beat_due, behind) = (Pool::default(), Notify::new(), Notify::new());
+        let (pool, beat_due, fetch_due) = (Pool::default(), Notify::new(), Notify::new());
         let gossip_due = Notify::new();
         let closing = watch::Sender::new(false);
         let metrics = Metrics::new()?;
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -135,7 +135,7 @@
     let (mut wants_held, mut wants_whole, mut at_once) = (true, false, false);
     loop {
         // What a peer tells wakes this up; a pause keeps a run of changes to one fetch.
-        if !at_once && timeout(TICK, relay.behind.notified()).await.is_ok() {
+        if !at_once && timeout(TICK, relay.fetch_due.notified()).await.is_ok() {
             tokio::time::sleep(SETTLE).await;
         }
         at_once = false;
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -93,7 +93,7 @@
             return Err(Fault::Old);
         }
         if state.peers.has_fetch_source(now, own) {
-            self.behind.notify_one();
+            self.fetch_due.notify_one();
         }
         if hear_confirmed(&mut state, now.saturating_sub(heard.delay), beat, own) {
             self.beat_due.notify_one();
