--- a/src/relay.rs
+++ b/src/relay.rs
@@ -151,7 +151,7 @@
     /// Wakes the fetching of what another host has had for long enough.
     pub(crate) fetch_due: Notify,
     /// Wakes the followers of the store after the host was suspended.
-    pub(crate) woken: Notify,
+    pub(crate) suspend_ended: Notify,
     /// Wakes the followers of the store after it was restored.
     pub(crate) restored: Notify,
     /// Ends calls that wait in vain, by topic.
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -363,7 +363,7 @@
             state.contact = Contact::Lost;
         }
         drop(state);
-        self.woken.notify_waiters();
+        self.suspend_ended.notify_waiters();
     }
 
     /// Hosts of the data centre to enter in the store, in place of those `entered`; `None` while these do. A host that hears
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -156,7 +156,7 @@
         }
         let answer = tokio::select! {
             answer = call => answer,
-            () = self.woken.notified() => Err(StoreError::Unavailable("the host was suspended".into())),
+            () = self.suspend_ended.notified() => Err(StoreError::Unavailable("the host was suspended".into())),
             epoch = self.later_epoch(after) => Err(StoreError::Restored { epoch }),
             () = self.found_deaf(waits_for) => Err(StoreError::Deaf),
         };
