--- a/src/relay.rs
+++ b/src/relay.rs
@@ -153,7 +153,7 @@
     /// Wakes the followers of the store after the host was suspended.
     pub(crate) suspend_ended: Notify,
     /// Wakes the followers of the store after it was restored.
-    pub(crate) restored: Notify,
+    pub(crate) store_restored: Notify,
     /// Ends calls that wait in vain, by topic.
     pub(crate) deaf: [Notify; Topic::ALL.len()],
     /// Set once no request is taken any more.
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -114,7 +114,7 @@
             l.number("epoch", epoch).number("known", before)
         });
         if heard == Heard::Later {
-            self.restored.notify_waiters();
+            self.store_restored.notify_waiters();
         }
     }
 
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -175,7 +175,7 @@
     async fn later_epoch(&self, after: Option<Revision>) -> Epoch {
         let Some(after) = after else { return std::future::pending().await };
         loop {
-            let restored = self.restored.notified();
+            let restored = self.store_restored.notified();
             let known = self.epoch();
             if known > after.epoch {
                 return known;
