--- a/src/relay.rs
+++ b/src/relay.rs
@@ -155,7 +155,7 @@
     /// Wakes the followers of the store after it was restored.
     pub(crate) store_restored: Notify,
     /// Ends calls that wait in vain, by topic.
-    pub(crate) deaf: [Notify; Topic::ALL.len()],
+    pub(crate) cancel_watch: [Notify; Topic::ALL.len()],
     /// Set once no request is taken any more.
     pub(crate) closing: watch::Sender<bool>,
     /// When the process started, by the wall clock, in milliseconds since 1970.
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -187,7 +187,7 @@
     /// Waits until a call that waits is known to wait in vain.
     async fn found_deaf(&self, waits_for: Option<Topic>) {
         match waits_for {
-            Some(topic) => self.deaf[topic as usize].notified().await,
+            Some(topic) => self.cancel_watch[topic as usize].notified().await,
             None => std::future::pending().await,
         }
     }
@@ -225,7 +225,7 @@
         state.evacuations.forget_revision();
         for topic in Topic::ALL {
             state.confirmations.note_answer(topic, None);
-            self.deaf[topic as usize].notify_waiters();
+            self.cancel_watch[topic as usize].notify_waiters();
         }
     }
 }
--- a/src/relay/follow/confirm.rs
+++ b/src/relay/follow/confirm.rs
@@ -184,6 +184,6 @@
         line(Weight::Notable, "watch_deaf", |l| {
             l.text("kind", topic.as_str()).number("changed", changed.number)
         });
-        self.deaf[topic as usize].notify_waiters();
+        self.cancel_watch[topic as usize].notify_waiters();
     }
 }
