--- a/src/relay.rs
+++ b/src/relay.rs
@@ -131,7 +131,7 @@
     pub(crate) copied: bool,
     pub(crate) listed: bool,
     /// Parts read at servers where the other hosts don't expect them, for the next beats.
-    news: Vec<Held>,
+    new_holders: Vec<Held>,
     in_progress: usize,
     connections: usize,
     rng: SmallRng,
@@ -189,7 +189,7 @@
             contact: Contact::Idle,
             copied: false,
             listed: false,
-            news: Vec::new(),
+            new_holders: Vec::new(),
             in_progress: 0,
             connections: 0,
             rng: SmallRng::from_os_rng(),
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -233,7 +233,7 @@
         let Some(tag) = state.backends.get(key).map(|b| b.tag) else { return };
         for part in place::shared(&req.parts) {
             if state.holders.note(now, part.id, key) {
-                state.news.push(Held { part: part.id, backend: tag });
+                state.new_holders.push(Held { part: part.id, backend: tag });
             }
         }
     }
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -50,7 +50,7 @@
         let service: Vec<_> = state.backends.iter().map(|(key, _)| key).collect();
         let paused = service.iter().filter(|key| state.health.is_backing_off(now, **key));
         let avoided = paused.filter_map(|key| state.backends.get(*key)).map(|b| b.tag).collect();
-        let told = state.news.len().min(MOST_NEWS);
+        let told = state.new_holders.len().min(MOST_NEWS);
         let mut beat = Beat {
             start: self.start,
             ready: state.is_ready(),
@@ -61,7 +61,7 @@
             follows_store: state.contact == Contact::Follows,
             lost_store: state.contact == Contact::Lost,
             in_progress,
-            held: state.news.drain(..told).collect(),
+            held: state.new_holders.drain(..told).collect(),
             avoided,
             suspects: state.suspects.recent(now),
             evacuations: state.evacuations.told(now),
