--- a/src/relay.rs
+++ b/src/relay.rs
@@ -128,7 +128,7 @@
     /// What this host has to do with the store.
     pub(crate) contact: Contact,
     /// Whether it has read a copy of the configuration, which may be seconds old.
-    pub(crate) copied: bool,
+    pub(crate) has_read_copy: bool,
     pub(crate) listed: bool,
     /// Parts read at servers where the other hosts don't expect them, for the next beats.
     new_holders: Vec<Held>,
@@ -187,7 +187,7 @@
             admission: Admission::default(),
             leaving: None,
             contact: Contact::Idle,
-            copied: false,
+            has_read_copy: false,
             listed: false,
             new_holders: Vec::new(),
             in_progress: 0,
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -65,7 +65,7 @@
             Contact::Lost => true,
             // What it knows is as of a copy, or was told by hosts that may be gone.
             Contact::Idle => {
-                (state.copied || state.peers.knows_fleet()) && !state.peers.any_follows_store(now())
+                (state.has_read_copy || state.peers.knows_fleet()) && !state.peers.any_follows_store(now())
             }
         }
     }
