--- a/src/relay.rs
+++ b/src/relay.rs
@@ -129,7 +129,7 @@
     pub(crate) contact: Contact,
     /// Whether it has read a copy of the configuration, which may be seconds old.
     pub(crate) has_read_copy: bool,
-    pub(crate) listed: bool,
+    pub(crate) backends_listed: bool,
     /// Parts read at servers where the other hosts don't expect them, for the next beats.
     new_holders: Vec<Held>,
     in_progress: usize,
@@ -188,7 +188,7 @@
             leaving: None,
             contact: Contact::Idle,
             has_read_copy: false,
-            listed: false,
+            backends_listed: false,
             new_holders: Vec::new(),
             in_progress: 0,
             connections: 0,
@@ -331,12 +331,12 @@
 
 impl State {
     fn is_ready(&self) -> bool {
-        self.leaving.is_none() && self.routes.is_some() && self.listed
+        self.leaving.is_none() && self.routes.is_some() && self.backends_listed
     }
 
     pub(crate) fn local_versions(&self) -> LocalVersions {
         let configuration = self.routes.as_ref().map_or(0, |r| r.version());
-        let backends = if self.listed { self.backends.revision() } else { Revision::default() };
+        let backends = if self.backends_listed { self.backends.revision() } else { Revision::default() };
         LocalVersions { configuration, backends, digest: self.backends.digest() }
     }
 }
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -318,7 +318,7 @@
         if !self.hear_epoch_of_host(&mut state, update.revision().epoch, from) {
             return;
         }
-        state.listed = true;
+        state.backends_listed = true;
         let (told, known) = (update.revision(), state.backends.revision());
         if told < known {
             line(Weight::Notable, "older_ignored", |l| {
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -168,9 +168,9 @@
 fn source<W: Wire>(relay: &Relay<W>, wants_held: bool) -> Option<(SocketAddr, LocalVersions)> {
     let mut state = relay.state();
     let own = state.local_versions();
-    let State { peers, rng, listed, .. } = &mut *state;
+    let State { peers, rng, backends_listed, .. } = &mut *state;
     let ahead = peers.fetch_source(now(), own, rng);
-    let peer = ahead.or_else(|| peers.longest_up(rng).filter(|_| wants_held && *listed))?;
+    let peer = ahead.or_else(|| peers.longest_up(rng).filter(|_| wants_held && *backends_listed))?;
     Some((peer, own))
 }
 
@@ -245,7 +245,7 @@
             routes.as_ref().and_then(|_| state.configurations.changes_since(ask.configuration));
         let whole = routes.filter(|_| configuration_changes.is_none());
         let known = ask.backends_as_of();
-        let newer = state.listed && state.backends.revision() > known;
+        let newer = state.backends_listed && state.backends.revision() > known;
         let changes = newer.then(|| state.backends.changes_since(now(), known)).flatten();
         Fetched {
             configuration: whole.map(|r| (**r.source()).clone()),
