--- a/src/relay.rs
+++ b/src/relay.rs
@@ -121,7 +121,7 @@
     pub(crate) epochs: Epochs,
     pub(crate) confirmations: Confirmations,
     /// When a data centre was taken back last.
-    pub(crate) taken_back: Option<Instant>,
+    pub(crate) evacuation_ended: Option<Instant>,
     pub(crate) warmup: Warmup,
     pub(crate) admission: Admission,
     pub(crate) leaving: Option<Leaving>,
@@ -182,7 +182,7 @@
             evacuations: Evacuations::default(),
             epochs: Epochs::default(),
             confirmations: Confirmations::new(now(), cfg.in_force, cfg.evacuates),
-            taken_back: None,
+            evacuation_ended: None,
             warmup: Warmup::default().with_start(now()),
             admission: Admission::default(),
             leaving: None,
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -59,7 +59,7 @@
             candidates.extend(state.cold_candidates(now, &self.cfg.me, &cold, limit));
         }
         let mut placer = Placer::default().with_bound(self.cfg.bound);
-        let recently_evacuated = state.taken_back.is_some_and(|at| at + POST_EVACUATION_PERIOD > now);
+        let recently_evacuated = state.evacuation_ended.is_some_and(|at| at + POST_EVACUATION_PERIOD > now);
         if eligible.has_exclusions || recently_evacuated {
             let (mean_of_all, mean_of_eligible) = (state.mean_load(&req.service), place::mean(&candidates));
             let bound = self.cfg.bound;
