--- a/src/relay.rs
+++ b/src/relay.rs
@@ -313,7 +313,13 @@
     }
 
     /// Writes a line about one request.
-    pub(crate) fn note(&self, weight: Weight, event: &str, req: &Request, fill: impl FnOnce(Line) -> Line) {
+    pub(crate) fn log_request(
+        &self,
+        weight: Weight,
+        event: &str,
+        req: &Request,
+        fill: impl FnOnce(Line) -> Line,
+    ) {
         line(weight, event, |l| fill(l.text("request", &req.id).text("route", &req.route.route.name)));
     }
 
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -327,7 +327,7 @@
         let id = self.id_of(key);
         let id = id.as_deref().unwrap_or("gone");
         if read.leaves {
-            self.note(Weight::Notable, "told_leaving", req, |l| l.text("backend", id));
+            self.log_request(Weight::Notable, "told_leaving", req, |l| l.text("backend", id));
             let mut state = self.state();
             if let Some(change) = state.backends.mark_leaving(now(), key) {
                 self.metrics.add(Counter::RelayTold, Said::Leaving.as_str(), 1);
@@ -335,7 +335,9 @@
             }
         }
         if let Some(pause) = read.pause {
-            self.note(Weight::Notable, "told_pause", req, |l| l.text("backend", id).ms("for_ms", pause));
+            self.log_request(Weight::Notable, "told_pause", req, |l| {
+                l.text("backend", id).ms("for_ms", pause)
+            });
             self.metrics.add(Counter::RelayTold, Said::Pause.as_str(), 1);
             self.state().health.record_requested_pause(now(), key, pause);
         }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -77,7 +77,7 @@
         let outcome = self.outcome.unwrap_or(Outcome::CallerLeft);
         let took = now() - self.req.arrived;
         if outcome == Outcome::CallerLeft {
-            self.relay.note(Weight::Notable, "caller_left", &self.req, |l| {
+            self.relay.log_request(Weight::Notable, "caller_left", &self.req, |l| {
                 l.ms("after_ms", took).number("attempts", self.begun)
             });
         }
@@ -154,7 +154,7 @@
             Err(stop) => relay.metrics.add(Counter::RelayStops, stop.as_str(), 1),
         }
         let backend = relay.id_of(key);
-        relay.note(Weight::Notable, "attempt_failed", &req, |l| {
+        relay.log_request(Weight::Notable, "attempt_failed", &req, |l| {
             let l = l.text("failure", failure.as_str()).text("backend", backend.as_deref().unwrap_or("gone"));
             let l = l.number("attempt", self.tries.made()).ms("after_ms", now() - req.arrived);
             l.text("next", next.as_ref().err().map_or("once more", |stop| stop.as_str()))
@@ -190,7 +190,8 @@
             Err(_) => {
                 self.relay.note_crash(key);
                 let crashes = self.relay.state().suspects.record_crash(now(), self.req.fingerprint());
-                self.relay.note(Weight::Notable, "suspected", &self.req, |l| l.number("crashes", crashes));
+                self.relay
+                    .log_request(Weight::Notable, "suspected", &self.req, |l| l.number("crashes", crashes));
             }
         }
     }
@@ -271,7 +272,7 @@
     fn note_sent(&self, choice: &Choice, id: &str, stale: usize) {
         self.relay.metrics.add(Counter::RelayPlacements, choice.reason.as_str(), 1);
         let from = choice.fetch_from.and_then(|key| Some(self.relay.state().backends.get(key)?.id.clone()));
-        self.relay.note(Weight::Routine, "sent", &self.req, |l| {
+        self.relay.log_request(Weight::Routine, "sent", &self.req, |l| {
             let l = l.text("backend", id).text("why", choice.reason.as_str());
             let l = l.decimal("load", choice.load).decimal("bound", choice.bound);
             let l = l.text("fetches", from.as_deref().unwrap_or("")).number("stale", stale as u64);
@@ -361,7 +362,7 @@
 
     fn deliver(&mut self, head: response::Parts, bytes: Bytes) -> Response<AnswerBody> {
         self.outcome = Some(Outcome::Answered);
-        self.relay.note(Weight::Routine, "answered", &self.req, |l| {
+        self.relay.log_request(Weight::Routine, "answered", &self.req, |l| {
             let l = l.number("status", head.status.as_u16()).number("bytes", bytes.len() as u64);
             l.ms("after_ms", now() - self.req.arrived).number("attempts", self.begun)
         });
@@ -373,7 +374,7 @@
         self.outcome = Some(Outcome::Refused);
         let kind = Kind::Overloaded;
         self.relay.metrics.add(Counter::RelayRefusals, kind.answer().code, 1);
-        self.relay.note(Weight::Notable, "turned_away", &self.req, |l| {
+        self.relay.log_request(Weight::Notable, "turned_away", &self.req, |l| {
             let l = l.number("rank", self.req.rank()).decimal("occupancy", refused.occupancy);
             let l = l.decimal("limit", refused.limit).decimal("chance", refused.chance.min(1.0));
             l.ms("retry_after_ms", refused.after).ms("after_ms", now() - self.req.arrived)
@@ -392,7 +393,7 @@
             _ => self.relay.retry_after(&self.req, kind),
         });
         let refusal = Refusal { kind, ran, retry_after };
-        self.relay.note(Weight::Notable, "given_up", &self.req, |l| {
+        self.relay.log_request(Weight::Notable, "given_up", &self.req, |l| {
             let l = l.text("kind", kind.answer().code).text("ran", ran.as_str());
             let l = l.text("last", last.map_or("none", Failure::as_str));
             l.ms("after_ms", now() - self.req.arrived).number("attempts", self.tries.made())
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -84,7 +84,7 @@
         Ok(Next::Events(bytes)) => {
             run.relay.metrics.record(Latency::FirstEvent, "stream", now() - run.req.arrived);
             run.relay.note_waited(&run.req, run.sent);
-            run.relay.note(Weight::Routine, "first_event", &run.req, |l| {
+            run.relay.log_request(Weight::Routine, "first_event", &run.req, |l| {
                 l.ms("after_ms", now() - run.req.arrived)
             });
             Ok((head, Some(bytes), events))
@@ -130,7 +130,7 @@
                 self.ended = true;
                 run.outcome = Some(Outcome::Cut);
                 run.relay.metrics.add(Counter::RelayStreams, After::Cut.as_str(), 1);
-                run.relay.note(Weight::Notable, "stream_cut", &run.req, |l| {
+                run.relay.log_request(Weight::Notable, "stream_cut", &run.req, |l| {
                     let l = l.text("failure", failure.as_str()).number("events", self.last.unwrap_or(0));
                     l.ms("after_ms", now() - run.req.arrived)
                 });
@@ -150,7 +150,7 @@
             match run.attempt(self.last).await {
                 Ok(answered) if answered.head.status.is_success() => {
                     run.relay.metrics.add(Counter::RelayStreams, After::Resumed.as_str(), 1);
-                    run.relay.note(Weight::Notable, "stream_resumed", &run.req, |l| {
+                    run.relay.log_request(Weight::Notable, "stream_resumed", &run.req, |l| {
                         l.number("events", self.last.unwrap_or(0)).ms("after_ms", now() - run.req.arrived)
                     });
                     self.answered = Some(answered);
@@ -212,7 +212,7 @@
                 run.relay.keep(key, answered.conn, answered.read.keeps);
             }
         }
-        run.relay.note(Weight::Routine, "answered", &run.req, |l| {
+        run.relay.log_request(Weight::Routine, "answered", &run.req, |l| {
             let l = l.number("events", self.last.unwrap_or(0)).number("attempts", run.begun);
             l.ms("after_ms", now() - run.req.arrived)
         });
