--- a/src/relay.rs
+++ b/src/relay.rs
@@ -276,7 +276,7 @@
     }
 
     /// Notes how long a request waited at a server for the first of its answer.
-    pub(crate) fn note_waited(&self, req: &Request, sent: Instant) {
+    pub(crate) fn record_wait(&self, req: &Request, sent: Instant) {
         let now = now();
         self.state().admission.record_wait(now, &req.service, req.objective(), now - sent);
     }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -169,13 +169,13 @@
             Failure::Moved => self.relay.lose(key, "another server answers at its address"),
             Failure::Connect | Failure::Silent => {
                 if failure == Failure::Silent {
-                    self.relay.note_waited(&self.req, self.sent);
+                    self.relay.record_wait(&self.req, self.sent);
                 }
                 self.relay.avoid(key, failure.as_str());
                 self.relay.pool.clear(key);
             }
             Failure::Unsent => {}
-            Failure::Late => self.relay.note_waited(&self.req, self.sent),
+            Failure::Late => self.relay.record_wait(&self.req, self.sent),
             Failure::Refused | Failure::Broken | Failure::Garbled | Failure::Errored => {
                 self.relay.state().health.record_failure(now, key);
             }
@@ -350,7 +350,7 @@
                 };
             }
         } else if head.status.is_success() {
-            self.relay.note_waited(&self.req, self.sent);
+            self.relay.record_wait(&self.req, self.sent);
             self.relay.trust(key);
         }
         Ok(self.deliver(head, bytes))
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -83,7 +83,7 @@
     match events.read(run, limit).await {
         Ok(Next::Events(bytes)) => {
             run.relay.metrics.record(Latency::FirstEvent, "stream", now() - run.req.arrived);
-            run.relay.note_waited(&run.req, run.sent);
+            run.relay.record_wait(&run.req, run.sent);
             run.relay.log_request(Weight::Routine, "first_event", &run.req, |l| {
                 l.ms("after_ms", now() - run.req.arrived)
             });
