--- a/src/relay.rs
+++ b/src/relay.rs
@@ -282,7 +282,7 @@
     }
 
     /// Notes what a server told of its work.
-    pub(crate) fn note_told(&self, service: &Arc<str>, told: admission::ReportedLoad) {
+    pub(crate) fn record_load(&self, service: &Arc<str>, told: admission::ReportedLoad) {
         self.state().admission.record_load(now(), service, told);
     }
 
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -213,7 +213,7 @@
         };
         let read = self.relay.wire.read(&self.req, &head);
         if let Some(told) = read.told {
-            self.relay.note_told(&self.req.service, told);
+            self.relay.record_load(&self.req.service, told);
         }
         self.relay.hear_backend(&self.req, key, &read);
         if let Some(failure) = read.failure {
