--- a/src/relay.rs
+++ b/src/relay.rs
@@ -288,7 +288,7 @@
 
     /// Keeps a connection whose answer has been read. A server accepts so many connections from all hosts and resets those
     /// beyond, so that each host keeps at most half of its equal part idle.
-    pub(crate) fn keep(&self, key: BackendKey, conn: Conn, keeps: Option<Duration>) {
+    pub(crate) fn return_connection(&self, key: BackendKey, conn: Conn, keeps: Option<Duration>) {
         let state = self.state();
         let service = state.backends.get(key).map(|b| b.service.clone());
         let limit = service.and_then(|service| state.routes.as_ref()?.connections(&service));
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -186,7 +186,7 @@
     async fn note_if_crashed(&self, key: BackendKey) {
         let Some(addr) = self.relay.state().backends.get(key).map(|b| b.addr) else { return };
         match Conn::connect(addr, self.req.left(now())).await {
-            Ok(conn) => self.relay.keep(key, conn, None),
+            Ok(conn) => self.relay.return_connection(key, conn, None),
             Err(_) => {
                 self.relay.note_crash(key);
                 let crashes = self.relay.state().suspects.record_crash(now(), self.req.fingerprint());
@@ -231,7 +231,7 @@
     async fn recycle(&self, body: Incoming, conn: Conn, key: BackendKey, keeps: Option<Duration>) {
         let read = Limited::new(body, MOST_WHOLE).collect();
         if let Ok(Ok(_)) = tokio::time::timeout(REFUSED_PAUSE, read).await {
-            self.relay.keep(key, conn, keeps);
+            self.relay.return_connection(key, conn, keeps);
         }
     }
 
@@ -336,7 +336,7 @@
             Err(_) => return Err((Failure::Late, key)),
         };
         if !read.closes {
-            self.relay.keep(key, conn, read.keeps);
+            self.relay.return_connection(key, conn, read.keeps);
         }
         drop(work);
         if head.status.is_server_error() && self.may_repeat_error() {
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -209,7 +209,7 @@
             let key = answered.work.key;
             run.relay.trust(key);
             if !answered.read.closes {
-                run.relay.keep(key, answered.conn, answered.read.keeps);
+                run.relay.return_connection(key, answered.conn, answered.read.keeps);
             }
         }
         run.relay.log_request(Weight::Routine, "answered", &run.req, |l| {
