--- a/src/relay.rs
+++ b/src/relay.rs
@@ -324,7 +324,7 @@
     }
 
     /// Whether a request's content is refused because it crashes servers.
-    pub(crate) fn refuses(&self, req: &Request) -> bool {
+    pub(crate) fn is_quarantined(&self, req: &Request) -> bool {
         let state = self.state();
         !state.suspects.is_empty() && state.suspects.is_refused(now(), req.fingerprint())
     }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -92,7 +92,7 @@
     let req = Arc::new(req);
     let tries = Attempts::new(req.route.repeatable, req.route.route.attempts, req.deadline);
     let mut run = Run { relay, req, tries, tried: Vec::new(), sent: now(), begun: 0, outcome: None };
-    if run.relay.refuses(&run.req) {
+    if run.relay.is_quarantined(&run.req) {
         return run.give_up(Kind::Quarantined, None);
     }
     run.relay.state().budget.request(now(), &run.req.service);
@@ -133,7 +133,7 @@
         }
         self.decide(failure, key)?;
         let (relay, req) = (&self.relay, &self.req);
-        if relay.refuses(req) {
+        if relay.is_quarantined(req) {
             return Err(Stop::Suspect);
         }
         let may: Vec<_> = relay.state().accepting(now(), &req.service).map(|(key, _)| key).collect();
