--- a/src/relay.rs
+++ b/src/relay.rs
@@ -330,7 +330,7 @@
     }
 
     /// Takes one retry from the budget, if it holds one.
-    pub(crate) fn spend(&self, req: &Request) -> bool {
+    pub(crate) fn spend_retry(&self, req: &Request) -> bool {
         self.state().budget.spend(now(), &req.service)
     }
 }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -148,7 +148,7 @@
     /// Decides whether another attempt may follow a failed one, counts it and writes its line.
     fn decide(&mut self, failure: Failure, key: BackendKey) -> Result<(), Stop> {
         let (relay, req) = (self.relay.clone(), self.req.clone());
-        let next = self.tries.record_failure(now(), failure, || relay.spend(&req));
+        let next = self.tries.record_failure(now(), failure, || relay.spend_retry(&req));
         match next {
             Ok(()) => relay.metrics.add(Counter::RelayRetries, failure.as_str(), 1),
             Err(stop) => relay.metrics.add(Counter::RelayStops, stop.as_str(), 1),
