--- a/src/relay.rs
+++ b/src/relay.rs
@@ -303,7 +303,7 @@
     }
 
     /// Backend servers of a service that take new work.
-    pub fn servers(&self, service: &str) -> usize {
+    pub fn server_count(&self, service: &str) -> usize {
         self.state().backends.available(service).count()
     }
 
--- a/tests/relay_input.rs
+++ b/tests/relay_input.rs
@@ -191,7 +191,7 @@
         let revision = rev(revision);
         let update = BackendsUpdate::Changes { revision, puts: vec![entry(born)], removed: Vec::new() };
         host.relay.update_backends(update, None, "test");
-        host.relay.servers("app")
+        host.relay.server_count("app")
     };
 
     let servers = [put(2, 1_000), put(3, u64::MAX), put(4, 1_000)];
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -487,8 +487,8 @@
     first.update_backends(change, None, "test");
 
     wire::until("the change", || third.routes().is_some_and(|r| r.version() == 2)).await;
-    wire::until("the leaving server", || third.servers("app") == 0).await;
-    assert_eq!(first.servers("app"), 0);
+    wire::until("the leaving server", || third.server_count("app") == 0).await;
+    assert_eq!(first.server_count("app"), 0);
 }
 
 /// Asks a host as another one does.
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -46,7 +46,7 @@
 
     /// Waits until so many servers take work; fails when it does not come about.
     async fn until_servers(&self, count: usize) {
-        until(&format!("work for {count} servers"), || self.relay.servers("app") == count).await;
+        until(&format!("work for {count} servers"), || self.relay.server_count("app") == count).await;
     }
 }
 
@@ -154,7 +154,7 @@
 
     store.restore(&copy);
     put(&store, "i-1", "ready");
-    until("the list after the restore", || host.relay.servers("app") == 1).await;
+    until("the list after the restore", || host.relay.server_count("app") == 1).await;
     let after = version();
     store.put("config", "main", configuration(7, true));
     until("version 7", || version() == Some(7)).await;
--- a/tests/relay_told.rs
+++ b/tests/relay_told.rs
@@ -155,7 +155,7 @@
         let update =
             BackendsUpdate::Changes { revision: rev(number), puts: vec![entry(born)], removed: Vec::new() };
         host.relay.update_backends(update, None, "test");
-        host.relay.servers("app")
+        host.relay.server_count("app")
     };
     host.call(&request("/unsafe/x", "")).await;
 
