--- a/src/relay.rs
+++ b/src/relay.rs
@@ -349,19 +349,19 @@
 
 /// A request in progress at a backend server.
 #[derive(Debug)]
-pub(crate) struct Work<W: Wire> {
+pub(crate) struct InFlightRequest<W: Wire> {
     relay: Arc<Relay<W>>,
     pub(crate) key: BackendKey,
 }
 
-impl<W: Wire> Work<W> {
+impl<W: Wire> InFlightRequest<W> {
     pub(crate) fn start(relay: &Arc<Relay<W>>, key: BackendKey) -> Self {
         relay.state().backends.begin_request(key);
         Self { relay: relay.clone(), key }
     }
 }
 
-impl<W: Wire> Drop for Work<W> {
+impl<W: Wire> Drop for InFlightRequest<W> {
     fn drop(&mut self) {
         self.relay.state().backends.end_request(self.key);
     }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 
 use super::{
-    Read, Refusal, Relay, Sending, Wire, Work,
+    InFlightRequest, Read, Refusal, Relay, Sending, Wire,
     admission::{Refused, late_retry_delay},
     answer::AnswerBody,
     backends::BackendKey,
@@ -45,7 +45,7 @@
     pub(crate) read: Read,
     pub(crate) body: Incoming,
     pub(crate) conn: Conn,
-    pub(crate) work: Work<W>,
+    pub(crate) work: InFlightRequest<W>,
 }
 
 /// An attempt without an answer.
@@ -202,7 +202,7 @@
         let key = choice.key;
         self.begun += 1;
         self.sent = now();
-        let work = Work::start(&self.relay, key);
+        let work = InFlightRequest::start(&self.relay, key);
         let (mut conn, result) = self.send(&choice, after).await.map_err(|f| Gone::Failed((f, key)))?;
         let (head, body) = match result {
             Ok(response) => response.into_parts(),
