--- a/src/relay.rs
+++ b/src/relay.rs
@@ -368,4 +368,4 @@
 }
 
 /// Time between two runs of the housekeeping.
-pub(crate) const TICK: Duration = Duration::from_millis(250);
+pub(crate) const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -12,7 +12,7 @@
 };
 
 use super::{
-    Relay, State, TICK, Wire,
+    HOUSEKEEPING_INTERVAL, Relay, State, Wire,
     datagram::{self, MOST_BYTES},
     follow::BackendsUpdate,
     inbound::accept_all,
@@ -121,7 +121,7 @@
 pub async fn keep_house<W: Wire>(relay: Arc<Relay<W>>) {
     let mut last = now();
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(HOUSEKEEPING_INTERVAL).await;
         let slept = now().saturating_sub(std::mem::replace(&mut last, now()));
         if slept > SUSPENDED {
             relay.wake(slept);
@@ -135,7 +135,7 @@
     let (mut wants_held, mut wants_whole, mut at_once) = (true, false, false);
     loop {
         // What a peer tells wakes this up; a pause keeps a run of changes to one fetch.
-        if !at_once && timeout(TICK, relay.fetch_due.notified()).await.is_ok() {
+        if !at_once && timeout(HOUSEKEEPING_INTERVAL, relay.fetch_due.notified()).await.is_ok() {
             tokio::time::sleep(SETTLE).await;
         }
         at_once = false;
