--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -285,7 +285,7 @@
         let ended = state.evacuations.expire(now);
         self.note_evacuations(&mut state, &ended, "not written again");
         state.warmup.expire(now);
-        self.pool.sweep(|key| state.backends.get(key).is_some_and(|b| b.accepts_work()));
+        self.pool.evict(|key| state.backends.get(key).is_some_and(|b| b.accepts_work()));
     }
 
     /// Leaves a server alone for a while that could not be reached or fell silent.
--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -206,7 +206,7 @@
     }
 
     /// Closes connections that were idle for too long, and those to servers that are not `kept` any more.
-    pub fn sweep(&self, kept: impl Fn(BackendKey) -> bool) {
+    pub fn evict(&self, kept: impl Fn(BackendKey) -> bool) {
         let now = now();
         lock(&self.idle).retain(|key, conns| {
             conns.retain(|idle| idle.until > now && !idle.conn.task.is_finished());
