--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -101,7 +101,7 @@
 
 async fn serve<W: Wire>(relay: Arc<Relay<W>>, stream: TcpStream, from: SocketAddr) {
     // Callers on weak links may be out of reach for seconds and still get their answer.
-    pool::set_up(&stream, None);
+    pool::configure_socket(&stream, None);
     let limits = relay.routes().map(|r| r.limits()).unwrap_or_else(|| Routes::default().limits());
     let service = service_fn(|req| {
         let relay = relay.clone();
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -204,7 +204,7 @@
 async fn fetch(peer: SocketAddr, ask: Fetch) -> Result<Fetched> {
     let asking = async {
         let mut stream = TcpStream::connect(peer).await.context("could not connect")?;
-        pool::set_up(&stream, Some(FETCH_TIMEOUT));
+        pool::configure_socket(&stream, Some(FETCH_TIMEOUT));
         write(&mut stream, &postcard::to_allocvec(&ask)?).await?;
         let size = read_size(&mut stream).await?;
         anyhow::Ok((stream, size))
@@ -231,7 +231,7 @@
 }
 
 async fn answer<W: Wire>(relay: &Relay<W>, mut stream: TcpStream, busy: bool) -> Result<()> {
-    pool::set_up(&stream, Some(FETCH_TIMEOUT));
+    pool::configure_socket(&stream, Some(FETCH_TIMEOUT));
     // One whose bytes are lost on the way must not hold a place for longer.
     let ask = timeout(FETCH_TIMEOUT, read_fetch(&mut stream)).await.context("no fetch in time")??;
     if busy {
--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -121,7 +121,7 @@
 async fn dial(addr: SocketAddr, most: Duration) -> Result<TcpStream, Failure> {
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT.min(most), TcpStream::connect(addr));
     let Ok(Ok(stream)) = connecting.await else { return Err(Failure::Connect) };
-    set_up(&stream, Some(BACKEND_SILENCE));
+    configure_socket(&stream, Some(BACKEND_SILENCE));
     Ok(stream)
 }
 
@@ -146,7 +146,7 @@
 }
 
 /// Sets a socket up: small writes go out at once, and a peer that acknowledges nothing for `silence` ends it.
-pub(crate) fn set_up(stream: &TcpStream, silence: Option<Duration>) {
+pub(crate) fn configure_socket(stream: &TcpStream, silence: Option<Duration>) {
     if let Err(e) = stream.set_nodelay(true) {
         spdlog::warn!("could not set a socket to send at once: {e}");
     }
