--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -65,7 +65,7 @@
     /// As [`Conn::connect`].
     pub async fn connect_probed(addr: SocketAddr, most: Duration) -> Result<Self, Failure> {
         let stream = dial(addr, most).await?;
-        if let Err(e) = probe(&stream) {
+        if let Err(e) = enable_keepalive(&stream) {
             spdlog::warn!("could not have a connection probed: {e}");
         }
         Self::over(stream, addr).await
@@ -131,7 +131,7 @@
 ///
 /// # Errors
 /// When the socket takes no such option.
-pub fn probe(stream: &TcpStream) -> std::io::Result<()> {
+pub fn enable_keepalive(stream: &TcpStream) -> std::io::Result<()> {
     sockopt::set_socket_keepalive(stream, true)?;
     sockopt::set_tcp_keepidle(stream, PROBE_AFTER)?;
     sockopt::set_tcp_keepintvl(stream, PROBE_EVERY)?;
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -397,7 +397,7 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let stream = tokio::net::TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
 
-    pool::probe(&stream).unwrap();
+    pool::enable_keepalive(&stream).unwrap();
 
     assert!(sockopt::socket_keepalive(&stream).unwrap());
     assert_eq!(sockopt::tcp_keepidle(&stream).unwrap(), s(1));
