--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// As [`Conn::connect`].
-    pub async fn connect_probed(addr: SocketAddr, most: Duration) -> Result<Self, Failure> {
+    pub async fn connect_with_keepalive(addr: SocketAddr, most: Duration) -> Result<Self, Failure> {
         let stream = dial(addr, most).await?;
         if let Err(e) = enable_keepalive(&stream) {
             spdlog::warn!("could not have a connection probed: {e}");
