--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -91,7 +91,7 @@
                 ends.map_or(RETRY_AFTER, |ends| ends - now)
             }
             Kind::Evacuated | Kind::WarmingUp | Kind::Overloaded => {
-                late_retry_delay(req.left(now()), self.draw())
+                late_retry_delay(req.time_left(now()), self.draw())
             }
             _ => RETRY_AFTER,
         }
@@ -268,7 +268,7 @@
             rank: req.rank(),
             route_rank: req.route.route.rank,
             objective: req.objective(),
-            left: req.left(now),
+            left: req.time_left(now),
             load: self.service_load(now, &req.service),
         };
         let draws = [self.rng.random(), self.rng.random()];
--- a/src/relay/request.rs
+++ b/src/relay/request.rs
@@ -56,7 +56,7 @@
 
 impl Request {
     /// Time left until the deadline.
-    pub fn left(&self, now: Instant) -> Duration {
+    pub fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_sub(now)
     }
 
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -140,7 +140,7 @@
         if !may.is_empty() && may.iter().all(|key| self.tried.contains(key)) {
             // Nobody else can run it: those that refused may have room again in a moment.
             self.tried.clear();
-            tokio::time::sleep(REFUSED_PAUSE.min(self.req.left(now()))).await;
+            tokio::time::sleep(REFUSED_PAUSE.min(self.req.time_left(now()))).await;
         }
         Ok(())
     }
@@ -185,7 +185,7 @@
     /// After a broken connection, finds out by a new one whether the server has crashed, and if so suspects the content.
     async fn note_if_crashed(&self, key: BackendKey) {
         let Some(addr) = self.relay.state().backends.get(key).map(|b| b.addr) else { return };
-        match Conn::connect(addr, self.req.left(now())).await {
+        match Conn::connect(addr, self.req.time_left(now())).await {
             Ok(conn) => self.relay.return_connection(key, conn, None),
             Err(_) => {
                 self.relay.note_crash(key);
@@ -250,9 +250,9 @@
             let kept = if stale < MOST_STALE { self.relay.pool.take(choice.key) } else { None };
             let mut conn = match kept {
                 Some(conn) => conn,
-                None => Conn::connect(addr, self.req.left(now())).await?,
+                None => Conn::connect(addr, self.req.time_left(now())).await?,
             };
-            let left = self.req.left(now());
+            let left = self.req.time_left(now());
             if left.is_zero() {
                 return Err(Failure::Unsent);
             }
@@ -307,7 +307,7 @@
 
     /// How long to wait with this patience, and what has happened when that time is over.
     pub(crate) fn limit(&self, patience: Option<Duration>) -> (Duration, Failure) {
-        let left = self.req.left(now());
+        let left = self.req.time_left(now());
         match patience {
             Some(patience) if patience < left => (patience, Failure::Silent),
             _ => (left, Failure::Late),
@@ -327,7 +327,7 @@
         let Answered { head, read, body, conn, work } = answered;
         let key = work.key;
         let reading = Limited::new(body, MOST_WHOLE).collect();
-        let bytes = match tokio::time::timeout(self.req.left(now()), reading).await {
+        let bytes = match tokio::time::timeout(self.req.time_left(now()), reading).await {
             Ok(Ok(collected)) => collected.to_bytes(),
             Ok(Err(e)) => {
                 spdlog::debug!("answer to {} broke off: {e}", self.req.id);
@@ -389,7 +389,7 @@
         self.relay.metrics.add(Counter::RelayRefusals, kind.answer().code, 1);
         let comes_back = ran == Ran::No && kind != Kind::Quarantined;
         let retry_after = comes_back.then(|| match last {
-            Some(Failure::Refused) => late_retry_delay(self.req.left(now()), self.relay.draw()),
+            Some(Failure::Refused) => late_retry_delay(self.req.time_left(now()), self.relay.draw()),
             _ => self.relay.retry_after(&self.req, kind),
         });
         let refusal = Refusal { kind, ran, retry_after };
