--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -211,7 +211,7 @@
             });
             if let (evacuations::Change::TakenBack(_), Some(routes)) = (change, state.routes.clone()) {
                 let lasts =
-                    |service: &str| routes.cold(service).map_or(Duration::ZERO, |limit| limit.duration);
+                    |service: &str| routes.cold_limit(service).map_or(Duration::ZERO, |limit| limit.duration);
                 state.evacuation_ended = Some(now());
                 let cold = state.backends.mark_cold(now(), data_centre, lasts);
                 cold.into_iter().for_each(|key| state.holders.forget(key));
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -152,7 +152,7 @@
     }
 
     fn cold_limit(&self, service: &str) -> Option<ColdLimit> {
-        self.routes.as_ref()?.cold(service)
+        self.routes.as_ref()?.cold_limit(service)
     }
 
     fn is_cold(&self, now: Instant, b: &Backend) -> bool {
--- a/src/relay/routes.rs
+++ b/src/relay/routes.rs
@@ -111,7 +111,7 @@
     }
 
     /// What cold backend servers of a service bear; `None` where they never are cold.
-    pub fn cold(&self, service: &str) -> Option<ColdLimit> {
+    pub fn cold_limit(&self, service: &str) -> Option<ColdLimit> {
         let service = self.source.services.iter().find(|s| s.name == service)?;
         let per_second = f64::from(service.cold_per_minute) / 60.0;
         let duration = Duration::from_millis(service.cold_ms.into());
