--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -231,7 +231,7 @@
     let version = routes.version();
     let or_stale = |kind| if relay.is_stale() { Kind::NotReady } else { kind };
     let Some(route) = routes.find(&ask.host, head.uri.path()) else { return Err(or_stale(Kind::NotFound)) };
-    if route.route.open || !routes.needs_keys() {
+    if route.route.open || !routes.requires_keys() {
         return Ok(Checked { version, route: route.clone(), caller: None });
     }
     let caller = ask.key.as_deref().and_then(|key| routes.caller(key));
--- a/src/relay/routes.rs
+++ b/src/relay/routes.rs
@@ -90,7 +90,7 @@
     }
 
     /// Whether callers need keys at all.
-    pub fn needs_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         !self.source.workspaces.is_empty()
     }
 
