--- a/src/relay.rs
+++ b/src/relay.rs
@@ -291,7 +291,7 @@
     pub(crate) fn return_connection(&self, key: BackendKey, conn: Conn, keeps: Option<Duration>) {
         let state = self.state();
         let service = state.backends.get(key).map(|b| b.service.clone());
-        let limit = service.and_then(|service| state.routes.as_ref()?.connections(&service));
+        let limit = service.and_then(|service| state.routes.as_ref()?.max_connections(&service));
         let most = limit.map_or(usize::MAX, |limit| limit as usize / (2 * state.peers.host_count()));
         drop(state);
         self.pool.put(key, conn, keeps, most.max(1));
--- a/src/relay/routes.rs
+++ b/src/relay/routes.rs
@@ -105,7 +105,7 @@
     }
 
     /// Connections that one backend server of a service accepts, if a limit is known.
-    pub fn connections(&self, service: &str) -> Option<u32> {
+    pub fn max_connections(&self, service: &str) -> Option<u32> {
         let service = self.source.services.iter().find(|s| s.name == service)?;
         (service.connections > 0).then_some(service.connections)
     }
