--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -102,7 +102,7 @@
 
     fn refuse(&self, refusal: &Refusal) -> Response<AnswerBody> {
         let body = format!("{{\"error\":\"{}\"}}", refusal.kind.answer().code);
-        let mut res = Response::new(AnswerBody::Whole(body.into()));
+        let mut res = Response::new(AnswerBody::Buffered(body.into()));
         *res.status_mut() = status(refusal.kind, refusal.ran);
         let headers = res.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/src/relay/answer.rs
+++ b/src/relay/answer.rs
@@ -28,7 +28,7 @@
 /// Body of an answer.
 pub enum AnswerBody {
     /// All of it.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Events as they arrive.
     Events(EventStream),
 }
@@ -36,7 +36,7 @@
 impl fmt::Debug for AnswerBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AnswerBody::Whole(bytes) => write!(f, "Whole({} bytes)", bytes.len()),
+            AnswerBody::Buffered(bytes) => write!(f, "Whole({} bytes)", bytes.len()),
             AnswerBody::Events(_) => f.write_str("Events"),
         }
     }
@@ -48,8 +48,8 @@
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         match self.get_mut() {
-            AnswerBody::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            AnswerBody::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            AnswerBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            AnswerBody::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
             AnswerBody::Events(events) => {
                 events.as_mut().poll_next(cx).map(|next| next.map(|bytes| bytes.map(Frame::data)))
             }
@@ -57,12 +57,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, AnswerBody::Whole(bytes) if bytes.is_empty())
+        matches!(self, AnswerBody::Buffered(bytes) if bytes.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            AnswerBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
             AnswerBody::Events(_) => SizeHint::default(),
         }
     }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -366,7 +366,7 @@
             let l = l.number("status", head.status.as_u16()).number("bytes", bytes.len() as u64);
             l.ms("after_ms", now() - self.req.arrived).number("attempts", self.begun)
         });
-        self.relay.wire.pass(head, AnswerBody::Whole(bytes))
+        self.relay.wire.pass(head, AnswerBody::Buffered(bytes))
     }
 
     /// The answer to a request that is not sent, since its service has as much work as it can finish in time.
