--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -29,22 +29,22 @@
 
 /// What followed the break of a stream; a label of counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum After {
+pub enum StreamBreak {
     /// It went on at another server.
     Resumed,
     /// It broke off for the caller.
     Cut,
 }
 
-impl After {
+impl StreamBreak {
     /// All that may follow.
-    pub const ALL: [After; 2] = [After::Resumed, After::Cut];
+    pub const ALL: [StreamBreak; 2] = [StreamBreak::Resumed, StreamBreak::Cut];
 
     /// Label in counters.
     pub fn as_str(self) -> &'static str {
         match self {
-            After::Resumed => "resumed",
-            After::Cut => "cut",
+            StreamBreak::Resumed => "resumed",
+            StreamBreak::Cut => "cut",
         }
     }
 }
@@ -129,7 +129,7 @@
             if !self.resume(run, failure).await {
                 self.ended = true;
                 run.outcome = Some(Outcome::Cut);
-                run.relay.metrics.add(Counter::RelayStreams, After::Cut.as_str(), 1);
+                run.relay.metrics.add(Counter::RelayStreams, StreamBreak::Cut.as_str(), 1);
                 run.relay.log_request(Weight::Notable, "stream_cut", &run.req, |l| {
                     let l = l.text("failure", failure.as_str()).number("events", self.last.unwrap_or(0));
                     l.ms("after_ms", now() - run.req.arrived)
@@ -149,7 +149,7 @@
         while run.fail(failure, key).await.is_ok() {
             match run.attempt(self.last).await {
                 Ok(answered) if answered.head.status.is_success() => {
-                    run.relay.metrics.add(Counter::RelayStreams, After::Resumed.as_str(), 1);
+                    run.relay.metrics.add(Counter::RelayStreams, StreamBreak::Resumed.as_str(), 1);
                     run.relay.log_request(Weight::Notable, "stream_resumed", &run.req, |l| {
                         l.number("events", self.last.unwrap_or(0)).ms("after_ms", now() - run.req.arrived)
                     });
--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -15,7 +15,7 @@
         outcome::Outcome,
         place::Reason,
         revision::Heard,
-        stream::After,
+        stream::StreamBreak,
         verdict::{Failure, Stop},
     },
 };
@@ -74,7 +74,7 @@
         (Counter::RelayRetries, names(&Failure::ALL, |f| f.as_str())),
         (Counter::RelayStops, names(&Stop::ALL, |s| s.as_str())),
         (Counter::RelayPlacements, names(&Reason::ALL, |w| w.as_str())),
-        (Counter::RelayStreams, names(&After::ALL, |a| a.as_str())),
+        (Counter::RelayStreams, names(&StreamBreak::ALL, |a| a.as_str())),
         (Counter::RelayStoreCalls, names(&Asked::ALL, |a| a.as_str())),
         (Counter::RelayDatagrams, names(&Fault::ALL, |f| f.as_str())),
         (Counter::RelayTold, names(&Said::ALL, |t| t.as_str())),
