--- a/src/relay.rs
+++ b/src/relay.rs
@@ -205,7 +205,7 @@
             metrics,
             beat_due,
             gossip_due,
-            behind,
+            fetch_due,
             woken: Notify::new(),
             restored: Notify::new(),
             deaf: Default::default(),
