--- a/src/relay.rs
+++ b/src/relay.rs
@@ -206,7 +206,7 @@
             beat_due,
             gossip_due,
             fetch_due,
-            woken: Notify::new(),
+            suspend_ended: Notify::new(),
             restored: Notify::new(),
             deaf: Default::default(),
             closing,
