--- a/src/relay.rs
+++ b/src/relay.rs
@@ -207,7 +207,7 @@
             gossip_due,
             fetch_due,
             suspend_ended: Notify::new(),
-            restored: Notify::new(),
+            store_restored: Notify::new(),
             deaf: Default::default(),
             closing,
             start: wall_ms(),
