--- a/src/relay.rs
+++ b/src/relay.rs
@@ -208,7 +208,7 @@
             fetch_due,
             suspend_ended: Notify::new(),
             store_restored: Notify::new(),
-            deaf: Default::default(),
+            cancel_watch: Default::default(),
             closing,
             start: wall_ms(),
             started: now(),
