--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -203,7 +203,7 @@
     let mut contact = Contact::new("backends");
     let (mut list, mut whole) = (true, false);
     loop {
-        let started = relay.state().listed;
+        let started = relay.state().backends_listed;
         if started && rest(&relay).await {
             contact = Contact::new("backends");
         }
@@ -237,12 +237,12 @@
             }
             Err(StoreError::Restored { .. } | StoreError::Deaf) => list = true,
             Err(StoreError::Long) => {
-                list = !is_told(&relay, LONG_LIST, |relay| relay.state().listed).await;
+                list = !is_told(&relay, LONG_LIST, |relay| relay.state().backends_listed).await;
                 whole = true;
             }
             Err(StoreError::Large { bytes }) => {
                 let turns = turns(&relay, &mut store, bytes).await;
-                list = !is_told(&relay, turns, |relay| relay.state().listed).await;
+                list = !is_told(&relay, turns, |relay| relay.state().backends_listed).await;
                 whole = true;
             }
             Err(e) => {
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -149,7 +149,7 @@
                 at_once = true;
             }
             Ok(fetched) => {
-                wants_held &= !relay.state().listed;
+                wants_held &= !relay.state().backends_listed;
                 wants_whole = take(&relay, peer, fetched);
             }
             Err(e) => {
