--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -167,7 +167,7 @@
             Ok((revision, cfg)) => {
                 started = true;
                 let revision = Some(revision).filter(|_| !copy);
-                relay.state().copied |= copy;
+                relay.state().has_read_copy |= copy;
                 regain(&mut contact);
                 let news = after.is_some() && cfg.is_some();
                 let soon = after.is_some() && now() < asked + GATHER;
