--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -126,7 +126,7 @@
         let mut conn = match self.conn.take().filter(Conn::is_usable) {
             Some(conn) => conn,
             None => {
-                let connected = Conn::connect_probed(self.addr, CONNECT).await;
+                let connected = Conn::connect_with_keepalive(self.addr, CONNECT).await;
                 connected.map_err(|_| unavailable("could not connect".into()))?
             }
         };
