--- a/src/relay/answer.rs
+++ b/src/relay/answer.rs
@@ -12,18 +12,18 @@
 
 /// The answer ends before it is complete; the caller's connection is broken off, so that this shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cut;
+pub struct Truncated;
 
-impl fmt::Display for Cut {
+impl fmt::Display for Truncated {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the answer is cut")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Truncated {}
 
 /// Events of a stream as they arrive.
-pub type EventStream = Pin<Box<dyn Stream<Item = Result<Bytes, Cut>> + Send>>;
+pub type EventStream = Pin<Box<dyn Stream<Item = Result<Bytes, Truncated>> + Send>>;
 
 /// Body of an answer.
 pub enum AnswerBody {
@@ -44,9 +44,12 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         match self.get_mut() {
             AnswerBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
             AnswerBody::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -1,13 +1,15 @@
-//! What this host knows of the other hosts: who is there, what is in force there, and their share of the load.
+//! Membership and gossip: which other hosts exist, what they have in force, and their share of the load.
 //!
-//! In a small fleet every host sends every other one a small datagram several times a second. In a large one it does so
-//! within its data centre, and sends one host of each other data centre a summary of its own; which host is drawn anew
-//! each time, so that every host hears of every data centre about once a period, at a cost that grows with the data
-//! centres and not with the fleet. All is soft state: a host that is not heard any more stops counting, and a restarted
-//! one learns everything again from the first full beats.
+//! In a small fleet every host sends each other one a small heartbeat datagram several times a second. In a large
+//! fleet a host does so within its data centre, and sends a summary of its data centre to one host of each other
+//! data centre. That host is chosen at random each time, so that each host hears about each data centre about once
+//! a period, at a cost that grows with the number of data centres rather than of hosts. All state is soft: a host
+//! whose heartbeats stop no longer counts, and a restarted one learns everything again from the first full
+//! heartbeats.
 //!
-//! This file holds what is known and takes beats in; `targets` says who is told what and when, `summary` what data centres
-//! tell each other, `ahead` whom to ask for what is newer, and `duty` whether this host follows the store.
+//! This file holds the state and processes received heartbeats. `targets` decides who is sent what and when,
+//! `summary` covers the exchange between data centres, `ahead` chooses the peers to fetch newer state from, and
+//! `duty` decides whether this host follows the store.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -29,135 +31,140 @@
 
 use ahead::is_ahead;
 use summary::Summary;
-pub use targets::{PERIOD, Scope};
+pub use targets::{BEAT_PERIOD, Scope};
 
-/// Hosts up to which a fleet is small: all of them tell each other everything, and all follow the store.
-const SMALL: usize = 16;
-/// Without a beat for this long a host is not handed out to callers; five beats may be lost.
-const LOST: Duration = Duration::from_millis(1_300);
-/// Beats that may be lost where the period is longer.
-const LOST_BEATS: u32 = 4;
-/// The same for a host or a data centre of which only summaries tell.
-const LOST_SUMMARY: Duration = Duration::from_millis(3_000);
-/// How long a silent host still counts for shares of budgets: it may be cut off and go on.
-const FORGET: Duration = Duration::from_secs(60);
-/// One of so many hosts of a large fleet answers a beat that asks for a full one.
-const ANSWERS: u64 = 8;
-/// Addresses remembered, some times a fleet of 330 hosts with those that it has lost in the last minute.
-const MOST_PEERS: usize = 2_048;
+/// Fleets with fewer hosts are small: all hosts exchange full state, and all follow the store.
+const SMALL_FLEET_HOSTS: usize = 16;
+/// Minimum time without a heartbeat after which a host counts as lost and is not handed out to callers; five
+/// heartbeats may be missed.
+const MIN_HOST_TIMEOUT: Duration = Duration::from_millis(1_300);
+/// Heartbeats that may be missed where the period is longer.
+const TIMEOUT_BEATS: u32 = 4;
+/// Minimum time after which a host or data centre known only from summaries counts as lost.
+const MIN_SUMMARY_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// How long a lost host still counts as sharing budgets: it may be partitioned and still running.
+const RETENTION: Duration = Duration::from_secs(60);
+/// In a large fleet, one in this many hosts answers a request for a full heartbeat.
+const FULL_BEAT_ONE_IN: u64 = 8;
+/// Maximum number of addresses remembered: several times a fleet of 330 hosts, including those lost in the last
+/// minute.
+const MAX_PEERS: usize = 2_048;
 
-/// One other host.
+/// Another host.
 #[derive(Clone, Debug, Default)]
 pub struct Peer {
-    /// Itself, once a full beat was heard.
+    /// Its description, once known.
     pub member: Option<Member>,
     /// Whether callers may be sent to it.
     pub ready: bool,
     /// Version of its configuration.
     pub configuration: Version,
-    /// Revision of its backend servers.
+    /// Revision of its list of backend servers.
     pub backends: Revision,
     backends_digest: u32,
     contact: Contact,
     start: u64,
     number: u64,
-    heard: Option<Instant>,
-    /// Least time between the sending of a beat and its arrival, by two clocks that are apart.
-    lag_ms: Option<i64>,
-    sought: Option<Instant>,
-    ahead: Option<Instant>,
-    /// When it did not give what it has.
-    failed: Option<Instant>,
+    last_beat: Option<Instant>,
+    /// Minimum difference between the arrival and the sending time of its heartbeats. The two clocks are not
+    /// synchronised, so that only differences between lags are meaningful.
+    min_lag_ms: Option<i64>,
+    last_sent: Option<Instant>,
+    ahead_since: Option<Instant>,
+    /// When a fetch from it last failed.
+    fetch_failed: Option<Instant>,
     loads: Map<Tag, u32>,
     avoided: Vec<Tag>,
-    /// When a summary named it as ready.
-    named: Option<Instant>,
-    /// When another host told of it first; `None` for seeds and those that were heard first.
-    learned: Option<Instant>,
+    /// When a summary last listed it as ready.
+    named_ready: Option<Instant>,
+    /// When another host first reported it; `None` for seeds and for hosts that sent a heartbeat first.
+    learned_at: Option<Instant>,
 }
 
 impl Peer {
-    /// Whether its own beats or a summary have told that it serves.
-    fn is_witnessed(&self) -> bool {
-        self.heard.is_some() || self.named.is_some()
+    /// Whether it has sent a heartbeat or a summary has listed it as ready.
+    fn was_seen_alive(&self) -> bool {
+        self.last_beat.is_some() || self.named_ready.is_some()
     }
 
-    /// Whether it knows all that it needs to serve and does not: it is about to stop.
+    /// Whether it is about to stop: it has all it needs to serve callers but is not ready.
     fn is_leaving(&self) -> bool {
         !self.ready && self.configuration > 0 && self.backends.is_known()
     }
 
-    /// How much later a beat has come than the quickest of its sender, as where it lay in a buffer while this host stood still.
+    /// How much longer a heartbeat took than the fastest of the same sender, for instance because it was buffered
+    /// while this host was suspended.
     fn lateness(&mut self, now: Instant, sent_ms: u64) -> Duration {
         let lag = now.as_millis() as i64 - sent_ms as i64;
-        let least = self.lag_ms.map_or(lag, |least| least.min(lag));
-        self.lag_ms = Some(least);
-        Duration::from_millis((lag - least) as u64)
+        let min = self.min_lag_ms.map_or(lag, |min| min.min(lag));
+        self.min_lag_ms = Some(min);
+        Duration::from_millis((lag - min) as u64)
     }
 }
 
-/// What a beat brought that the caller acts on.
+/// Effects of a received heartbeat that the caller acts on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BeatReceipt {
-    /// The sender was unknown, lost, or started anew.
+    /// The sender was unknown or lost, or has restarted.
     pub joined: bool,
-    /// The sender wants a full beat at once.
+    /// The sender is to be sent a full heartbeat at once.
     pub wants_full: bool,
-    /// It has come before, or later than a newer one, and changed nothing.
+    /// The heartbeat is a duplicate or older than one already received, and was ignored.
     pub stale: bool,
-    /// How much later it has come than others of its sender.
+    /// How much longer it took than the sender's fastest heartbeat.
     pub delay: Duration,
 }
 
-/// What is in force here, to compare with the others.
+/// Versions in force on this host, for comparison with other hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LocalVersions {
     /// Version of the configuration; 0 without one.
     pub configuration: Version,
-    /// Revision of the backend servers.
+    /// Revision of the list of backend servers.
     pub backends: Revision,
-    /// Digest of the backend servers.
+    /// Digest of the list of backend servers.
     pub digest: u32,
 }
 
 /// The other hosts.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
-    me: Option<SocketAddr>,
+    own_addr: Option<SocketAddr>,
     data_centre: String,
     peers: Map<SocketAddr, Peer>,
-    centres: Map<String, Summary>,
-    totals: Map<Tag, u32>,
-    /// Hosts that keep away from a server; counted here since each choice asks for each server.
-    avoiding: Map<Tag, u32>,
-    number: u64,
-    /// Members told so far, in turn.
-    told: usize,
+    summaries: Map<String, Summary>,
+    remote_loads: Map<Tag, u32>,
+    /// Number of hosts that avoid a server, kept up to date because each choice looks it up for each server.
+    avoiding_counts: Map<Tag, u32>,
+    last_number: u64,
+    /// Position in the rotation of members that full heartbeats carry.
+    next_member: usize,
     duty: Duty,
     /// Whether this host follows the store.
     follows: bool,
-    /// When a host was heard or told of that was unknown.
-    grew: Instant,
+    /// When a previously unknown host last sent a heartbeat or was reported.
+    last_joined: Instant,
     /// When this host started.
     started: Instant,
-    /// Whether it has heard of most other hosts since then.
-    settled: bool,
-    /// Whether the settings name it to all others.
-    seed: bool,
+    /// Whether it has learnt of most other hosts since then.
+    knows_fleet: bool,
+    /// Whether this host is one of the configured seeds.
+    is_seed: bool,
 }
 
 impl Peers {
-    /// Knows the seeds and this host's own address, which is no peer.
+    /// Starts with the seeds as peers; this host's own address is not a peer.
     pub fn new(me: SocketAddr, data_centre: &str, seeds: &[SocketAddr]) -> Self {
-        // Until it has decided otherwise: what it reads while it starts, others may lack.
+        // Until this host has decided otherwise it follows the store: others may lack what it reads during its
+        // start.
         let mut peers = Self {
-            me: Some(me),
+            own_addr: Some(me),
             data_centre: data_centre.into(),
             follows: true,
-            seed: seeds.contains(&me),
+            is_seed: seeds.contains(&me),
             ..Self::default()
         };
-        seeds.iter().for_each(|seed| peers.learn(*seed));
+        seeds.iter().for_each(|seed| peers.add_address(*seed));
         peers
     }
 
@@ -166,36 +173,37 @@
         Self { started, ..self }
     }
 
-    /// Notes an address at which a host may be.
-    fn learn(&mut self, addr: SocketAddr) {
-        if self.me != Some(addr) {
+    /// Adds an address at which there may be a host.
+    fn add_address(&mut self, addr: SocketAddr) {
+        if self.own_addr != Some(addr) {
             self.peers.entry(addr).or_default();
         }
     }
 
-    /// Takes in members that another host or the store tells; they are sought, and forgotten when they are never heard. Most
-    /// hosts of other data centres are never heard in full, so that waiting for their own word would ask for full beats all
-    /// the time.
+    /// Adds members that another host or the store has reported. They are sent heartbeats, and forgotten if they
+    /// never answer. The reported descriptions are used because most hosts of other data centres never send this
+    /// host a full heartbeat, so that waiting for one would mean asking for them all the time.
     pub fn add_members(&mut self, now: Instant, members: &[Member]) {
         for member in members {
             let Ok(addr) = member.peers.parse() else { continue };
-            if self.me == Some(addr) || !self.peers.contains_key(&addr) && self.is_full() {
+            if self.own_addr == Some(addr) || !self.peers.contains_key(&addr) && self.is_full() {
                 continue;
             }
             let peer = self.peers.entry(addr).or_insert_with(|| {
-                self.grew = now;
-                Peer { learned: Some(now), ..Peer::default() }
+                self.last_joined = now;
+                Peer { learned_at: Some(now), ..Peer::default() }
             });
             peer.member.get_or_insert_with(|| member.clone());
         }
     }
 
-    /// Whether as many addresses are known as a fleet can have: others come from somebody who makes them up.
+    /// Whether the maximum number of addresses is known. More than a fleet can have come from a faulty or malicious
+    /// sender.
     fn is_full(&self) -> bool {
-        self.peers.len() >= MOST_PEERS
+        self.peers.len() >= MAX_PEERS
     }
 
-    /// Takes a beat in; one that comes twice or late changes nothing.
+    /// Processes a heartbeat; duplicates and heartbeats older than the latest are ignored.
     pub fn receive(
         &mut self,
         now: Instant,
@@ -203,34 +211,39 @@
         beat: &Beat,
         own: LocalVersions,
     ) -> BeatReceipt {
-        if self.me == Some(from) {
+        if self.own_addr == Some(from) {
             return BeatReceipt::default();
         }
         if !self.peers.contains_key(&from) && self.is_full() {
             return BeatReceipt::default();
         }
-        let lost = self.lost();
+        let host_timeout = self.host_timeout();
         let peer = self.peers.entry(from).or_default();
-        if peer.heard.is_none() {
-            self.grew = now;
+        if peer.last_beat.is_none() {
+            self.last_joined = now;
         }
         if (beat.start, beat.number) <= (peer.start, peer.number) {
             return BeatReceipt { stale: true, ..BeatReceipt::default() };
         }
-        let joined = peer.heard.is_none_or(|heard| heard + lost < now) || beat.start != peer.start;
+        let joined =
+            peer.last_beat.is_none_or(|heard| heard + host_timeout < now) || beat.start != peer.start;
         if beat.start != peer.start {
-            peer.lag_ms = None;
+            peer.min_lag_ms = None;
         }
-        let delay = beat.confirmed.as_ref().map(|told| peer.lateness(now, told.sent_ms)).unwrap_or_default();
-        let old = std::mem::take(&mut peer.loads);
+        let delay = beat
+            .confirmed
+            .as_ref()
+            .map(|confirmed| peer.lateness(now, confirmed.sent_ms))
+            .unwrap_or_default();
+        let old_loads = std::mem::take(&mut peer.loads);
         if beat.centre.is_none() {
             peer.loads = beat.in_progress.iter().map(|l| (l.backend, l.requests)).collect();
         }
-        let avoided = std::mem::replace(&mut peer.avoided, beat.avoided.clone());
+        let old_avoided = std::mem::replace(&mut peer.avoided, beat.avoided.clone());
         if let Some(sender) = &beat.sender {
             peer.member = Some(sender.clone());
         }
-        (peer.start, peer.number, peer.heard) = (beat.start, beat.number, Some(now));
+        (peer.start, peer.number, peer.last_beat) = (beat.start, beat.number, Some(now));
         peer.ready = beat.ready;
         peer.contact = match beat {
             Beat { follows_store: true, .. } => Contact::Follows,
@@ -239,118 +252,119 @@
         };
         peer.configuration = beat.configuration;
         (peer.backends, peer.backends_digest) = (beat.backends_as_of(), beat.backends_digest);
-        peer.ahead = is_ahead(peer, own).then(|| peer.ahead.unwrap_or(now));
-        let centre = peer.member.as_ref().map(|m| m.data_centre.clone());
-        let unknown = centre.is_none();
-        let new = peer.loads.clone();
+        peer.ahead_since = is_ahead(peer, own).then(|| peer.ahead_since.unwrap_or(now));
+        let data_centre = peer.member.as_ref().map(|m| m.data_centre.clone());
+        let unknown = data_centre.is_none();
+        let new_loads = peer.loads.clone();
         self.add_members(now, &beat.members);
-        self.count(&old, &new);
-        self.count_avoided(&avoided, &beat.avoided);
-        if let (Some(told), Some(centre)) = (&beat.centre, centre) {
-            self.summarised(now, centre, told);
+        self.update_loads(&old_loads, &new_loads);
+        self.update_avoiding(&old_avoided, &beat.avoided);
+        if let (Some(summary), Some(data_centre)) = (&beat.centre, data_centre) {
+            self.apply_summary(now, data_centre, summary);
         }
-        // Of many hosts that are asked, some answer: each knows most of the others.
-        let chosen = self.is_small() || hash((self.me, beat.number)).is_multiple_of(ANSWERS);
-        let wants_full = unknown || (beat.wants_full && chosen);
+        // Only some of the hosts that are asked answer, since each knows most of the others.
+        let answers = self.is_small() || hash((self.own_addr, beat.number)).is_multiple_of(FULL_BEAT_ONE_IN);
+        let wants_full = unknown || (beat.wants_full && answers);
         BeatReceipt { joined: joined || unknown, wants_full, stale: false, delay }
     }
 
-    fn count(&mut self, old: &Map<Tag, u32>, new: &Map<Tag, u32>) {
+    fn update_loads(&mut self, old: &Map<Tag, u32>, new: &Map<Tag, u32>) {
         for (tag, n) in old {
-            let total = self.totals.entry(*tag).or_default();
+            let total = self.remote_loads.entry(*tag).or_default();
             *total = total.saturating_sub(*n);
         }
         for (tag, n) in new {
-            *self.totals.entry(*tag).or_default() += n;
+            *self.remote_loads.entry(*tag).or_default() += n;
         }
-        self.totals.retain(|_, n| *n > 0);
+        self.remote_loads.retain(|_, n| *n > 0);
     }
 
-    /// Requests in progress that the other hosts have at a backend server.
+    /// Requests in progress of the other hosts at a backend server.
     pub fn remote_load(&self, tag: Tag) -> u32 {
-        self.totals.get(&tag).copied().unwrap_or(0)
+        self.remote_loads.get(&tag).copied().unwrap_or(0)
     }
 
-    fn count_avoided(&mut self, old: &[Tag], new: &[Tag]) {
+    fn update_avoiding(&mut self, old: &[Tag], new: &[Tag]) {
         for tag in old {
-            let hosts = self.avoiding.entry(*tag).or_default();
+            let hosts = self.avoiding_counts.entry(*tag).or_default();
             *hosts = hosts.saturating_sub(1);
         }
         for tag in new {
-            *self.avoiding.entry(*tag).or_default() += 1;
+            *self.avoiding_counts.entry(*tag).or_default() += 1;
         }
-        self.avoiding.retain(|_, hosts| *hosts > 0);
+        self.avoiding_counts.retain(|_, hosts| *hosts > 0);
     }
 
-    /// Other hosts that keep away from a backend server.
+    /// Number of other hosts that avoid a backend server.
     pub fn avoiding_hosts(&self, tag: Tag) -> u32 {
-        self.avoiding.get(&tag).copied().unwrap_or(0)
+        self.avoiding_counts.get(&tag).copied().unwrap_or(0)
     }
 
-    /// Stops counting hosts that are not heard any more; returns them.
+    /// Stops counting hosts whose heartbeats have stopped; returns their addresses.
     pub fn expire(&mut self, now: Instant) -> Vec<SocketAddr> {
-        let limit = self.lost();
+        let host_timeout = self.host_timeout();
         let mut lost = Vec::new();
-        let silent = |p: &Peer| p.heard.is_some_and(|heard| heard + limit < now);
+        let silent = |p: &Peer| p.last_beat.is_some_and(|heard| heard + host_timeout < now);
         for (addr, peer) in self.peers.iter_mut().filter(|(_, p)| silent(p)) {
             let avoided = std::mem::take(&mut peer.avoided);
             if peer.ready || !peer.loads.is_empty() || !avoided.is_empty() {
                 lost.push((*addr, std::mem::take(&mut peer.loads), avoided));
             }
-            (peer.ready, peer.contact, peer.ahead) = (false, Contact::Idle, None);
+            (peer.ready, peer.contact, peer.ahead_since) = (false, Contact::Idle, None);
         }
         for (_, loads, avoided) in &lost {
-            self.count(loads, &Map::default());
-            self.count_avoided(avoided, &[]);
+            self.update_loads(loads, &Map::default());
+            self.update_avoiding(avoided, &[]);
         }
-        let lost_summary = self.lost_summary();
-        let old: Vec<_> = self.centres.extract_if(|_, c| c.heard + lost_summary < now).collect();
+        let summary_timeout = self.summary_timeout();
+        let old: Vec<_> = self.summaries.extract_if(|_, c| c.received_at + summary_timeout < now).collect();
         for (_, summary) in old {
-            self.count(&summary.loads, &Map::default());
+            self.update_loads(&summary.loads, &Map::default());
         }
-        let latest = |p: &Peer| p.heard.max(p.named).max(p.learned);
-        self.peers.retain(|_, p| latest(p).is_none_or(|at| at + FORGET >= now));
+        let latest = |p: &Peer| p.last_beat.max(p.named_ready).max(p.learned_at);
+        self.peers.retain(|_, p| latest(p).is_none_or(|at| at + RETENTION >= now));
         lost.into_iter().map(|(addr, ..)| addr).collect()
     }
 
-    /// Silence after which a host counts as lost.
-    fn lost(&self) -> Duration {
-        LOST.max(self.period() * LOST_BEATS)
+    /// Time without heartbeats after which a host counts as lost.
+    fn host_timeout(&self) -> Duration {
+        MIN_HOST_TIMEOUT.max(self.period() * TIMEOUT_BEATS)
     }
 
-    /// Silence after which a data centre counts as lost. Who is told a summary is drawn anew each time, so that a
-    /// host of a large one hears some only after several periods.
-    fn lost_summary(&self) -> Duration {
-        LOST_SUMMARY.max(self.period() * LOST_BEATS)
+    /// Time without summaries after which a data centre counts as lost. The recipient of a summary is chosen at
+    /// random each time, so that a host of a large data centre may get some only after several periods.
+    fn summary_timeout(&self) -> Duration {
+        MIN_SUMMARY_TIMEOUT.max(self.period() * TIMEOUT_BEATS)
     }
 
-    /// Whether all hosts tell each other everything.
+    /// Whether the fleet is small, so that all hosts exchange full state.
     pub fn is_small(&self) -> bool {
-        self.peers.len() < SMALL
+        self.peers.len() < SMALL_FLEET_HOSTS
     }
 
-    /// Whether a host is told everything: all are in a small fleet, else those of the own data centre.
-    fn is_near(&self, peer: &Peer) -> bool {
+    /// Whether this host exchanges full heartbeats with a peer: with all in a small fleet, otherwise with those of
+    /// its data centre.
+    fn is_direct(&self, peer: &Peer) -> bool {
         self.is_small() || peer.member.as_ref().is_some_and(|m| m.data_centre == self.data_centre)
     }
 
-    /// Whether no other host is heard.
+    /// Whether no other host has sent a heartbeat within the timeout.
     pub fn is_alone(&self, now: Instant) -> bool {
-        let limit = self.lost();
-        !self.peers.values().any(|p| p.heard.is_some_and(|heard| heard + limit >= now))
+        let host_timeout = self.host_timeout();
+        !self.peers.values().any(|p| p.last_beat.is_some_and(|heard| heard + host_timeout >= now))
     }
 
-    /// Hosts that share budgets, this one included. Those of which others tell count at once: too many make each share
-    /// smaller, too few would overdraw the budget after a start.
+    /// Number of hosts that share budgets, including this one. Hosts known only from reports count at once: too
+    /// many make each share smaller, whereas too few would exceed the budget after a start.
     pub fn host_count(&self) -> usize {
-        self.peers.values().filter(|p| p.heard.is_some() || p.member.is_some()).count() + 1
+        self.peers.values().filter(|p| p.last_beat.is_some() || p.member.is_some()).count() + 1
     }
 
-    /// Hosts that callers may be sent to, this one not included.
+    /// Hosts that callers may be sent to, other than this one.
     pub fn ready_members(&self, now: Instant) -> impl Iterator<Item = &Member> {
-        let limit = self.lost_summary();
-        let named = move |p: &Peer| p.named.is_some_and(|named| named + limit >= now);
-        let ready = move |p: &&Peer| if self.is_near(p) { p.ready } else { named(p) };
+        let host_timeout = self.summary_timeout();
+        let named = move |p: &Peer| p.named_ready.is_some_and(|named| named + host_timeout >= now);
+        let ready = move |p: &&Peer| if self.is_direct(p) { p.ready } else { named(p) };
         self.peers.values().filter(ready).filter_map(|p| p.member.as_ref())
     }
 }
--- a/src/relay/peers/ahead.rs
+++ b/src/relay/peers/ahead.rs
@@ -1,4 +1,4 @@
-//! Whom to ask for what is newer than what this host has.
+//! Chooses the peers to fetch newer state from.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,55 +7,56 @@
 use super::{LocalVersions, Peer, Peers};
 use crate::util::Instant;
 
-/// How long a peer must be ahead before its newer state is fetched; the store mostly tells both within this time.
-const AHEAD: Duration = Duration::from_millis(200);
-/// The same for a peer in another data centre, where the own one has hosts that follow the store: they tell the same within
-/// milliseconds mostly, and bytes between data centres are dear.
-const AHEAD_FAR: Duration = Duration::from_millis(700);
-/// How long a peer that did not give what it has is asked after the others.
-const FAILED: Duration = Duration::from_secs(5);
-/// One of so many peers counts as up for long.
-const LONG_UP_PART: usize = 4;
+/// How long a peer must be ahead before its newer state is fetched; usually the store delivers it to both hosts
+/// within this time.
+const FETCH_DELAY: Duration = Duration::from_millis(200);
+/// The delay for a peer in another data centre, if hosts of the local one follow the store: these usually deliver
+/// the same within milliseconds, and traffic between data centres is expensive.
+const REMOTE_FETCH_DELAY: Duration = Duration::from_millis(700);
+/// How long a peer is asked only after the others once a fetch from it has failed.
+const FAILURE_PERIOD: Duration = Duration::from_secs(5);
+/// One in this many ready peers counts as up for a long time.
+const LONGEST_UP_ONE_IN: usize = 4;
 
 impl Peers {
-    /// A peer that has had something newer for a while, to fetch it from: one of the own data centre if any is ahead, since
-    /// bytes within it cost nothing. It is drawn, since all hosts start or hear of a change at the same moment
-    /// and would all ask the same one.
+    /// A peer that has been ahead for long enough, to fetch from. Peers of the local data centre are preferred
+    /// because traffic within it is free. The peer is chosen at random, since all hosts start or learn of a change
+    /// at the same time and would all ask the same one.
     pub fn fetch_source(&self, now: Instant, own: LocalVersions, rng: &mut impl Rng) -> Option<SocketAddr> {
-        let failed = |p: &Peer| p.failed.is_some_and(|failed| failed + FAILED > now);
-        let order = |p: &Peer| (failed(p), !self.is_near(p));
-        let best = self.all_ahead(now, own).map(|(_, p)| order(p)).min()?;
-        self.all_ahead(now, own).filter(|(_, p)| order(p) == best).map(|(addr, _)| *addr).choose(rng)
+        let failed = |p: &Peer| p.fetch_failed.is_some_and(|failed| failed + FAILURE_PERIOD > now);
+        let order = |p: &Peer| (failed(p), !self.is_direct(p));
+        let best = self.peers_ahead(now, own).map(|(_, p)| order(p)).min()?;
+        self.peers_ahead(now, own).filter(|(_, p)| order(p) == best).map(|(addr, _)| *addr).choose(rng)
     }
 
-    /// Notes that a host did not give what it has: the others that have it are asked first.
+    /// Records that a fetch from a host failed, so that other hosts are asked first.
     pub fn record_fetch_failure(&mut self, now: Instant, addr: SocketAddr) {
         if let Some(peer) = self.peers.get_mut(&addr) {
-            peer.failed = Some(now);
+            peer.fetch_failed = Some(now);
         }
     }
 
-    /// Whether any peer has had something newer for a while.
+    /// Whether any peer has been ahead for long enough to fetch from it.
     pub fn has_fetch_source(&self, now: Instant, own: LocalVersions) -> bool {
-        self.all_ahead(now, own).next().is_some()
+        self.peers_ahead(now, own).next().is_some()
     }
 
-    fn all_ahead(&self, now: Instant, own: LocalVersions) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
+    fn peers_ahead(&self, now: Instant, own: LocalVersions) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
         let follows = self.pushes_changes();
-        let first = own.configuration == 0 || !own.backends.is_known() || !follows;
-        let near = if first { Duration::ZERO } else { AHEAD };
-        let far = if follows { near } else { AHEAD_FAR };
-        let patience = move |p: &Peer| if self.is_near(p) { near } else { far };
-        let ripe = move |p: &Peer| p.ahead.is_some_and(|since| since + patience(p) <= now);
-        self.peers.iter().filter(move |(_, p)| ripe(p) && is_ahead(p, own))
+        let at_once = own.configuration == 0 || !own.backends.is_known() || !follows;
+        let near = if at_once { Duration::ZERO } else { FETCH_DELAY };
+        let far = if follows { near } else { REMOTE_FETCH_DELAY };
+        let delay = move |p: &Peer| if self.is_direct(p) { near } else { far };
+        let is_due = move |p: &Peer| p.ahead_since.is_some_and(|since| since + delay(p) <= now);
+        self.peers.iter().filter(move |(_, p)| is_due(p) && is_ahead(p, own))
     }
 
-    /// One of the peers that are heard and have been up for the longest, which know most.
+    /// A random one of the ready peers that have been up the longest, since these know the most.
     pub fn longest_up(&self, rng: &mut impl Rng) -> Option<SocketAddr> {
         let mut up: Vec<_> =
             self.peers.iter().filter(|(_, p)| p.ready).map(|(addr, p)| (p.start, *addr)).collect();
         up.sort_unstable();
-        up.truncate(up.len().div_ceil(LONG_UP_PART));
+        up.truncate(up.len().div_ceil(LONGEST_UP_ONE_IN));
         up.into_iter().map(|(_, addr)| addr).choose(rng)
     }
 }
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -1,4 +1,4 @@
-//! Whether this host follows the store, and which hosts of its data centre are there.
+//! Decides whether this host follows the store, and lists the hosts of its data centre.
 
 use std::{net::SocketAddr, ops::Range, time::Duration};
 
@@ -13,118 +13,123 @@
     util::{Instant, Set, hash},
 };
 
-/// Time after its start from which a host decides whether it follows the store, if it has heard of no other host lately,
-/// and time from which it does so anyway. A host that knows few others takes the fleet for a small one, in which all follow.
-const SETTLE: Range<Duration> = Duration::from_millis(1_000)..Duration::from_millis(4_000);
-/// The first of these times for a host that is no seed and hears others: after a start of all it has yet to hear of most, or
-/// of those that follow the store.
-const SETTLE_HEARD: Duration = Duration::from_millis(2_000);
-/// Periods of beats within which a host was heard lately.
-const LATELY: u32 = 2;
-/// Time without an unknown host.
-const SETTLED: Duration = Duration::from_millis(500);
+/// Range of the time after its start at which a host first decides whether it follows the store: the earliest time
+/// if no unknown host has appeared recently, and the latest. A host that knows few others would take the fleet for
+/// a small one, in which all hosts follow.
+const SETTLE_RANGE: Range<Duration> = Duration::from_millis(1_000)..Duration::from_millis(4_000);
+/// The earliest time for a host that is not a seed and gets heartbeats of others: after a start of the whole fleet
+/// it has yet to learn of most hosts, or of those that follow the store.
+const SETTLE_WITH_PEERS: Duration = Duration::from_millis(2_000);
+/// Number of heartbeat periods within which a heartbeat counts as recent.
+const RECENT_BEATS: u32 = 2;
+/// How long no unknown host must have appeared.
+const QUIET_PERIOD: Duration = Duration::from_millis(500);
 
 impl Peers {
-    /// Whether this host, with its contact to the store, follows it now. Before it knows the others only a seed does: after a
-    /// start of all hosts nobody else would see what changes until they have decided.
+    /// Whether this host, with its current contact to the store, follows it now. Before it knows the fleet only a
+    /// seed does: after a start of all hosts nobody would see changes otherwise until they have decided.
     pub fn should_follow_store(&mut self, now: Instant, contact: Contact) -> bool {
-        // Who follows the store already tells this host what changes, and in a large fleet some soon do.
-        let can_wait = !self.seed && (!self.is_small() || self.any_follows_store(now));
-        let first = if self.seed || self.is_alone(now) { SETTLE.start } else { SETTLE_HEARD };
-        let known = !can_wait && self.grew + SETTLED <= now && self.started + first <= now;
-        self.settled |= known || self.started + SETTLE.end <= now;
-        if self.settled { self.decide_following(now, contact) } else { self.seed }
+        // Hosts that follow the store already send changes to this host; in a large fleet some will soon do so.
+        let others_follow = !self.is_seed && (!self.is_small() || self.any_follows_store(now));
+        let earliest =
+            if self.is_seed || self.is_alone(now) { SETTLE_RANGE.start } else { SETTLE_WITH_PEERS };
+        let joined_all =
+            !others_follow && self.last_joined + QUIET_PERIOD <= now && self.started + earliest <= now;
+        self.knows_fleet |= joined_all || self.started + SETTLE_RANGE.end <= now;
+        if self.knows_fleet { self.decide_following(now, contact) } else { self.is_seed }
     }
 
-    /// Decides whether this host, with its contact to the store, follows it from now on: every one in a small fleet, else a
-    /// few of each data centre.
+    /// Decides whether this host, with its current contact to the store, follows it from now on: all hosts do in a
+    /// small fleet, otherwise a few in each data centre.
     pub fn decide_following(&mut self, now: Instant, contact: Contact) -> bool {
-        self.follows = match self.me {
+        self.follows = match self.own_addr {
             Some(me) if !self.is_small() => {
                 let me = Neighbour { rank: hash(me), contact };
                 let near = self.neighbours(now);
-                self.duty.decide(now, me, near, followers::wanted(self.data_centres()))
+                self.duty.decide(now, me, near, followers::wanted(self.data_centre_count()))
             }
             _ => true,
         };
         self.follows
     }
 
-    /// Whether this host tells at once what is new to it. Hosts that have it from a follower of the store don't, since the
-    /// others have heard that follower as well: with a hundred hosts each change would cost ten thousand beats.
+    /// Whether this host sends changes to others at once. Hosts that got a change from a follower of the store do
+    /// not, since the others have got it from the follower as well: with a hundred hosts, each change would cost
+    /// ten thousand heartbeats.
     pub fn pushes_changes(&self) -> bool {
         self.follows || self.is_small()
     }
 
-    /// Whether this host has heard of most others since its start.
+    /// Whether this host has learnt of most other hosts since its start.
     pub fn knows_fleet(&self) -> bool {
-        self.settled
+        self.knows_fleet
     }
 
-    /// This host's place among those that could ask the store whether what all know is the newest. Only hosts that were heard
-    /// since about the last confirmation count: who hears nobody must ask itself.
+    /// This host's rank among those that could ask the store whether the fleet's state is the latest. Only hosts
+    /// with heartbeats since about the last confirmation count: a host that hears from nobody must ask by itself.
     pub fn confirmation_turn(&self, now: Instant, contact: Contact) -> Turn {
-        let lately = self.period() * LATELY;
-        let heard = |at: Instant| at + lately >= now;
+        let recent = self.period() * RECENT_BEATS;
+        let heard = |at: Instant| at + recent >= now;
         let near = || {
-            let near = self.peers.iter().filter(|(_, p)| self.is_near(p) && !p.is_leaving());
-            near.filter(|(_, p)| p.heard.is_some_and(heard))
+            let near = self.peers.iter().filter(|(_, p)| self.is_direct(p) && !p.is_leaving());
+            near.filter(|(_, p)| p.last_beat.is_some_and(heard))
         };
-        let me = self.me.map_or(0, hash);
+        let me = self.own_addr.map_or(0, hash);
         let is_before = |(addr, p): &(&SocketAddr, &Peer)| {
             let is_higher = p.contact == contact && hash(addr) > me;
             is_higher || contact == Contact::Lost && p.contact == Contact::Follows
         };
         let follows = contact != Contact::Idle;
         let own = hash(&self.data_centre);
-        let centres = self.centres.iter().filter(|(name, c)| follows && heard(c.heard) && hash(name) > own);
+        let summaries =
+            self.summaries.iter().filter(|(name, c)| follows && heard(c.received_at) && hash(name) > own);
         Turn {
             follows,
-            before: near().filter(is_before).count() + centres.count(),
+            before: near().filter(is_before).count() + summaries.count(),
             others_fail: near().any(|(_, p)| p.contact == Contact::Lost),
         }
     }
 
-    /// Hosts of the own data centre that are heard and stay.
+    /// Hosts of the data centre that are alive and not leaving.
     fn neighbours(&self, now: Instant) -> Vec<Neighbour> {
-        let limit = self.lost();
-        let alive = |p: &Peer| p.heard.is_some_and(|heard| heard + limit >= now) && !p.is_leaving();
-        let near = self.peers.iter().filter(|(_, p)| alive(p) && self.is_near(p));
+        let limit = self.host_timeout();
+        let alive = |p: &Peer| p.last_beat.is_some_and(|heard| heard + limit >= now) && !p.is_leaving();
+        let near = self.peers.iter().filter(|(_, p)| alive(p) && self.is_direct(p));
         near.map(|(addr, p)| Neighbour { rank: hash(addr), contact: p.contact }).collect()
     }
 
-    fn data_centres(&self) -> usize {
+    fn data_centre_count(&self) -> usize {
         let members = self.peers.values().filter_map(|p| p.member.as_ref());
-        let centres: Set<&str> = members.map(|m| &*m.data_centre).chain([&*self.data_centre]).collect();
-        centres.len()
+        let data_centres: Set<&str> = members.map(|m| &*m.data_centre).chain([&*self.data_centre]).collect();
+        data_centres.len()
     }
 
-    /// Hosts of the own data centre, this one included.
+    /// Number of hosts in the data centre, including this one.
     pub fn data_centre_size(&self) -> usize {
         let of_centre = |p: &&Peer| p.member.as_ref().is_some_and(|m| m.data_centre == self.data_centre);
         self.peers.values().filter(of_centre).count() + 1
     }
 
-    /// Hosts of the own data centre that are heard and ready, those that have been up for the longest first.
+    /// Ready hosts of the data centre, those that have been up the longest first.
     pub fn ready_in_data_centre(&self, most: usize) -> Vec<Member> {
-        let mut near: Vec<_> = self.peers.values().filter(|p| p.ready && self.is_near(p)).collect();
+        let mut near: Vec<_> = self.peers.values().filter(|p| p.ready && self.is_direct(p)).collect();
         near.sort_unstable_by_key(|p| p.start);
         let of_centre = |m: &&Member| m.data_centre == self.data_centre;
         near.into_iter().filter_map(|p| p.member.as_ref()).filter(of_centre).take(most).cloned().collect()
     }
 
-    /// Whether this host is one of the first of the fleet for a backend server, by rendezvous hashing. Hosts that have fallen
-    /// silent count for as long as they are remembered: they may be cut off and go on.
+    /// Whether this host is among the first `most` of the fleet for a backend server by rendezvous hashing. Lost
+    /// hosts count for as long as they are remembered: they may be partitioned and still running.
     pub fn is_top_ranked(&self, tag: Tag, most: usize) -> bool {
-        let Some(me) = self.me.map(|me| hash((me, tag))) else { return false };
-        let known = self.peers.iter().filter(|(_, p)| p.heard.is_some() || p.member.is_some());
-        known.filter(|(addr, _)| hash((**addr, tag)) > me).take(most).count() < most
+        let Some(me) = self.own_addr.map(|me| hash((me, tag))) else { return false };
+        let counted = self.peers.iter().filter(|(_, p)| p.last_beat.is_some() || p.member.is_some());
+        counted.filter(|(addr, _)| hash((**addr, tag)) > me).take(most).count() < most
     }
 
-    /// Whether some other host that is heard reaches the store.
+    /// Whether some other host with recent heartbeats reaches the store.
     pub fn any_follows_store(&self, now: Instant) -> bool {
-        let limit = self.lost();
-        let heard = |p: &&Peer| p.heard.is_some_and(|heard| heard + limit >= now);
+        let limit = self.host_timeout();
+        let heard = |p: &&Peer| p.last_beat.is_some_and(|heard| heard + limit >= now);
         self.peers.values().filter(heard).any(|p| p.contact == Contact::Follows)
     }
 }
--- a/src/relay/peers/summary.rs
+++ b/src/relay/peers/summary.rs
@@ -1,4 +1,4 @@
-//! What data centres tell each other of their hosts.
+//! Summaries that data centres exchange about their hosts.
 
 use super::{Peer, Peers};
 use crate::{
@@ -7,43 +7,44 @@
     util::{Instant, Map, Set, hash},
 };
 
-/// What a summary told of another data centre.
+/// The latest summary of another data centre.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Summary {
-    pub(super) heard: Instant,
+    pub(super) received_at: Instant,
     pub(super) loads: Map<Tag, u32>,
 }
 
-/// Tag of a host in summaries.
+/// Identifies a host in summaries.
 fn member_tag(member: &Member) -> u32 {
     hash(&member.peers) as u32
 }
 
 impl Peers {
-    pub(super) fn summarised(&mut self, now: Instant, centre: String, told: &Centre) {
+    pub(super) fn apply_summary(&mut self, now: Instant, centre: String, reported: &Centre) {
         if centre == self.data_centre {
             return;
         }
-        let loads: Map<_, _> = told.in_progress.iter().map(|l| (l.backend, l.requests)).collect();
-        let limit = self.lost_summary();
-        let named = |p: &&Peer| p.named.is_some_and(|named| named + limit >= now) && is_in(p, &centre);
+        let loads: Map<_, _> = reported.in_progress.iter().map(|l| (l.backend, l.requests)).collect();
+        let limit = self.summary_timeout();
+        let named = |p: &&Peer| p.named_ready.is_some_and(|named| named + limit >= now) && is_in(p, &centre);
         let known = self.peers.values().filter(named).count();
-        // A host that has just started knows few others of its data centre; one that leaves hosts out has lost them.
-        let is_whole = told.ready.len() * 2 > known;
-        let ready: Set<u32> = told.ready.iter().copied().collect();
+        // A host that has just started knows few others of its data centre, so that hosts missing from a short
+        // summary are kept; those missing from a long one are lost.
+        let is_complete = reported.ready.len() * 2 > known;
+        let ready: Set<u32> = reported.ready.iter().copied().collect();
         for peer in self.peers.values_mut() {
             match &peer.member {
-                Some(member) if ready.contains(&member_tag(member)) => peer.named = Some(now),
-                Some(member) if is_whole && member.data_centre == centre => peer.named = None,
+                Some(member) if ready.contains(&member_tag(member)) => peer.named_ready = Some(now),
+                Some(member) if is_complete && member.data_centre == centre => peer.named_ready = None,
                 _ => {}
             }
         }
-        let summary = self.centres.entry(centre).or_default();
-        let old = std::mem::replace(summary, Summary { heard: now, loads: loads.clone() });
-        self.count(&old.loads, &loads);
+        let summary = self.summaries.entry(centre).or_default();
+        let old = std::mem::replace(summary, Summary { received_at: now, loads: loads.clone() });
+        self.update_loads(&old.loads, &loads);
     }
 
-    /// The summary of the own data centre, with this host's own requests in progress.
+    /// The summary of this host's data centre, including its own requests in progress.
     pub fn data_centre_summary(&self, own: &[InProgress], me: &Member, ready: bool) -> Centre {
         let mut loads: Map<Tag, u32> = own.iter().map(|l| (l.backend, l.requests)).collect();
         let near = self
--- a/src/relay/peers/targets.rs
+++ b/src/relay/peers/targets.rs
@@ -1,4 +1,4 @@
-//! Who is told what, and when.
+//! Decides which hosts are sent heartbeats, when, and with what content.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,101 +10,102 @@
     util::{Instant, Map},
 };
 
-/// Time between beats in a small fleet. Loads are as old as this.
-pub const PERIOD: Duration = Duration::from_millis(250);
-/// Bytes a second that beats may take, half of a host's control traffic; with more hosts the period grows instead.
-const BYTES_PER_SECOND: f64 = 6_500.0;
-/// Bytes of a common beat with the headers of IP and UDP.
-const BEAT_BYTES: f64 = 140.0;
-/// Every so many beats carry the members, so that lost ones are made up for.
-const FULL_EVERY: u64 = 8;
-/// Time between beats to an address that does not answer.
-const SEEK: Duration = Duration::from_secs(1);
-/// Beats after a start that ask for a full one: after a loss of all hosts each knows three seeds, and callers would all be
-/// sent to these until the others are heard of.
-const FIRST_BEATS: u64 = 12;
-/// Hosts that a host tells of a configuration that another one has told it.
-const FEW: usize = 4;
-/// Members in a full beat, so that it fits one datagram.
-const MOST_MEMBERS: usize = 16;
+/// Time between heartbeats in a small fleet, and therefore the age of load reports.
+pub const BEAT_PERIOD: Duration = Duration::from_millis(250);
+/// Maximum rate of heartbeat traffic, half of a host's control traffic. With more hosts the period grows instead.
+const MAX_BEAT_BYTES_PER_SECOND: f64 = 6_500.0;
+/// Size of a typical heartbeat including IP and UDP headers.
+const TYPICAL_BEAT_BYTES: f64 = 140.0;
+/// Every so many heartbeats carry members, which compensates for lost datagrams.
+const FULL_BEAT_EVERY: u64 = 8;
+/// Time between heartbeats to an address that does not answer.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of heartbeats after a start that ask for a full one. After a failure of all hosts each knows only three
+/// seeds, and all callers would be sent to these until the others are known.
+const STARTUP_BEATS: u64 = 12;
+/// Number of hosts to which a host passes on a configuration that it got from another host.
+const GOSSIP_FANOUT: usize = 4;
+/// Maximum number of members in a full heartbeat, so that it fits into a datagram.
+const MAX_MEMBERS: usize = 16;
 
-/// What a beat to a host carries.
+/// Which requests in progress a heartbeat reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// The sender's own requests in progress.
+    /// Those of the sender.
     Host,
-    /// The summary of the sender's data centre.
+    /// Those of the sender's data centre, as a summary.
     DataCentre,
 }
 
 impl Peers {
-    /// Time between two beats.
+    /// Time between two heartbeats.
     pub fn period(&self) -> Duration {
-        if self.number <= FIRST_BEATS {
-            return PERIOD;
+        if self.last_number <= STARTUP_BEATS {
+            return BEAT_PERIOD;
         }
-        let near = self.peers.values().filter(|p| self.is_near(p)).count();
-        let bytes = near as f64 * BEAT_BYTES;
-        PERIOD.max(Duration::from_secs_f64(bytes / BYTES_PER_SECOND))
+        let near = self.peers.values().filter(|p| self.is_direct(p)).count();
+        let bytes = near as f64 * TYPICAL_BEAT_BYTES;
+        BEAT_PERIOD.max(Duration::from_secs_f64(bytes / MAX_BEAT_BYTES_PER_SECOND))
     }
 
-    /// Addresses for the next beat with what they are told: all near hosts that are heard, one host of each other data
-    /// centre, and once a second those that don't answer.
+    /// Targets of the next heartbeat with its scope: all direct peers that are alive, one host of each other data
+    /// centre, and once a second those that do not answer.
     pub fn targets(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<(SocketAddr, Scope)> {
-        let limit = self.lost();
-        let heard = |p: &Peer| p.heard.is_some_and(|heard| heard + limit >= now);
+        let limit = self.host_timeout();
+        let heard = |p: &Peer| p.last_beat.is_some_and(|heard| heard + limit >= now);
         let mut targets = Vec::new();
-        let mut far: Map<String, Vec<SocketAddr>> = Map::default();
+        let mut remote: Map<String, Vec<SocketAddr>> = Map::default();
         for (addr, peer) in &self.peers {
-            let near = self.is_near(peer);
+            let near = self.is_direct(peer);
             match &peer.member {
                 _ if near && heard(peer) => targets.push((*addr, Scope::Host)),
-                Some(member) if !near => far.entry(member.data_centre.clone()).or_default().push(*addr),
-                _ if peer.sought.is_none_or(|sought| sought + SEEK <= now) => {
+                Some(member) if !near => remote.entry(member.data_centre.clone()).or_default().push(*addr),
+                _ if peer.last_sent.is_none_or(|at| at + PROBE_INTERVAL <= now) => {
                     targets.push((*addr, Scope::Host))
                 }
                 _ => {}
             }
         }
-        let drawn = far.into_values().map(|hosts| hosts[rng.random_range(0..hosts.len())]);
+        let drawn = remote.into_values().map(|hosts| hosts[rng.random_range(0..hosts.len())]);
         targets.extend(drawn.map(|addr| (addr, Scope::DataCentre)));
         for (addr, _) in &targets {
             if let Some(peer) = self.peers.get_mut(addr) {
-                peer.sought = Some(now);
+                peer.last_sent = Some(now);
             }
         }
         targets
     }
 
-    /// A few hosts of the own data centre to tell of something new, drawn. What spreads from each host that has it to a few
-    /// more reaches all soon, though each can give it to few at a time.
+    /// A few random hosts of the data centre to pass a change on to. A change that each host passes on to a few
+    /// others reaches all hosts quickly, although each can serve it to only a few at a time.
     pub fn gossip_targets(&self, now: Instant, rng: &mut impl Rng) -> Vec<SocketAddr> {
-        let limit = self.lost();
-        let heard = |p: &Peer| p.heard.is_some_and(|heard| heard + limit >= now);
-        let near = self.peers.iter().filter(|(_, p)| heard(p) && self.is_near(p));
-        near.map(|(addr, _)| *addr).choose_multiple(rng, FEW)
+        let limit = self.host_timeout();
+        let heard = |p: &Peer| p.last_beat.is_some_and(|heard| heard + limit >= now);
+        let near = self.peers.iter().filter(|(_, p)| heard(p) && self.is_direct(p));
+        near.map(|(addr, _)| *addr).choose_multiple(rng, GOSSIP_FANOUT)
     }
 
-    /// Completes a beat: numbers it, and adds the members to every eighth and to those that are asked for.
+    /// Completes a heartbeat: numbers it, and adds the members if `full` is set or it is the turn of a full one.
     pub fn finish_beat(&mut self, beat: &mut Beat, me: &Member, full: bool) {
-        self.number += 1;
-        beat.number = self.number;
-        if full || self.number % FULL_EVERY == 1 {
+        self.last_number += 1;
+        beat.number = self.last_number;
+        if full || self.last_number % FULL_BEAT_EVERY == 1 {
             beat.sender = Some(me.clone());
-            beat.members = self.some_members();
+            beat.members = self.next_members();
         }
-        let unknown = self.peers.values().any(|p| p.heard.is_some() && p.member.is_none());
-        beat.wants_full = unknown || self.number <= FIRST_BEATS;
+        let unknown = self.peers.values().any(|p| p.last_beat.is_some() && p.member.is_none());
+        beat.wants_full = unknown || self.last_number <= STARTUP_BEATS;
     }
 
-    /// The next members in turn, so that a host that asks a few times hears of all of them.
-    fn some_members(&mut self) -> Vec<Member> {
-        // What nobody has heard of for itself is not told on, or a host that is gone would be told for ever.
-        let witnessed = self.peers.values().filter(|p| p.is_witnessed());
+    /// The next members in rotation, so that a host that asks several times learns of all of them.
+    fn next_members(&mut self) -> Vec<Member> {
+        // Hosts that nobody has heard from directly are not passed on, since hosts that are gone would otherwise be
+        // passed on forever.
+        let witnessed = self.peers.values().filter(|p| p.was_seen_alive());
         let known = witnessed.clone().filter_map(|p| p.member.as_ref());
-        let members: Vec<_> = known.cycle().skip(self.told).take(MOST_MEMBERS).cloned().collect();
+        let members: Vec<_> = known.cycle().skip(self.next_member).take(MAX_MEMBERS).cloned().collect();
         let all = witnessed.filter(|p| p.member.is_some()).count();
-        self.told = (self.told + MOST_MEMBERS) % all.max(1);
-        if all < MOST_MEMBERS { members.into_iter().take(all).collect() } else { members }
+        self.next_member = (self.next_member + MAX_MEMBERS) % all.max(1);
+        if all < MAX_MEMBERS { members.into_iter().take(all).collect() } else { members }
     }
 }
--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -27,19 +27,19 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// Unacknowledged bytes end a connection to a backend server after this time, so that one without power shows before
 /// the objective of most requests is over. A lost packet is sent again and acknowledged within 250 ms.
-const BACKEND_SILENCE: Duration = Duration::from_millis(350);
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(350);
 /// Idle time after which a connection is probed, and time between probes; the system takes whole seconds.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Probes without an answer that end it.
-const PROBES: u32 = 2;
+const KEEPALIVE_PROBES: u32 = 2;
 /// Idle time of a connection whose server does not say how long it keeps it.
 const DEFAULT_IDLE: Duration = Duration::from_millis(900);
 /// Part of the server's idle time after which a connection is not used any more: requests on their way and clocks
 /// that run apart would meet the server's close.
-const IDLE_PART: f64 = 0.6;
+const IDLE_FRACTION: f64 = 0.6;
 /// Idle connections kept to one server.
-const MOST_IDLE: usize = 16;
+const MAX_IDLE_PER_SERVER: usize = 16;
 
 /// A connection that serves one request.
 #[derive(Debug)]
@@ -55,25 +55,25 @@
     ///
     /// # Errors
     /// When no connection was made, so that nothing was sent.
-    pub async fn connect(addr: SocketAddr, most: Duration) -> Result<Self, Failure> {
-        Self::over(dial(addr, most).await?, addr).await
+    pub async fn connect(addr: SocketAddr, timeout: Duration) -> Result<Self, Failure> {
+        Self::handshake(connect_tcp(addr, timeout).await?, addr).await
     }
 
     /// Connects for calls that wait long for their answer: the connection is probed meanwhile.
     ///
     /// # Errors
     /// As [`Conn::connect`].
-    pub async fn connect_with_keepalive(addr: SocketAddr, most: Duration) -> Result<Self, Failure> {
-        let stream = dial(addr, most).await?;
+    pub async fn connect_with_keepalive(addr: SocketAddr, timeout: Duration) -> Result<Self, Failure> {
+        let stream = connect_tcp(addr, timeout).await?;
         if let Err(e) = enable_keepalive(&stream) {
             spdlog::warn!("could not have a connection probed: {e}");
         }
-        Self::over(stream, addr).await
+        Self::handshake(stream, addr).await
     }
 
-    async fn over(stream: TcpStream, addr: SocketAddr) -> Result<Self, Failure> {
-        let handshake = Builder::new().handshake(TokioIo::new(stream)).await;
-        let Ok((tx, conn)) = handshake else { return Err(Failure::Connect) };
+    async fn handshake(stream: TcpStream, addr: SocketAddr) -> Result<Self, Failure> {
+        let handshaking = Builder::new().handshake(TokioIo::new(stream)).await;
+        let Ok((tx, conn)) = handshaking else { return Err(Failure::Connect) };
         let task = tokio::spawn(async move {
             if let Err(e) = conn.await {
                 spdlog::debug!("connection to {addr} ended: {e}");
@@ -118,10 +118,10 @@
     }
 }
 
-async fn dial(addr: SocketAddr, most: Duration) -> Result<TcpStream, Failure> {
-    let connecting = tokio::time::timeout(CONNECT_TIMEOUT.min(most), TcpStream::connect(addr));
+async fn connect_tcp(addr: SocketAddr, timeout: Duration) -> Result<TcpStream, Failure> {
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT.min(timeout), TcpStream::connect(addr));
     let Ok(Ok(stream)) = connecting.await else { return Err(Failure::Connect) };
-    configure_socket(&stream, Some(BACKEND_SILENCE));
+    configure_socket(&stream, Some(UNACKED_TIMEOUT));
     Ok(stream)
 }
 
@@ -133,9 +133,9 @@
 /// When the socket takes no such option.
 pub fn enable_keepalive(stream: &TcpStream) -> std::io::Result<()> {
     sockopt::set_socket_keepalive(stream, true)?;
-    sockopt::set_tcp_keepidle(stream, PROBE_AFTER)?;
-    sockopt::set_tcp_keepintvl(stream, PROBE_EVERY)?;
-    sockopt::set_tcp_keepcnt(stream, PROBES)?;
+    sockopt::set_tcp_keepidle(stream, KEEPALIVE_IDLE)?;
+    sockopt::set_tcp_keepintvl(stream, KEEPALIVE_INTERVAL)?;
+    sockopt::set_tcp_keepcnt(stream, KEEPALIVE_PROBES)?;
     Ok(())
 }
 
@@ -145,13 +145,13 @@
     source.is_some_and(|io| io.kind() == std::io::ErrorKind::TimedOut)
 }
 
-/// Sets a socket up: small writes go out at once, and a peer that acknowledges nothing for `silence` ends it.
-pub(crate) fn configure_socket(stream: &TcpStream, silence: Option<Duration>) {
+/// Sets a socket up: small writes go out at once, and a peer that acknowledges nothing for `unacked_timeout` ends it.
+pub(crate) fn configure_socket(stream: &TcpStream, unacked_timeout: Option<Duration>) {
     if let Err(e) = stream.set_nodelay(true) {
         spdlog::warn!("could not set a socket to send at once: {e}");
     }
-    let Some(silence) = silence else { return };
-    if let Err(e) = sockopt::set_tcp_user_timeout(stream, silence.as_millis() as u32) {
+    let Some(unacked_timeout) = unacked_timeout else { return };
+    if let Err(e) = sockopt::set_tcp_user_timeout(stream, unacked_timeout.as_millis() as u32) {
         spdlog::warn!("could not set a socket's time limit: {e}");
     }
 }
@@ -183,13 +183,13 @@
     }
 
     /// Keeps a connection whose answer has been read whole, for a part of the time that its server keeps it, and as long as
-    /// no more than `most` are idle.
-    pub fn put(&self, key: BackendKey, mut conn: Conn, keeps: Option<Duration>, most: usize) {
+    /// no more than `timeout` are idle.
+    pub fn put(&self, key: BackendKey, mut conn: Conn, server_keeps: Option<Duration>, max_idle: usize) {
         conn.reused = true;
-        let keep = keeps.map_or(DEFAULT_IDLE, |k| k.mul_f64(IDLE_PART));
+        let keep = server_keeps.map_or(DEFAULT_IDLE, |period| period.mul_f64(IDLE_FRACTION));
         let mut idle = lock(&self.idle);
         let conns = idle.entry(key).or_default();
-        if conns.len() < most.min(MOST_IDLE) {
+        if conns.len() < max_idle.min(MAX_IDLE_PER_SERVER) {
             conns.push(Idle { conn, until: now() + keep });
         }
     }
@@ -205,12 +205,12 @@
         lock(&self.idle).remove(&key);
     }
 
-    /// Closes connections that were idle for too long, and those to servers that are not `kept` any more.
-    pub fn evict(&self, kept: impl Fn(BackendKey) -> bool) {
+    /// Closes connections that were idle for too long, and those to servers that are not `is_kept` any more.
+    pub fn evict(&self, is_kept: impl Fn(BackendKey) -> bool) {
         let now = now();
         lock(&self.idle).retain(|key, conns| {
             conns.retain(|idle| idle.until > now && !idle.conn.task.is_finished());
-            !conns.is_empty() && kept(*key)
+            !conns.is_empty() && is_kept(*key)
         });
     }
 }
--- a/src/relay/routes.rs
+++ b/src/relay/routes.rs
@@ -12,13 +12,13 @@
 pub type Version = u64;
 
 /// Head limit until a configuration gives one, in bytes; the smallest that common clients stay within.
-const HEAD_BYTES: u32 = 16 << 10;
+const DEFAULT_HEAD_BYTES: u32 = 16 << 10;
 /// Body limit until a configuration gives one, in bytes.
-const BODY_BYTES: u32 = 1 << 20;
+const DEFAULT_BODY_BYTES: u32 = 1 << 20;
 /// Time limit of a head until a configuration gives one, in milliseconds.
-const HEAD_MS: u32 = 3_000;
+const DEFAULT_HEAD_MS: u32 = 3_000;
 /// Idle limit until a configuration gives one, in milliseconds.
-const IDLE_MS: u32 = 15_000;
+const DEFAULT_IDLE_MS: u32 = 15_000;
 
 /// A route as requests use it.
 #[derive(Clone, Debug, PartialEq)]
@@ -47,7 +47,7 @@
     /// By host name, longest prefix first.
     hosts: Map<Arc<str>, Vec<Arc<CompiledRoute>>>,
     callers: Map<Arc<str>, Arc<Caller>>,
-    caching: Vec<Arc<str>>,
+    caching_services: Vec<Arc<str>>,
 }
 
 impl Routes {
@@ -67,9 +67,9 @@
                 callers.insert(key.as_str().into(), caller.clone());
             }
         }
-        let caching = source.services.iter().filter(|s| s.caches_prompts);
-        let caching = caching.map(|s| s.name.as_str().into()).collect();
-        Self { source, hosts, callers, caching }
+        let caching_services = source.services.iter().filter(|s| s.caches_prompts);
+        let caching_services = caching_services.map(|s| s.name.as_str().into()).collect();
+        Self { source, hosts, callers, caching_services }
     }
 
     /// The configuration from which this was compiled.
@@ -101,7 +101,7 @@
 
     /// Whether a service's backend servers cache prompts and can fetch them from each other.
     pub fn caches_prompts(&self, service: &str) -> bool {
-        self.caching.iter().any(|s| &**s == service)
+        self.caching_services.iter().any(|s| &**s == service)
     }
 
     /// Connections that one backend server of a service accepts, if a limit is known.
@@ -123,10 +123,10 @@
         let given = self.source.limits.unwrap_or_default();
         let or = |value, default| if value == 0 { default } else { value };
         CallerLimits {
-            head_bytes: or(given.head_bytes, HEAD_BYTES),
-            body_bytes: or(given.body_bytes, BODY_BYTES),
-            head_ms: or(given.head_ms, HEAD_MS),
-            idle_ms: or(given.idle_ms, IDLE_MS),
+            head_bytes: or(given.head_bytes, DEFAULT_HEAD_BYTES),
+            body_bytes: or(given.body_bytes, DEFAULT_BODY_BYTES),
+            head_ms: or(given.head_ms, DEFAULT_HEAD_MS),
+            idle_ms: or(given.idle_ms, DEFAULT_IDLE_MS),
         }
     }
 }
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -9,7 +9,7 @@
 
 use super::{
     Wire,
-    answer::{AnswerBody, Cut},
+    answer::{AnswerBody, Truncated},
     backends::BackendKey,
     events::{Splitter, Whole},
     outcome::Outcome,
@@ -25,7 +25,7 @@
 
 /// Pause between events after which a server counts as silent, where the stream can go on elsewhere. Callers give a
 /// stream up after two seconds without an event; a preempted request goes on within a second.
-const PAUSE: Duration = Duration::from_millis(1_200);
+const MAX_EVENT_GAP: Duration = Duration::from_millis(1_200);
 
 /// What followed the break of a stream; a label of counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -114,13 +114,13 @@
 }
 
 impl<W: Wire> Events<W> {
-    async fn next(&mut self, run: &mut Run<W>) -> Option<Result<Bytes, Cut>> {
+    async fn next(&mut self, run: &mut Run<W>) -> Option<Result<Bytes, Truncated>> {
         if self.ended {
             return None;
         }
         loop {
-            let pause = run.req.route.repeatable.then_some(PAUSE);
-            let limit = run.limit(pause);
+            let max_gap = run.req.route.repeatable.then_some(MAX_EVENT_GAP);
+            let limit = run.limit(max_gap);
             let failure = match self.read(run, limit).await {
                 Ok(Next::Events(bytes)) => return Some(Ok(bytes)),
                 Ok(Next::End) => return None,
@@ -134,7 +134,7 @@
                     let l = l.text("failure", failure.as_str()).number("events", self.last.unwrap_or(0));
                     l.ms("after_ms", now() - run.req.arrived)
                 });
-                return Some(Err(Cut));
+                return Some(Err(Truncated));
             }
         }
     }
@@ -165,7 +165,11 @@
         false
     }
 
-    async fn read(&mut self, run: &mut Run<W>, (limit, over): (Duration, Failure)) -> Result<Next, Failure> {
+    async fn read(
+        &mut self,
+        run: &mut Run<W>,
+        (limit, timeout_failure): (Duration, Failure),
+    ) -> Result<Next, Failure> {
         let deadline = tokio::time::Instant::now() + limit;
         loop {
             let Some(answered) = &mut self.answered else { return Err(Failure::Broken) };
@@ -176,7 +180,7 @@
                     return Err(Failure::Broken);
                 }
                 Ok(None) => return self.end(run),
-                Err(_) => return Err(over),
+                Err(_) => return Err(timeout_failure),
             };
             let Ok(data) = frame.into_data() else { continue };
             if let Some(whole) = self.splitter.push(data) {
