--- a/src/relay/answer.rs
+++ b/src/relay/answer.rs
@@ -10,33 +10,33 @@
 use futures_util::Stream;
 use http_body::{Body, Frame, SizeHint};
 
-/// The answer ends before it is complete; the caller's connection is broken off, so that this shows.
+/// The answer ends before it is complete. The caller's connection is aborted so that the caller notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Truncated;
 
 impl fmt::Display for Truncated {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer is cut")
+        f.write_str("answer truncated before its end")
     }
 }
 
 impl std::error::Error for Truncated {}
 
-/// Events of a stream as they arrive.
+/// Events of a stream, passed on as they arrive.
 pub type EventStream = Pin<Box<dyn Stream<Item = Result<Bytes, Truncated>> + Send>>;
 
 /// Body of an answer.
 pub enum AnswerBody {
-    /// All of it.
+    /// The complete body.
     Buffered(Bytes),
-    /// Events as they arrive.
+    /// A stream of events, passed on as they arrive.
     Events(EventStream),
 }
 
 impl fmt::Debug for AnswerBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AnswerBody::Buffered(bytes) => write!(f, "Whole({} bytes)", bytes.len()),
+            AnswerBody::Buffered(bytes) => write!(f, "Buffered({} bytes)", bytes.len()),
             AnswerBody::Events(_) => f.write_str("Events"),
         }
     }
--- a/src/relay/outcome.rs
+++ b/src/relay/outcome.rs
@@ -1,26 +1,26 @@
-//! What became of a request.
+//! The final outcome of a request.
 
-/// What became of a request; a label of counters.
+/// The final outcome of a request; a label in metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A backend server's whole answer went out.
+    /// The complete answer of a backend server was sent.
     Answered,
     /// It was given up and has not run.
     Refused,
     /// It was given up and may have run.
     Failed,
-    /// Its stream was cut.
+    /// Its stream ended before it was complete.
     Cut,
-    /// The caller left first.
+    /// The caller closed the connection first.
     CallerLeft,
 }
 
 impl Outcome {
-    /// Every outcome.
+    /// All outcomes.
     pub const ALL: [Outcome; 5] =
         [Outcome::Answered, Outcome::Refused, Outcome::Failed, Outcome::Cut, Outcome::CallerLeft];
 
-    /// Label in counters.
+    /// Label in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Answered => "answered",
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Label in the histogram of whole answers, by the form of the answer.
+    /// Label in the histogram of complete answers, by kind of answer.
     pub fn label(self, stream: bool) -> &'static str {
         match (self, stream) {
             (Outcome::Answered, true) => "stream_answered",
--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -1,7 +1,8 @@
-//! Connections to backend servers: one request at a time on each, kept while idle for less than the server does.
+//! Connections to backend servers, each with one request at a time. Idle connections are kept for less time than
+//! the server keeps them.
 //!
-//! hyper's connection is used without its pool, since a pool sends a request again by itself when a kept connection
-//! turns out to be closed; whether a request may be sent again is decided in [`super::verdict`].
+//! hyper's connections are used without its pool, because the pool repeats a request on its own if a kept
+//! connection turns out to be closed; whether a request may be sent again is decided in [`super::verdict`].
 
 use std::{
     net::SocketAddr,
@@ -23,30 +24,32 @@
 use super::{backends::BackendKey, verdict::Failure};
 use crate::util::{Instant, Map, lock, now};
 
-/// Time to connect: a round trip within a region takes 3 ms, and a lost first packet is sent again only after a second.
+/// Time limit for connecting: a round trip within a region takes 3 ms, and a lost first packet is retransmitted
+/// only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Unacknowledged bytes end a connection to a backend server after this time, so that one without power shows before
-/// the objective of most requests is over. A lost packet is sent again and acknowledged within 250 ms.
+/// Time after which unacknowledged bytes end a connection to a backend server, so that a server that has lost power
+/// is noticed within the objective of most requests. A lost packet is retransmitted and acknowledged within 250 ms.
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(350);
-/// Idle time after which a connection is probed, and time between probes; the system takes whole seconds.
+/// Idle time after which keepalive probes are sent, and time between probes; the kernel supports only whole
+/// seconds.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer that end it.
+/// Number of unanswered probes that end a connection.
 const KEEPALIVE_PROBES: u32 = 2;
-/// Idle time of a connection whose server does not say how long it keeps it.
+/// How long a connection is kept idle if the server does not say how long it keeps it.
 const DEFAULT_IDLE: Duration = Duration::from_millis(900);
-/// Part of the server's idle time after which a connection is not used any more: requests on their way and clocks
-/// that run apart would meet the server's close.
+/// Fraction of the server's idle timeout for which a connection is kept. The margin covers requests in transit and
+/// clock drift, with which the server could close the connection first.
 const IDLE_FRACTION: f64 = 0.6;
-/// Idle connections kept to one server.
+/// Maximum number of idle connections to one server.
 const MAX_IDLE_PER_SERVER: usize = 16;
 
-/// A connection that serves one request.
+/// A connection that carries one request at a time.
 #[derive(Debug)]
 pub struct Conn {
     tx: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    /// Whether it has served a request before.
+    /// Whether it has carried a request before.
     pub reused: bool,
 }
 
@@ -54,19 +57,19 @@
     /// Connects to a backend server.
     ///
     /// # Errors
-    /// When no connection was made, so that nothing was sent.
+    /// If no connection was established, so that nothing was sent.
     pub async fn connect(addr: SocketAddr, timeout: Duration) -> Result<Self, Failure> {
         Self::handshake(connect_tcp(addr, timeout).await?, addr).await
     }
 
-    /// Connects for calls that wait long for their answer: the connection is probed meanwhile.
+    /// Connects with TCP keepalive, for calls that wait long for their answer.
     ///
     /// # Errors
     /// As [`Conn::connect`].
     pub async fn connect_with_keepalive(addr: SocketAddr, timeout: Duration) -> Result<Self, Failure> {
         let stream = connect_tcp(addr, timeout).await?;
         if let Err(e) = enable_keepalive(&stream) {
-            spdlog::warn!("could not have a connection probed: {e}");
+            spdlog::warn!("could not enable TCP keepalive: {e}");
         }
         Self::handshake(stream, addr).await
     }
@@ -85,7 +88,7 @@
     /// Sends a request and waits for the head of the answer.
     ///
     /// # Errors
-    /// [`Failure::Unsent`] with the request only where no byte of it was written.
+    /// [`Failure::Unsent`], together with the request, only if no byte of it was written.
     pub async fn send(
         &mut self,
         req: Request<Full<Bytes>>,
@@ -101,12 +104,12 @@
         }
     }
 
-    /// Whether it can take a request now.
+    /// Whether it can carry a request now.
     pub fn is_usable(&self) -> bool {
         self.tx.is_ready() && !self.task.is_finished()
     }
 
-    /// Ends the connection at once, so that the server stops working on its request.
+    /// Closes the connection at once, so that the server stops working on its request.
     pub fn close(self) {
         drop(self);
     }
@@ -125,12 +128,12 @@
     Ok(stream)
 }
 
-/// Has a connection probed while nothing is sent on it. Against connections that go silent without a reset: a call that
-/// waits for a change would wait on to its end, 15 s, while changes and leaving servers go unheard at all hosts at once.
-/// A probe that is not acknowledged ends the connection, and the call is made over a new one.
+/// Enables TCP keepalive, which detects connections that fail silently without a reset. Otherwise a call that waits
+/// for a change would wait until its own timeout, 15 s, during which no host would learn of changes and leaving
+/// servers. A probe that is not acknowledged ends the connection, and the call is made again on a new one.
 ///
 /// # Errors
-/// When the socket takes no such option.
+/// If the socket rejects an option.
 pub fn enable_keepalive(stream: &TcpStream) -> std::io::Result<()> {
     sockopt::set_socket_keepalive(stream, true)?;
     sockopt::set_tcp_keepidle(stream, KEEPALIVE_IDLE)?;
@@ -139,20 +142,21 @@
     Ok(())
 }
 
-/// Whether bytes were not acknowledged in time.
+/// Whether the error is an acknowledgement timeout.
 fn is_timeout(e: &hyper::Error) -> bool {
     let source = std::error::Error::source(e).and_then(|s| s.downcast_ref::<std::io::Error>());
     source.is_some_and(|io| io.kind() == std::io::ErrorKind::TimedOut)
 }
 
-/// Sets a socket up: small writes go out at once, and a peer that acknowledges nothing for `unacked_timeout` ends it.
+/// Configures a socket: small writes are sent at once, and the connection ends if the peer acknowledges nothing for
+/// `unacked_timeout`.
 pub(crate) fn configure_socket(stream: &TcpStream, unacked_timeout: Option<Duration>) {
     if let Err(e) = stream.set_nodelay(true) {
-        spdlog::warn!("could not set a socket to send at once: {e}");
+        spdlog::warn!("could not set TCP_NODELAY on a socket: {e}");
     }
     let Some(unacked_timeout) = unacked_timeout else { return };
     if let Err(e) = sockopt::set_tcp_user_timeout(stream, unacked_timeout.as_millis() as u32) {
-        spdlog::warn!("could not set a socket's time limit: {e}");
+        spdlog::warn!("could not set TCP_USER_TIMEOUT on a socket: {e}");
     }
 }
 
@@ -169,7 +173,7 @@
 }
 
 impl Pool {
-    /// Takes the connection that was used last.
+    /// Takes the most recently used idle connection.
     pub fn take(&self, key: BackendKey) -> Option<Conn> {
         let mut idle = lock(&self.idle);
         let conns = idle.get_mut(&key)?;
@@ -182,8 +186,8 @@
         None
     }
 
-    /// Keeps a connection whose answer has been read whole, for a part of the time that its server keeps it, and as long as
-    /// no more than `timeout` are idle.
+    /// Keeps an idle connection after its answer was read completely, for a fraction of the time that the server
+    /// keeps it, if there are fewer than `max_idle`.
     pub fn put(&self, key: BackendKey, mut conn: Conn, server_keeps: Option<Duration>, max_idle: usize) {
         conn.reused = true;
         let keep = server_keeps.map_or(DEFAULT_IDLE, |period| period.mul_f64(IDLE_FRACTION));
@@ -194,18 +198,18 @@
         }
     }
 
-    /// Idle connections that are still open.
+    /// Number of idle connections that are still open.
     pub fn open(&self) -> usize {
         lock(&self.idle).values().flatten().filter(|idle| !idle.conn.task.is_finished()).count()
     }
 
-    /// Closes the idle connections to a server that fell silent: the next attempt shows by connecting whether it is
-    /// back, without a request that may have run.
+    /// Closes the idle connections to a server that became unresponsive. The next attempt then finds out by
+    /// connecting whether the server is back, without sending a request that may run.
     pub fn clear(&self, key: BackendKey) {
         lock(&self.idle).remove(&key);
     }
 
-    /// Closes connections that were idle for too long, and those to servers that are not `is_kept` any more.
+    /// Closes connections that have been idle for too long, and those to servers for which `is_kept` is false.
     pub fn evict(&self, is_kept: impl Fn(BackendKey) -> bool) {
         let now = now();
         lock(&self.idle).retain(|key, conns| {
--- a/src/relay/request.rs
+++ b/src/relay/request.rs
@@ -1,4 +1,4 @@
-//! A request as the pipeline sees it, whichever interface it came by.
+//! A caller's request, independent of the interface that it was received on.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,10 +11,10 @@
     util::{Instant, hash},
 };
 
-/// Number of an event in a stream; rises within the stream.
+/// Number of an event in a stream; increases within the stream.
 pub type EventNumber = u64;
 
-/// A part of a prompt that backend servers may have cached.
+/// A part of a prompt, the unit in which backend servers cache prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Part {
     /// Identifier of the part.
@@ -23,55 +23,55 @@
     pub tokens: u32,
 }
 
-/// One attempt of a caller.
+/// A caller's request, which may lead to several attempts at backend servers.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Identifier that the caller gave.
+    /// Identifier given by the caller.
     pub id: Arc<str>,
-    /// Route that it takes.
+    /// Route that it matches.
     pub route: Arc<CompiledRoute>,
-    /// Version of the configuration that has the route.
+    /// Version of the configuration that the route is from.
     pub version: Version,
-    /// Service that was drawn for it.
+    /// Service that was chosen for it.
     pub service: Arc<str>,
-    /// Who sends it, if the route needs a key.
+    /// Who sends it, if the route requires an API key.
     pub caller: Option<Arc<Caller>>,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query as the caller sent them.
+    /// Path and query as sent by the caller.
     pub target: Uri,
-    /// Headers that are passed on.
+    /// Headers that are forwarded.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
     /// Parts of the prompt, in order.
     pub parts: Vec<Part>,
-    /// Event after which the caller wants a stream to go on.
+    /// Event after which the caller wants to resume a stream.
     pub after: Option<EventNumber>,
-    /// When it arrived.
+    /// When it was received.
     pub arrived: Instant,
-    /// When it must have its final answer.
+    /// When its answer must be complete.
     pub deadline: Instant,
 }
 
 impl Request {
-    /// Time left until the deadline.
+    /// Time until the deadline.
     pub fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_sub(now)
     }
 
-    /// Time within which its answer has its full worth.
+    /// Time within which the answer should begin.
     pub fn objective(&self) -> Duration {
         Duration::from_millis(self.route.route.objective_ms.into())
     }
 
-    /// Fingerprint of the content, the same when a caller sends it again.
+    /// Fingerprint of the content, which stays the same when a caller sends it again.
     pub fn fingerprint(&self) -> u64 {
         let workspace = self.caller.as_ref().map_or("", |c| &*c.workspace);
         Fingerprint::call(self.target.path(), &self.body).0 ^ hash(workspace)
     }
 
-    /// Rank for backend servers: the workspace's before the route's; 0 is the most urgent.
+    /// Rank for backend servers, the workspace's if it has one, otherwise the route's; 0 is the most urgent.
     pub fn rank(&self) -> u32 {
         self.caller.as_ref().and_then(|c| c.rank).unwrap_or(self.route.route.rank)
     }
--- a/src/relay/routes.rs
+++ b/src/relay/routes.rs
@@ -1,4 +1,4 @@
-//! The configuration compiled for look-ups: host name and path to route, key to workspace.
+//! The configuration compiled for look-ups: host name and path to route, API key to workspace.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,35 +8,35 @@
     util::Map,
 };
 
-/// Version of a configuration; rises with each change.
+/// Version of a configuration; increases with each change.
 pub type Version = u64;
 
-/// Head limit until a configuration gives one, in bytes; the smallest that common clients stay within.
+/// Default limit of a request head; the smallest that common clients stay within.
 const DEFAULT_HEAD_BYTES: u32 = 16 << 10;
-/// Body limit until a configuration gives one, in bytes.
+/// Default limit of a request body.
 const DEFAULT_BODY_BYTES: u32 = 1 << 20;
-/// Time limit of a head until a configuration gives one, in milliseconds.
+/// Default time limit for receiving a request head.
 const DEFAULT_HEAD_MS: u32 = 3_000;
-/// Idle limit until a configuration gives one, in milliseconds.
+/// Default idle time limit of a caller's connection.
 const DEFAULT_IDLE_MS: u32 = 15_000;
 
-/// A route as requests use it.
+/// A route with what is derived from its settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompiledRoute {
     /// The route as configured.
     pub route: Route,
-    /// Whether an attempt may be repeated after it may have run.
+    /// Whether a request may be sent again after an attempt that may have run.
     pub repeatable: bool,
     /// Whether the answer is a stream of events.
     pub stream: bool,
 }
 
-/// Who sends a request.
+/// The workspace on whose behalf a request is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Caller {
     /// Name of the workspace.
     pub workspace: Arc<str>,
-    /// Rank of the workspace's requests, before the route's.
+    /// Rank of the workspace's requests, which overrides the route's.
     pub rank: Option<u32>,
 }
 
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
     source: Arc<Configuration>,
-    /// By host name, longest prefix first.
+    /// Routes by host name, those with the longest prefix first.
     hosts: Map<Arc<str>, Vec<Arc<CompiledRoute>>>,
     callers: Map<Arc<str>, Arc<Caller>>,
     caching_services: Vec<Arc<str>>,
@@ -72,45 +72,45 @@
         Self { source, hosts, callers, caching_services }
     }
 
-    /// The configuration from which this was compiled.
+    /// The configuration that was compiled.
     pub fn source(&self) -> &Arc<Configuration> {
         &self.source
     }
 
-    /// Version in force.
+    /// Version of the configuration.
     pub fn version(&self) -> Version {
         self.source.version
     }
 
-    /// The route of a request: the one with the longest prefix that begins the path.
+    /// The route of a request: the one with the longest prefix that matches the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<CompiledRoute>> {
         let name = host.split(':').next().unwrap_or(host);
         let routes = self.hosts.get(name).or_else(|| self.hosts.get(name.to_ascii_lowercase().as_str()))?;
         routes.iter().find(|r| path.starts_with(&r.route.prefix))
     }
 
-    /// Whether callers need keys at all.
+    /// Whether callers must send API keys.
     pub fn requires_keys(&self) -> bool {
         !self.source.workspaces.is_empty()
     }
 
-    /// The caller that holds a key.
+    /// The caller that an API key belongs to.
     pub fn caller(&self, key: &str) -> Option<&Arc<Caller>> {
         self.callers.get(key)
     }
 
-    /// Whether a service's backend servers cache prompts and can fetch them from each other.
+    /// Whether the backend servers of a service cache prompts and can fetch them from each other.
     pub fn caches_prompts(&self, service: &str) -> bool {
         self.caching_services.iter().any(|s| &**s == service)
     }
 
-    /// Connections that one backend server of a service accepts, if a limit is known.
+    /// Connections that one backend server of a service accepts from all hosts together, if limited.
     pub fn max_connections(&self, service: &str) -> Option<u32> {
         let service = self.source.services.iter().find(|s| s.name == service)?;
         (service.connections > 0).then_some(service.connections)
     }
 
-    /// What cold backend servers of a service bear; `None` where they never are cold.
+    /// The limit on requests to cold backend servers of a service; `None` if its servers are never cold.
     pub fn cold_limit(&self, service: &str) -> Option<ColdLimit> {
         let service = self.source.services.iter().find(|s| s.name == service)?;
         let per_second = f64::from(service.cold_per_minute) / 60.0;
@@ -118,7 +118,7 @@
         (service.cold_ms > 0).then_some(ColdLimit { duration, per_second })
     }
 
-    /// Limits on what callers send.
+    /// Limits on the requests of callers.
     pub fn limits(&self) -> CallerLimits {
         let given = self.source.limits.unwrap_or_default();
         let or = |value, default| if value == 0 { default } else { value };
@@ -138,7 +138,7 @@
 }
 
 impl CompiledRoute {
-    /// The service of one request, drawn by weight with `draw` in `0..1`.
+    /// The service of one request, chosen by weight with the random number `draw` in `0..1`.
     pub fn service(&self, draw: f64) -> Option<&str> {
         let total: u64 = self.route.shares.iter().map(|s| u64::from(s.weight)).sum();
         let mut at = (draw * total as f64) as u64;
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -1,4 +1,5 @@
-//! A stream of events on its way back: whole events as they arrive, resumed at another server where that is allowed.
+//! A stream of events from a backend server to a caller: complete events are passed on as they arrive, and a broken
+//! stream is resumed on another server if its route allows that.
 
 use std::time::Duration;
 
@@ -23,24 +24,24 @@
     util::now,
 };
 
-/// Pause between events after which a server counts as silent, where the stream can go on elsewhere. Callers give a
-/// stream up after two seconds without an event; a preempted request goes on within a second.
+/// Time without an event after which a server counts as unresponsive, if the stream can be resumed elsewhere.
+/// Callers abandon a stream after two seconds without an event; a preempted request continues within a second.
 const MAX_EVENT_GAP: Duration = Duration::from_millis(1_200);
 
-/// What followed the break of a stream; a label of counters.
+/// How a broken stream continued; a label in metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamBreak {
-    /// It went on at another server.
+    /// It was resumed on another server.
     Resumed,
-    /// It broke off for the caller.
+    /// It was truncated for the caller.
     Cut,
 }
 
 impl StreamBreak {
-    /// All that may follow.
+    /// All values.
     pub const ALL: [StreamBreak; 2] = [StreamBreak::Resumed, StreamBreak::Cut];
 
-    /// Label in counters.
+    /// Label in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             StreamBreak::Resumed => "resumed",
@@ -49,23 +50,23 @@
     }
 }
 
-/// A stream that has begun.
+/// A stream whose answer has begun.
 pub(crate) struct Events<W: Wire> {
     answered: Option<Answered<W>>,
     splitter: Splitter,
     last: Option<EventNumber>,
-    /// Whether the next event must follow the last one, since another server goes on.
+    /// Whether the stream has just been resumed, so that the next event must directly follow the last one.
     resumed: bool,
     ended: bool,
 }
 
-/// What came next.
+/// Result of reading from the stream.
 enum Next {
     Events(Bytes),
     End,
 }
 
-/// Reads up to the first event, so that a server that fails before it costs the caller nothing.
+/// Reads up to the first event, so that the request can still be sent to another server if this one fails before.
 pub(crate) async fn start<W: Wire>(
     run: &mut Run<W>,
     answered: Answered<W>,
@@ -94,7 +95,7 @@
     }
 }
 
-/// The answer whose body goes on with the stream.
+/// The response whose body continues with the stream.
 pub(crate) fn respond<W: Wire>(
     run: Run<W>,
     head: response::Parts,
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Goes on at another server after the last whole event; returns whether one took it.
+    /// Resumes the stream on another server after the last complete event; returns whether a server accepted it.
     async fn resume(&mut self, run: &mut Run<W>, mut failure: Failure) -> bool {
         let mut key = match self.answered.take() {
             Some(answered) => answered.work.key,
@@ -176,7 +177,7 @@
             let frame = match tokio::time::timeout_at(deadline, answered.body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(e))) => {
-                    spdlog::debug!("stream of {} broke off: {e}", run.req.id);
+                    spdlog::debug!("stream of request {} broke: {e}", run.req.id);
                     return Err(Failure::Broken);
                 }
                 Ok(None) => return self.end(run),
@@ -192,8 +193,8 @@
         }
     }
 
-    /// Guards against a server that goes on at another event than asked: the caller would miss events or read some
-    /// twice.
+    /// Checks that a server resumes the stream at the right event; otherwise the caller would miss events or get
+    /// some twice.
     fn accept(&mut self, whole: Whole) -> Result<Bytes, Failure> {
         if std::mem::take(&mut self.resumed) && self.last.is_some() && whole.first != self.last.map(|n| n + 1)
         {
