--- a/src/relay.rs
+++ b/src/relay.rs
@@ -1,16 +1,17 @@
-//! Relays requests from callers to backend servers, in the order in which a request passes:
+//! Relays requests from callers to backend servers. A request passes through these modules in order:
 //!
-//! 1. [`routes`]: host name and path to route, key to workspace; [`request`] is what the interface makes of it.
-//! 2. [`admission`]: whether it is sent at all while its service is over its capacity.
-//! 3. [`run`]: the attempts of one request; it asks `choose` and [`place`] for a server, [`pool`] for a connection, and
-//!    [`verdict`] after a failure whether another attempt may follow.
-//! 4. [`answer`] and [`stream`]: the answer on its way back.
+//! 1. [`routes`] maps host name and path to a route and an API key to a workspace; [`request`] is the result.
+//! 2. [`admission`] decides whether the request is sent at all while its service is overloaded.
+//! 3. [`run`] makes the attempts of the request. It asks `choose` and [`place`] for a server, [`pool`] for a
+//!    connection, and [`verdict`] after a failure whether another attempt may follow.
+//! 4. [`answer`] and [`stream`] pass the answer back.
 //!
-//! What is decided lies in modules without I/O: [`routes`], [`backends`], [`admission`], [`place`], [`holders`], [`health`],
-//! [`budget`], [`suspects`], [`configurations`], [`confirm`], [`evacuations`], [`revision`], [`warmup`], [`datagram`], [`followers`], [`contact`], [`directory`], [`verdict`], [`peers`], [`leave`], [`events`]. The I/O is in [`inbound`],
-//! [`pool`], [`run`], [`stream`], [`follow`] and [`mesh`]. [`Wire`] and [`follow::Store`] are what an adapter
-//! translates. This file holds what a host knows and has in progress; `belief` changes what it knows, with a line each,
-//! `stop` ends its service.
+//! Decisions are made in modules without I/O: [`routes`], [`backends`], [`admission`], [`place`], [`holders`],
+//! [`health`], [`budget`], [`suspects`], [`configurations`], [`confirm`], [`evacuations`], [`revision`],
+//! [`warmup`], [`datagram`], [`followers`], [`contact`], [`directory`], [`verdict`], [`peers`], [`leave`],
+//! [`events`]. The I/O is in [`inbound`], [`pool`], [`run`], [`stream`], [`follow`] and [`mesh`]. [`Wire`] and
+//! [`follow::Store`] are the traits that an adapter implements. This file holds the state of a host; `belief`
+//! changes and logs what the host knows, and `stop` shuts the host down.
 
 use std::{
     net::SocketAddr,
@@ -88,25 +89,25 @@
 /// Settings of a relaying host.
 #[derive(Clone, Debug)]
 pub struct RelayConfig {
-    /// This host as the others know it.
+    /// This host as described to the others.
     pub me: Member,
-    /// Where it reaches other hosts, and they reach it.
+    /// Address at which it communicates with other hosts.
     pub peer_addr: SocketAddr,
-    /// Addresses at which other hosts may be.
+    /// Initial addresses of other hosts.
     pub seeds: Vec<SocketAddr>,
-    /// Bounds on retries.
+    /// Limits on retries.
     pub budget: BudgetConfig,
-    /// Load bound of placement.
+    /// Load bound for placement.
     pub bound: place::Bound,
-    /// How long a stop may take.
+    /// Time limits of a shutdown.
     pub leave: leave::LeaveConfig,
-    /// Whether operators evacuate data centres, so that the store is asked which ones.
+    /// Whether operators may evacuate data centres, so that the store is asked for evacuations.
     pub evacuates: bool,
-    /// Time after which a change that the store has acknowledged is in force.
+    /// Time within which a change acknowledged by the store must be in force.
     pub in_force: Duration,
 }
 
-/// What a host knows and has in progress, under one lock: each decision reads several parts at once.
+/// State of a host, under one lock because most decisions read several parts of it at once.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) routes: Option<Arc<Routes>>,
@@ -120,17 +121,18 @@
     pub(crate) evacuations: Evacuations,
     pub(crate) epochs: Epochs,
     pub(crate) confirmations: Confirmations,
-    /// When a data centre was taken back last.
+    /// When the evacuation of a data centre last ended.
     pub(crate) evacuation_ended: Option<Instant>,
     pub(crate) warmup: Warmup,
     pub(crate) admission: Admission,
     pub(crate) leaving: Option<Leaving>,
-    /// What this host has to do with the store.
+    /// This host's contact to the store.
     pub(crate) contact: Contact,
-    /// Whether it has read a copy of the configuration, which may be seconds old.
+    /// Whether it has read the configuration from a copy of the store, which may be seconds old.
     pub(crate) has_read_copy: bool,
     pub(crate) backends_listed: bool,
-    /// Parts read at servers where the other hosts don't expect them, for the next beats.
+    /// Prompt parts that were read at servers where the other hosts do not expect them, to be reported in the next
+    /// heartbeats.
     new_holders: Vec<Held>,
     in_progress: usize,
     connections: usize,
@@ -144,31 +146,31 @@
     pub(crate) wire: W,
     pub(crate) pool: Pool,
     pub(crate) metrics: Metrics,
-    /// Wakes the sender of beats when something must be told at once.
+    /// Wakes the heartbeat sender to send to all targets at once.
     pub(crate) beat_due: Notify,
-    /// Wakes the sender of beats when a few others must be told.
+    /// Wakes the heartbeat sender to send to a few hosts at once.
     pub(crate) gossip_due: Notify,
-    /// Wakes the fetching of what another host has had for long enough.
+    /// Wakes the fetcher when another host has been ahead for long enough.
     pub(crate) fetch_due: Notify,
-    /// Wakes the followers of the store after the host was suspended.
+    /// Wakes the followers of the store after this host was suspended.
     pub(crate) suspend_ended: Notify,
     /// Wakes the followers of the store after it was restored.
     pub(crate) store_restored: Notify,
-    /// Ends calls that wait in vain, by topic.
+    /// Cancels watches that miss changes, by topic.
     pub(crate) cancel_watch: [Notify; Topic::ALL.len()],
-    /// Set once no request is taken any more.
+    /// Set once no more requests are accepted.
     pub(crate) closing: watch::Sender<bool>,
-    /// When the process started, by the wall clock, in milliseconds since 1970.
+    /// Start time of the process by the wall clock, in milliseconds since 1970.
     start: u64,
     started: Instant,
     state: Mutex<State>,
 }
 
 impl<W: Wire> Relay<W> {
-    /// A host that knows nothing yet.
+    /// Creates a host that knows nothing yet.
     ///
     /// # Errors
-    /// When the counters can't be set up.
+    /// If the metrics cannot be set up.
     pub fn new(cfg: RelayConfig, wire: W) -> Result<Self> {
         let state = State {
             routes: None,
@@ -225,34 +227,35 @@
         self.state().routes.clone()
     }
 
-    /// Whether this host has run for so long.
+    /// Whether this host has been running for this long.
     pub(crate) fn has_run_for(&self, time: Duration) -> bool {
         now() >= self.started + time
     }
 
-    /// Whether this host has known no configuration for so long and hears of no host that callers may be sent to.
+    /// Whether this host has been running for this long without a configuration and knows no other host that
+    /// callers may be sent to.
     pub(crate) fn is_alone_without_configuration(&self, time: Duration) -> bool {
         let state = self.state();
         state.routes.is_none() && self.has_run_for(time) && state.peers.ready_members(now()).next().is_none()
     }
 
-    /// The counters and histograms.
+    /// Counters and histograms.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// Whether callers may be sent here.
+    /// Whether callers may be sent to this host.
     pub fn is_ready(&self) -> bool {
         self.state().is_ready()
     }
 
-    /// A number in `0..1` for a draw by weight.
+    /// A random number in `0..1`.
     pub fn draw(&self) -> f64 {
         self.state().rng.random()
     }
 
-    /// Addresses that callers are told, at most so many: this host's and those of others that are ready.
-    pub fn addresses(&self, most: usize) -> Vec<String> {
+    /// Addresses to hand out to callers, at most `max`: this host's and those of other ready hosts.
+    pub fn addresses(&self, max: usize) -> Vec<String> {
         let state = self.state();
         let own = state.is_ready().then_some(&self.cfg.me);
         let mut all: Vec<_> =
@@ -260,14 +263,14 @@
         if all.is_empty() && state.leaving.is_none() {
             all.push(self.cfg.me.callers.clone());
         }
-        directory::choose(all, self.cfg.peer_addr, most)
+        directory::choose(all, self.cfg.peer_addr, max)
     }
 
-    /// Decides whether a request is sent to its service at all. One that takes up a stream again always is: a part of its
-    /// work is done, and refused it would be done in vain.
+    /// Decides whether a request is admitted to its service. One that resumes a stream always is: part of its work
+    /// is done, and a rejection would waste that.
     ///
     /// # Errors
-    /// When it is not; the caller should come back.
+    /// If it is rejected; the caller should retry.
     pub(crate) fn admit(&self, req: &Request) -> Result<(), admission::Refused> {
         if req.after.is_some() {
             return Ok(());
@@ -275,61 +278,61 @@
         self.state().admit(now(), req)
     }
 
-    /// Notes how long a request waited at a server for the first of its answer.
+    /// Records how long a request waited for the beginning of its answer.
     pub(crate) fn record_wait(&self, req: &Request, sent: Instant) {
         let now = now();
         self.state().admission.record_wait(now, &req.service, req.objective(), now - sent);
     }
 
-    /// Notes what a server told of its work.
-    pub(crate) fn record_load(&self, service: &Arc<str>, told: admission::ReportedLoad) {
-        self.state().admission.record_load(now(), service, told);
+    /// Records the load that a server reported.
+    pub(crate) fn record_load(&self, service: &Arc<str>, report: admission::ReportedLoad) {
+        self.state().admission.record_load(now(), service, report);
     }
 
-    /// Keeps a connection whose answer has been read. A server accepts so many connections from all hosts and resets those
-    /// beyond, so that each host keeps at most half of its equal part idle.
-    pub(crate) fn return_connection(&self, key: BackendKey, conn: Conn, keeps: Option<Duration>) {
+    /// Returns a connection to the pool after its answer was read. A server accepts a limited number of connections
+    /// from all hosts together and resets others, so that each host keeps at most half of its equal share idle.
+    pub(crate) fn return_connection(&self, key: BackendKey, conn: Conn, server_keeps: Option<Duration>) {
         let state = self.state();
         let service = state.backends.get(key).map(|b| b.service.clone());
         let limit = service.and_then(|service| state.routes.as_ref()?.max_connections(&service));
-        let most = limit.map_or(usize::MAX, |limit| limit as usize / (2 * state.peers.host_count()));
+        let max_idle = limit.map_or(usize::MAX, |limit| limit as usize / (2 * state.peers.host_count()));
         drop(state);
-        self.pool.put(key, conn, keeps, most.max(1));
+        self.pool.put(key, conn, server_keeps, max_idle.max(1));
     }
 
-    /// Whether no other host is heard.
+    /// Whether no other host is known to be alive.
     pub fn is_alone(&self) -> bool {
         self.state().peers.is_alone(now())
     }
 
-    /// Backend servers of a service that take new work.
+    /// Number of backend servers of a service that accept new requests.
     pub fn server_count(&self, service: &str) -> usize {
         self.state().backends.available(service).count()
     }
 
-    /// Idle connections to backend servers.
+    /// Number of idle connections to backend servers.
     pub fn idle_connections(&self) -> usize {
         self.pool.open()
     }
 
-    /// Writes a line about one request.
+    /// Logs an event of a request.
     pub(crate) fn log_request(
         &self,
         weight: Weight,
         event: &str,
         req: &Request,
-        fill: impl FnOnce(Line) -> Line,
+        add_fields: impl FnOnce(Line) -> Line,
     ) {
-        line(weight, event, |l| fill(l.text("request", &req.id).text("route", &req.route.route.name)));
+        line(weight, event, |l| add_fields(l.text("request", &req.id).text("route", &req.route.route.name)));
     }
 
-    /// Whether a request's content is refused because it crashes servers.
+    /// Whether a request is refused because its content crashes servers.
     pub(crate) fn is_quarantined(&self, req: &Request) -> bool {
         let state = self.state();
         !state.suspects.is_empty() && state.suspects.is_refused(now(), req.fingerprint())
     }
 
-    /// Takes one retry from the budget, if it holds one.
+    /// Takes a retry from the budget; returns false if it is exhausted.
     pub(crate) fn spend_retry(&self, req: &Request) -> bool {
         self.state().budget.spend(now(), &req.service)
     }
@@ -347,7 +350,7 @@
     }
 }
 
-/// A request in progress at a backend server.
+/// A request in progress at a backend server, counted there until dropped.
 #[derive(Debug)]
 pub(crate) struct InFlightRequest<W: Wire> {
     relay: Arc<Relay<W>>,
