--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -124,7 +124,7 @@
         let mut conn = match self.conn.take().filter(Conn::is_usable) {
             Some(conn) => conn,
             None => {
-                let connected = Conn::connect_probed(self.addr, CONNECT_TIMEOUT).await;
+                let connected = Conn::connect_with_keepalive(self.addr, CONNECT_TIMEOUT).await;
                 connected.map_err(|_| unavailable("could not connect to the store".into()))?
             }
         };
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -68,7 +68,7 @@
             FollowState::Lost => true,
             // Its state comes from a stale read of the store, or from hosts that may be gone.
             FollowState::Idle => {
-                (state.copied || state.peers.is_settled()) && !state.peers.some_follow_store(now())
+                (state.has_read_copy || state.peers.knows_fleet()) && !state.peers.any_follows_store(now())
             }
         }
     }
@@ -117,7 +117,7 @@
             l.number("epoch", epoch).number("known", before)
         });
         if check == EpochCheck::Newer {
-            self.restored.notify_waiters();
+            self.store_restored.notify_waiters();
         }
     }
 
@@ -134,10 +134,10 @@
         let cfg = Arc::new(cfg);
         state.configurations.push(cfg.clone());
         state.routes = Some(Arc::new(Routes::new(cfg)));
-        if state.peers.tells_news() {
-            self.tell.notify_one();
+        if state.peers.pushes_changes() {
+            self.beat_due.notify_one();
         } else {
-            self.tell_few.notify_one();
+            self.gossip_due.notify_one();
         }
         true
     }
@@ -219,8 +219,8 @@
             });
             if let (evacuations::Change::TakenBack(_), Some(routes)) = (change, state.routes.clone()) {
                 let cold_period =
-                    |service: &str| routes.cold(service).map_or(Duration::ZERO, |limit| limit.duration);
-                state.taken_back = Some(now());
+                    |service: &str| routes.cold_limit(service).map_or(Duration::ZERO, |limit| limit.duration);
+                state.evacuation_ended = Some(now());
                 let cold = state.backends.mark_cold(now(), data_centre, cold_period);
                 cold.into_iter().for_each(|key| state.holders.forget(key));
             }
@@ -229,8 +229,8 @@
 
     /// Triggers an early heartbeat to spread a change, if this host is one of those that do so.
     fn gossip_change(&self, state: &State) {
-        if state.peers.tells_news() {
-            self.tell.notify_one();
+        if state.peers.pushes_changes() {
+            self.beat_due.notify_one();
         }
     }
 
@@ -241,7 +241,7 @@
         let Some(tag) = state.backends.get(key).map(|b| b.tag) else { return };
         for part in place::shared(&req.parts) {
             if state.holders.note(now, part.id, key) {
-                state.news.push(Held { part: part.id, backend: tag });
+                state.new_holders.push(Held { part: part.id, backend: tag });
             }
         }
     }
@@ -259,7 +259,7 @@
             let age = state.confirmations.age(now, topic);
             self.metrics.set(Gauge::RelayUnconfirmed, topic.as_str(), age.as_secs_f64());
         }
-        let own = state.own();
+        let own = state.local_versions();
         for change in state.confirmations.changes(now) {
             let fill = |l: Line, topic: Topic, after| {
                 let l = l.text("kind", topic.as_str()).ms("after_ms", after);
@@ -293,7 +293,7 @@
         let ended = state.evacuations.expire(now);
         self.on_evacuation_changes(&mut state, &ended, "not written again after a restore");
         state.warmup.expire(now);
-        self.pool.sweep(|key| state.backends.get(key).is_some_and(|b| b.accepts_work()));
+        self.pool.evict(|key| state.backends.get(key).is_some_and(|b| b.accepts_work()));
     }
 
     /// Sends nothing to a server for a while that could not be reached or stopped responding.
@@ -304,7 +304,7 @@
         let Some(id) = state.backends.get(key).map(|b| b.id.clone()) else { return };
         drop(state);
         line(Weight::Notable, "avoided", |l| l.text("backend", &id).text("why", why).ms("for_ms", pause));
-        self.tell.notify_one();
+        self.beat_due.notify_one();
     }
 
     /// Records a complete answer of a server, which ends a period in which it was avoided.
@@ -335,7 +335,7 @@
         let id = self.backend_id(key);
         let id = id.as_deref().unwrap_or("gone");
         if head.leaving {
-            self.note(Weight::Notable, "told_leaving", req, |l| l.text("backend", id));
+            self.log_request(Weight::Notable, "told_leaving", req, |l| l.text("backend", id));
             let mut state = self.state();
             if let Some(change) = state.backends.mark_leaving(now(), key) {
                 self.metrics.add(Counter::RelayTold, ServerNotice::Leaving.as_str(), 1);
@@ -343,7 +343,9 @@
             }
         }
         if let Some(pause) = head.pause {
-            self.note(Weight::Notable, "told_pause", req, |l| l.text("backend", id).ms("for_ms", pause));
+            self.log_request(Weight::Notable, "told_pause", req, |l| {
+                l.text("backend", id).ms("for_ms", pause)
+            });
             self.metrics.add(Counter::RelayTold, ServerNotice::Pause.as_str(), 1);
             self.state().health.record_requested_pause(now(), key, pause);
         }
@@ -371,7 +373,7 @@
             state.contact = FollowState::Lost;
         }
         drop(state);
-        self.woken.notify_waiters();
+        self.suspend_ended.notify_waiters();
     }
 
     /// Hosts of the data centre to register in the store in place of `registered`, or `None` while those are good
@@ -389,15 +391,15 @@
             sample.extend(others.take(MAX_REGISTERED_HOSTS - 1).cloned());
             return (!registered.sample.contains(me)).then_some(Hosts { count: sample.len(), sample });
         }
-        sample.extend(state.peers.near_ready(MAX_REGISTERED_HOSTS - 1));
+        sample.extend(state.peers.ready_in_data_centre(MAX_REGISTERED_HOSTS - 1));
         let remaining = registered.sample.iter().filter(|m| sample.contains(m)).count();
-        let count = state.peers.near_hosts();
+        let count = state.peers.data_centre_size();
         let has_doubled = count >= registered.count * 2;
         (has_doubled || remaining * 2 < registered.sample.len()).then_some(Hosts { sample, count })
     }
 
     /// Adds hosts that are registered in the store as candidate peers.
     pub fn add_hosts(&self, hosts: &[Member]) {
-        self.state().peers.learn_members(now(), hosts);
+        self.state().peers.add_members(now(), hosts);
     }
 }
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -59,7 +59,7 @@
             candidates.extend(state.cold_candidates(now, &self.cfg.me, &cold, limit));
         }
         let mut placer = Placer::default().with_bound(self.cfg.bound);
-        let recently_evacuated = state.taken_back.is_some_and(|at| at + POST_EVACUATION_PERIOD > now);
+        let recently_evacuated = state.evacuation_ended.is_some_and(|at| at + POST_EVACUATION_PERIOD > now);
         if eligible.has_exclusions || recently_evacuated {
             let (mean_of_all, mean_of_eligible) = (state.mean_load(&req.service), place::mean(&candidates));
             let bound = self.cfg.bound;
@@ -91,7 +91,7 @@
                 ends.map_or(RETRY_AFTER, |ends| ends - now)
             }
             ErrorKind::Evacuated | ErrorKind::WarmingUp | ErrorKind::Overloaded => {
-                late_retry_delay(req.left(now()), self.draw())
+                late_retry_delay(req.time_left(now()), self.draw())
             }
             _ => RETRY_AFTER,
         }
@@ -148,11 +148,11 @@
 
     /// Requests in progress at a server, of this host and of the others as last reported.
     fn load(&self, b: &Backend) -> u32 {
-        b.in_progress + self.peers.load(b.tag)
+        b.in_progress + self.peers.remote_load(b.tag)
     }
 
     fn cold_limit(&self, service: &str) -> Option<ColdLimit> {
-        self.routes.as_ref()?.cold(service)
+        self.routes.as_ref()?.cold_limit(service)
     }
 
     fn is_cold(&self, now: Instant, b: &Backend) -> bool {
@@ -203,11 +203,11 @@
         cold: &[BackendKey],
         limit: Option<ColdLimit>,
     ) -> Vec<Candidate> {
-        let Some(limit) = limit.filter(|_| self.peers.is_settled()) else { return Vec::new() };
+        let Some(limit) = limit.filter(|_| self.peers.knows_fleet()) else { return Vec::new() };
         let (backends, peers, warmup) = (&self.backends, &self.peers, &mut self.warmup);
         let allowed = |key: &BackendKey| {
             let tag = backends.get(*key)?.tag;
-            warmup.may_send(now, tag, limit, || peers.is_among_first(tag, COLD_SENDERS)).then_some(*key)
+            warmup.may_send(now, tag, limit, || peers.is_top_ranked(tag, COLD_SENDERS)).then_some(*key)
         };
         let cold_candidates: Vec<_> = cold.iter().filter_map(allowed).collect();
         let failure_summary = self.health.failure_summary(now, &cold_candidates);
@@ -238,7 +238,7 @@
 
     /// Whether enough other hosts avoid a server for this host to avoid it without trying.
     pub(crate) fn is_widely_avoided(&self, tag: Tag) -> bool {
-        self.peers.avoiding(tag) >= MIN_AVOIDING_HOSTS
+        self.peers.avoiding_hosts(tag) >= MIN_AVOIDING_HOSTS
     }
 
     /// Requests in progress at the usable servers of a service. Unreachable and cold servers have no slots to
@@ -268,7 +268,7 @@
             rank: req.rank(),
             route_rank: req.route.route.rank,
             objective: req.objective(),
-            left: req.left(now),
+            left: req.time_left(now),
             load: self.service_load(now, &req.service),
         };
         let draws = [self.rng.random(), self.rng.random()];
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -173,7 +173,7 @@
             Ok((revision, cfg)) => {
                 started = true;
                 let revision = Some(revision).filter(|_| !stale_ok);
-                relay.state().copied |= stale_ok;
+                relay.state().has_read_copy |= stale_ok;
                 regain(&mut contact);
                 let news = after.is_some() && cfg.is_some();
                 let soon = after.is_some() && now() < asked + GATHER;
@@ -209,7 +209,7 @@
     let mut contact = StoreRetry::new("backends");
     let (mut list, mut allow_large) = (true, false);
     loop {
-        let started = relay.state().listed;
+        let started = relay.state().backends_listed;
         if started && rest(&relay).await {
             contact = StoreRetry::new("backends");
         }
@@ -249,12 +249,12 @@
             }
             Err(StoreError::Restored { .. } | StoreError::Deaf) => list = true,
             Err(StoreError::Long) => {
-                list = !is_told(&relay, LONG_LIST, |relay| relay.state().listed).await;
+                list = !is_told(&relay, LONG_LIST, |relay| relay.state().backends_listed).await;
                 allow_large = true;
             }
             Err(StoreError::Large { bytes }) => {
                 let turns = turns(&relay, &mut store, bytes).await;
-                list = !is_told(&relay, turns, |relay| relay.state().listed).await;
+                list = !is_told(&relay, turns, |relay| relay.state().backends_listed).await;
                 allow_large = true;
             }
             Err(e) => {
@@ -299,11 +299,11 @@
     }
 
     /// Decides whether this host follows the store now.
-    fn is_on_duty(&self) -> bool {
+    fn should_follow_store(&self) -> bool {
         let mut state = self.state();
         let state = &mut *state;
-        let on_duty = state.leaving.is_none() && state.peers.is_on_duty(now(), state.contact);
-        if !on_duty && state.peers.is_settled() {
+        let on_duty = state.leaving.is_none() && state.peers.should_follow_store(now(), state.contact);
+        if !on_duty && state.peers.knows_fleet() {
             state.contact = FollowState::Idle;
         }
         on_duty
@@ -312,13 +312,13 @@
     /// Notes whether the store has answered this host, and tells the others where that has changed: they step in or rest.
     fn note_contact(&self, contact: FollowState) {
         let mut state = self.state();
-        if !state.peers.is_settled() {
+        if !state.peers.knows_fleet() {
             return;
         }
         let before = std::mem::replace(&mut state.contact, contact);
         drop(state);
         if before != contact {
-            self.tell.notify_one();
+            self.beat_due.notify_one();
         }
     }
 
@@ -330,7 +330,7 @@
         if !self.observe_peer_epoch(&mut state, update.revision().epoch, from) {
             return;
         }
-        state.listed = true;
+        state.backends_listed = true;
         let (told, known) = (update.revision(), state.backends.revision());
         if told < known {
             line(Weight::Notable, "older_ignored", |l| {
@@ -352,7 +352,7 @@
 /// Waits while enough other hosts of the data centre follow the store and tell this one; returns whether it has waited.
 async fn rest<W: Wire>(relay: &Relay<W>) -> bool {
     let mut rested = false;
-    while !relay.is_on_duty() {
+    while !relay.should_follow_store() {
         rested = true;
         tokio::time::sleep(REST).await;
     }
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -156,7 +156,7 @@
         }
         let answer = tokio::select! {
             answer = call => answer,
-            () = self.woken.notified() => Err(StoreError::Unavailable("the host was suspended".into())),
+            () = self.suspend_ended.notified() => Err(StoreError::Unavailable("the host was suspended".into())),
             epoch = self.later_epoch(after) => Err(StoreError::Restored { epoch }),
             () = self.found_deaf(waits_for) => Err(StoreError::Deaf),
         };
@@ -175,7 +175,7 @@
     async fn later_epoch(&self, after: Option<Revision>) -> Epoch {
         let Some(after) = after else { return std::future::pending().await };
         loop {
-            let restored = self.restored.notified();
+            let restored = self.store_restored.notified();
             let known = self.epoch();
             if known > after.epoch {
                 return known;
@@ -187,7 +187,7 @@
     /// Waits until a call that waits is known to wait in vain.
     async fn found_deaf(&self, waits_for: Option<Topic>) {
         match waits_for {
-            Some(topic) => self.deaf[topic as usize].notified().await,
+            Some(topic) => self.cancel_watch[topic as usize].notified().await,
             None => std::future::pending().await,
         }
     }
@@ -225,7 +225,7 @@
         state.evacuations.forget_revision();
         for topic in Topic::ALL {
             state.confirmations.record_revision(topic, None);
-            self.deaf[topic as usize].notify_waiters();
+            self.cancel_watch[topic as usize].notify_waiters();
         }
     }
 }
--- a/src/relay/follow/confirm.rs
+++ b/src/relay/follow/confirm.rs
@@ -32,7 +32,7 @@
             continue;
         }
         match ask(&relay, &mut store).await {
-            Ok(()) => relay.tell.notify_one(),
+            Ok(()) => relay.beat_due.notify_one(),
             Err(e) => {
                 line(Weight::Notable, "confirm_failed", |l| l.text("why", &format!("{e:?}")));
                 tokio::time::sleep(LOOKS.0).await;
@@ -161,7 +161,7 @@
     /// When this host asks the store, as far as is known now.
     fn next_check_at(&self) -> Instant {
         let state = self.state();
-        state.confirmations.next_check_at(state.peers.turn(now(), state.contact))
+        state.confirmations.next_check_at(state.peers.confirmation_turn(now(), state.contact))
     }
 
     /// Whether a topic is known as of a revision of the store, so that nothing of it has changed up to there.
@@ -184,6 +184,6 @@
         line(Weight::Notable, "watch_deaf", |l| {
             l.text("kind", topic.as_str()).number("changed", changed.number)
         });
-        self.deaf[topic as usize].notify_waiters();
+        self.cancel_watch[topic as usize].notify_waiters();
     }
 }
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -12,11 +12,11 @@
 };
 
 use super::{
-    Relay, State, TICK, Wire,
+    HOUSEKEEPING_INTERVAL, Relay, State, Wire,
     datagram::{self, MOST_BYTES},
     follow::BackendsUpdate,
     inbound::accept_all,
-    peers::{Own, Scope},
+    peers::{LocalVersions, Scope},
     pool,
     revision::Revision,
 };
@@ -53,11 +53,11 @@
         loop {
             tokio::select! {
                 () = tokio::time::sleep_until(due) => break,
-                () = relay.tell.notified() => {
+                () = relay.beat_due.notified() => {
                     tokio::time::sleep(SETTLE).await;
                     break;
                 }
-                () = relay.tell_few.notified() => send_to(&relay, &socket, relay.few_targets()).await,
+                () = relay.gossip_due.notified() => send_to(&relay, &socket, relay.few_targets()).await,
             }
         }
     }
@@ -69,10 +69,10 @@
     }
     let beat = relay.beat(false);
     let own = encode(&beat);
-    let centre = targets.iter().any(|(_, scope)| *scope == Scope::Centre);
+    let centre = targets.iter().any(|(_, scope)| *scope == Scope::DataCentre);
     let centre = if centre { encode(&relay.summarise(&beat)) } else { Vec::new() };
     for (target, scope) in targets {
-        let buf = if scope == Scope::Own { &own } else { &centre };
+        let buf = if scope == Scope::Host { &own } else { &centre };
         send(socket, buf, target).await;
     }
 }
@@ -121,7 +121,7 @@
 pub async fn run_maintenance<W: Wire>(relay: Arc<Relay<W>>) {
     let mut last = now();
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(HOUSEKEEPING_INTERVAL).await;
         let slept = now().saturating_sub(std::mem::replace(&mut last, now()));
         if slept > SUSPENDED {
             relay.on_resume_from_suspend(slept);
@@ -135,7 +135,7 @@
     let (mut wants_held, mut wants_whole, mut at_once) = (true, false, false);
     loop {
         // What a peer tells wakes this up; a pause keeps a run of changes to one fetch.
-        if !at_once && timeout(TICK, relay.behind.notified()).await.is_ok() {
+        if !at_once && timeout(HOUSEKEEPING_INTERVAL, relay.fetch_due.notified()).await.is_ok() {
             tokio::time::sleep(SETTLE).await;
         }
         at_once = false;
@@ -149,12 +149,12 @@
                 at_once = true;
             }
             Ok(fetched) => {
-                wants_held &= !relay.state().listed;
+                wants_held &= !relay.state().backends_listed;
                 wants_whole = take(&relay, peer, fetched);
             }
             Err(e) => {
                 let why = format!("{e:#}");
-                relay.state().peers.note_failed(now(), peer);
+                relay.state().peers.record_fetch_failure(now(), peer);
                 line(Weight::Notable, "fetch_failed", |l| {
                     l.text("peer", &peer.to_string()).text("why", &why)
                 });
@@ -165,12 +165,12 @@
 }
 
 /// A peer to fetch from, with what is known here.
-fn source<W: Wire>(relay: &Relay<W>, wants_held: bool) -> Option<(SocketAddr, Own)> {
+fn source<W: Wire>(relay: &Relay<W>, wants_held: bool) -> Option<(SocketAddr, LocalVersions)> {
     let mut state = relay.state();
-    let own = state.own();
-    let State { peers, rng, listed, .. } = &mut *state;
-    let ahead = peers.ahead(now(), own, rng);
-    let peer = ahead.or_else(|| peers.long_up(rng).filter(|_| wants_held && *listed))?;
+    let own = state.local_versions();
+    let State { peers, rng, backends_listed, .. } = &mut *state;
+    let ahead = peers.fetch_source(now(), own, rng);
+    let peer = ahead.or_else(|| peers.longest_up(rng).filter(|_| wants_held && *backends_listed))?;
     Some((peer, own))
 }
 
@@ -204,7 +204,7 @@
 async fn fetch(peer: SocketAddr, ask: Fetch) -> Result<Fetched> {
     let asking = async {
         let mut stream = TcpStream::connect(peer).await.context("could not connect")?;
-        pool::set_up(&stream, Some(FETCH_TIMEOUT));
+        pool::configure_socket(&stream, Some(FETCH_TIMEOUT));
         write(&mut stream, &postcard::to_allocvec(&ask)?).await?;
         let size = read_size(&mut stream).await?;
         anyhow::Ok((stream, size))
@@ -231,7 +231,7 @@
 }
 
 async fn answer<W: Wire>(relay: &Relay<W>, mut stream: TcpStream, busy: bool) -> Result<()> {
-    pool::set_up(&stream, Some(FETCH_TIMEOUT));
+    pool::configure_socket(&stream, Some(FETCH_TIMEOUT));
     // One whose bytes are lost on the way must not hold a place for longer.
     let ask = timeout(FETCH_TIMEOUT, read_fetch(&mut stream)).await.context("no fetch in time")??;
     if busy {
@@ -245,7 +245,7 @@
             routes.as_ref().and_then(|_| state.configurations.diff_from(ask.configuration));
         let whole = routes.filter(|_| configuration_changes.is_none());
         let known = ask.backends_as_of();
-        let newer = state.listed && state.backends.revision() > known;
+        let newer = state.backends_listed && state.backends.revision() > known;
         let changes = newer.then(|| state.backends.changes_since(now(), known)).flatten();
         Fetched {
             configuration: whole.map(|r| (**r.source()).clone()),
--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -1,7 +1,8 @@
-//! Connections to backend servers: one request at a time on each, kept while idle for less than the server does.
+//! Connections to backend servers, each with one request at a time. Idle connections are kept for less time than
+//! the server keeps them.
 //!
-//! hyper's connection is used without its pool, since a pool sends a request again by itself when a kept connection
-//! turns out to be closed; whether a request may be sent again is decided in [`super::verdict`].
+//! hyper's connections are used without its pool, because the pool repeats a request on its own if a kept
+//! connection turns out to be closed; whether a request may be sent again is decided in [`super::verdict`].
 
 use std::{
     net::SocketAddr,
@@ -23,30 +24,32 @@
 use super::{backends::BackendKey, verdict::Failure};
 use crate::util::{Instant, Map, lock, now};
 
-/// Time to connect: a round trip within a region takes 3 ms, and a lost first packet is sent again only after a second.
+/// Time limit for connecting: a round trip within a region takes 3 ms, and a lost first packet is retransmitted
+/// only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Unacknowledged bytes end a connection to a backend server after this time, so that one without power shows before
-/// the objective of most requests is over. A lost packet is sent again and acknowledged within 250 ms.
-const BACKEND_SILENCE: Duration = Duration::from_millis(350);
-/// Idle time after which a connection is probed, and time between probes; the system takes whole seconds.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// Probes without an answer that end it.
-const PROBES: u32 = 2;
-/// Idle time of a connection whose server does not say how long it keeps it.
+/// Time after which unacknowledged bytes end a connection to a backend server, so that a server that has lost power
+/// is noticed within the objective of most requests. A lost packet is retransmitted and acknowledged within 250 ms.
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(350);
+/// Idle time after which keepalive probes are sent, and time between probes; the kernel supports only whole
+/// seconds.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered probes that end a connection.
+const KEEPALIVE_PROBES: u32 = 2;
+/// How long a connection is kept idle if the server does not say how long it keeps it.
 const DEFAULT_IDLE: Duration = Duration::from_millis(900);
-/// Part of the server's idle time after which a connection is not used any more: requests on their way and clocks
-/// that run apart would meet the server's close.
-const IDLE_PART: f64 = 0.6;
-/// Idle connections kept to one server.
-const MOST_IDLE: usize = 16;
+/// Fraction of the server's idle timeout for which a connection is kept. The margin covers requests in transit and
+/// clock drift, with which the server could close the connection first.
+const IDLE_FRACTION: f64 = 0.6;
+/// Maximum number of idle connections to one server.
+const MAX_IDLE_PER_SERVER: usize = 16;
 
-/// A connection that serves one request.
+/// A connection that carries one request at a time.
 #[derive(Debug)]
 pub struct Conn {
     tx: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    /// Whether it has served a request before.
+    /// Whether it has carried a request before.
     pub reused: bool,
 }
 
@@ -54,26 +57,26 @@
     /// Connects to a backend server.
     ///
     /// # Errors
-    /// When no connection was made, so that nothing was sent.
-    pub async fn connect(addr: SocketAddr, most: Duration) -> Result<Self, Failure> {
-        Self::over(dial(addr, most).await?, addr).await
+    /// If no connection was established, so that nothing was sent.
+    pub async fn connect(addr: SocketAddr, timeout: Duration) -> Result<Self, Failure> {
+        Self::handshake(connect_tcp(addr, timeout).await?, addr).await
     }
 
-    /// Connects for calls that wait long for their answer: the connection is probed meanwhile.
+    /// Connects with TCP keepalive, for calls that wait long for their answer.
     ///
     /// # Errors
     /// As [`Conn::connect`].
-    pub async fn connect_probed(addr: SocketAddr, most: Duration) -> Result<Self, Failure> {
-        let stream = dial(addr, most).await?;
-        if let Err(e) = probe(&stream) {
-            spdlog::warn!("could not have a connection probed: {e}");
+    pub async fn connect_with_keepalive(addr: SocketAddr, timeout: Duration) -> Result<Self, Failure> {
+        let stream = connect_tcp(addr, timeout).await?;
+        if let Err(e) = enable_keepalive(&stream) {
+            spdlog::warn!("could not enable TCP keepalive: {e}");
         }
-        Self::over(stream, addr).await
+        Self::handshake(stream, addr).await
     }
 
-    async fn over(stream: TcpStream, addr: SocketAddr) -> Result<Self, Failure> {
-        let handshake = Builder::new().handshake(TokioIo::new(stream)).await;
-        let Ok((tx, conn)) = handshake else { return Err(Failure::Connect) };
+    async fn handshake(stream: TcpStream, addr: SocketAddr) -> Result<Self, Failure> {
+        let handshaking = Builder::new().handshake(TokioIo::new(stream)).await;
+        let Ok((tx, conn)) = handshaking else { return Err(Failure::Connect) };
         let task = tokio::spawn(async move {
             if let Err(e) = conn.await {
                 spdlog::debug!("connection to {addr} ended: {e}");
@@ -85,7 +88,7 @@
     /// Sends a request and waits for the head of the answer.
     ///
     /// # Errors
-    /// [`Failure::Unsent`] with the request only where no byte of it was written.
+    /// [`Failure::Unsent`], together with the request, only if no byte of it was written.
     pub async fn send(
         &mut self,
         req: Request<Full<Bytes>>,
@@ -101,12 +104,12 @@
         }
     }
 
-    /// Whether it can take a request now.
+    /// Whether it can carry a request now.
     pub fn is_usable(&self) -> bool {
         self.tx.is_ready() && !self.task.is_finished()
     }
 
-    /// Ends the connection at once, so that the server stops working on its request.
+    /// Closes the connection at once, so that the server stops working on its request.
     pub fn close(self) {
         drop(self);
     }
@@ -118,41 +121,42 @@
     }
 }
 
-async fn dial(addr: SocketAddr, most: Duration) -> Result<TcpStream, Failure> {
-    let connecting = tokio::time::timeout(CONNECT_TIMEOUT.min(most), TcpStream::connect(addr));
+async fn connect_tcp(addr: SocketAddr, timeout: Duration) -> Result<TcpStream, Failure> {
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT.min(timeout), TcpStream::connect(addr));
     let Ok(Ok(stream)) = connecting.await else { return Err(Failure::Connect) };
-    set_up(&stream, Some(BACKEND_SILENCE));
+    configure_socket(&stream, Some(UNACKED_TIMEOUT));
     Ok(stream)
 }
 
-/// Has a connection probed while nothing is sent on it. Against connections that go silent without a reset: a call that
-/// waits for a change would wait on to its end, 15 s, while changes and leaving servers go unheard at all hosts at once.
-/// A probe that is not acknowledged ends the connection, and the call is made over a new one.
+/// Enables TCP keepalive, which detects connections that fail silently without a reset. Otherwise a call that waits
+/// for a change would wait until its own timeout, 15 s, during which no host would learn of changes and leaving
+/// servers. A probe that is not acknowledged ends the connection, and the call is made again on a new one.
 ///
 /// # Errors
-/// When the socket takes no such option.
-pub fn probe(stream: &TcpStream) -> std::io::Result<()> {
+/// If the socket rejects an option.
+pub fn enable_keepalive(stream: &TcpStream) -> std::io::Result<()> {
     sockopt::set_socket_keepalive(stream, true)?;
-    sockopt::set_tcp_keepidle(stream, PROBE_AFTER)?;
-    sockopt::set_tcp_keepintvl(stream, PROBE_EVERY)?;
-    sockopt::set_tcp_keepcnt(stream, PROBES)?;
+    sockopt::set_tcp_keepidle(stream, KEEPALIVE_IDLE)?;
+    sockopt::set_tcp_keepintvl(stream, KEEPALIVE_INTERVAL)?;
+    sockopt::set_tcp_keepcnt(stream, KEEPALIVE_PROBES)?;
     Ok(())
 }
 
-/// Whether bytes were not acknowledged in time.
+/// Whether the error is an acknowledgement timeout.
 fn is_timeout(e: &hyper::Error) -> bool {
     let source = std::error::Error::source(e).and_then(|s| s.downcast_ref::<std::io::Error>());
     source.is_some_and(|io| io.kind() == std::io::ErrorKind::TimedOut)
 }
 
-/// Sets a socket up: small writes go out at once, and a peer that acknowledges nothing for `silence` ends it.
-pub(crate) fn set_up(stream: &TcpStream, silence: Option<Duration>) {
+/// Configures a socket: small writes are sent at once, and the connection ends if the peer acknowledges nothing for
+/// `unacked_timeout`.
+pub(crate) fn configure_socket(stream: &TcpStream, unacked_timeout: Option<Duration>) {
     if let Err(e) = stream.set_nodelay(true) {
-        spdlog::warn!("could not set a socket to send at once: {e}");
+        spdlog::warn!("could not set TCP_NODELAY on a socket: {e}");
     }
-    let Some(silence) = silence else { return };
-    if let Err(e) = sockopt::set_tcp_user_timeout(stream, silence.as_millis() as u32) {
-        spdlog::warn!("could not set a socket's time limit: {e}");
+    let Some(unacked_timeout) = unacked_timeout else { return };
+    if let Err(e) = sockopt::set_tcp_user_timeout(stream, unacked_timeout.as_millis() as u32) {
+        spdlog::warn!("could not set TCP_USER_TIMEOUT on a socket: {e}");
     }
 }
 
@@ -169,7 +173,7 @@
 }
 
 impl Pool {
-    /// Takes the connection that was used last.
+    /// Takes the most recently used idle connection.
     pub fn take(&self, key: BackendKey) -> Option<Conn> {
         let mut idle = lock(&self.idle);
         let conns = idle.get_mut(&key)?;
@@ -182,35 +186,35 @@
         None
     }
 
-    /// Keeps a connection whose answer has been read whole, for a part of the time that its server keeps it, and as long as
-    /// no more than `most` are idle.
-    pub fn put(&self, key: BackendKey, mut conn: Conn, keeps: Option<Duration>, most: usize) {
+    /// Keeps an idle connection after its answer was read completely, for a fraction of the time that the server
+    /// keeps it, if there are fewer than `max_idle`.
+    pub fn put(&self, key: BackendKey, mut conn: Conn, server_keeps: Option<Duration>, max_idle: usize) {
         conn.reused = true;
-        let keep = keeps.map_or(DEFAULT_IDLE, |k| k.mul_f64(IDLE_PART));
+        let keep = server_keeps.map_or(DEFAULT_IDLE, |period| period.mul_f64(IDLE_FRACTION));
         let mut idle = lock(&self.idle);
         let conns = idle.entry(key).or_default();
-        if conns.len() < most.min(MOST_IDLE) {
+        if conns.len() < max_idle.min(MAX_IDLE_PER_SERVER) {
             conns.push(Idle { conn, until: now() + keep });
         }
     }
 
-    /// Idle connections that are still open.
+    /// Number of idle connections that are still open.
     pub fn open(&self) -> usize {
         lock(&self.idle).values().flatten().filter(|idle| !idle.conn.task.is_finished()).count()
     }
 
-    /// Closes the idle connections to a server that fell silent: the next attempt shows by connecting whether it is
-    /// back, without a request that may have run.
+    /// Closes the idle connections to a server that became unresponsive. The next attempt then finds out by
+    /// connecting whether the server is back, without sending a request that may run.
     pub fn clear(&self, key: BackendKey) {
         lock(&self.idle).remove(&key);
     }
 
-    /// Closes connections that were idle for too long, and those to servers that are not `kept` any more.
-    pub fn sweep(&self, kept: impl Fn(BackendKey) -> bool) {
+    /// Closes connections that have been idle for too long, and those to servers for which `is_kept` is false.
+    pub fn evict(&self, is_kept: impl Fn(BackendKey) -> bool) {
         let now = now();
         lock(&self.idle).retain(|key, conns| {
             conns.retain(|idle| idle.until > now && !idle.conn.task.is_finished());
-            !conns.is_empty() && kept(*key)
+            !conns.is_empty() && is_kept(*key)
         });
     }
 }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 
 use super::{
-    AttemptContext, Refusal, Relay, ResponseHead, Wire, Work,
+    AttemptContext, InFlightRequest, Refusal, Relay, ResponseHead, Wire,
     admission::{Refused, late_retry_delay},
     answer::AnswerBody,
     backends::BackendKey,
@@ -45,7 +45,7 @@
     pub(crate) read: ResponseHead,
     pub(crate) body: Incoming,
     pub(crate) conn: Conn,
-    pub(crate) work: Work<W>,
+    pub(crate) work: InFlightRequest<W>,
 }
 
 /// An attempt without an answer.
@@ -77,7 +77,7 @@
         let outcome = self.outcome.unwrap_or(Outcome::CallerLeft);
         let took = now() - self.req.arrived;
         if outcome == Outcome::CallerLeft {
-            self.relay.note(Weight::Notable, "caller_left", &self.req, |l| {
+            self.relay.log_request(Weight::Notable, "caller_left", &self.req, |l| {
                 l.ms("after_ms", took).number("attempts", self.attempts_started)
             });
         }
@@ -93,7 +93,7 @@
     let tries = Attempts::new(req.route.repeatable, req.route.route.attempts, req.deadline);
     let mut run =
         Run { relay, req, tries, tried: Vec::new(), sent: now(), attempts_started: 0, outcome: None };
-    if run.relay.refuses(&run.req) {
+    if run.relay.is_quarantined(&run.req) {
         return run.give_up(ErrorKind::Quarantined, None);
     }
     run.relay.state().budget.request(now(), &run.req.service);
@@ -134,14 +134,14 @@
         }
         self.decide(failure, key)?;
         let (relay, req) = (&self.relay, &self.req);
-        if relay.refuses(req) {
+        if relay.is_quarantined(req) {
             return Err(Stop::Suspect);
         }
         let may: Vec<_> = relay.state().accepting(now(), &req.service).map(|(key, _)| key).collect();
         if !may.is_empty() && may.iter().all(|key| self.tried.contains(key)) {
             // Nobody else can run it: those that refused may have room again in a moment.
             self.tried.clear();
-            tokio::time::sleep(REFUSED_PAUSE.min(self.req.left(now()))).await;
+            tokio::time::sleep(REFUSED_PAUSE.min(self.req.time_left(now()))).await;
         }
         Ok(())
     }
@@ -149,13 +149,13 @@
     /// Decides whether another attempt may follow a failed one, counts it and writes its line.
     fn decide(&mut self, failure: Failure, key: BackendKey) -> Result<(), Stop> {
         let (relay, req) = (self.relay.clone(), self.req.clone());
-        let next = self.tries.record_failure(now(), failure, || relay.spend(&req));
+        let next = self.tries.record_failure(now(), failure, || relay.spend_retry(&req));
         match next {
             Ok(()) => relay.metrics.add(Counter::RelayRetries, failure.as_str(), 1),
             Err(stop) => relay.metrics.add(Counter::RelayStops, stop.as_str(), 1),
         }
         let backend = relay.backend_id(key);
-        relay.note(Weight::Notable, "attempt_failed", &req, |l| {
+        relay.log_request(Weight::Notable, "attempt_failed", &req, |l| {
             let l = l.text("failure", failure.as_str()).text("backend", backend.as_deref().unwrap_or("gone"));
             let l = l.number("attempt", self.tries.made()).ms("after_ms", now() - req.arrived);
             l.text("next", next.as_ref().err().map_or("once more", |stop| stop.as_str()))
@@ -170,13 +170,13 @@
             Failure::Moved => self.relay.mark_backend_gone(key, "another server answers at its address"),
             Failure::Connect | Failure::Silent => {
                 if failure == Failure::Silent {
-                    self.relay.note_waited(&self.req, self.sent);
+                    self.relay.record_wait(&self.req, self.sent);
                 }
                 self.relay.avoid_backend(key, failure.as_str());
                 self.relay.pool.clear(key);
             }
             Failure::Unsent => {}
-            Failure::Late => self.relay.note_waited(&self.req, self.sent),
+            Failure::Late => self.relay.record_wait(&self.req, self.sent),
             Failure::Refused | Failure::Broken | Failure::Garbled | Failure::Errored => {
                 self.relay.state().health.record_failure(now, key);
             }
@@ -186,12 +186,13 @@
     /// After a broken connection, finds out by a new one whether the server has crashed, and if so suspects the content.
     async fn note_if_crashed(&self, key: BackendKey) {
         let Some(addr) = self.relay.state().backends.get(key).map(|b| b.addr) else { return };
-        match Conn::connect(addr, self.req.left(now())).await {
-            Ok(conn) => self.relay.keep(key, conn, None),
+        match Conn::connect(addr, self.req.time_left(now())).await {
+            Ok(conn) => self.relay.return_connection(key, conn, None),
             Err(_) => {
                 self.relay.record_crash(key);
                 let crashes = self.relay.state().suspects.record_crash(now(), self.req.fingerprint());
-                self.relay.note(Weight::Notable, "suspected", &self.req, |l| l.number("crashes", crashes));
+                self.relay
+                    .log_request(Weight::Notable, "suspected", &self.req, |l| l.number("crashes", crashes));
             }
         }
     }
@@ -202,7 +203,7 @@
         let key = choice.key;
         self.attempts_started += 1;
         self.sent = now();
-        let work = Work::start(&self.relay, key);
+        let work = InFlightRequest::start(&self.relay, key);
         let (mut conn, result) =
             self.send(&choice, after).await.map_err(|f| AttemptError::Failed((f, key)))?;
         let (head, body) = match result {
@@ -214,7 +215,7 @@
         };
         let read = self.relay.wire.parse_response(&self.req, &head);
         if let Some(told) = read.load {
-            self.relay.note_told(&self.req.service, told);
+            self.relay.record_load(&self.req.service, told);
         }
         self.relay.apply_server_notices(&self.req, key, &read);
         if let Some(failure) = read.failure {
@@ -232,7 +233,7 @@
     async fn recycle(&self, body: Incoming, conn: Conn, key: BackendKey, keeps: Option<Duration>) {
         let read = Limited::new(body, MOST_WHOLE).collect();
         if let Ok(Ok(_)) = tokio::time::timeout(REFUSED_PAUSE, read).await {
-            self.relay.keep(key, conn, keeps);
+            self.relay.return_connection(key, conn, keeps);
         }
     }
 
@@ -251,9 +252,9 @@
             let kept = if stale < MOST_STALE { self.relay.pool.take(choice.key) } else { None };
             let mut conn = match kept {
                 Some(conn) => conn,
-                None => Conn::connect(addr, self.req.left(now())).await?,
+                None => Conn::connect(addr, self.req.time_left(now())).await?,
             };
-            let left = self.req.left(now());
+            let left = self.req.time_left(now());
             if left.is_zero() {
                 return Err(Failure::Unsent);
             }
@@ -273,7 +274,7 @@
     fn note_sent(&self, choice: &Choice, id: &str, stale: usize) {
         self.relay.metrics.add(Counter::RelayPlacements, choice.reason.as_str(), 1);
         let from = choice.fetch_from.and_then(|key| Some(self.relay.state().backends.get(key)?.id.clone()));
-        self.relay.note(Weight::Routine, "sent", &self.req, |l| {
+        self.relay.log_request(Weight::Routine, "sent", &self.req, |l| {
             let l = l.text("backend", id).text("why", choice.reason.as_str());
             let l = l.decimal("load", choice.load).decimal("bound", choice.bound);
             let l = l.text("fetches", from.as_deref().unwrap_or("")).number("stale", stale as u64);
@@ -308,7 +309,7 @@
 
     /// How long to wait with this patience, and what has happened when that time is over.
     pub(crate) fn wait_limit(&self, silence_timeout: Option<Duration>) -> (Duration, Failure) {
-        let left = self.req.left(now());
+        let left = self.req.time_left(now());
         match silence_timeout {
             Some(silence_timeout) if silence_timeout < left => (silence_timeout, Failure::Silent),
             _ => (left, Failure::Late),
@@ -328,7 +329,7 @@
         let Answered { head, read, body, conn, work } = answered;
         let key = work.key;
         let reading = Limited::new(body, MOST_WHOLE).collect();
-        let bytes = match tokio::time::timeout(self.req.left(now()), reading).await {
+        let bytes = match tokio::time::timeout(self.req.time_left(now()), reading).await {
             Ok(Ok(collected)) => collected.to_bytes(),
             Ok(Err(e)) => {
                 spdlog::debug!("answer to {} broke off: {e}", self.req.id);
@@ -337,7 +338,7 @@
             Err(_) => return Err((Failure::Late, key)),
         };
         if !read.closes {
-            self.relay.keep(key, conn, read.keep_alive);
+            self.relay.return_connection(key, conn, read.keep_alive);
         }
         drop(work);
         if head.status.is_server_error() && self.may_repeat_error() {
@@ -351,7 +352,7 @@
                 };
             }
         } else if head.status.is_success() {
-            self.relay.note_waited(&self.req, self.sent);
+            self.relay.record_wait(&self.req, self.sent);
             self.relay.record_backend_success(key);
         }
         Ok(self.deliver(head, bytes))
@@ -363,11 +364,11 @@
 
     fn deliver(&mut self, head: response::Parts, bytes: Bytes) -> Response<AnswerBody> {
         self.outcome = Some(Outcome::Answered);
-        self.relay.note(Weight::Routine, "answered", &self.req, |l| {
+        self.relay.log_request(Weight::Routine, "answered", &self.req, |l| {
             let l = l.number("status", head.status.as_u16()).number("bytes", bytes.len() as u64);
             l.ms("after_ms", now() - self.req.arrived).number("attempts", self.attempts_started)
         });
-        self.relay.wire.caller_response(head, AnswerBody::Whole(bytes))
+        self.relay.wire.caller_response(head, AnswerBody::Buffered(bytes))
     }
 
     /// The answer to a request that is not sent, since its service has as much work as it can finish in time.
@@ -375,7 +376,7 @@
         self.outcome = Some(Outcome::Refused);
         let kind = ErrorKind::Overloaded;
         self.relay.metrics.add(Counter::RelayRefusals, kind.answer().code, 1);
-        self.relay.note(Weight::Notable, "turned_away", &self.req, |l| {
+        self.relay.log_request(Weight::Notable, "turned_away", &self.req, |l| {
             let l = l.number("rank", self.req.rank()).decimal("occupancy", refused.occupancy);
             let l = l.decimal("limit", refused.limit).decimal("chance", refused.chance.min(1.0));
             l.ms("retry_after_ms", refused.after).ms("after_ms", now() - self.req.arrived)
@@ -390,11 +391,11 @@
         self.relay.metrics.add(Counter::RelayRefusals, kind.answer().code, 1);
         let comes_back = ran == Ran::No && kind != ErrorKind::Quarantined;
         let retry_after = comes_back.then(|| match last {
-            Some(Failure::Refused) => late_retry_delay(self.req.left(now()), self.relay.draw()),
+            Some(Failure::Refused) => late_retry_delay(self.req.time_left(now()), self.relay.draw()),
             _ => self.relay.retry_after(&self.req, kind),
         });
         let refusal = Refusal { kind, ran, retry_after };
-        self.relay.note(Weight::Notable, "given_up", &self.req, |l| {
+        self.relay.log_request(Weight::Notable, "given_up", &self.req, |l| {
             let l = l.text("kind", kind.answer().code).text("ran", ran.as_str());
             let l = l.text("last", last.map_or("none", Failure::as_str));
             l.ms("after_ms", now() - self.req.arrived).number("attempts", self.tries.made())
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -1,4 +1,5 @@
-//! A stream of events on its way back: whole events as they arrive, resumed at another server where that is allowed.
+//! A stream of events from a backend server to a caller: complete events are passed on as they arrive, and a broken
+//! stream is resumed on another server if its route allows that.
 
 use std::time::Duration;
 
@@ -9,7 +10,7 @@
 
 use super::{
     Wire,
-    answer::{AnswerBody, Cut},
+    answer::{AnswerBody, Truncated},
     backends::BackendKey,
     events::{CompleteEvents, Splitter},
     outcome::Outcome,
@@ -23,49 +24,49 @@
     util::now,
 };
 
-/// Pause between events after which a server counts as silent, where the stream can go on elsewhere. Callers give a
-/// stream up after two seconds without an event; a preempted request goes on within a second.
-const PAUSE: Duration = Duration::from_millis(1_200);
+/// Time without an event after which a server counts as unresponsive, if the stream can be resumed elsewhere.
+/// Callers abandon a stream after two seconds without an event; a preempted request continues within a second.
+const MAX_EVENT_GAP: Duration = Duration::from_millis(1_200);
 
-/// What followed the break of a stream; a label of counters.
+/// How a broken stream continued; a label in metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum After {
-    /// It went on at another server.
+pub enum StreamBreak {
+    /// It was resumed on another server.
     Resumed,
-    /// It broke off for the caller.
+    /// It was truncated for the caller.
     Cut,
 }
 
-impl After {
-    /// All that may follow.
-    pub const ALL: [After; 2] = [After::Resumed, After::Cut];
+impl StreamBreak {
+    /// All values.
+    pub const ALL: [StreamBreak; 2] = [StreamBreak::Resumed, StreamBreak::Cut];
 
-    /// Label in counters.
+    /// Label in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            After::Resumed => "resumed",
-            After::Cut => "cut",
+            StreamBreak::Resumed => "resumed",
+            StreamBreak::Cut => "cut",
         }
     }
 }
 
-/// A stream that has begun.
+/// A stream whose answer has begun.
 pub(crate) struct Events<W: Wire> {
     answered: Option<Answered<W>>,
     splitter: Splitter,
     last: Option<EventNumber>,
-    /// Whether the next event must follow the last one, since another server goes on.
+    /// Whether the stream has just been resumed, so that the next event must directly follow the last one.
     resumed: bool,
     ended: bool,
 }
 
-/// What came next.
+/// Result of reading from the stream.
 enum Next {
     Events(Bytes),
     End,
 }
 
-/// Reads up to the first event, so that a server that fails before it costs the caller nothing.
+/// Reads up to the first event, so that the request can still be sent to another server if this one fails before.
 pub(crate) async fn start<W: Wire>(
     run: &mut Run<W>,
     answered: Answered<W>,
@@ -83,8 +84,8 @@
     match events.read(run, limit).await {
         Ok(Next::Events(bytes)) => {
             run.relay.metrics.record(Latency::FirstEvent, "stream", now() - run.req.arrived);
-            run.relay.note_waited(&run.req, run.sent);
-            run.relay.note(Weight::Routine, "first_event", &run.req, |l| {
+            run.relay.record_wait(&run.req, run.sent);
+            run.relay.log_request(Weight::Routine, "first_event", &run.req, |l| {
                 l.ms("after_ms", now() - run.req.arrived)
             });
             Ok((head, Some(bytes), events))
@@ -94,7 +95,7 @@
     }
 }
 
-/// The answer whose body goes on with the stream.
+/// The response whose body continues with the stream.
 pub(crate) fn respond<W: Wire>(
     run: Run<W>,
     head: response::Parts,
@@ -114,13 +115,13 @@
 }
 
 impl<W: Wire> Events<W> {
-    async fn next(&mut self, run: &mut Run<W>) -> Option<Result<Bytes, Cut>> {
+    async fn next(&mut self, run: &mut Run<W>) -> Option<Result<Bytes, Truncated>> {
         if self.ended {
             return None;
         }
         loop {
-            let pause = run.req.route.repeatable.then_some(PAUSE);
-            let limit = run.wait_limit(pause);
+            let max_gap = run.req.route.repeatable.then_some(MAX_EVENT_GAP);
+            let limit = run.wait_limit(max_gap);
             let failure = match self.read(run, limit).await {
                 Ok(Next::Events(bytes)) => return Some(Ok(bytes)),
                 Ok(Next::End) => return None,
@@ -129,17 +130,17 @@
             if !self.resume(run, failure).await {
                 self.ended = true;
                 run.outcome = Some(Outcome::Cut);
-                run.relay.metrics.add(Counter::RelayStreams, After::Cut.as_str(), 1);
-                run.relay.note(Weight::Notable, "stream_cut", &run.req, |l| {
+                run.relay.metrics.add(Counter::RelayStreams, StreamBreak::Cut.as_str(), 1);
+                run.relay.log_request(Weight::Notable, "stream_cut", &run.req, |l| {
                     let l = l.text("failure", failure.as_str()).number("events", self.last.unwrap_or(0));
                     l.ms("after_ms", now() - run.req.arrived)
                 });
-                return Some(Err(Cut));
+                return Some(Err(Truncated));
             }
         }
     }
 
-    /// Goes on at another server after the last whole event; returns whether one took it.
+    /// Resumes the stream on another server after the last complete event; returns whether a server accepted it.
     async fn resume(&mut self, run: &mut Run<W>, mut failure: Failure) -> bool {
         let mut key = match self.answered.take() {
             Some(answered) => answered.work.key,
@@ -149,8 +150,8 @@
         while run.fail(failure, key).await.is_ok() {
             match run.attempt(self.last).await {
                 Ok(answered) if answered.head.status.is_success() => {
-                    run.relay.metrics.add(Counter::RelayStreams, After::Resumed.as_str(), 1);
-                    run.relay.note(Weight::Notable, "stream_resumed", &run.req, |l| {
+                    run.relay.metrics.add(Counter::RelayStreams, StreamBreak::Resumed.as_str(), 1);
+                    run.relay.log_request(Weight::Notable, "stream_resumed", &run.req, |l| {
                         l.number("events", self.last.unwrap_or(0)).ms("after_ms", now() - run.req.arrived)
                     });
                     self.answered = Some(answered);
@@ -165,18 +166,22 @@
         false
     }
 
-    async fn read(&mut self, run: &mut Run<W>, (limit, over): (Duration, Failure)) -> Result<Next, Failure> {
+    async fn read(
+        &mut self,
+        run: &mut Run<W>,
+        (limit, timeout_failure): (Duration, Failure),
+    ) -> Result<Next, Failure> {
         let deadline = tokio::time::Instant::now() + limit;
         loop {
             let Some(answered) = &mut self.answered else { return Err(Failure::Broken) };
             let frame = match tokio::time::timeout_at(deadline, answered.body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(e))) => {
-                    spdlog::debug!("stream of {} broke off: {e}", run.req.id);
+                    spdlog::debug!("stream of request {} broke: {e}", run.req.id);
                     return Err(Failure::Broken);
                 }
                 Ok(None) => return self.end(run),
-                Err(_) => return Err(over),
+                Err(_) => return Err(timeout_failure),
             };
             let Ok(data) = frame.into_data() else { continue };
             if let Some(whole) = self.splitter.push(data) {
@@ -188,8 +193,8 @@
         }
     }
 
-    /// Guards against a server that goes on at another event than asked: the caller would miss events or read some
-    /// twice.
+    /// Checks that a server resumes the stream at the right event; otherwise the caller would miss events or get
+    /// some twice.
     fn accept(&mut self, whole: CompleteEvents) -> Result<Bytes, Failure> {
         if std::mem::take(&mut self.resumed) && self.last.is_some() && whole.first != self.last.map(|n| n + 1)
         {
@@ -209,10 +214,10 @@
             let key = answered.work.key;
             run.relay.record_backend_success(key);
             if !answered.read.closes {
-                run.relay.keep(key, answered.conn, answered.read.keep_alive);
+                run.relay.return_connection(key, answered.conn, answered.read.keep_alive);
             }
         }
-        run.relay.note(Weight::Routine, "answered", &run.req, |l| {
+        run.relay.log_request(Weight::Routine, "answered", &run.req, |l| {
             let l = l.number("events", self.last.unwrap_or(0)).number("attempts", run.attempts_started);
             l.ms("after_ms", now() - run.req.arrived)
         });
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -7,7 +7,7 @@
     confirm::Topic,
     datagram::DropReason,
     followers::FollowState,
-    peers::{Own, Scope},
+    peers::{LocalVersions, Scope},
 };
 use crate::{
     logs::lines::{Weight, line},
@@ -32,20 +32,25 @@
     pub(crate) fn few_targets(&self) -> Vec<(SocketAddr, Scope)> {
         let mut state = self.state();
         let state = &mut *state;
-        state.peers.few(now(), &mut state.rng).into_iter().map(|addr| (addr, Scope::Own)).collect()
+        state
+            .peers
+            .gossip_targets(now(), &mut state.rng)
+            .into_iter()
+            .map(|addr| (addr, Scope::Host))
+            .collect()
     }
 
     /// Composes the next beat.
     pub(crate) fn beat(&self, full: bool) -> Beat {
         let now = now();
         let mut state = self.state();
-        let own = state.own();
+        let own = state.local_versions();
         let at = state.backends.iter().filter(|(_, b)| b.in_progress > 0);
         let in_progress = at.map(|(_, b)| InProgress { backend: b.tag, requests: b.in_progress }).collect();
         let service: Vec<_> = state.backends.iter().map(|(key, _)| key).collect();
         let paused = service.iter().filter(|key| state.health.is_backing_off(now, **key));
         let avoided = paused.filter_map(|key| state.backends.get(*key)).map(|b| b.tag).collect();
-        let told = state.news.len().min(MOST_NEWS);
+        let told = state.new_holders.len().min(MOST_NEWS);
         let mut beat = Beat {
             start: self.start,
             ready: state.is_ready(),
@@ -56,7 +61,7 @@
             follows_store: state.contact == FollowState::Follows,
             lost_store: state.contact == FollowState::Lost,
             in_progress,
-            held: state.news.drain(..told).collect(),
+            held: state.new_holders.drain(..told).collect(),
             avoided,
             suspects: state.suspects.recent(now),
             evacuations: state.evacuations.snapshot(now),
@@ -64,13 +69,13 @@
             confirmed: Some(state.confirmations.summary(now)),
             ..Beat::default()
         };
-        state.peers.number(&mut beat, &self.cfg.me, full);
+        state.peers.finish_beat(&mut beat, &self.cfg.me, full);
         beat
     }
 
     /// The same beat as other data centres are told it.
     pub(crate) fn summarise(&self, beat: &Beat) -> Beat {
-        let centre = self.state().peers.centre(&beat.in_progress, &self.cfg.me, beat.ready);
+        let centre = self.state().peers.data_centre_summary(&beat.in_progress, &self.cfg.me, beat.ready);
         Beat { in_progress: Vec::new(), centre: Some(centre), ..beat.clone() }
     }
 
@@ -81,19 +86,19 @@
     pub(crate) fn hear(&self, from: SocketAddr, beat: &Beat) -> Result<bool, DropReason> {
         let now = now();
         let mut state = self.state();
-        let own = state.own();
+        let own = state.local_versions();
         let beat = &trusted(&state, beat);
-        let heard = state.peers.hear(now, from, beat, own);
-        if heard.old {
+        let heard = state.peers.receive(now, from, beat, own);
+        if heard.stale {
             return Err(DropReason::Old);
         }
-        if state.peers.is_any_ahead(now, own) {
-            self.behind.notify_one();
+        if state.peers.has_fetch_source(now, own) {
+            self.fetch_due.notify_one();
         }
-        if hear_confirmed(&mut state, now.saturating_sub(heard.late), beat, own) {
-            self.tell.notify_one();
+        if hear_confirmed(&mut state, now.saturating_sub(heard.delay), beat, own) {
+            self.beat_due.notify_one();
         }
-        let hosts = state.peers.hosts();
+        let hosts = state.peers.host_count();
         state.budget.set_hosts(hosts);
         state.suspects.merge(now, &beat.suspects);
         state.treat_avoided_as_cold(now, &beat.avoided);
@@ -111,7 +116,7 @@
         }
         drop(state);
         self.hear_held(&beat.held);
-        Ok(heard.answer)
+        Ok(heard.wants_full)
     }
 
     /// Holders of prompt parts for a host that has just started.
@@ -143,7 +148,7 @@
 
 /// Takes in up to when another host knew all changes, where it knows nothing that this host does not. Returns whether the
 /// others of the data centre must be told at once: the host of another one has told it few hosts.
-fn hear_confirmed(state: &mut State, sent: Instant, beat: &Beat, own: Own) -> bool {
+fn hear_confirmed(state: &mut State, sent: Instant, beat: &Beat, own: LocalVersions) -> bool {
     let Some(told) = &beat.confirmed else { return false };
     let backends = beat.backends_as_of();
     let is_passed = backends.epoch == own.backends.epoch && backends <= own.backends;
--- a/tests/relay_confirmations.rs
+++ b/tests/relay_confirmations.rs
@@ -9,7 +9,7 @@
     relay::{
         confirm::{Change, CheckOrder, Confirmations, Topic, propagation_bound},
         followers::FollowState,
-        peers::{Own, Peers},
+        peers::{LocalVersions, Peers},
         revision::{EpochCheck, EpochTracker, Revision},
     },
     schema::fleet::{Beat, Confirmed, Member},
@@ -69,8 +69,8 @@
         }
     }
 
-    fn own(&self) -> Own {
-        Own { configuration: self.version, backends: Revision::new(1, 1), digest: 1 }
+    fn own(&self) -> LocalVersions {
+        LocalVersions { configuration: self.version, backends: Revision::new(1, 1), digest: 1 }
     }
 
     fn confirm(&mut self, at: Duration) {
@@ -140,7 +140,7 @@
                 host.confirm(asked);
                 host.next_beat = now;
             }
-            let turn = host.peers.turn(now, FollowState::Follows);
+            let turn = host.peers.confirmation_turn(now, FollowState::Follows);
             if host.asks.is_none() && host.confirmations.next_check_at(turn) <= now {
                 host.confirmations.record_check(now);
                 let is_lost = !lost_last[i] && rng.random_ratio(1, days.lost);
@@ -176,9 +176,9 @@
         for (_, from, to, beat) in arrived {
             let host = &mut hosts[to];
             let own = host.own();
-            let heard = host.peers.hear(now, addr(from), &beat, own);
-            if !heard.old && beat.configuration <= host.version {
-                let sent = now.saturating_sub(heard.late);
+            let heard = host.peers.receive(now, addr(from), &beat, own);
+            if !heard.stale && beat.configuration <= host.version {
+                let sent = now.saturating_sub(heard.delay);
                 let told = beat.confirmed.unwrap();
                 for topic in Topic::ALL {
                     host.confirmations.merge(sent, topic, &told);
@@ -254,12 +254,12 @@
         confirmed: Some(Confirmed { sent_ms, ..Confirmed::default() }),
         ..Beat::default()
     };
-    let own = Own::default();
+    let own = LocalVersions::default();
 
-    let first = peers.hear(ms(5_000), addr(1), &beat(1, 1_000), own).late;
-    let queued = peers.hear(ms(9_000), addr(1), &beat(2, 1_250), own).late;
-    let fresh = peers.hear(ms(9_001), addr(1), &beat(3, 5_000), own).late;
-    let restarted = peers.hear(ms(9_002), addr(1), &Beat { start: 2, ..beat(1, 10) }, own).late;
+    let first = peers.receive(ms(5_000), addr(1), &beat(1, 1_000), own).delay;
+    let queued = peers.receive(ms(9_000), addr(1), &beat(2, 1_250), own).delay;
+    let fresh = peers.receive(ms(9_001), addr(1), &beat(3, 5_000), own).delay;
+    let restarted = peers.receive(ms(9_002), addr(1), &Beat { start: 2, ..beat(1, 10) }, own).delay;
 
     assert_eq!([first, queued, fresh, restarted], [ms(0), ms(3_750), ms(1), ms(0)]);
 }
--- a/tests/relay_datagrams.rs
+++ b/tests/relay_datagrams.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     relay::{
         datagram::{DropReason, MOST_BYTES, decode, encode},
-        peers::{Own, Peers},
+        peers::{LocalVersions, Peers},
         suspects::Suspects,
     },
     schema::fleet::{Beat, Centre, Held, InProgress, Member, Suspect},
@@ -44,13 +44,13 @@
 #[test]
 fn a_beat_that_comes_twice_is_told_apart() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    let own = Own::default();
+    let own = LocalVersions::default();
 
-    let first = peers.hear(Duration::ZERO, addr(1), &beat(1, 2), own);
-    let again = peers.hear(Duration::ZERO, addr(1), &beat(1, 2), own);
-    let earlier = peers.hear(Duration::ZERO, addr(1), &beat(1, 1), own);
+    let first = peers.receive(Duration::ZERO, addr(1), &beat(1, 2), own);
+    let again = peers.receive(Duration::ZERO, addr(1), &beat(1, 2), own);
+    let earlier = peers.receive(Duration::ZERO, addr(1), &beat(1, 1), own);
 
-    assert_eq!((first.old, again.old, earlier.old), (false, true, true));
+    assert_eq!((first.stale, again.stale, earlier.stale), (false, true, true));
 }
 
 /// Ten thousand tags, parts or members: a datagram is as long as it may be, and the rest is left out.
@@ -79,11 +79,11 @@
     for i in 1..4_000 {
         let member = |n| Member { peers: addr(n).to_string(), ..Member::default() };
         let members = (0..16).map(|n| member(i * 16 + n)).collect();
-        peers.hear(Duration::ZERO, addr(i), &Beat { members, ..beat(1, 1) }, Own::default());
+        peers.receive(Duration::ZERO, addr(i), &Beat { members, ..beat(1, 1) }, LocalVersions::default());
         suspects.merge(Duration::ZERO, &[Suspect { fingerprint: i.into(), crashes: 9 }]);
     }
 
-    assert!(peers.hosts() <= 2_049, "{}", peers.hosts());
+    assert!(peers.host_count() <= 2_049, "{}", peers.host_count());
     assert!(suspects.len() <= 1_024, "{}", suspects.len());
 }
 
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -12,7 +12,7 @@
         configurations,
         follow::BackendsUpdate,
         followers::FollowState,
-        peers::{Own, Peers, Scope},
+        peers::{LocalVersions, Peers, Scope},
         revision::Revision,
     },
     schema::fleet::{Backend, Backends, Beat, Centre, Configuration, Fetch, Fetched, InProgress, Member},
@@ -24,7 +24,8 @@
     net::TcpStream,
 };
 
-const OWN: Own = Own { configuration: 5, backends: Revision { epoch: 0, number: 9 }, digest: 1 };
+const OWN: LocalVersions =
+    LocalVersions { configuration: 5, backends: Revision { epoch: 0, number: 9 }, digest: 1 };
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -68,49 +69,49 @@
 }
 
 fn ready(peers: &Peers, now: Duration) -> BTreeSet<String> {
-    peers.ready(now).map(|m| m.name.clone()).collect()
+    peers.ready_members(now).map(|m| m.name.clone()).collect()
 }
 
 #[test]
 fn loads_are_summed_and_replaced_by_newer_beats_only() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.hear(ms(0), addr(1), &busy(1, 2, &[(77, 3), (78, 1)]), OWN);
-    peers.hear(ms(0), addr(2), &busy(2, 1, &[(77, 4)]), OWN);
-    assert_eq!((peers.load(77), peers.load(78)), (7, 1));
+    peers.receive(ms(0), addr(1), &busy(1, 2, &[(77, 3), (78, 1)]), OWN);
+    peers.receive(ms(0), addr(2), &busy(2, 1, &[(77, 4)]), OWN);
+    assert_eq!((peers.remote_load(77), peers.remote_load(78)), (7, 1));
 
     // One that comes late, one that comes twice, and a newer one.
-    peers.hear(ms(10), addr(1), &busy(1, 1, &[(77, 9)]), OWN);
-    peers.hear(ms(10), addr(2), &busy(2, 1, &[(77, 4)]), OWN);
-    peers.hear(ms(20), addr(1), &busy(1, 3, &[(78, 2)]), OWN);
+    peers.receive(ms(10), addr(1), &busy(1, 1, &[(77, 9)]), OWN);
+    peers.receive(ms(10), addr(2), &busy(2, 1, &[(77, 4)]), OWN);
+    peers.receive(ms(20), addr(1), &busy(1, 3, &[(78, 2)]), OWN);
 
-    assert_eq!((peers.load(77), peers.load(78)), (4, 2));
+    assert_eq!((peers.remote_load(77), peers.remote_load(78)), (4, 2));
 }
 
 /// A host restarts: its numbers begin again, and its beats must count at once.
 #[test]
 fn a_restarted_host_is_heard() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.hear(ms(0), addr(1), &busy(1, 100, &[(77, 3)]), OWN);
+    peers.receive(ms(0), addr(1), &busy(1, 100, &[(77, 3)]), OWN);
 
-    let heard = peers.hear(ms(10), addr(1), &Beat { start: 2, ..busy(1, 1, &[(77, 1)]) }, OWN);
+    let heard = peers.receive(ms(10), addr(1), &Beat { start: 2, ..busy(1, 1, &[(77, 1)]) }, OWN);
 
     assert!(heard.joined);
-    assert_eq!(peers.load(77), 1);
+    assert_eq!(peers.remote_load(77), 1);
 }
 
 /// A host loses its power. Callers must not be sent there any more, and its requests are none any more.
 #[test]
 fn a_silent_host_stops_counting() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.hear(ms(0), addr(1), &busy(1, 1, &[(77, 3)]), OWN);
-    peers.hear(ms(900), addr(2), &busy(2, 1, &[(77, 2)]), OWN);
+    peers.receive(ms(0), addr(1), &busy(1, 1, &[(77, 3)]), OWN);
+    peers.receive(ms(900), addr(2), &busy(2, 1, &[(77, 2)]), OWN);
 
     let lost = peers.expire(ms(1_400));
 
     assert_eq!(lost, [addr(1)]);
-    assert_eq!(peers.load(77), 2);
+    assert_eq!(peers.remote_load(77), 2);
     assert_eq!(ready(&peers, ms(1_400)), BTreeSet::from(["host-2".into()]));
-    assert_eq!(peers.hosts(), 3, "it may be cut off and still spend its share of budgets");
+    assert_eq!(peers.host_count(), 3, "it may be cut off and still spend its share of budgets");
 }
 
 /// Two hosts keep away from a server, one of them takes it back, the other falls silent.
@@ -118,22 +119,22 @@
 fn hosts_that_avoid_a_server_are_counted() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     let avoids = |i, number, tags: &[u32]| Beat { avoided: tags.to_vec(), ..beat(i, "a", number) };
-    peers.hear(ms(0), addr(1), &avoids(1, 1, &[77, 78]), OWN);
-    peers.hear(ms(0), addr(2), &avoids(2, 1, &[77]), OWN);
-    assert_eq!((peers.avoiding(77), peers.avoiding(78)), (2, 1));
+    peers.receive(ms(0), addr(1), &avoids(1, 1, &[77, 78]), OWN);
+    peers.receive(ms(0), addr(2), &avoids(2, 1, &[77]), OWN);
+    assert_eq!((peers.avoiding_hosts(77), peers.avoiding_hosts(78)), (2, 1));
 
-    peers.hear(ms(1_000), addr(1), &avoids(1, 2, &[78]), OWN);
-    assert_eq!(peers.avoiding(77), 1);
+    peers.receive(ms(1_000), addr(1), &avoids(1, 2, &[78]), OWN);
+    assert_eq!(peers.avoiding_hosts(77), 1);
     peers.expire(ms(1_400));
 
-    assert_eq!((peers.avoiding(77), peers.avoiding(78)), (0, 1));
+    assert_eq!((peers.avoiding_hosts(77), peers.avoiding_hosts(78)), (0, 1));
 }
 
 #[test]
 fn a_leaving_host_is_not_handed_out() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.hear(ms(0), addr(1), &beat(1, "a", 1), OWN);
-    peers.hear(ms(10), addr(1), &Beat { ready: false, ..beat(1, "a", 2) }, OWN);
+    peers.receive(ms(0), addr(1), &beat(1, "a", 1), OWN);
+    peers.receive(ms(10), addr(1), &Beat { ready: false, ..beat(1, "a", 2) }, OWN);
 
     assert_eq!(ready(&peers, ms(10)), BTreeSet::new());
 }
@@ -143,14 +144,14 @@
 #[test]
 fn what_a_peer_has_had_for_a_while_is_fetched() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    let none = Own::default();
-    peers.hear(ms(0), addr(1), &Beat { configuration: 6, ..beat(1, "a", 1) }, OWN);
-    peers.hear(ms(250), addr(1), &Beat { configuration: 6, ..beat(1, "a", 2) }, OWN);
+    let none = LocalVersions::default();
+    peers.receive(ms(0), addr(1), &Beat { configuration: 6, ..beat(1, "a", 1) }, OWN);
+    peers.receive(ms(250), addr(1), &Beat { configuration: 6, ..beat(1, "a", 2) }, OWN);
 
-    assert_eq!(peers.ahead(ms(199), OWN, &mut rng()), None);
-    assert_eq!(peers.ahead(ms(250), OWN, &mut rng()), Some(addr(1)));
-    assert_eq!(peers.ahead(ms(0), none, &mut rng()), Some(addr(1)));
-    assert_eq!(peers.ahead(ms(250), Own { configuration: 6, ..OWN }, &mut rng()), None);
+    assert_eq!(peers.fetch_source(ms(199), OWN, &mut rng()), None);
+    assert_eq!(peers.fetch_source(ms(250), OWN, &mut rng()), Some(addr(1)));
+    assert_eq!(peers.fetch_source(ms(0), none, &mut rng()), Some(addr(1)));
+    assert_eq!(peers.fetch_source(ms(250), LocalVersions { configuration: 6, ..OWN }, &mut rng()), None);
 }
 
 /// A data centre of 30 hosts hears of a change at the same moment, from several that have it. If all asked the same one
@@ -159,11 +160,11 @@
 fn hosts_that_lack_the_same_ask_different_peers() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..9 {
-        peers.hear(ms(0), addr(i), &Beat { configuration: 6, ..beat(i, "a", 1) }, OWN);
+        peers.receive(ms(0), addr(i), &Beat { configuration: 6, ..beat(i, "a", 1) }, OWN);
     }
     let mut rng = rng();
 
-    let asked: BTreeSet<_> = (0..100).filter_map(|_| peers.ahead(ms(250), OWN, &mut rng)).collect();
+    let asked: BTreeSet<_> = (0..100).filter_map(|_| peers.fetch_source(ms(250), OWN, &mut rng)).collect();
 
     assert_eq!(asked.len(), 8);
 }
@@ -173,14 +174,14 @@
 #[test]
 fn news_are_fetched_from_the_own_data_centre_if_it_has_them_soon() {
     let mut peers = large();
-    assert!(!peers.decide_duty(ms(10), FollowState::Idle), "two of its data centre follow");
+    assert!(!peers.decide_following(ms(10), FollowState::Idle), "two of its data centre follow");
     let next = |i, centre| Beat { configuration: 6, ..beat(i, centre, 2) };
-    peers.hear(ms(100), addr(4), &next(4, "b"), OWN);
-    let before = peers.ahead(ms(400), OWN, &mut rng());
-    let alone = peers.ahead(ms(800), OWN, &mut rng());
-    peers.hear(ms(800), addr(3), &next(3, "a"), OWN);
+    peers.receive(ms(100), addr(4), &next(4, "b"), OWN);
+    let before = peers.fetch_source(ms(400), OWN, &mut rng());
+    let alone = peers.fetch_source(ms(800), OWN, &mut rng());
+    peers.receive(ms(800), addr(3), &next(3, "a"), OWN);
 
-    let near = peers.ahead(ms(800), OWN, &mut rng());
+    let near = peers.fetch_source(ms(800), OWN, &mut rng());
 
     assert_eq!((before, alone, near), (None, Some(addr(4)), Some(addr(3))));
 }
@@ -192,7 +193,7 @@
     let peers = large();
     let mut rng = rng();
 
-    let told: Vec<_> = (0..40).map(|_| peers.few(ms(10), &mut rng)).collect();
+    let told: Vec<_> = (0..40).map(|_| peers.gossip_targets(ms(10), &mut rng)).collect();
 
     assert!(told.iter().all(|few| few.len() == 4));
     let all: BTreeSet<_> = told.iter().flatten().collect();
@@ -203,12 +204,12 @@
 #[test]
 fn a_higher_revision_of_the_same_list_is_not_fetched() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.hear(ms(0), addr(1), &Beat { backends: 12, ..beat(1, "a", 1) }, OWN);
-    assert_eq!(peers.ahead(ms(1_000), OWN, &mut rng()), None);
+    peers.receive(ms(0), addr(1), &Beat { backends: 12, ..beat(1, "a", 1) }, OWN);
+    assert_eq!(peers.fetch_source(ms(1_000), OWN, &mut rng()), None);
 
-    peers.hear(ms(1), addr(1), &Beat { backends: 12, backends_digest: 2, ..beat(1, "a", 2) }, OWN);
+    peers.receive(ms(1), addr(1), &Beat { backends: 12, backends_digest: 2, ..beat(1, "a", 2) }, OWN);
 
-    assert_eq!(peers.ahead(ms(1_000), OWN, &mut rng()), Some(addr(1)));
+    assert_eq!(peers.fetch_source(ms(1_000), OWN, &mut rng()), Some(addr(1)));
 }
 
 /// Sixty hosts in three data centres, as host 0 in `a` knows them.
@@ -216,7 +217,7 @@
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..60 {
         let centre = ["a", "b", "c"][usize::from(i) % 3];
-        peers.hear(ms(0), addr(i), &beat(i, centre, 1), OWN);
+        peers.receive(ms(0), addr(i), &beat(i, centre, 1), OWN);
     }
     peers
 }
@@ -227,8 +228,8 @@
 
     let targets = peers.targets(ms(10), &mut rng());
 
-    let own = targets.iter().filter(|(_, scope)| *scope == Scope::Own).count();
-    let centre = targets.iter().filter(|(_, scope)| *scope == Scope::Centre).count();
+    let own = targets.iter().filter(|(_, scope)| *scope == Scope::Host).count();
+    let centre = targets.iter().filter(|(_, scope)| *scope == Scope::DataCentre).count();
     assert_eq!((own, centre), (19, 2));
     assert!(peers.period() < ms(500), "{:?}", peers.period());
 }
@@ -243,23 +244,23 @@
 
     for n in 0..5 {
         let mut asks = Beat::default();
-        new.number(&mut asks, &member(100, "a"), false);
+        new.finish_beat(&mut asks, &member(100, "a"), false);
         assert!(asks.wants_full);
         let mut answer = Beat { number: 0, ..beat(0, "a", 0) };
-        seed.number(&mut answer, &me, true);
-        new.hear(ms(n), addr(0), &answer, OWN);
+        seed.finish_beat(&mut answer, &me, true);
+        new.receive(ms(n), addr(0), &answer, OWN);
     }
 
     // Near ones are sought; a summary of `b` suffices to hand out all of its hosts.
-    let near = new.targets(ms(5_000), &mut rng()).into_iter().filter(|(_, scope)| *scope == Scope::Own);
+    let near = new.targets(ms(5_000), &mut rng()).into_iter().filter(|(_, scope)| *scope == Scope::Host);
     assert_eq!(near.count(), 20);
     let mut other = Peers::new(addr(1), "b", &[]);
     let centre_b = (4..60).filter(|i| i % 3 == 1);
     for i in centre_b.clone() {
-        other.hear(ms(0), addr(i), &beat(i, "b", 1), OWN);
+        other.receive(ms(0), addr(i), &beat(i, "b", 1), OWN);
     }
-    let summary = other.centre(&[], &member(1, "b"), true);
-    new.hear(ms(5_001), addr(1), &Beat { centre: Some(summary), ..beat(1, "b", 9) }, OWN);
+    let summary = other.data_centre_summary(&[], &member(1, "b"), true);
+    new.receive(ms(5_001), addr(1), &Beat { centre: Some(summary), ..beat(1, "b", 9) }, OWN);
     let handed_out = ready(&new, ms(5_001));
     assert!(centre_b.clone().all(|i| handed_out.contains(&format!("host-{i}"))), "{handed_out:?}");
 }
@@ -278,9 +279,9 @@
             let centre = ["a", "b", "c"][usize::from(i) % 3];
             let follows_store = contact(i) == FollowState::Follows;
             let lost_store = contact(i) == FollowState::Lost;
-            peers.hear(ms(0), addr(i), &Beat { follows_store, lost_store, ..beat(i, centre, 1) }, OWN);
+            peers.receive(ms(0), addr(i), &Beat { follows_store, lost_store, ..beat(i, centre, 1) }, OWN);
         }
-        peers.decide_duty(ms(10), contact(*me))
+        peers.decide_following(ms(10), contact(*me))
     };
     (0..60).filter(|i| i % 3 == 0).filter(decides).collect()
 }
@@ -305,10 +306,10 @@
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..20 {
         let leaves = Beat { ready: false, follows_store: true, ..beat(i, "a", 1) };
-        peers.hear(ms(0), addr(i), &leaves, OWN);
+        peers.receive(ms(0), addr(i), &leaves, OWN);
     }
 
-    assert!(peers.decide_duty(ms(10), FollowState::Idle));
+    assert!(peers.decide_following(ms(10), FollowState::Idle));
 }
 
 /// All hosts were killed while the store was away. After its return the entries of servers come back one by one, and callers
@@ -319,7 +320,8 @@
     let seeds = [addr(1), addr(2)];
     let mut peers = [1, 9].map(|i| Peers::new(addr(i), "a", &seeds).with_start(ms(50_000)));
 
-    let duty = |peers: &mut [Peers; 2], at| peers.each_mut().map(|p| p.is_on_duty(at, FollowState::Idle));
+    let duty =
+        |peers: &mut [Peers; 2], at| peers.each_mut().map(|p| p.should_follow_store(at, FollowState::Idle));
     let first = duty(&mut peers, ms(50_010));
     let early = duty(&mut peers, ms(50_900));
     let settled = duty(&mut peers, ms(51_100));
@@ -334,13 +336,13 @@
 fn a_host_that_hears_others_lets_them_follow_the_store_first() {
     let start = |i: u8| Peers::new(addr(i), "a", &[]).with_start(ms(50_000));
     let tell = |peers: &mut Peers, follows_store, at| {
-        peers.hear(ms(at), addr(1), &Beat { follows_store, ..beat(1, "a", at) }, OWN);
+        peers.receive(ms(at), addr(1), &Beat { follows_store, ..beat(1, "a", at) }, OWN);
     };
     let [mut alone, mut heard, mut told] = [9, 9, 9].map(start);
     tell(&mut heard, false, 50_100);
     (0..8).for_each(|n| tell(&mut told, true, 50_100 + 500 * n));
 
-    let at = |peers: &mut Peers, at| peers.is_on_duty(ms(at), FollowState::Idle);
+    let at = |peers: &mut Peers, at| peers.should_follow_store(ms(at), FollowState::Idle);
     let alones = [at(&mut alone, 50_900), at(&mut alone, 51_100)];
     tell(&mut heard, false, 51_900);
     let heards = [at(&mut heard, 51_950), at(&mut heard, 52_100)];
@@ -356,10 +358,10 @@
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..40 {
         let start = u64::from(100 - i);
-        peers.hear(ms(0), addr(i), &Beat { start, ..beat(i, ["a", "b"][usize::from(i) % 2], 1) }, OWN);
+        peers.receive(ms(0), addr(i), &Beat { start, ..beat(i, ["a", "b"][usize::from(i) % 2], 1) }, OWN);
     }
 
-    let near: Vec<_> = peers.near_ready(3).into_iter().map(|m| m.name).collect();
+    let near: Vec<_> = peers.ready_in_data_centre(3).into_iter().map(|m| m.name).collect();
 
     assert_eq!(near, ["host-38", "host-36", "host-34"]);
 }
@@ -371,20 +373,20 @@
     let mut peers = large();
     peers.expire(ms(2_000));
     let mut sender = Peers::new(addr(4), "b", &[]);
-    sender.hear(ms(0), addr(7), &Beat { sender: Some(member(7, "b")), ..busy(7, 1, &[(77, 3)]) }, OWN);
+    sender.receive(ms(0), addr(7), &Beat { sender: Some(member(7, "b")), ..busy(7, 1, &[(77, 3)]) }, OWN);
     let own = [InProgress { backend: 77, requests: 2 }];
-    let told = sender.centre(&own, &member(4, "b"), true);
+    let told = sender.data_centre_summary(&own, &member(4, "b"), true);
     assert_eq!(told.in_progress, [InProgress { backend: 77, requests: 5 }]);
 
-    peers.hear(ms(2_000), addr(4), &Beat { centre: Some(told), ..beat(4, "b", 2) }, OWN);
-    assert_eq!(peers.load(77), 5);
+    peers.receive(ms(2_000), addr(4), &Beat { centre: Some(told), ..beat(4, "b", 2) }, OWN);
+    assert_eq!(peers.remote_load(77), 5);
     assert_eq!(ready(&peers, ms(2_000)), BTreeSet::from(["host-4".into(), "host-7".into()]));
     let less = Centre { in_progress: vec![InProgress { backend: 77, requests: 1 }], ready: Vec::new() };
-    peers.hear(ms(2_100), addr(7), &Beat { centre: Some(less), ..beat(7, "b", 2) }, OWN);
-    assert_eq!(peers.load(77), 1);
+    peers.receive(ms(2_100), addr(7), &Beat { centre: Some(less), ..beat(7, "b", 2) }, OWN);
+    assert_eq!(peers.remote_load(77), 1);
     peers.expire(ms(5_200));
 
-    assert_eq!(peers.load(77), 0);
+    assert_eq!(peers.remote_load(77), 0);
     assert_eq!(ready(&peers, ms(5_200)), BTreeSet::new());
 }
 
@@ -398,17 +400,17 @@
     let summary = |hosts: &[u8], number| {
         let mut sender = Peers::new(addr(1), "b", &[]);
         for i in hosts {
-            sender.hear(ms(0), addr(*i), &beat(*i, "b", 1), OWN);
+            sender.receive(ms(0), addr(*i), &beat(*i, "b", 1), OWN);
         }
-        Beat { centre: Some(sender.centre(&[], &member(1, "b"), true)), ..beat(1, "b", number) }
+        Beat { centre: Some(sender.data_centre_summary(&[], &member(1, "b"), true)), ..beat(1, "b", number) }
     };
     let in_b = |peers: &Peers, now| ready(peers, now).iter().filter(|name| is_of(name, &of_b)).count();
-    peers.hear(ms(100), addr(1), &summary(&of_b, 2), OWN);
+    peers.receive(ms(100), addr(1), &summary(&of_b, 2), OWN);
     assert_eq!(in_b(&peers, ms(100)), 20);
 
-    peers.hear(ms(200), addr(1), &summary(&of_b[..19], 3), OWN);
+    peers.receive(ms(200), addr(1), &summary(&of_b[..19], 3), OWN);
     let lost = in_b(&peers, ms(200));
-    peers.hear(ms(300), addr(1), &summary(&of_b[..3], 4), OWN);
+    peers.receive(ms(300), addr(1), &summary(&of_b[..3], 4), OWN);
 
     assert_eq!(lost, 19);
     assert_eq!(in_b(&peers, ms(300)), 19, "a host that knows three says nothing of the others");
@@ -424,19 +426,19 @@
 fn hosts_of_other_data_centres_are_known_from_neighbours() {
     let mut peers = large();
     let told = Beat { members: vec![member(70, "b"), member(71, "b")], ..beat(3, "a", 2) };
-    peers.hear(ms(10), addr(3), &told, OWN);
-    peers.hear(ms(20), addr(70), &Beat { sender: None, ..beat(70, "b", 1) }, OWN);
+    peers.receive(ms(10), addr(3), &told, OWN);
+    peers.receive(ms(20), addr(70), &Beat { sender: None, ..beat(70, "b", 1) }, OWN);
     let mut sender = Peers::new(addr(4), "b", &[]);
-    sender.hear(ms(0), addr(71), &beat(71, "b", 1), OWN);
-    let summary = sender.centre(&[], &member(4, "b"), true);
+    sender.receive(ms(0), addr(71), &beat(71, "b", 1), OWN);
+    let summary = sender.data_centre_summary(&[], &member(4, "b"), true);
 
-    peers.hear(ms(30), addr(4), &Beat { centre: Some(summary), ..beat(4, "b", 2) }, OWN);
+    peers.receive(ms(30), addr(4), &Beat { centre: Some(summary), ..beat(4, "b", 2) }, OWN);
 
     let mut next = Beat::default();
-    (0..13).for_each(|_| peers.number(&mut next, &member(0, "a"), false));
+    (0..13).for_each(|_| peers.finish_beat(&mut next, &member(0, "a"), false));
     assert!(!next.wants_full);
     assert!(ready(&peers, ms(30)).contains("host-71"));
-    assert_eq!(peers.hosts(), 62);
+    assert_eq!(peers.host_count(), 62);
 }
 
 /// A host is gone, and others still tell of it. It is not told on, and forgotten after a minute, or the fleet would seek
@@ -444,13 +446,13 @@
 #[test]
 fn a_host_that_nobody_hears_is_not_told_on() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.hear(ms(0), addr(1), &Beat { members: vec![member(9, "a")], ..beat(1, "a", 1) }, OWN);
+    peers.receive(ms(0), addr(1), &Beat { members: vec![member(9, "a")], ..beat(1, "a", 1) }, OWN);
     let mut full = Beat::default();
-    peers.number(&mut full, &member(0, "a"), true);
+    peers.finish_beat(&mut full, &member(0, "a"), true);
     let sought = |peers: &mut Peers, at| peers.targets(at, &mut rng()).iter().any(|(to, _)| *to == addr(9));
     let first = sought(&mut peers, ms(10));
 
-    peers.hear(ms(61_000), addr(1), &beat(1, "a", 2), OWN);
+    peers.receive(ms(61_000), addr(1), &beat(1, "a", 2), OWN);
     peers.expire(ms(61_000));
 
     assert!(first);
@@ -485,8 +487,8 @@
     first.update_backends(change, None, "test");
 
     wire::until("the change", || third.routes().is_some_and(|r| r.version() == 2)).await;
-    wire::until("the leaving server", || third.servers("app") == 0).await;
-    assert_eq!(first.servers("app"), 0);
+    wire::until("the leaving server", || third.server_count("app") == 0).await;
+    assert_eq!(first.server_count("app"), 0);
 }
 
 /// Asks a host as another one does.
@@ -560,14 +562,14 @@
 fn hosts_that_did_not_give_what_they_have_are_asked_last() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..=7 {
-        peers.hear(ms(0), addr(i), &Beat { configuration: 6, ..beat(i, "a", 1) }, OWN);
+        peers.receive(ms(0), addr(i), &Beat { configuration: 6, ..beat(i, "a", 1) }, OWN);
     }
     let later = ms(700);
 
-    (1..=6).for_each(|i| peers.note_failed(later, addr(i)));
-    let asked: BTreeSet<_> = (0..50).filter_map(|_| peers.ahead(later, OWN, &mut rng())).collect();
-    peers.note_failed(later, addr(7));
-    let again = peers.ahead(later, OWN, &mut rng());
+    (1..=6).for_each(|i| peers.record_fetch_failure(later, addr(i)));
+    let asked: BTreeSet<_> = (0..50).filter_map(|_| peers.fetch_source(later, OWN, &mut rng())).collect();
+    peers.record_fetch_failure(later, addr(7));
+    let again = peers.fetch_source(later, OWN, &mut rng());
 
     assert_eq!(asked, BTreeSet::from([addr(7)]));
     assert!(again.is_some(), "where all have failed they are asked again");
