--- a/src/relay/datagram.rs
+++ b/src/relay/datagram.rs
@@ -1,85 +1,88 @@
-//! Beats as bytes, and which bytes are believed.
+//! Encoding and validation of heartbeat datagrams.
 //!
-//! Whoever reaches the port can send anything. What can't be a beat of a host of this fleet is dropped, counted by reason,
-//! and changes nothing.
+//! Anyone who reaches the port can send anything. A datagram that can't be a heartbeat of a host of this fleet is
+//! dropped, counted by reason, and changes nothing.
 
 use crate::schema::fleet::Beat;
 
-/// Largest beat within a data centre, in bytes: one packet of a common link.
-const MOST_OWN: usize = 1_400;
-/// Largest datagram, in bytes. Summaries of data centres take up to two packets: their loads are all that the others know.
-pub const MOST_BYTES: usize = 2 * MOST_OWN;
-/// How far another host's clock may be ahead of this one's, in milliseconds. A later start would hide all that the host at
-/// that address tells from then on.
-const MOST_AHEAD_MS: u64 = 3_600_000;
-/// Least time between two beats of a host, in milliseconds; a higher number than its time allows would hide its next ones.
-const LEAST_INTERVAL_MS: u64 = 5;
+/// Maximum size of a heartbeat within a data centre, in bytes: one packet on a common link.
+const MAX_LOCAL_BYTES: usize = 1_400;
+/// Maximum size of a datagram, in bytes. Heartbeats with a summary of a data centre may take two packets, since other
+/// data centres learn its loads from nothing else.
+pub const MAX_DATAGRAM_BYTES: usize = 2 * MAX_LOCAL_BYTES;
+/// How far another host's clock may be ahead of this one's, in milliseconds. A start time further in the future would
+/// make all later heartbeats from that address look outdated.
+const MAX_CLOCK_SKEW_MS: u64 = 3_600_000;
+/// Minimum interval between two heartbeats of a host, in milliseconds. A sequence number higher than the time since the
+/// start allows would make the next heartbeats look outdated.
+const MIN_HEARTBEAT_INTERVAL_MS: u64 = 5;
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// It is larger than any that is sent.
-    Size,
-    /// Its bytes are no beat.
-    Garbage,
-    /// It tells of a start or a number that can't have come yet.
+    /// It is larger than any datagram that a host sends.
+    TooLarge,
+    /// It can't be decoded as a heartbeat.
+    Malformed,
+    /// Its start time or sequence number lies in the future.
     Future,
-    /// It has come before, or later than a newer one.
-    Old,
+    /// It is a duplicate, or older than one already received.
+    Replayed,
 }
 
 impl DropReason {
     /// Every reason.
     pub const ALL: [DropReason; 4] =
-        [DropReason::Size, DropReason::Garbage, DropReason::Future, DropReason::Old];
+        [DropReason::TooLarge, DropReason::Malformed, DropReason::Future, DropReason::Replayed];
 
     /// Name in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
-            DropReason::Size => "size",
-            DropReason::Garbage => "garbage",
+            DropReason::TooLarge => "size",
+            DropReason::Malformed => "garbage",
             DropReason::Future => "future",
-            DropReason::Old => "old",
+            DropReason::Replayed => "old",
         }
     }
 }
 
-/// Reads a datagram that comes at `wall_ms`, in milliseconds since 1970.
+/// Decodes a datagram that arrives at `wall_ms`, in milliseconds since 1970.
 ///
 /// # Errors
-/// Why it is not believed.
+/// Returns why the datagram must be dropped.
 pub fn decode(buf: &[u8], wall_ms: u64) -> Result<Beat, DropReason> {
-    if buf.len() > MOST_BYTES {
-        return Err(DropReason::Size);
+    if buf.len() > MAX_DATAGRAM_BYTES {
+        return Err(DropReason::TooLarge);
     }
-    let Ok((beat, rest)) = postcard::take_from_bytes::<Beat>(buf) else { return Err(DropReason::Garbage) };
+    let Ok((beat, rest)) = postcard::take_from_bytes::<Beat>(buf) else { return Err(DropReason::Malformed) };
     if !rest.is_empty() {
-        return Err(DropReason::Garbage);
+        return Err(DropReason::Malformed);
     }
-    let latest = wall_ms.saturating_add(MOST_AHEAD_MS);
-    let most = latest.saturating_sub(beat.start) / LEAST_INTERVAL_MS;
-    if beat.start > latest || beat.number > most {
+    let latest = wall_ms.saturating_add(MAX_CLOCK_SKEW_MS);
+    let max_number = latest.saturating_sub(beat.start) / MIN_HEARTBEAT_INTERVAL_MS;
+    if beat.start > latest || beat.number > max_number {
         return Err(DropReason::Future);
     }
     Ok(beat)
 }
 
-/// Writes a beat, without some of what it tells where that is too long for a datagram.
+/// Encodes a heartbeat, leaving out a part of its lists if it is too long for a datagram.
 ///
 /// # Errors
-/// When it has no form in bytes.
+/// When it can't be serialized.
 pub fn encode(beat: &Beat) -> postcard::Result<Vec<u8>> {
     let mut beat = beat.clone();
-    let most = if beat.centre.is_some() { MOST_BYTES } else { MOST_OWN };
+    let max_bytes = if beat.centre.is_some() { MAX_DATAGRAM_BYTES } else { MAX_LOCAL_BYTES };
     loop {
         let buf = postcard::to_allocvec(&beat)?;
-        if buf.len() <= most || !shorten(&mut beat) {
+        if buf.len() <= max_bytes || !shorten(&mut beat) {
             return Ok(buf);
         }
     }
 }
 
-/// Leaves something out; returns whether there was anything. Members come again in the next full beat.
+/// Shortens one list of the heartbeat; returns whether there was anything to remove. Members are sent again in the next
+/// full heartbeat.
 fn shorten(beat: &mut Beat) -> bool {
     let of_centre = |beat: &mut Beat| beat.centre.as_mut().is_some_and(|c| halve(&mut c.in_progress));
     beat.members.pop().is_some() || halve(&mut beat.in_progress) || halve(&mut beat.held) || of_centre(beat)
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -1,9 +1,9 @@
-//! Follows configuration and backend servers by one waiting watch each.
+//! Follows the configuration and the backend servers with one long-polling watch each.
 //!
-//! A host that starts reads a copy of both, which may be seconds old and costs little; a seed reads the newest, so that
-//! somebody knows it at once. A moment later each host has heard who else is there, and only the [`super::followers`] go on: the
-//! others are told. What is known stays in force while the store does not answer; the other hosts tell what is newer
-//! meanwhile.
+//! A starting host lists both from a copy of the store, which may be seconds old but costs little. A seed reads the
+//! newest state, so that some host has it at once. Soon afterwards each host has heard which others exist, and only the
+//! hosts elected by [`super::followers`] keep watching; the others receive changes by gossip. During an outage of the
+//! store the known state stays in force, and hosts pass on newer state that any of them has.
 
 use std::{future::Future, ops::Range, sync::Arc, time::Duration};
 
@@ -17,7 +17,7 @@
 pub use confirm::keep_confirmed;
 pub use evacuations::follow_evacuations;
 pub use hosts::{Hosts, sync_hosts};
-use start::{is_told, turns};
+use start::{read_window, wait_for_gossip};
 
 use super::{
     Relay, Wire,
@@ -32,57 +32,57 @@
     util::{Instant, now, wall_ms},
 };
 
-/// Pause after a change before the next watch, so that changes that come together cost one call, and after a watch that has
-/// ended within it: a store that does not let watches wait would be called without end. A server that leaves may get new
-/// work for two seconds.
-const GATHER: Duration = Duration::from_millis(200);
-/// The same after a change of the backend servers, as a part of the time within which changes are in force: in a small fleet, and
-/// in a large one, in which a change costs a call a data centre.
-const GATHER_SMALL: f64 = 1.0 / 10.0;
-const GATHER_LARGE: f64 = 1.0 / 5.0;
-/// Time between two looks whether this host must follow the store again.
-const REST: Duration = Duration::from_millis(250);
-/// How far the clock of a backend server may be ahead, in milliseconds. A start that is told for a later time was written by
-/// somebody else: taken for true, it would hide all that the server tells of itself from then on.
-const MOST_AHEAD_MS: u64 = 3_600_000;
+/// Pause between a change and the next watch, so that changes in quick succession cost one call. The same pause follows
+/// a watch that ended sooner than this: a store that does not hold watches open would be called in a tight loop. A
+/// server that is leaving may get new work for two seconds.
+const COALESCE_DELAY: Duration = Duration::from_millis(200);
+/// The pause after a change of the backend servers, as a fraction of the propagation bound, in a small fleet and in a
+/// large one, where each change costs one call per data centre.
+const SMALL_FLEET_COALESCE_FRACTION: f64 = 1.0 / 10.0;
+const LARGE_FLEET_COALESCE_FRACTION: f64 = 1.0 / 5.0;
+/// Interval at which an idle host checks whether it has to follow the store again.
+const FOLLOW_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How far the clock of a backend server may be ahead, in milliseconds. An entry with a later start time was written by
+/// somebody else; accepting it would hide everything that the server reports afterwards.
+const MAX_CLOCK_SKEW_MS: u64 = 3_600_000;
 
-/// How long a host that is no seed waits to be told a long list before it reads it itself, drawn so that few do it at a
-/// time; a seed has read it and told it within 0.3 s.
-const LONG_LIST: Range<Duration> = Duration::from_millis(300)..Duration::from_millis(1_800);
+/// How long a host that is not a seed waits to receive a long list from a peer before it reads the list itself. The
+/// wait is random, so that few hosts read at a time; a seed has read and sent the list within 0.3 s.
+const GOSSIP_WAIT: Range<Duration> = Duration::from_millis(300)..Duration::from_millis(1_800);
 
-/// Why a call to the store gave nothing.
+/// Why a call to the store returned no state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// The changes since the revision are not kept any more.
+    /// The store no longer keeps the changes since the revision.
     HistoryGone,
-    /// The store was restored since the revision, so that nothing leads on from there.
+    /// The store was restored since the revision, so no watch can continue from it.
     Restored {
-        /// Its epoch.
+        /// The store's new epoch.
         epoch: Epoch,
     },
-    /// A call waited in vain: another one has told what it should have.
-    Deaf,
-    /// No answer in time.
+    /// The watch is stalled: another call returned a change that it should have delivered.
+    WatchStalled,
+    /// The call timed out.
     TimedOut,
-    /// The list takes more calls than one, and only the first was asked for.
+    /// The list has more than one page, and only a short list was accepted.
     Long,
-    /// The answer is large, and only a small one was asked for.
+    /// The answer is large, and only a small one was accepted.
     Large {
         /// Its length.
         bytes: u64,
     },
-    /// A refusal for now, or no connection.
+    /// The store refused the call, or there is no connection.
     Unavailable(String),
-    /// The answer can't be understood; what was known before stays in force.
+    /// The answer can't be decoded; the known state stays in force.
     Unreadable(String),
 }
 
-/// Changes of the backend servers.
+/// An update of the backend servers from the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendsUpdate {
-    /// All of them.
+    /// The full list.
     List(Backends),
-    /// What has changed.
+    /// Changes since an earlier revision.
     Changes {
         /// Revision that the changes lead to.
         revision: Revision,
@@ -94,7 +94,7 @@
 }
 
 impl BackendsUpdate {
-    /// Revision as of which it tells.
+    /// Revision of the store that the update leads to.
     pub fn revision(&self) -> Revision {
         match self {
             BackendsUpdate::List(list) => list.as_of(),
@@ -102,15 +102,15 @@
         }
     }
 
-    /// Takes a list for one of a copy, after which nothing is waited for.
+    /// Marks a list as a stale read, which any later list replaces and from which no watch continues.
     fn mark_stale(&mut self) {
         if let BackendsUpdate::List(list) = self {
             (list.epoch, list.revision) = (Revision::STALE_READ.epoch, Revision::STALE_READ.number);
         }
     }
 
-    /// Takes entries for unreadable that tell of a start after `latest`, in milliseconds since 1970.
-    fn distrust_after(&mut self, latest: u64) {
+    /// Clears entries with a start time after `latest`, in milliseconds since 1970, so that they count as unreadable.
+    fn blank_starts_after(&mut self, latest: u64) {
         let items = match self {
             BackendsUpdate::List(list) => &mut list.items,
             BackendsUpdate::Changes { puts, .. } => puts,
@@ -121,155 +121,157 @@
     }
 }
 
-/// The platform's store, as an adapter speaks to it.
+/// Client interface of the platform's store.
 pub trait Store: Send + Sync + 'static {
-    /// The configuration: at once without a revision, else once it has changed after it, or unchanged after a while.
+    /// Reads the configuration: immediately if the call has no revision, otherwise once it has changed after that
+    /// revision, or without it after the watch timeout.
     fn configuration(
         &mut self,
         call: Call,
     ) -> impl Future<Output = Result<(Revision, Option<Configuration>), StoreError>> + Send;
 
-    /// The backend servers, likewise.
+    /// Reads the backend servers in the same way.
     fn backends(&mut self, call: Call) -> impl Future<Output = Result<BackendsUpdate, StoreError>> + Send;
 
-    /// The evacuated data centres, likewise.
+    /// Reads the evacuated data centres in the same way.
     fn evacuations(
         &mut self,
         call: Call,
     ) -> impl Future<Output = Result<super::evacuations::Update, StoreError>> + Send;
 
-    /// Enters some hosts of a data centre, in place of those entered before.
+    /// Registers some hosts of a data centre, replacing those registered before.
     fn register_hosts(
         &mut self,
         data_centre: &str,
         hosts: &Hosts,
     ) -> impl Future<Output = Result<(), StoreError>> + Send;
 
-    /// Hosts that are entered, some of them long gone.
+    /// The registered hosts, some of which may be long gone.
     fn hosts(&mut self) -> impl Future<Output = Result<Hosts, StoreError>> + Send;
 }
 
-/// Follows the configuration until the task is ended.
+/// Follows the configuration until the task is cancelled.
 pub async fn follow_configuration<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
-    let mut contact = StoreRetry::new("configuration");
+    let mut retry = StoreRetry::new("configuration");
     let (mut after, mut started, mut allow_large) = (None, false, false);
     loop {
         started |= relay.routes().is_some();
-        if started && rest(&relay).await {
-            contact = StoreRetry::new("configuration");
+        if started && wait_until_follower(&relay).await {
+            retry = StoreRetry::new("configuration");
         }
         let stale_ok = !started && !relay.is_seed();
         let call = Call {
             after,
             epoch: relay.epoch(),
-            timeout: contact.timeout(),
+            timeout: retry.timeout(),
             allow_large,
             stale_ok,
             no_wait: false,
         };
-        let asked = relay.begin(call);
+        let asked = relay.start_call(call);
         let answer = relay.ask_store(StoreCall::configuration(call), after, store.configuration(call)).await;
         match relay.check_epoch(answer, |(revision, _)| revision.epoch) {
             Ok((revision, cfg)) => {
                 started = true;
                 let revision = Some(revision).filter(|_| !stale_ok);
                 relay.state().copied |= stale_ok;
-                regain(&mut contact);
-                let news = after.is_some() && cfg.is_some();
-                let soon = after.is_some() && now() < asked + GATHER;
+                record_answer_and_log(&mut retry);
+                let changed = after.is_some() && cfg.is_some();
+                let ended_early = after.is_some() && now() < asked + COALESCE_DELAY;
                 after = after.max(revision);
                 if let Some(cfg) = cfg {
                     relay.set_configuration(cfg, "store");
                 }
                 relay.record_answer(Topic::Configuration, call, asked, revision);
-                if news || soon {
-                    tokio::time::sleep(GATHER).await;
+                if changed || ended_early {
+                    tokio::time::sleep(COALESCE_DELAY).await;
                 }
             }
             Err(StoreError::HistoryGone) => {
                 line(Weight::Notable, "history_gone", |l| l.text("kind", "configuration"));
                 after = None;
             }
-            Err(StoreError::Restored { .. } | StoreError::Deaf) => after = None,
+            Err(StoreError::Restored { .. } | StoreError::WatchStalled) => after = None,
             Err(StoreError::Large { bytes }) => {
-                let turns = turns(&relay, &mut store, bytes).await;
-                is_told(&relay, turns, |relay| relay.routes().is_some()).await;
+                let read_window = read_window(&relay, &mut store, bytes).await;
+                wait_for_gossip(&relay, read_window, |relay| relay.routes().is_some()).await;
                 allow_large = true;
             }
             Err(e) => {
                 after = None;
-                lose(&mut contact, &e).await;
+                back_off(&mut retry, &e).await;
             }
         }
     }
 }
 
-/// Follows the backend servers until the task is ended.
+/// Follows the backend servers until the task is cancelled.
 pub async fn follow_backends<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
-    let mut contact = StoreRetry::new("backends");
-    let (mut list, mut allow_large) = (true, false);
+    let mut retry = StoreRetry::new("backends");
+    let (mut needs_list, mut allow_large) = (true, false);
     loop {
         let started = relay.state().listed;
-        if started && rest(&relay).await {
-            contact = StoreRetry::new("backends");
+        if started && wait_until_follower(&relay).await {
+            retry = StoreRetry::new("backends");
         }
-        let after = (!list).then(|| relay.state().backends.revision());
+        let after = (!needs_list).then(|| relay.state().backends.revision());
         let stale_ok = !started && !relay.is_seed();
         let call = Call {
             after,
             epoch: relay.epoch(),
-            timeout: contact.timeout(),
+            timeout: retry.timeout(),
             allow_large,
             stale_ok,
             no_wait: false,
         };
-        let asked = relay.begin(call);
+        let asked = relay.start_call(call);
         let answer = relay.ask_store(StoreCall::backends(call), after, store.backends(call)).await;
         match relay.check_epoch(answer, |update| update.revision().epoch) {
             Ok(mut update) => {
-                list = stale_ok;
+                needs_list = stale_ok;
                 if stale_ok {
                     update.mark_stale();
                 }
-                let grace = regain(&mut contact);
-                let news = matches!(&update, BackendsUpdate::Changes { puts, removed, .. }
+                let grace = record_answer_and_log(&mut retry);
+                let changed = matches!(&update, BackendsUpdate::Changes { puts, removed, .. }
                     if !puts.is_empty() || !removed.is_empty());
-                let soon = after.is_some() && now() < asked + GATHER;
+                let ended_early = after.is_some() && now() < asked + COALESCE_DELAY;
                 let revision = Some(update.revision()).filter(|_| !stale_ok);
                 relay.update_backends(update, grace, "store");
                 relay.record_answer(Topic::Backends, call, asked, revision);
-                relay.note_contact(FollowState::Follows);
-                if news || soon {
-                    tokio::time::sleep(relay.gather()).await;
+                relay.set_follow_state(FollowState::Follows);
+                if changed || ended_early {
+                    tokio::time::sleep(relay.coalesce_delay()).await;
                 }
             }
             Err(StoreError::HistoryGone) => {
                 line(Weight::Notable, "history_gone", |l| l.text("kind", "backends"));
-                list = true;
+                needs_list = true;
             }
-            Err(StoreError::Restored { .. } | StoreError::Deaf) => list = true,
+            Err(StoreError::Restored { .. } | StoreError::WatchStalled) => needs_list = true,
             Err(StoreError::Long) => {
-                list = !is_told(&relay, LONG_LIST, |relay| relay.state().listed).await;
+                needs_list = !wait_for_gossip(&relay, GOSSIP_WAIT, |relay| relay.state().listed).await;
                 allow_large = true;
             }
             Err(StoreError::Large { bytes }) => {
-                let turns = turns(&relay, &mut store, bytes).await;
-                list = !is_told(&relay, turns, |relay| relay.state().listed).await;
+                let read_window = read_window(&relay, &mut store, bytes).await;
+                needs_list = !wait_for_gossip(&relay, read_window, |relay| relay.state().listed).await;
                 allow_large = true;
             }
             Err(e) => {
-                // A watch would answer only at the next change, and what lapsed meanwhile would count from then on.
-                list = true;
-                relay.note_contact(FollowState::Lost);
-                lose(&mut contact, &e).await;
+                // A watch would return only at the next change, and entries that expired meanwhile would remain valid
+                // until then.
+                needs_list = true;
+                relay.set_follow_state(FollowState::Lost);
+                back_off(&mut retry, &e).await;
             }
         }
     }
 }
 
 impl<W: Wire> Relay<W> {
-    /// Notes the start of a call by a follower; returns when that was.
-    fn begin(&self, call: Call) -> Instant {
+    /// Records the start of a follower's call; returns the time.
+    fn start_call(&self, call: Call) -> Instant {
         let now = now();
         if call.after.is_none() && !call.stale_ok {
             self.state().confirmations.record_check(now);
@@ -277,8 +279,8 @@
         now
     }
 
-    /// Notes that the store has answered a call of `asked` as of a revision; none is noted of a copy. What a waiting call
-    /// brings is as of its end.
+    /// Records that the store answered a call that was sent at `asked`, as of `revision`, which is `None` for a stale
+    /// read. The answer to a watch is current as of its end.
     fn record_answer(&self, topic: Topic, call: Call, asked: Instant, revision: Option<Revision>) {
         let Some(revision) = revision else { return };
         let at = if call.after.is_some() && !call.no_wait { now() } else { asked };
@@ -287,55 +289,60 @@
         confirmations.record_revision(topic, Some(revision));
     }
 
-    /// Whether this host is one of those that the settings name to all others.
+    /// Whether this host is one of the seeds, which the settings of all hosts name.
     fn is_seed(&self) -> bool {
         self.cfg.seeds.contains(&self.cfg.peer_addr)
     }
 
     /// Pause after a change of the backend servers.
-    fn gather(&self) -> Duration {
-        let part = if self.state().peers.is_small() { GATHER_SMALL } else { GATHER_LARGE };
-        self.cfg.in_force.mul_f64(part)
+    fn coalesce_delay(&self) -> Duration {
+        let fraction = if self.state().peers.is_small() {
+            SMALL_FLEET_COALESCE_FRACTION
+        } else {
+            LARGE_FLEET_COALESCE_FRACTION
+        };
+        self.cfg.in_force.mul_f64(fraction)
     }
 
-    /// Decides whether this host follows the store now.
-    fn is_on_duty(&self) -> bool {
+    /// Decides whether this host should follow the store now.
+    fn should_follow(&self) -> bool {
         let mut state = self.state();
         let state = &mut *state;
-        let on_duty = state.leaving.is_none() && state.peers.is_on_duty(now(), state.contact);
-        if !on_duty && state.peers.is_settled() {
+        let follows = state.leaving.is_none() && state.peers.is_on_duty(now(), state.contact);
+        if !follows && state.peers.is_settled() {
             state.contact = FollowState::Idle;
         }
-        on_duty
+        follows
     }
 
-    /// Notes whether the store has answered this host, and tells the others where that has changed: they step in or rest.
-    fn note_contact(&self, contact: FollowState) {
+    /// Records whether the store answers this host. A change is sent to the other hosts at once, so that they step in
+    /// or stand down.
+    fn set_follow_state(&self, follow_state: FollowState) {
         let mut state = self.state();
         if !state.peers.is_settled() {
             return;
         }
-        let before = std::mem::replace(&mut state.contact, contact);
+        let before = std::mem::replace(&mut state.contact, follow_state);
         drop(state);
-        if before != contact {
+        if before != follow_state {
             self.tell.notify_one();
         }
     }
 
-    /// Takes in an update of the backend servers.
+    /// Applies an update of the backend servers.
     pub fn update_backends(&self, mut update: BackendsUpdate, grace: Option<Duration>, from: &str) {
         let now = now();
-        update.distrust_after(wall_ms() + MOST_AHEAD_MS);
+        update.blank_starts_after(wall_ms() + MAX_CLOCK_SKEW_MS);
         let mut state = self.state();
         if !self.observe_peer_epoch(&mut state, update.revision().epoch, from) {
             return;
         }
         state.listed = true;
-        let (told, known) = (update.revision(), state.backends.revision());
-        if told < known {
+        let (received, known) = (update.revision(), state.backends.revision());
+        if received < known {
             line(Weight::Notable, "older_ignored", |l| {
                 let l = l.text("kind", "backends").text("from", from);
-                let l = l.number("told", told.number).number("told_epoch", told.epoch);
+                let l = l.number("told", received.number).number("told_epoch", received.epoch);
                 l.number("known", known.number).number("known_epoch", known.epoch)
             });
         }
@@ -349,32 +356,31 @@
     }
 }
 
-/// Waits while enough other hosts of the data centre follow the store and tell this one; returns whether it has waited.
-async fn rest<W: Wire>(relay: &Relay<W>) -> bool {
-    let mut rested = false;
-    while !relay.is_on_duty() {
-        rested = true;
-        tokio::time::sleep(REST).await;
+/// Waits while enough other hosts of the data centre follow the store; returns whether it had to wait.
+async fn wait_until_follower<W: Wire>(relay: &Relay<W>) -> bool {
+    let mut waited = false;
+    while !relay.should_follow() {
+        waited = true;
+        tokio::time::sleep(FOLLOW_CHECK_INTERVAL).await;
     }
-    rested
+    waited
 }
 
-/// Notes an answer; returns how long entries that may have lapsed still count.
-fn regain(contact: &mut StoreRetry) -> Option<Duration> {
+/// Records an answer and logs the end of an outage. Returns the rest of the grace period for missing entries.
+fn record_answer_and_log(retry: &mut StoreRetry) -> Option<Duration> {
     let now = now();
-    let (away, grace) = contact.record_answer(now);
+    let (away, grace) = retry.record_answer(now);
     if let Some(away) = away {
-        line(Weight::Notable, "store_back", |l| l.text("kind", contact.topic()).ms("away_ms", away));
+        line(Weight::Notable, "store_back", |l| l.text("kind", retry.topic()).ms("away_ms", away));
     }
     grace
 }
 
-async fn lose(contact: &mut StoreRetry, e: &StoreError) {
-    let lost = contact.record_failure(now(), *e == StoreError::TimedOut, &mut rand::rng());
-    if lost.first {
-        line(Weight::Notable, "store_lost", |l| {
-            l.text("kind", contact.topic()).text("why", &format!("{e:?}"))
-        });
+/// Records a failed call, logs the start of an outage, and waits for the backoff.
+async fn back_off(retry: &mut StoreRetry, e: &StoreError) {
+    let failure = retry.record_failure(now(), *e == StoreError::TimedOut, &mut rand::rng());
+    if failure.first {
+        line(Weight::Notable, "store_lost", |l| l.text("kind", retry.topic()).text("why", &format!("{e:?}")));
     }
-    tokio::time::sleep(lost.wait).await;
+    tokio::time::sleep(failure.wait).await;
 }
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -1,4 +1,4 @@
-//! Calls to the store: how it is asked, and what is counted of it.
+//! Calls to the store: their options, their kinds, and the accounting of each call.
 
 use std::{future::Future, time::Duration};
 
@@ -14,58 +14,58 @@
     util::now,
 };
 
-/// How the store is asked.
+/// Options of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Revision after which changes are waited for; a list without one.
+    /// Revision after which the call watches for changes; `None` lists everything.
     pub after: Option<Revision>,
-    /// Epoch of the store that is known, as of which an answer is that tells none.
+    /// Current epoch of the store, which is assumed for an answer that carries none.
     pub epoch: Epoch,
-    /// Time for an answer, beside the time for which the store lets a call wait for a change.
+    /// Timeout, excluding the time for which the store holds a watch open.
     pub timeout: Duration,
-    /// Whether a list is read to its end, though it takes many calls.
+    /// Whether a large answer, or a list of many pages, is read.
     pub allow_large: bool,
     /// Whether a list may be some seconds old, which costs a tenth.
     pub stale_ok: bool,
-    /// Whether changes are told at once, also where there are none.
+    /// Whether a watch returns immediately, even without changes.
     pub no_wait: bool,
 }
 
-/// What a call asks for; a label in logs and counters.
+/// Kind of a call; a label in logs and counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// The configuration as of some seconds ago.
+    /// List of the configuration from a stale read.
     ConfigurationCopy,
-    /// The configuration.
+    /// List of the configuration.
     ConfigurationList,
-    /// The next configuration.
+    /// Watch of the configuration.
     ConfigurationWatch,
-    /// Whether there is another configuration.
+    /// Check for a newer configuration.
     ConfigurationCheck,
-    /// The backend servers as of some seconds ago.
+    /// List of the backend servers from a stale read.
     BackendsCopy,
-    /// The backend servers.
+    /// List of the backend servers.
     BackendsList,
-    /// Changes of the backend servers.
+    /// Watch of the backend servers.
     BackendsWatch,
-    /// Whether there are any changes of these.
+    /// Check for changes of the backend servers.
     BackendsCheck,
-    /// The evacuated data centres as of some seconds ago.
+    /// List of the evacuated data centres from a stale read.
     EvacuationsCopy,
-    /// The evacuated data centres.
+    /// List of the evacuated data centres.
     EvacuationsList,
-    /// The next change of these.
+    /// Watch of the evacuated data centres.
     EvacuationsWatch,
-    /// Whether there is any change of these.
+    /// Check for changes of the evacuated data centres.
     EvacuationsCheck,
-    /// The hosts that are entered.
+    /// List of the registered hosts.
     Hosts,
-    /// To enter hosts.
+    /// Registration of hosts.
     Register,
 }
 
 impl StoreCall {
-    /// Everything that is asked for.
+    /// Every kind of call.
     pub const ALL: [StoreCall; 14] = [
         StoreCall::ConfigurationCopy,
         StoreCall::ConfigurationList,
@@ -103,8 +103,8 @@
         }
     }
 
-    /// What is waited for, in a call that waits.
-    fn waits_for(self) -> Option<Topic> {
+    /// The topic that is watched, if the call is a watch.
+    fn watched_topic(self) -> Option<Topic> {
         match self {
             StoreCall::ConfigurationWatch => Some(Topic::Configuration),
             StoreCall::BackendsWatch => Some(Topic::Backends),
@@ -139,40 +139,40 @@
 }
 
 impl<W: Wire> Relay<W> {
-    /// Counts a call and waits for its answer, but not longer than this host stays awake and the store is as it was: while
-    /// the host was suspended the connection may have gone silent, and once the store was restored nothing goes on from a
-    /// revision of before, so that everything is listed again.
+    /// Counts a call and waits for its answer. A pending call is cancelled when the host resumes from a suspension,
+    /// since the connection may be dead, when the store was restored, since no watch can continue from an earlier
+    /// epoch, and when the watch is found to be stalled.
     pub(super) async fn ask_store<T>(
         &self,
-        asked: StoreCall,
+        call_kind: StoreCall,
         after: Option<Revision>,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        self.metrics.add(Counter::RelayStoreCalls, asked.as_str(), 1);
+        self.metrics.add(Counter::RelayStoreCalls, call_kind.as_str(), 1);
         let begun = now();
-        let waits_for = asked.waits_for();
-        if let Some(topic) = waits_for {
+        let watched_topic = call_kind.watched_topic();
+        if let Some(topic) = watched_topic {
             self.state().confirmations.record_watch(topic, after);
         }
         let answer = tokio::select! {
             answer = call => answer,
             () = self.woken.notified() => Err(StoreError::Unavailable("the host was suspended".into())),
-            epoch = self.later_epoch(after) => Err(StoreError::Restored { epoch }),
-            () = self.found_deaf(waits_for) => Err(StoreError::Deaf),
+            epoch = self.newer_epoch(after) => Err(StoreError::Restored { epoch }),
+            () = self.watch_stalled(watched_topic) => Err(StoreError::WatchStalled),
         };
-        if let Some(topic) = waits_for {
+        if let Some(topic) = watched_topic {
             self.state().confirmations.record_watch(topic, None);
         }
         line(Weight::Routine, "store_called", |l| {
-            let l = l.text("call", asked.as_str()).flag("answered", answer.is_ok());
+            let l = l.text("call", call_kind.as_str()).flag("answered", answer.is_ok());
             let l = if let Some(after) = after { belief::with_revision(l, after) } else { l };
             l.ms("after_ms", now().saturating_sub(begun))
         });
         answer
     }
 
-    /// Waits until a later epoch than that of a revision is known.
-    async fn later_epoch(&self, after: Option<Revision>) -> Epoch {
+    /// Waits until the store's epoch is later than that of a revision.
+    async fn newer_epoch(&self, after: Option<Revision>) -> Epoch {
         let Some(after) = after else { return std::future::pending().await };
         loop {
             let restored = self.restored.notified();
@@ -184,18 +184,18 @@
         }
     }
 
-    /// Waits until a call that waits is known to wait in vain.
-    async fn found_deaf(&self, waits_for: Option<Topic>) {
-        match waits_for {
+    /// Waits until the watch of a topic is found to be stalled.
+    async fn watch_stalled(&self, watched_topic: Option<Topic>) {
+        match watched_topic {
             Some(topic) => self.deaf[topic as usize].notified().await,
             None => std::future::pending().await,
         }
     }
 
-    /// Passes an answer of the store on if it is of its present epoch.
+    /// Passes on an answer of the store if it is of the current epoch.
     ///
     /// # Errors
-    /// When it is not, or there is none.
+    /// When it is not, or the call failed.
     pub(super) fn check_epoch<T>(
         &self,
         answer: Result<T, StoreError>,
@@ -208,7 +208,9 @@
         };
         match (self.observe_epoch(epoch, "store"), answer) {
             (EpochCheck::Current | EpochCheck::Newer, Some(answer)) => Ok(answer),
-            (EpochCheck::Rejected, _) => Err(StoreError::Unavailable(format!("an answer of epoch {epoch}"))),
+            (EpochCheck::Rejected, _) => {
+                Err(StoreError::Unavailable(format!("unexpected epoch {epoch} in the answer")))
+            }
             (heard, _) => {
                 if heard == EpochCheck::RolledBack {
                     self.forget_revisions();
@@ -218,7 +220,8 @@
         }
     }
 
-    /// Goes back to the store's own epoch: revisions of the wrong one would hide all that it tells.
+    /// Discards all revisions after the epoch was rolled back: those of the wrong epoch would hide everything that the
+    /// store reports.
     fn forget_revisions(&self) {
         let mut state = self.state();
         state.backends.forget_revision();
--- a/src/relay/follow/confirm.rs
+++ b/src/relay/follow/confirm.rs
@@ -1,4 +1,4 @@
-//! Asks the store whether what is known is still the newest, over a connection that no waiting call uses.
+//! Checks with the store that the known state is still the newest, over a connection that no watch uses.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,59 +14,60 @@
     util::{Instant, now},
 };
 
-/// Time for an answer. A follower that has lost the store gives it more with each call, so that a slow one is read.
-const PATIENCE: Duration = Duration::from_millis(400);
-/// Shortest and longest time between two looks whether it is time to ask.
-const LOOKS: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(250));
-/// Calls until one must have been answered in the store's present epoch.
-const MOST_CALLS: usize = 4;
-/// Time for a waiting call to bring what another one has told.
-const SETTLE: Duration = Duration::from_millis(100);
+/// Timeout of a call. A follower that has lost the store doubles its timeout instead, so that a slow store is read
+/// eventually.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(400);
+/// Shortest and longest interval at which the due time of the next check is computed again.
+const POLL_INTERVAL: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(250));
+/// Maximum number of attempts to get an answer of the current epoch.
+const MAX_EPOCH_ATTEMPTS: usize = 4;
+/// Time for a pending watch to deliver a change that a check has returned.
+const WATCH_DELIVERY_TIME: Duration = Duration::from_millis(100);
 
-/// Keeps sure that what is known is the newest, until the task is ended.
+/// Checks the store whenever a confirmation is due, until the task is cancelled.
 pub async fn keep_confirmed<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
     loop {
-        let left = relay.next_check_at().saturating_sub(now());
-        if !left.is_zero() {
-            tokio::time::sleep(left.clamp(LOOKS.0, LOOKS.1)).await;
+        let delay = relay.next_check_at().saturating_sub(now());
+        if !delay.is_zero() {
+            tokio::time::sleep(delay.clamp(POLL_INTERVAL.0, POLL_INTERVAL.1)).await;
             continue;
         }
-        match ask(&relay, &mut store).await {
+        match check_store(&relay, &mut store).await {
             Ok(()) => relay.tell.notify_one(),
             Err(e) => {
                 line(Weight::Notable, "confirm_failed", |l| l.text("why", &format!("{e:?}")));
-                tokio::time::sleep(LOOKS.0).await;
+                tokio::time::sleep(POLL_INTERVAL.0).await;
             }
         }
     }
 }
 
-/// Asks for the configuration; of the other topics only where the store has changed since they were told.
-async fn ask<W: Wire>(relay: &Relay<W>, store: &mut impl Store) -> Result<(), StoreError> {
+/// Checks the configuration, and the other topics only if the store has changed since their revision.
+async fn check_store<W: Wire>(relay: &Relay<W>, store: &mut impl Store) -> Result<(), StoreError> {
     let asked = now();
     relay.state().confirmations.record_check(asked);
-    let newest = ask_configuration(relay, store, asked).await?;
+    let newest = check_configuration(relay, store, asked).await?;
     let topics: Vec<_> = relay.state().confirmations.topics().collect();
     for topic in topics {
         match topic {
             Topic::Configuration => {}
-            _ if relay.is_as_of(topic, newest) => relay.state().confirmations.confirm(topic, asked),
-            Topic::Backends => ask_backends(relay, store, asked).await?,
-            Topic::Evacuations => ask_evacuations(relay, store, asked).await?,
+            _ if relay.is_up_to_date(topic, newest) => relay.state().confirmations.confirm(topic, asked),
+            Topic::Backends => check_backends(relay, store, asked).await?,
+            Topic::Evacuations => check_evacuations(relay, store, asked).await?,
         }
     }
     Ok(())
 }
 
-/// Returns the revision of the store.
-async fn ask_configuration<W: Wire>(
+/// Checks the configuration; returns the revision of the store.
+async fn check_configuration<W: Wire>(
     relay: &Relay<W>,
     store: &mut impl Store,
     asked: Instant,
 ) -> Result<Revision, StoreError> {
-    for _ in 0..MOST_CALLS {
+    for _ in 0..MAX_EPOCH_ATTEMPTS {
         let after = relay.state().confirmations.last_revision(Topic::Configuration);
-        let call = call(after, relay.epoch());
+        let call = no_wait_call(after, relay.epoch());
         let answer = relay.ask_store(StoreCall::ConfigurationCheck, None, store.configuration(call)).await;
         match relay.check_epoch(answer, |(revision, _)| revision.epoch) {
             Ok((revision, cfg)) => {
@@ -76,7 +77,7 @@
                 }
                 relay.record_answer(Topic::Configuration, call, asked, Some(revision));
                 if changed {
-                    relay.end_deaf(Topic::Configuration, revision).await;
+                    relay.cancel_stalled_watch(Topic::Configuration, revision).await;
                 }
                 return Ok(revision);
             }
@@ -86,35 +87,36 @@
             Err(e) => return Err(e),
         }
     }
-    Err(StoreError::Unavailable("its epoch changes with each answer".into()))
+    Err(StoreError::Unavailable("the store's epoch changes with each answer".into()))
 }
 
-async fn ask_backends<W: Wire>(
+async fn check_backends<W: Wire>(
     relay: &Relay<W>,
     store: &mut impl Store,
     asked: Instant,
 ) -> Result<(), StoreError> {
     let known = relay.state().backends.revision();
     if !known.is_known() || known == Revision::STALE_READ {
-        // Whoever reads the list for the first time does so as a follower, or is told.
+        // The first list is read by the follower task or received from a peer.
         return Ok(());
     }
-    let call = call(Some(known), relay.epoch());
+    let call = no_wait_call(Some(known), relay.epoch());
     let answer = relay.ask_store(StoreCall::BackendsCheck, None, store.backends(call)).await;
     let update = match relay.check_epoch(answer, |update| update.revision().epoch) {
         Ok(update) => update,
         Err(StoreError::HistoryGone | StoreError::Restored { .. }) => {
-            relay.end_deaf(Topic::Backends, Revision::LATEST).await;
+            relay.cancel_stalled_watch(Topic::Backends, Revision::LATEST).await;
             return Ok(());
         }
         Err(e) => return Err(e),
     };
     let revision = update.revision();
-    let is_news = matches!(&update, BackendsUpdate::Changes { puts, removed, .. }
+    let has_changes = matches!(&update, BackendsUpdate::Changes { puts, removed, .. }
         if !puts.is_empty() || !removed.is_empty());
-    // A follower takes news in itself: only it knows of an outage in which entries may have lapsed.
-    if is_news && relay.state().confirmations.is_watching(Topic::Backends) {
-        relay.end_deaf(Topic::Backends, revision).await;
+    // If a watch is pending, the follower task has to apply the changes: only it knows of an outage in which entries
+    // may have expired.
+    if has_changes && relay.state().confirmations.is_watching(Topic::Backends) {
+        relay.cancel_stalled_watch(Topic::Backends, revision).await;
         return Ok(());
     }
     relay.update_backends(update, None, "store");
@@ -122,50 +124,50 @@
     Ok(())
 }
 
-async fn ask_evacuations<W: Wire>(
+async fn check_evacuations<W: Wire>(
     relay: &Relay<W>,
     store: &mut impl Store,
     asked: Instant,
 ) -> Result<(), StoreError> {
     let known = relay.state().evacuations.revision();
     let after = Some(known).filter(|known| known.is_known() && *known != Revision::STALE_READ);
-    let call = call(after, relay.epoch());
+    let call = no_wait_call(after, relay.epoch());
     let answer = relay.ask_store(StoreCall::EvacuationsCheck, None, store.evacuations(call)).await;
     match relay.check_epoch(answer, |update| update.revision().epoch) {
         Ok(update) => {
-            let (revision, is_news) = (update.revision(), is_change(&update));
+            let (revision, has_changes) = (update.revision(), has_changes(&update));
             relay.update_evacuations(&update, "store");
             relay.record_answer(Topic::Evacuations, call, asked, Some(revision));
-            if is_news {
-                relay.end_deaf(Topic::Evacuations, revision).await;
+            if has_changes {
+                relay.cancel_stalled_watch(Topic::Evacuations, revision).await;
             }
         }
         Err(StoreError::HistoryGone | StoreError::Restored { .. }) => {
-            relay.end_deaf(Topic::Evacuations, Revision::LATEST).await;
+            relay.cancel_stalled_watch(Topic::Evacuations, Revision::LATEST).await;
         }
         Err(e) => return Err(e),
     }
     Ok(())
 }
 
-fn is_change(update: &evacuations::Update) -> bool {
+fn has_changes(update: &evacuations::Update) -> bool {
     matches!(update, evacuations::Update::Changes { changes, .. } if !changes.is_empty())
 }
 
-/// A call that is answered at once.
-fn call(after: Option<Revision>, epoch: Epoch) -> Call {
-    Call { after, epoch, timeout: PATIENCE, allow_large: true, stale_ok: false, no_wait: true }
+/// A watch that returns immediately.
+fn no_wait_call(after: Option<Revision>, epoch: Epoch) -> Call {
+    Call { after, epoch, timeout: CHECK_TIMEOUT, allow_large: true, stale_ok: false, no_wait: true }
 }
 
 impl<W: Wire> Relay<W> {
-    /// When this host asks the store, as far as is known now.
+    /// When this host checks the store next, as far as is known now.
     fn next_check_at(&self) -> Instant {
         let state = self.state();
         state.confirmations.next_check_at(state.peers.turn(now(), state.contact))
     }
 
-    /// Whether a topic is known as of a revision of the store, so that nothing of it has changed up to there.
-    fn is_as_of(&self, topic: Topic, newest: Revision) -> bool {
+    /// Whether the known state of a topic is as of the store's newest revision, so that nothing of it has changed.
+    fn is_up_to_date(&self, topic: Topic, newest: Revision) -> bool {
         let state = self.state();
         let known = match topic {
             Topic::Configuration => return false,
@@ -175,9 +177,9 @@
         known.epoch == newest.epoch && known >= newest
     }
 
-    /// Ends a call that waits for changes of a topic, if it does not bring those up to a revision that another call has told.
-    async fn end_deaf(&self, topic: Topic, changed: Revision) {
-        tokio::time::sleep(SETTLE).await;
+    /// Cancels a pending watch if it does not soon deliver the changes up to a revision that another call has returned.
+    async fn cancel_stalled_watch(&self, topic: Topic, changed: Revision) {
+        tokio::time::sleep(WATCH_DELIVERY_TIME).await;
         if !self.state().confirmations.is_watch_behind(topic, changed) {
             return;
         }
--- a/src/relay/follow/evacuations.rs
+++ b/src/relay/follow/evacuations.rs
@@ -1,67 +1,71 @@
-//! Follows the evacuated data centres by one waiting watch.
+//! Follows the evacuated data centres with one long-polling watch.
 //!
-//! Evacuations are rare and each beat tells of them, so that a host that starts asks the store only when no other host has told
-//! it for a while; a seed asks at once.
+//! Evacuations are rare and each heartbeat carries them, so a starting host calls the store only if it has not received
+//! them from a peer for a while; a seed calls at once.
 
 use std::{ops::Range, sync::Arc, time::Duration};
 
-use super::{Call, GATHER, Store, StoreCall, StoreError, lose, regain, rest, start::is_told};
+use super::{
+    COALESCE_DELAY, Call, Store, StoreCall, StoreError, back_off, record_answer_and_log,
+    start::wait_for_gossip, wait_until_follower,
+};
 use crate::{
     logs::lines::{Weight, line},
     relay::{Relay, Wire, confirm::Topic, contact::StoreRetry},
     util::now,
 };
 
-/// How long a host that is no seed waits to be told, drawn so that hosts that start together don't ask together.
-const TOLD: Range<Duration> = Duration::from_millis(500)..Duration::from_millis(1_500);
+/// How long a host that is not a seed waits to receive the evacuations from a peer. The wait is random, so that hosts
+/// that start together don't call the store together.
+const GOSSIP_WAIT: Range<Duration> = Duration::from_millis(500)..Duration::from_millis(1_500);
 
-/// Follows the evacuated data centres until the task is ended, where operators evacuate any.
+/// Follows the evacuated data centres until the task is cancelled, if the settings say that operators evacuate any.
 pub async fn follow_evacuations<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
     if !relay.cfg.evacuates {
         return;
     }
-    is_told(&relay, TOLD, Relay::knows_evacuations).await;
-    let mut contact = StoreRetry::new("evacuations");
-    let mut list = !relay.knows_evacuations();
+    wait_for_gossip(&relay, GOSSIP_WAIT, Relay::knows_evacuations).await;
+    let mut retry = StoreRetry::new("evacuations");
+    let mut needs_list = !relay.knows_evacuations();
     loop {
         let started = relay.knows_evacuations();
-        if started && rest(&relay).await {
-            contact = StoreRetry::new("evacuations");
+        if started && wait_until_follower(&relay).await {
+            retry = StoreRetry::new("evacuations");
         }
-        let after = (!list).then(|| relay.state().evacuations.revision());
+        let after = (!needs_list).then(|| relay.state().evacuations.revision());
         let stale_ok = !started && !relay.is_seed();
         let call = Call {
             after,
             epoch: relay.epoch(),
-            timeout: contact.timeout(),
+            timeout: retry.timeout(),
             allow_large: true,
             stale_ok,
             no_wait: false,
         };
-        let asked = relay.begin(call);
+        let asked = relay.start_call(call);
         let answer = relay.ask_store(StoreCall::evacuations(call), after, store.evacuations(call)).await;
         match relay.check_epoch(answer, |update| update.revision().epoch) {
             Ok(mut update) => {
-                list = stale_ok;
+                needs_list = stale_ok;
                 if stale_ok {
                     update.mark_stale();
                 }
-                regain(&mut contact);
+                record_answer_and_log(&mut retry);
                 relay.update_evacuations(&update, "store");
                 let revision = Some(update.revision()).filter(|_| !stale_ok);
                 relay.record_answer(Topic::Evacuations, call, asked, revision);
-                if after.is_some() && now() < asked + GATHER {
-                    tokio::time::sleep(GATHER).await;
+                if after.is_some() && now() < asked + COALESCE_DELAY {
+                    tokio::time::sleep(COALESCE_DELAY).await;
                 }
             }
             Err(StoreError::HistoryGone) => {
                 line(Weight::Notable, "history_gone", |l| l.text("kind", "evacuations"));
-                list = true;
+                needs_list = true;
             }
-            Err(StoreError::Restored { .. } | StoreError::Deaf) => list = true,
+            Err(StoreError::Restored { .. } | StoreError::WatchStalled) => needs_list = true,
             Err(e) => {
-                list = true;
-                lose(&mut contact, &e).await;
+                needs_list = true;
+                back_off(&mut retry, &e).await;
             }
         }
     }
--- a/src/relay/follow/hosts.rs
+++ b/src/relay/follow/hosts.rs
@@ -1,4 +1,4 @@
-//! The hosts that are entered in the store, for those that start while the seeds are gone.
+//! Registers hosts in the store, so that a host can find its peers while all seeds are down.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,29 +11,30 @@
     schema::fleet::Member,
 };
 
-/// Time between two looks whether other hosts are heard, and whether the entry of hosts is up to date.
-const LONELY: Duration = Duration::from_millis(3_000);
+/// Interval at which a host checks whether it hears any other host, and whether the registration is up to date.
+const CHECK_INTERVAL: Duration = Duration::from_millis(3_000);
 
-/// Hosts as they are entered in the store.
+/// The hosts registered in the store.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Hosts {
-    /// Some of them.
+    /// A sample of the hosts.
     pub sample: Vec<Member>,
-    /// How many there are.
+    /// The total number of hosts.
     pub count: usize,
 }
 
-/// Keeps some hosts of the data centre entered in the store, and looks for hosts there while none is heard: the seeds may
-/// all be gone. Those that follow the store write, so that the calls don't grow with the hosts.
+/// Keeps some hosts of the data centre registered in the store, and reads the registered ones while no other host is
+/// heard, since all seeds may be down. Only followers of the store write, so that the number of calls does not grow
+/// with the number of hosts.
 pub async fn sync_hosts<W: Wire>(relay: Arc<Relay<W>>, mut store: impl Store) {
     let centre = relay.cfg.me.data_centre.clone();
     let (mut registered, mut epoch) = (Hosts::default(), relay.epoch());
-    // Hosts that start together don't call together: the store takes some hundred writes a second.
-    let apart = rand::rng().random_range(Duration::ZERO..LONELY);
-    tokio::time::sleep(apart).await;
+    // Spread over the interval, since hosts may start together and the store takes a few hundred writes a second.
+    let start_delay = rand::rng().random_range(Duration::ZERO..CHECK_INTERVAL);
+    tokio::time::sleep(start_delay).await;
     loop {
-        tokio::time::sleep(LONELY).await;
-        // A store that was restored may have lost the entry, or hold an old one.
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        // A restored store may lack the registration, or hold an old one.
         if std::mem::replace(&mut epoch, relay.epoch()) != epoch {
             registered = Hosts::default();
         }
@@ -44,17 +45,17 @@
                     hosts.sample.retain(|m| m.data_centre == centre);
                     registered = Hosts { count: hosts.sample.len(), ..hosts };
                 }
-                Err(e) => note_hosts(&e),
+                Err(e) => log_hosts_failure(&e),
             }
         }
         let Some(hosts) = relay.hosts_to_register(&registered) else { continue };
         match relay.ask_store(StoreCall::Register, None, store.register_hosts(&centre, &hosts)).await {
             Ok(()) => registered = hosts,
-            Err(e) => note_hosts(&e),
+            Err(e) => log_hosts_failure(&e),
         }
     }
 }
 
-pub(super) fn note_hosts(e: &StoreError) {
+pub(super) fn log_hosts_failure(e: &StoreError) {
     line(Weight::Notable, "hosts_failed", |l| l.text("why", &format!("{e:?}")));
 }
--- a/src/relay/leave.rs
+++ b/src/relay/leave.rs
@@ -1,27 +1,27 @@
-//! A host that leaves: which requests it still takes, and when it may stop.
+//! Decides which requests a host that is shutting down still accepts, and when it may stop.
 //!
-//! Callers keep an address for some seconds after it is not handed out any more, so a leaving host goes on serving.
-//! It refuses, provably not run, what it could not finish before the platform kills it.
+//! Callers keep using an address for some seconds after it is no longer handed out, so a leaving host goes on serving.
+//! It refuses requests that it could not finish before the platform kills it; these have provably not run.
 
 use std::time::Duration;
 
 use crate::util::Instant;
 
-/// Bounds on a stop.
+/// Time limits of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaveConfig {
     /// Time from the signal until the process is killed.
     pub grace: Duration,
-    /// How long callers may keep an address that is not handed out any more.
+    /// How long callers may keep using an address that is no longer handed out.
     pub address_ttl: Duration,
 }
 
-/// Requests that arrive this soon are taken whatever their deadline: callers have not heard yet.
-const TAKES_ALL: Duration = Duration::from_millis(2_500);
-/// Time kept free before the kill, so that the last answers are on their way.
-const MARGIN: Duration = Duration::from_millis(500);
+/// How long after the signal requests are accepted regardless of their deadline, because callers don't know yet.
+const ACCEPT_ALL_PERIOD: Duration = Duration::from_millis(2_500);
+/// Time reserved before the kill so that the last answers can be delivered.
+const KILL_MARGIN: Duration = Duration::from_millis(500);
 
-/// A stop in progress.
+/// A shutdown in progress.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Leaving {
     since: Instant,
@@ -29,20 +29,21 @@
 }
 
 impl Leaving {
-    /// A stop that begins.
+    /// Creates the state of a shutdown that begins at `since`.
     pub fn new(since: Instant, cfg: LeaveConfig) -> Self {
         Self { since, cfg }
     }
 
-    /// Whether a request with this deadline is still taken.
+    /// Whether a request with this deadline is still accepted.
     pub fn accepts(&self, now: Instant, deadline: Instant) -> bool {
-        now < self.since + TAKES_ALL || deadline + MARGIN <= self.since + self.cfg.grace
+        now < self.since + ACCEPT_ALL_PERIOD || deadline + KILL_MARGIN <= self.since + self.cfg.grace
     }
 
-    /// Whether the process may stop: callers have moved and nothing is in progress, or the kill is near.
+    /// Whether the process may stop: either callers have moved away and no request is in progress, or the kill is
+    /// imminent.
     pub fn may_stop(&self, now: Instant, in_progress: usize) -> bool {
         let moved = now >= self.since + self.cfg.address_ttl;
-        let late = now + MARGIN >= self.since + self.cfg.grace;
+        let late = now + KILL_MARGIN >= self.since + self.cfg.grace;
         (moved && in_progress == 0) || late
     }
 }
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -13,7 +13,7 @@
 
 use super::{
     Relay, State, TICK, Wire,
-    datagram::{self, MOST_BYTES},
+    datagram::{self, MAX_DATAGRAM_BYTES},
     follow::BackendsUpdate,
     inbound::accept_all,
     peers::{Own, Scope},
@@ -88,7 +88,7 @@
 
 /// Takes beats in.
 pub async fn receive_heartbeats<W: Wire>(relay: Arc<Relay<W>>, socket: Arc<UdpSocket>) {
-    let mut buf = vec![0; MOST_BYTES + 1];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         let (n, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -85,7 +85,7 @@
         let beat = &trusted(&state, beat);
         let heard = state.peers.hear(now, from, beat, own);
         if heard.old {
-            return Err(DropReason::Old);
+            return Err(DropReason::Replayed);
         }
         if state.peers.is_any_ahead(now, own) {
             self.behind.notify_one();
@@ -118,7 +118,7 @@
     pub(crate) fn held(&self) -> Vec<Held> {
         let state = self.state();
         let tag = |key| state.backends.get(key).map(|b| b.tag);
-        let newest = state.holders.newest(MOST_HELD).into_iter();
+        let newest = state.holders.most_recent(MOST_HELD).into_iter();
         newest.filter_map(|(part, key)| Some(Held { part, backend: tag(key)? })).collect()
     }
 
--- a/tests/relay_confirmations.rs
+++ b/tests/relay_confirmations.rs
@@ -304,7 +304,7 @@
 
     assert!(odd.iter().all(|heard| *heard == EpochCheck::Rejected));
     assert_eq!(settled, [EpochCheck::RolledBack, EpochCheck::Current]);
-    assert_eq!((from_host, epochs.known()), ([false, true], 4));
+    assert_eq!((from_host, epochs.current()), ([false, true], 4));
 }
 
 /// A host that is led to an epoch far from the store's by another host's word.
@@ -316,5 +316,5 @@
     let told =
         [epochs.observe_peer(100), epochs.observe_peer(5), epochs.observe_peer(21), epochs.observe_peer(22)];
 
-    assert_eq!((told, epochs.known()), ([false, true, true, true], 22));
+    assert_eq!((told, epochs.current()), ([false, true, true, true], 22));
 }
--- a/tests/relay_datagrams.rs
+++ b/tests/relay_datagrams.rs
@@ -4,7 +4,7 @@
 
 use cranberrytally::{
     relay::{
-        datagram::{DropReason, MOST_BYTES, decode, encode},
+        datagram::{DropReason, MAX_DATAGRAM_BYTES, decode, encode},
         peers::{Own, Peers},
         suspects::Suspects,
     },
@@ -90,10 +90,10 @@
 proptest! {
     /// Any bytes are read as a beat or dropped for a reason; what is read is one that could have been sent.
     #[test]
-    fn any_bytes_are_read_or_dropped(bytes in proptest::collection::vec(any::<u8>(), 0..2 * MOST_BYTES)) {
+    fn any_bytes_are_read_or_dropped(bytes in proptest::collection::vec(any::<u8>(), 0..2 * MAX_DATAGRAM_BYTES)) {
         match decode(&bytes, NOW_MS) {
             Ok(beat) => prop_assert!(beat.start <= NOW_MS + HOUR_MS),
-            Err(fault) => prop_assert_eq!(fault == DropReason::Size, bytes.len() > MOST_BYTES),
+            Err(fault) => prop_assert_eq!(fault == DropReason::TooLarge, bytes.len() > MAX_DATAGRAM_BYTES),
         }
     }
 
