--- a/benches/relay.rs
+++ b/benches/relay.rs
@@ -69,7 +69,7 @@
         let mut rng = SmallRng::seed_from_u64(1);
         let mut holders = Holders::default();
         for (i, c) in candidates.iter().cycle().take(4_000).enumerate() {
-            holders.note(Duration::ZERO, i as u64, c.key);
+            holders.insert(Duration::ZERO, i as u64, c.key);
         }
         let placer = Placer::default();
         let by_parts = per_round(ROUNDS, |i| {
--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -240,7 +240,7 @@
         let mut state = self.state();
         let Some(tag) = state.backends.get(key).map(|b| b.tag) else { return };
         for part in place::shared(&req.parts) {
-            if state.holders.note(now, part.id, key) {
+            if state.holders.insert(now, part.id, key) {
                 state.news.push(Held { part: part.id, backend: tag });
             }
         }
--- a/src/relay/holders.rs
+++ b/src/relay/holders.rs
@@ -28,7 +28,7 @@
 
 impl Holders {
     /// Records that a server has read a part; returns whether that was unknown.
-    pub fn note(&mut self, now: Instant, part: u64, key: BackendKey) -> bool {
+    pub fn insert(&mut self, now: Instant, part: u64, key: BackendKey) -> bool {
         if self.parts.len() >= MAX_PARTS {
             self.evict(now);
         }
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -135,7 +135,7 @@
         let mut state = self.state();
         for held in held {
             if let Some(key) = state.backends.by_tag(held.backend) {
-                state.holders.note(now, held.part, key);
+                state.holders.insert(now, held.part, key);
             }
         }
     }
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -152,7 +152,7 @@
     let parts = prompt(7, 100);
     let home = choose(&candidates, &parts, &holders).key;
     let other = candidates.iter().find(|c| c.key != home).unwrap().key;
-    parts[..2].iter().for_each(|p| assert!(holders.note(ms(0), p.id, other)));
+    parts[..2].iter().for_each(|p| assert!(holders.insert(ms(0), p.id, other)));
 
     let chosen = choose(&candidates, &prompt(7, 200), &holders);
 
@@ -170,9 +170,9 @@
     let parts = prompt(7, 100);
     let home = choose(&candidates, &parts, &holders).key;
     let other = candidates.iter().find(|c| c.key != home).unwrap().key;
-    parts[..2].iter().for_each(|p| assert!(holders.note(ms(0), p.id, other)));
+    parts[..2].iter().for_each(|p| assert!(holders.insert(ms(0), p.id, other)));
     let others = candidates.iter().filter(|c| c.key != other);
-    others.for_each(|c| assert!(holders.note(ms(1), parts[0].id, c.key)));
+    others.for_each(|c| assert!(holders.insert(ms(1), parts[0].id, c.key)));
 
     let chosen = choose(&candidates, &prompt(7, 200), &holders);
 
@@ -188,7 +188,7 @@
     let mut holders = Holders::default();
     let parts = prompt(7, 100);
     let home = choose(&candidates, &parts, &holders).key;
-    parts[..2].iter().for_each(|p| assert!(holders.note(ms(0), p.id, home)));
+    parts[..2].iter().for_each(|p| assert!(holders.insert(ms(0), p.id, home)));
     candidates.iter_mut().filter(|c| c.key == home).for_each(|c| c.load = 40.0);
 
     let chosen = choose(&candidates, &parts, &holders);
@@ -211,7 +211,7 @@
     for _ in 0..40 {
         let chosen = choose(&candidates, &prompt(7, 100), &holders);
         prompt(7, 100)[..2].iter().for_each(|p| {
-            holders.note(ms(0), p.id, chosen.key);
+            holders.insert(ms(0), p.id, chosen.key);
         });
         candidates.iter_mut().filter(|c| c.key == chosen.key).for_each(|c| c.load += 1.0);
         readers.insert(chosen.key);
@@ -228,7 +228,7 @@
     let (_, mut candidates) = fleet(&[50.0; 12]);
     let mut holders = Holders::default();
     let home = choose(&candidates, &prompt(7, 100), &holders).key;
-    prompt(7, 100)[..2].iter().for_each(|p| assert!(holders.note(ms(0), p.id, home)));
+    prompt(7, 100)[..2].iter().for_each(|p| assert!(holders.insert(ms(0), p.id, home)));
     candidates.iter_mut().filter(|c| c.key == home).for_each(|c| c.load = 64.0);
 
     let chosen = choose(&candidates, &prompt(7, 200), &holders);
@@ -294,7 +294,7 @@
         let (_, candidates) = fleet(&loads);
         let mut holders = Holders::default();
         let holder = candidates[holder % candidates.len()].key;
-        prompt(part, 1)[..2].iter().for_each(|p| { holders.note(ms(0), p.id, holder); });
+        prompt(part, 1)[..2].iter().for_each(|p| { holders.insert(ms(0), p.id, holder); });
 
         let chosen = choose(&candidates, &prompt(part, 1), &holders);
 
