--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -1,4 +1,5 @@
-//! Where callers connect: reads a request, checks it against the configuration, and hands it to [`super::run`].
+//! Serves the connections of callers: reads a request, matches it against the configuration, and passes it to
+//! [`super::run`].
 
 use std::{convert::Infallible, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -27,42 +28,42 @@
     util::now,
 };
 
-/// Pause after a failed accept, as when no descriptor is left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// When a caller should come back who is refused by a host that leaves: others serve already.
-const ELSEWHERE: Duration = Duration::from_millis(50);
-/// When a caller should come back who is refused by a host that has known no configuration for a while and hears of no
-/// host that does. The store is away as well then, and a caller who comes back at once has used its only retry up: of 159
-/// requests that were refused in such an outage with 50 ms, 111 are served with a second.
-const KNOWS_NOTHING: Duration = Duration::from_millis(1_000);
-/// After this time without configuration a start is no longer the reason; it takes 20 ms.
-const START: Duration = Duration::from_millis(300);
+/// Pause after a failed accept, for example when no file descriptor is left.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Retry delay for callers that a leaving host refuses: other hosts can serve them already.
+const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Retry delay for callers refused by a host that has had no configuration for a while and hears of no host that has
+/// one. The store is then down as well, and a caller that retries at once uses up its only retry: of 159 requests that
+/// were refused in such an outage with 50 ms, 111 are served with a second.
+const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// Time since the start after which a missing configuration is no longer due to the start, which takes 20 ms.
+const STARTUP_PERIOD: Duration = Duration::from_millis(300);
 /// How long a request waits for a host that has just started to learn its configuration: an eighth of the tightest
-/// objectives, within which waiting costs nothing.
-const WAITS_FOR_START: Duration = Duration::from_millis(20);
-/// Time between two looks while it waits.
-const LOOK: Duration = Duration::from_millis(4);
-/// Longest time for a body to arrive; callers on weak links need some seconds.
+/// objectives, within which waiting does no harm.
+const STARTUP_WAIT: Duration = Duration::from_millis(20);
+/// Interval at which a waiting request checks for the configuration.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(4);
+/// Timeout for receiving a body; callers on slow links need some seconds.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the head of a request says, as an adapter reads it.
+/// The parsed head of a caller's request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestHead {
     /// Identifier of the attempt.
     pub id: Arc<str>,
-    /// Host name that the caller gives.
+    /// Host name given by the caller.
     pub host: Arc<str>,
-    /// Key, if it gives one.
+    /// API key, if given.
     pub key: Option<Arc<str>>,
-    /// How long the caller waits.
+    /// How long the caller waits, if given.
     pub timeout: Option<Duration>,
     /// Parts of the prompt.
     pub parts: Vec<Part>,
-    /// Event after which a stream shall go on.
+    /// Event after which a stream should resume.
     pub after: Option<EventNumber>,
 }
 
-/// Accepts callers until the host closes.
+/// Accepts callers until the host stops accepting.
 pub async fn accept<W: Wire>(relay: Arc<Relay<W>>, listener: TcpListener) {
     let mut closing = relay.closing.subscribe();
     let serving = accept_all(listener, "a caller", |stream, from| {
@@ -74,33 +75,36 @@
     }
 }
 
-/// Hands every connection on until the task is ended. `whose` says in lines what could not be accepted.
+/// Passes every accepted connection to `serve` until the task is cancelled. `peer_kind` names the kind of peer in log
+/// lines.
 pub(crate) async fn accept_all(
     listener: TcpListener,
-    whose: &str,
+    peer_kind: &str,
     mut serve: impl FnMut(TcpStream, SocketAddr),
 ) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => serve(stream, from),
             Err(e) => {
-                line(Weight::Notable, "accept_failed", |l| l.text("of", whose).text("why", &e.to_string()));
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                line(Weight::Notable, "accept_failed", |l| {
+                    l.text("of", peer_kind).text("why", &e.to_string())
+                });
+                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Binds an address of this host.
+/// Binds a listening socket.
 ///
 /// # Errors
-/// When it can't be bound.
+/// When the address can't be bound.
 pub async fn listen(addr: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(addr).await.with_context(|| format!("could not listen on {addr}"))
 }
 
 async fn serve<W: Wire>(relay: Arc<Relay<W>>, stream: TcpStream, from: SocketAddr) {
-    // Callers on weak links may be out of reach for seconds and still get their answer.
+    // Callers on unreliable links may be unreachable for seconds and still get their answer, so no timeout is set.
     pool::set_up(&stream, None);
     let limits = relay.routes().map(|r| r.limits()).unwrap_or_else(|| Routes::default().limits());
     let service = service_fn(|req| {
@@ -118,7 +122,7 @@
     relay.count_connection(true);
     let ended = tokio::select! {
         result = conn.as_mut() => Some(result),
-        // The value's guard must not live on: it would hold its lock while the connection closes.
+        // The guard must be dropped: it would hold the lock of the channel while the connection closes.
         () = async { drop(closing.wait_for(|closing| *closing).await) } => None,
     };
     let result = match ended {
@@ -139,7 +143,7 @@
     req: HttpRequest<Incoming>,
     limits: CallerLimits,
 ) -> Response<AnswerBody> {
-    let mut response = match admit(&relay, req, limits).await {
+    let mut response = match read_request(&relay, req, limits).await {
         Ok(req) => {
             let _entered = relay.track_request();
             run::run(relay.clone(), req).await
@@ -152,7 +156,7 @@
             });
             relay.metrics.add(Counter::RelayRequests, Outcome::Refused.as_str(), 1);
             relay.metrics.add(Counter::RelayRefusals, kind.answer().code, 1);
-            let retry_after = kind.answer().retry_s.is_some().then(|| come_back(&relay, kind));
+            let retry_after = kind.answer().retry_s.is_some().then(|| retry_after_for(&relay, kind));
             relay.wire.refuse(&Refusal { kind, ran: Ran::No, retry_after })
         }
     };
@@ -162,40 +166,41 @@
     response
 }
 
-fn come_back<W: Wire>(relay: &Relay<W>, kind: Kind) -> Duration {
-    if kind == Kind::NotReady && relay.is_alone_without_configuration(START) {
-        return KNOWS_NOTHING;
+fn retry_after_for<W: Wire>(relay: &Relay<W>, kind: Kind) -> Duration {
+    if kind == Kind::NotReady && relay.is_alone_without_configuration(STARTUP_PERIOD) {
+        return NO_CONFIGURATION_RETRY_AFTER;
     }
-    ELSEWHERE
+    LEAVING_RETRY_AFTER
 }
 
-/// Gives a host that has just started the few milliseconds that its first answer from the store takes.
-async fn wait_for_start<W: Wire>(relay: &Relay<W>) {
-    let until = now() + WAITS_FOR_START;
+/// Waits briefly for the configuration of a host that has just started: the first answer of the store takes a few
+/// milliseconds.
+async fn wait_for_configuration<W: Wire>(relay: &Relay<W>) {
+    let until = now() + STARTUP_WAIT;
     while relay.routes().is_none() && now() < until {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(STARTUP_POLL_INTERVAL).await;
     }
 }
 
-/// Reads and checks a request.
-async fn admit<W: Wire>(
+/// Reads a request and decides whether this host accepts it.
+async fn read_request<W: Wire>(
     relay: &Relay<W>,
     req: HttpRequest<Incoming>,
     limits: CallerLimits,
 ) -> Result<Request, (Arc<str>, Kind)> {
     let arrived = now();
     let (head, body) = req.into_parts();
-    let ask = relay.wire.parse_request(&head);
-    let id = ask.id.clone();
-    if !relay.has_run_for(START) {
-        wait_for_start(relay).await;
+    let parsed = relay.wire.parse_request(&head);
+    let id = parsed.id.clone();
+    if !relay.has_run_for(STARTUP_PERIOD) {
+        wait_for_configuration(relay).await;
     }
-    let checked = check(relay, &ask, &head);
+    let matched = find_route(relay, &parsed, &head);
     let body = read_body(body, &head, limits).await.map_err(|kind| (id.clone(), kind))?;
-    let Checked { version, route, caller } = checked.map_err(|kind| (id.clone(), kind))?;
+    let Matched { version, route, caller } = matched.map_err(|kind| (id.clone(), kind))?;
     let Some(service) = route.service(relay.draw()) else { return Err((id, Kind::NoEngine)) };
     let timeout = Duration::from_millis(route.route.timeout_ms.into());
-    let deadline = arrived + ask.timeout.map_or(timeout, |waits| waits.min(timeout));
+    let deadline = arrived + parsed.timeout.map_or(timeout, |waits| waits.min(timeout));
     if !relay.accepts(deadline) {
         return Err((id, Kind::Leaving));
     }
@@ -207,8 +212,8 @@
         target: head.uri.clone(),
         headers: relay.wire.forwarded_headers(head.headers),
         body,
-        parts: if route.route.prompts { ask.parts } else { Vec::new() },
-        after: if route.stream { ask.after } else { None },
+        parts: if route.route.prompts { parsed.parts } else { Vec::new() },
+        after: if route.stream { parsed.after } else { None },
         route,
         version,
         arrived,
@@ -217,38 +222,44 @@
     Ok(request)
 }
 
-/// What the configuration says of a request.
-struct Checked {
+/// The route and the caller of a request.
+struct Matched {
     version: Version,
     route: Arc<CompiledRoute>,
     caller: Option<Arc<Caller>>,
 }
 
-/// Finds the route and the caller. A host that may have missed a change refuses, provably not run, what it does not
-/// know, rather than telling a caller that it does not exist.
-fn check<W: Wire>(relay: &Relay<W>, ask: &RequestHead, head: &request::Parts) -> Result<Checked, Kind> {
+/// Finds the route and the caller. A host that may have missed a configuration change does not claim that an unknown
+/// route or key does not exist; it refuses the request, which has provably not run.
+fn find_route<W: Wire>(
+    relay: &Relay<W>,
+    parsed: &RequestHead,
+    head: &request::Parts,
+) -> Result<Matched, Kind> {
     let Some(routes) = relay.routes() else { return Err(Kind::NotReady) };
     let version = routes.version();
-    let or_stale = |kind| if relay.is_stale() { Kind::NotReady } else { kind };
-    let Some(route) = routes.find(&ask.host, head.uri.path()) else { return Err(or_stale(Kind::NotFound)) };
+    let unless_stale = |kind| if relay.is_stale() { Kind::NotReady } else { kind };
+    let Some(route) = routes.find(&parsed.host, head.uri.path()) else {
+        return Err(unless_stale(Kind::NotFound));
+    };
     if route.route.open || !routes.needs_keys() {
-        return Ok(Checked { version, route: route.clone(), caller: None });
+        return Ok(Matched { version, route: route.clone(), caller: None });
     }
-    let caller = ask.key.as_deref().and_then(|key| routes.caller(key));
+    let caller = parsed.key.as_deref().and_then(|key| routes.caller(key));
     match caller {
-        Some(caller) => Ok(Checked { version, route: route.clone(), caller: Some(caller.clone()) }),
-        None => Err(or_stale(Kind::UnknownWorkspace)),
+        Some(caller) => Ok(Matched { version, route: route.clone(), caller: Some(caller.clone()) }),
+        None => Err(unless_stale(Kind::UnknownWorkspace)),
     }
 }
 
 async fn read_body(body: Incoming, head: &request::Parts, limits: CallerLimits) -> Result<Bytes, Kind> {
-    let most = limits.body_bytes as usize;
+    let max_bytes = limits.body_bytes as usize;
     let length =
         head.headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse::<usize>().ok());
-    if length.is_some_and(|n| n > most) {
+    if length.is_some_and(|n| n > max_bytes) {
         return Err(Kind::BodyTooLarge);
     }
-    match tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, most).collect()).await {
+    match tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(Kind::BodyTooLarge),
         Ok(Err(_)) => Err(Kind::BadRequest),
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -1,4 +1,4 @@
-//! The sockets between hosts: beats over UDP, and what a host lacks over TCP.
+//! Network I/O between hosts: heartbeats over UDP, and fetches of missing state over TCP.
 
 use std::{net::SocketAddr, ops::Range, sync::Arc, time::Duration};
 
@@ -27,84 +27,85 @@
     util::{now, wall_ms},
 };
 
-/// Largest message over TCP: a configuration with some thousand routes, or 20,000 backend servers.
-const MOST_MESSAGE: usize = 4 << 20;
-/// A pause of the housekeeping after which the host must have been suspended; nothing else keeps it for so long.
-const SUSPENDED: Duration = Duration::from_millis(1_500);
-/// Time until the answer to a fetch begins; a host that needs longer is asked again or another one is.
+/// Maximum size of a TCP message, in bytes: a configuration with some thousand routes, or 20,000 backend servers.
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
+/// Delay of the housekeeping above which the host must have been suspended; nothing else delays it for so long.
+const SUSPEND_THRESHOLD: Duration = Duration::from_millis(1_500);
+/// Timeout for the start of the answer to a fetch; after it the same peer or another one is asked.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time for the rest of the answer: half a megabyte over the slowest links, 10 Mbit/s, takes 0.4 s for each place.
+/// Timeout for the rest of the answer: half a megabyte over the slowest links, 10 Mbit/s, takes 0.4 s for each of the
+/// concurrent fetches.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest pause in it: where its bytes are lost on the way another host is asked.
-const STALLED: Duration = Duration::from_millis(700);
-/// Fetches that are answered at the same time. Those who are turned away ask hosts that have been answered meanwhile, so
-/// that what is new spreads faster than from one host alone.
-const MOST_FETCHES: usize = 3;
-/// Pause before another host is asked.
-const PAUSE: Range<Duration> = Duration::from_millis(50)..Duration::from_millis(200);
-/// Least time between two beats that are sent out of turn.
-const SETTLE: Duration = Duration::from_millis(20);
+/// Maximum time without progress in an answer; after it another host is asked, since the bytes may be lost on the way.
+const STALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// Maximum number of fetches answered concurrently. Hosts that are turned away ask hosts that have been answered
+/// meanwhile, so new state spreads faster than from one host alone.
+const MAX_CONCURRENT_FETCHES: usize = 3;
+/// Random pause before another host is asked.
+const RETRY_PAUSE: Range<Duration> = Duration::from_millis(50)..Duration::from_millis(200);
+/// Minimum delay before an early heartbeat or a fetch, so that changes in quick succession share one.
+const SETTLE_DELAY: Duration = Duration::from_millis(20);
 
-/// Sends beats, at the period or sooner when there is something to tell.
+/// Sends heartbeats periodically, and earlier when a change has to be spread.
 pub async fn send_heartbeats<W: Wire>(relay: Arc<Relay<W>>, socket: Arc<UdpSocket>) {
     loop {
-        send_to(&relay, &socket, relay.targets()).await;
+        send_heartbeat(&relay, &socket, relay.heartbeat_targets()).await;
         let due = tokio::time::Instant::now() + relay.state().peers.period();
         loop {
             tokio::select! {
                 () = tokio::time::sleep_until(due) => break,
                 () = relay.tell.notified() => {
-                    tokio::time::sleep(SETTLE).await;
+                    tokio::time::sleep(SETTLE_DELAY).await;
                     break;
                 }
-                () = relay.tell_few.notified() => send_to(&relay, &socket, relay.few_targets()).await,
+                () = relay.tell_few.notified() => send_heartbeat(&relay, &socket, relay.early_targets()).await,
             }
         }
     }
 }
 
-async fn send_to<W: Wire>(relay: &Relay<W>, socket: &UdpSocket, targets: Vec<(SocketAddr, Scope)>) {
+async fn send_heartbeat<W: Wire>(relay: &Relay<W>, socket: &UdpSocket, targets: Vec<(SocketAddr, Scope)>) {
     if targets.is_empty() {
         return;
     }
-    let beat = relay.beat(false);
+    let beat = relay.heartbeat(false);
     let own = encode(&beat);
     let centre = targets.iter().any(|(_, scope)| *scope == Scope::Centre);
     let centre = if centre { encode(&relay.summarise(&beat)) } else { Vec::new() };
     for (target, scope) in targets {
         let buf = if scope == Scope::Own { &own } else { &centre };
-        send(socket, buf, target).await;
+        send_datagram(socket, buf, target).await;
     }
 }
 
-async fn send(socket: &UdpSocket, buf: &[u8], to: SocketAddr) {
+async fn send_datagram(socket: &UdpSocket, buf: &[u8], to: SocketAddr) {
     if buf.is_empty() {
         return;
     }
     if let Err(e) = socket.send_to(buf, to).await {
-        spdlog::debug!("could not send a beat to {to}: {e}");
+        spdlog::debug!("could not send a heartbeat to {to}: {e}");
     }
 }
 
-/// Takes beats in.
+/// Receives heartbeats.
 pub async fn receive_heartbeats<W: Wire>(relay: Arc<Relay<W>>, socket: Arc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         let (n, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
             Err(e) => {
-                // An error of an earlier send shows here; the next datagram may be fine.
+                // An error of an earlier send is reported here; the next datagram may be fine.
                 spdlog::debug!("could not receive a datagram: {e}");
-                tokio::time::sleep(SETTLE).await;
+                tokio::time::sleep(SETTLE_DELAY).await;
                 continue;
             }
         };
-        match datagram::decode(&buf[..n], wall_ms()).and_then(|beat| relay.hear(from, &beat)) {
-            Ok(true) => send(&socket, &encode(&relay.beat(true)), from).await,
+        match datagram::decode(&buf[..n], wall_ms()).and_then(|beat| relay.receive(from, &beat)) {
+            Ok(true) => send_datagram(&socket, &encode(&relay.heartbeat(true)), from).await,
             Ok(false) => {}
             Err(fault) => {
                 relay.metrics.add(Counter::RelayDatagrams, fault.as_str(), 1);
-                spdlog::debug!("a datagram from {from} is dropped: {}", fault.as_str());
+                spdlog::debug!("dropped a datagram from {from}: {}", fault.as_str());
             }
         }
     }
@@ -117,40 +118,41 @@
     })
 }
 
-/// Does the housekeeping, and notices when the host was suspended.
+/// Runs the periodic housekeeping, and detects when the host was suspended.
 pub async fn run_maintenance<W: Wire>(relay: Arc<Relay<W>>) {
     let mut last = now();
     loop {
         tokio::time::sleep(TICK).await;
-        let slept = now().saturating_sub(std::mem::replace(&mut last, now()));
-        if slept > SUSPENDED {
-            relay.on_resume_from_suspend(slept);
+        let paused_for = now().saturating_sub(std::mem::replace(&mut last, now()));
+        if paused_for > SUSPEND_THRESHOLD {
+            relay.on_resume_from_suspend(paused_for);
         }
         relay.run_housekeeping();
     }
 }
 
-/// Fetches what other hosts have had for a while and this one lacks.
+/// Fetches state that other hosts have had for a while and this one lacks.
 pub async fn fetch_updates<W: Wire>(relay: Arc<Relay<W>>) {
-    let (mut wants_held, mut wants_whole, mut at_once) = (true, false, false);
+    let (mut wants_held, mut wants_full, mut at_once) = (true, false, false);
     loop {
-        // What a peer tells wakes this up; a pause keeps a run of changes to one fetch.
+        // A heartbeat of a peer that is ahead wakes this loop; the delay combines changes in quick succession into one
+        // fetch.
         if !at_once && timeout(TICK, relay.behind.notified()).await.is_ok() {
-            tokio::time::sleep(SETTLE).await;
+            tokio::time::sleep(SETTLE_DELAY).await;
         }
         at_once = false;
-        let Some((peer, own)) = source(&relay, wants_held) else { continue };
-        let configuration = if wants_whole { 0 } else { own.configuration };
+        let Some((peer, own)) = choose_source(&relay, wants_held) else { continue };
+        let configuration = if wants_full { 0 } else { own.configuration };
         let Revision { epoch, number } = own.backends;
-        let ask = Fetch { configuration, backends: number, backends_epoch: epoch, wants_held };
-        match fetch(peer, ask).await {
+        let fetch_request = Fetch { configuration, backends: number, backends_epoch: epoch, wants_held };
+        match fetch(peer, fetch_request).await {
             Ok(fetched) if fetched.busy => {
-                rest().await;
+                pause_before_retry().await;
                 at_once = true;
             }
             Ok(fetched) => {
                 wants_held &= !relay.state().listed;
-                wants_whole = take(&relay, peer, fetched);
+                wants_full = apply_fetched(&relay, peer, fetched);
             }
             Err(e) => {
                 let why = format!("{e:#}");
@@ -158,14 +160,14 @@
                 line(Weight::Notable, "fetch_failed", |l| {
                     l.text("peer", &peer.to_string()).text("why", &why)
                 });
-                rest().await;
+                pause_before_retry().await;
             }
         }
     }
 }
 
-/// A peer to fetch from, with what is known here.
-fn source<W: Wire>(relay: &Relay<W>, wants_held: bool) -> Option<(SocketAddr, Own)> {
+/// Chooses a peer to fetch from, and returns it with the versions known here.
+fn choose_source<W: Wire>(relay: &Relay<W>, wants_held: bool) -> Option<(SocketAddr, Own)> {
     let mut state = relay.state();
     let own = state.own();
     let State { peers, rng, listed, .. } = &mut *state;
@@ -175,16 +177,16 @@
 }
 
 /// Waits before another peer is asked.
-async fn rest() {
-    let pause = rand::rng().random_range(PAUSE);
+async fn pause_before_retry() {
+    let pause = rand::rng().random_range(RETRY_PAUSE);
     tokio::time::sleep(pause).await;
 }
 
-/// Takes in what a peer has told; returns whether the whole configuration must be asked for.
-fn take<W: Wire>(relay: &Relay<W>, peer: SocketAddr, fetched: Fetched) -> bool {
+/// Applies the state fetched from a peer; returns whether the full configuration must be requested.
+fn apply_fetched<W: Wire>(relay: &Relay<W>, peer: SocketAddr, fetched: Fetched) -> bool {
     let from = peer.to_string();
     let changes = fetched.configuration_changes.as_ref();
-    let wants_whole = changes.is_some_and(|changes| relay.apply_configuration_changes(changes, &from));
+    let wants_full = changes.is_some_and(|changes| relay.apply_configuration_changes(changes, &from));
     if let Some(cfg) = fetched.configuration {
         relay.set_configuration(cfg, &from);
     }
@@ -196,34 +198,37 @@
         let BackendChanges { puts, removed, .. } = changes;
         relay.update_backends(BackendsUpdate::Changes { revision, puts, removed }, None, &from);
     }
-    relay.hear_held(&fetched.held);
+    relay.merge_holders(&fetched.held);
     relay.learn_left(&fetched.left, &from);
-    wants_whole
+    wants_full
 }
 
-async fn fetch(peer: SocketAddr, ask: Fetch) -> Result<Fetched> {
+async fn fetch(peer: SocketAddr, fetch_request: Fetch) -> Result<Fetched> {
     let asking = async {
         let mut stream = TcpStream::connect(peer).await.context("could not connect")?;
         pool::set_up(&stream, Some(FETCH_TIMEOUT));
-        write(&mut stream, &postcard::to_allocvec(&ask)?).await?;
-        let size = read_size(&mut stream).await?;
-        anyhow::Ok((stream, size))
+        write_message(&mut stream, &postcard::to_allocvec(&fetch_request)?).await?;
+        let length = read_length(&mut stream).await?;
+        anyhow::Ok((stream, length))
     };
-    let (mut stream, size) = timeout(FETCH_TIMEOUT, asking).await.context("no answer in time")??;
-    let reading = timeout(TRANSFER_TIMEOUT, read(&mut stream, size)).await;
-    postcard::from_bytes(&reading.context("the answer takes too long")??).context("could not read the answer")
+    let (mut stream, length) =
+        timeout(FETCH_TIMEOUT, asking).await.context("the peer did not answer in time")??;
+    let reading = timeout(TRANSFER_TIMEOUT, read_message(&mut stream, length)).await;
+    postcard::from_bytes(&reading.context("the transfer of the answer timed out")??)
+        .context("could not decode the answer")
 }
 
-/// Answers fetches of other hosts, a few at a time: with all hosts of a data centre at once none would be done in time.
+/// Answers fetches of other hosts, a few at a time: if all hosts of a data centre were served concurrently, none would
+/// be done in time.
 pub async fn serve_fetches<W: Wire>(relay: Arc<Relay<W>>, listener: TcpListener) {
-    let places = Arc::new(Semaphore::new(MOST_FETCHES));
+    let slots = Arc::new(Semaphore::new(MAX_CONCURRENT_FETCHES));
     accept_all(listener, "a fetch", |stream, from| {
-        let (relay, place) = (relay.clone(), places.clone().try_acquire_owned().ok());
+        let (relay, slot) = (relay.clone(), slots.clone().try_acquire_owned().ok());
         tokio::spawn(async move {
-            match timeout(TRANSFER_TIMEOUT, answer(&relay, stream, place.is_none())).await {
+            match timeout(TRANSFER_TIMEOUT, answer(&relay, stream, slot.is_none())).await {
                 Ok(Ok(())) => {}
-                Ok(Err(e)) => spdlog::debug!("could not answer a fetch of {from}: {e:#}"),
-                Err(_) => spdlog::debug!("a fetch of {from} took too long"),
+                Ok(Err(e)) => spdlog::debug!("could not answer the fetch of {from}: {e:#}"),
+                Err(_) => spdlog::debug!("the fetch of {from} timed out"),
             }
         });
     })
@@ -232,58 +237,61 @@
 
 async fn answer<W: Wire>(relay: &Relay<W>, mut stream: TcpStream, busy: bool) -> Result<()> {
     pool::set_up(&stream, Some(FETCH_TIMEOUT));
-    // One whose bytes are lost on the way must not hold a place for longer.
-    let ask = timeout(FETCH_TIMEOUT, read_fetch(&mut stream)).await.context("no fetch in time")??;
+    // A host whose bytes are lost on the way must not occupy a slot for longer.
+    let fetch_request = timeout(FETCH_TIMEOUT, read_fetch(&mut stream))
+        .await
+        .context("the peer did not send its fetch in time")??;
     if busy {
-        return write(&mut stream, &postcard::to_allocvec(&Fetched { busy, ..Fetched::default() })?).await;
+        return write_message(&mut stream, &postcard::to_allocvec(&Fetched { busy, ..Fetched::default() })?)
+            .await;
     }
-    let held = if ask.wants_held { relay.held() } else { Vec::new() };
+    let held = if fetch_request.wants_held { relay.holders_snapshot() } else { Vec::new() };
     let fetched = {
         let mut state = relay.state();
-        let routes = state.routes.clone().filter(|r| r.version() > ask.configuration);
+        let routes = state.routes.clone().filter(|r| r.version() > fetch_request.configuration);
         let configuration_changes =
-            routes.as_ref().and_then(|_| state.configurations.diff_from(ask.configuration));
-        let whole = routes.filter(|_| configuration_changes.is_none());
-        let known = ask.backends_as_of();
+            routes.as_ref().and_then(|_| state.configurations.diff_from(fetch_request.configuration));
+        let full = routes.filter(|_| configuration_changes.is_none());
+        let known = fetch_request.backends_as_of();
         let newer = state.listed && state.backends.revision() > known;
         let changes = newer.then(|| state.backends.changes_since(now(), known)).flatten();
         Fetched {
-            configuration: whole.map(|r| (**r.source()).clone()),
+            configuration: full.map(|r| (**r.source()).clone()),
             configuration_changes,
             backends: (newer && changes.is_none()).then(|| state.backends.snapshot(now())),
             changes,
             held,
-            left: if ask.wants_held { state.backends.left() } else { Vec::new() },
+            left: if fetch_request.wants_held { state.backends.left() } else { Vec::new() },
             busy,
         }
     };
-    write(&mut stream, &postcard::to_allocvec(&fetched)?).await
+    write_message(&mut stream, &postcard::to_allocvec(&fetched)?).await
 }
 
 async fn read_fetch(stream: &mut TcpStream) -> Result<Fetch> {
-    let size = read_size(stream).await?;
-    postcard::from_bytes(&read(stream, size).await?).context("could not read the fetch")
+    let length = read_length(stream).await?;
+    postcard::from_bytes(&read_message(stream, length).await?).context("could not decode the fetch")
 }
 
-async fn write(stream: &mut TcpStream, message: &[u8]) -> Result<()> {
-    ensure!(message.len() <= MOST_MESSAGE, "a message of {} bytes is too long", message.len());
+async fn write_message(stream: &mut TcpStream, message: &[u8]) -> Result<()> {
+    ensure!(message.len() <= MAX_MESSAGE_BYTES, "the message of {} bytes is too long", message.len());
     let mut buf = (message.len() as u32).to_le_bytes().to_vec();
     buf.extend_from_slice(message);
-    stream.write_all(&buf).await.context("could not write")
+    stream.write_all(&buf).await.context("could not send the message")
 }
 
-async fn read_size(stream: &mut TcpStream) -> Result<usize> {
-    let size = stream.read_u32_le().await.context("could not read the length")? as usize;
-    ensure!(size <= MOST_MESSAGE, "a message of {size} bytes is too long");
-    Ok(size)
+async fn read_length(stream: &mut TcpStream) -> Result<usize> {
+    let length = stream.read_u32_le().await.context("could not read the message length")? as usize;
+    ensure!(length <= MAX_MESSAGE_BYTES, "the message of {length} bytes is too long");
+    Ok(length)
 }
 
-async fn read(stream: &mut TcpStream, size: usize) -> Result<Vec<u8>> {
-    let mut buf = Vec::with_capacity(size);
-    let mut rest = stream.take(size as u64);
-    while buf.len() < size {
-        let reading = timeout(STALLED, rest.read_buf(&mut buf)).await.context("the message stalls")?;
-        ensure!(reading.context("could not read the message")? > 0, "the message breaks off");
+async fn read_message(stream: &mut TcpStream, length: usize) -> Result<Vec<u8>> {
+    let mut buf = Vec::with_capacity(length);
+    let mut rest = stream.take(length as u64);
+    while buf.len() < length {
+        let reading = timeout(STALL_TIMEOUT, rest.read_buf(&mut buf)).await.context("the message stalled")?;
+        ensure!(reading.context("could not read the message")? > 0, "the message was truncated");
     }
     Ok(buf)
 }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request, until it has its answer or is given up.
+//! Runs the attempts of one request until it has its answer or is given up.
 
 use std::{sync::Arc, time::Duration};
 
@@ -26,20 +26,22 @@
     util::{Instant, now},
 };
 
-/// Largest answer that is read whole before it is passed on, in bytes.
-const MOST_WHOLE: usize = 4 << 20;
-/// Multiple of the objective after which a silent server is given up for a request that may be repeated.
-const PATIENCE_FACTOR: u32 = 2;
-/// Bounds on that time: below, slow answers would be repeated; above, the caller has left.
-const PATIENCE: (Duration, Duration) = (Duration::from_millis(400), Duration::from_millis(1_300));
-/// Kept connections that turn out closed before the request is written; then a new one is made.
-const MOST_STALE: usize = 3;
-/// When a caller should come back that found no server to reach: engines that join or come back are seen within this time.
+/// Maximum size of an answer that is buffered before it is passed on, in bytes.
+const MAX_BUFFERED_BYTES: usize = 4 << 20;
+/// Multiple of the latency objective after which a silent server is given up, for a request that may be repeated.
+const SILENCE_OBJECTIVE_FACTOR: u32 = 2;
+/// Lower and upper limit of that time: a shorter one would repeat requests whose answers are merely slow, and after a
+/// longer one the caller has left.
+const SILENCE_TIMEOUT: (Duration, Duration) = (Duration::from_millis(400), Duration::from_millis(1_300));
+/// Maximum number of pooled connections that may turn out closed before the request is written; then a new one is
+/// opened.
+const MAX_STALE_CONNECTIONS: usize = 3;
+/// Retry delay for callers for which no server was reachable: servers that join or return are seen within this time.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Wait before a refused service is tried again while nothing else can be done.
-const REFUSED_PAUSE: Duration = Duration::from_millis(30);
+/// Pause before retrying a service all of whose servers refused the request.
+const REFUSED_RETRY_PAUSE: Duration = Duration::from_millis(30);
 
-/// The head of an answer, its body and what it holds.
+/// The head and body of an answer, with the connection and the work item that belong to it.
 pub(crate) struct Answered<W: Wire> {
     pub(crate) head: response::Parts,
     pub(crate) read: ResponseHead,
@@ -48,30 +50,30 @@
     pub(crate) work: Work<W>,
 }
 
-/// An attempt without an answer.
+/// Why an attempt has no answer.
 pub(crate) enum AttemptError {
-    /// It was made and failed.
+    /// The attempt failed.
     Failed((Failure, BackendKey)),
-    /// There is no server to send it to.
+    /// There is no server to send the request to.
     NoServer(Kind),
 }
 
-/// A request with the attempts it has made.
+/// A request and its attempts.
 pub(crate) struct Run<W: Wire> {
     pub(crate) relay: Arc<Relay<W>>,
     pub(crate) req: Arc<Request>,
     pub(crate) tries: Tries,
     pub(crate) tried: Vec<BackendKey>,
-    /// When the attempt in progress was begun.
+    /// Start of the current attempt.
     pub(crate) sent: Instant,
-    /// Attempts that were begun, the one in progress included.
+    /// Number of attempts started, including the current one.
     pub(crate) attempts_started: u32,
-    /// What became of the request, once that is settled.
+    /// The outcome of the request, once it is settled.
     pub(crate) outcome: Option<Outcome>,
 }
 
-/// Counts what became of the request. One that is dropped before that is settled has lost its caller: the library drops
-/// the work for a connection that was closed.
+/// Records the outcome of the request. If it is dropped before it is settled, the caller has left: the HTTP library
+/// drops the future of a connection that was closed.
 impl<W: Wire> Drop for Run<W> {
     fn drop(&mut self) {
         let outcome = self.outcome.unwrap_or(Outcome::CallerLeft);
@@ -87,7 +89,7 @@
     }
 }
 
-/// Runs a request to its answer.
+/// Runs a request until it is answered or given up.
 pub async fn run<W: Wire>(relay: Arc<Relay<W>>, req: Request) -> Response<AnswerBody> {
     let req = Arc::new(req);
     let tries = Tries::new(req.route.repeatable, req.route.route.attempts, req.deadline);
@@ -98,7 +100,7 @@
     }
     run.relay.state().budget.request(now(), &run.req.service);
     if let Err(refused) = run.relay.admit(&run.req) {
-        return run.turn_away(refused);
+        return run.reject_overloaded(refused);
     }
     run.answer().await
 }
@@ -113,7 +115,7 @@
                         Err(failed) => failed,
                     }
                 }
-                Ok(answered) => match self.whole(answered).await {
+                Ok(answered) => match self.buffer_answer(answered).await {
                     Ok(response) => return response,
                     Err(failed) => failed,
                 },
@@ -121,33 +123,33 @@
                 Err(AttemptError::NoServer(kind)) => return self.give_up(kind, None),
             };
             if let Err(stop) = self.fail(failure, key).await {
-                return self.give_up(kind(failure, stop), Some(failure));
+                return self.give_up(error_kind(failure, stop), Some(failure));
             }
         }
     }
 
-    /// Notes a failed attempt and decides whether another may follow.
+    /// Records a failed attempt and decides whether another may follow.
     pub(crate) async fn fail(&mut self, failure: Failure, key: BackendKey) -> Result<(), Stop> {
-        self.note_failure(failure, key);
+        self.record_failure(failure, key);
         if failure == Failure::Broken {
-            self.note_if_crashed(key).await;
+            self.probe_for_crash(key).await;
         }
-        self.decide(failure, key)?;
+        self.decide_retry(failure, key)?;
         let (relay, req) = (&self.relay, &self.req);
         if relay.refuses(req) {
             return Err(Stop::Suspect);
         }
-        let may: Vec<_> = relay.state().placeable(now(), &req.service).map(|(key, _)| key).collect();
-        if !may.is_empty() && may.iter().all(|key| self.tried.contains(key)) {
-            // Nobody else can run it: those that refused may have room again in a moment.
+        let placeable: Vec<_> = relay.state().placeable(now(), &req.service).map(|(key, _)| key).collect();
+        if !placeable.is_empty() && placeable.iter().all(|key| self.tried.contains(key)) {
+            // No other server can run the request; those that refused it may have capacity again in a moment.
             self.tried.clear();
-            tokio::time::sleep(REFUSED_PAUSE.min(self.req.left(now()))).await;
+            tokio::time::sleep(REFUSED_RETRY_PAUSE.min(self.req.left(now()))).await;
         }
         Ok(())
     }
 
-    /// Decides whether another attempt may follow a failed one, counts it and writes its line.
-    fn decide(&mut self, failure: Failure, key: BackendKey) -> Result<(), Stop> {
+    /// Decides whether another attempt may follow a failed one, counts the decision and logs it.
+    fn decide_retry(&mut self, failure: Failure, key: BackendKey) -> Result<(), Stop> {
         let (relay, req) = (self.relay.clone(), self.req.clone());
         let next = self.tries.fail(now(), failure, || relay.spend(&req));
         match next {
@@ -163,7 +165,7 @@
         next
     }
 
-    fn note_failure(&mut self, failure: Failure, key: BackendKey) {
+    fn record_failure(&mut self, failure: Failure, key: BackendKey) {
         self.tried.push(key);
         let now = now();
         match failure {
@@ -183,8 +185,9 @@
         }
     }
 
-    /// After a broken connection, finds out by a new one whether the server has crashed, and if so suspects the content.
-    async fn note_if_crashed(&self, key: BackendKey) {
+    /// After a broken connection, checks with a new one whether the server has crashed, and if so marks the request's
+    /// content as suspect.
+    async fn probe_for_crash(&self, key: BackendKey) {
         let Some(addr) = self.relay.state().backends.get(key).map(|b| b.addr) else { return };
         match Conn::connect(addr, self.req.left(now())).await {
             Ok(conn) => self.relay.keep(key, conn, None),
@@ -219,7 +222,7 @@
         self.relay.apply_server_notices(&self.req, key, &read);
         if let Some(failure) = read.failure {
             if matches!(failure, Failure::Refused | Failure::Moved) && !read.closes {
-                self.recycle(body, conn, key, read.keep_alive).await;
+                self.reuse_after_refusal(body, conn, key, read.keep_alive).await;
             }
             return Err(AttemptError::Failed((failure, key)));
         }
@@ -228,10 +231,16 @@
         Ok(Answered { head, read, body, conn, work })
     }
 
-    /// Keeps the connection of a refusal once its body is read.
-    async fn recycle(&self, body: Incoming, conn: Conn, key: BackendKey, keeps: Option<Duration>) {
-        let read = Limited::new(body, MOST_WHOLE).collect();
-        if let Ok(Ok(_)) = tokio::time::timeout(REFUSED_PAUSE, read).await {
+    /// Returns the connection of a refusal to the pool once the body is read.
+    async fn reuse_after_refusal(
+        &self,
+        body: Incoming,
+        conn: Conn,
+        key: BackendKey,
+        keeps: Option<Duration>,
+    ) {
+        let read = Limited::new(body, MAX_BUFFERED_BYTES).collect();
+        if let Ok(Ok(_)) = tokio::time::timeout(REFUSED_RETRY_PAUSE, read).await {
             self.relay.keep(key, conn, keeps);
         }
     }
@@ -241,14 +250,15 @@
         choice: &Choice,
         after: Option<EventNumber>,
     ) -> Result<(Conn, Result<Response<Incoming>, Failure>), Failure> {
-        for stale in 0.. {
+        for stale_conns in 0.. {
             let (id, addr, from) = {
                 let state = self.relay.state();
                 let Some(b) = state.backends.get(choice.key) else { return Err(Failure::Connect) };
                 let from = choice.fetch_from.and_then(|key| state.backends.get(key)).map(|b| b.addr);
                 (b.id.clone(), b.addr, from)
             };
-            let kept = if stale < MOST_STALE { self.relay.pool.take(choice.key) } else { None };
+            let kept =
+                if stale_conns < MAX_STALE_CONNECTIONS { self.relay.pool.take(choice.key) } else { None };
             let mut conn = match kept {
                 Some(conn) => conn,
                 None => Conn::connect(addr, self.req.left(now())).await?,
@@ -259,24 +269,24 @@
             }
             let sending = AttemptContext { backend: &id, left, after, fetch_from: from };
             let req = self.relay.wire.backend_request(&self.req, &sending);
-            self.note_sent(choice, &id, stale);
+            self.log_sent(choice, &id, stale_conns);
             let reused = conn.reused;
-            let result = self.wait(&mut conn, req).await;
+            let result = self.await_head(&mut conn, req).await;
             if reused && matches!(result, Err(Failure::Unsent)) {
                 continue;
             }
             return Ok((conn, result));
         }
-        unreachable!("a new connection ends the loop")
+        unreachable!("the loop ends with the first new connection")
     }
 
-    fn note_sent(&self, choice: &Choice, id: &str, stale: usize) {
+    fn log_sent(&self, choice: &Choice, id: &str, stale_conns: usize) {
         self.relay.metrics.add(Counter::RelayPlacements, choice.why.as_str(), 1);
         let from = choice.fetch_from.and_then(|key| Some(self.relay.state().backends.get(key)?.id.clone()));
         self.relay.note(Weight::Routine, "sent", &self.req, |l| {
             let l = l.text("backend", id).text("why", choice.why.as_str());
             let l = l.decimal("load", choice.load).decimal("bound", choice.bound);
-            let l = l.text("fetches", from.as_deref().unwrap_or("")).number("stale", stale as u64);
+            let l = l.text("fetches", from.as_deref().unwrap_or("")).number("stale", stale_conns as u64);
             let l = l.number("version", self.req.version).ms("confirmed_ms", self.relay.configuration_age());
             let l = match shared(&self.req.parts).last() {
                 Some(part) => l.text("part", &format!("{:x}", part.id)).number("held", choice.held),
@@ -286,27 +296,27 @@
         });
     }
 
-    /// Waits for the head of the answer: until the deadline, or where the request may be repeated and another server
-    /// could run it, for a few times its objective.
-    async fn wait(
+    /// Waits for the head of the answer: until the deadline, or until the silence timeout if the request may be
+    /// repeated at another server.
+    async fn await_head(
         &mut self,
         conn: &mut Conn,
         req: http::Request<http_body_util::Full<Bytes>>,
     ) -> Result<Response<Incoming>, Failure> {
         let head = conn.send(req);
         tokio::pin!(head);
-        let (limit, over) = self.wait_limit(self.silence_timeout());
+        let (limit, timeout_failure) = self.wait_limit(self.silence_timeout());
         let started = now();
         let result = match tokio::time::timeout(limit, &mut head).await {
             Ok(result) => result.map_err(|(failure, _)| failure),
-            Err(_) => Err(over),
+            Err(_) => Err(timeout_failure),
         };
         let label = result.as_ref().err().map_or("answered", |failure| failure.as_str());
         self.relay.metrics.record(Latency::Attempt, label, now() - started);
         result
     }
 
-    /// How long to wait with this patience, and what has happened when that time is over.
+    /// How long to wait given the silence timeout, and the failure to report when that time is over.
     pub(crate) fn wait_limit(&self, silence_timeout: Option<Duration>) -> (Duration, Failure) {
         let left = self.req.left(now());
         match silence_timeout {
@@ -315,23 +325,30 @@
         }
     }
 
-    /// How long to wait for a server that says nothing; `None`: until the deadline.
+    /// How long a server may be silent; `None` means until the deadline.
     pub(crate) fn silence_timeout(&self) -> Option<Duration> {
-        let others = self.relay.state().placeable(now(), &self.req.service).count() > self.tried.len() + 1;
-        let may =
-            self.req.route.repeatable && others && self.tries.made() + 1 < self.req.route.route.attempts;
-        may.then(|| (self.req.objective() * PATIENCE_FACTOR).clamp(PATIENCE.0, PATIENCE.1))
+        let has_alternatives =
+            self.relay.state().placeable(now(), &self.req.service).count() > self.tried.len() + 1;
+        let may_repeat = self.req.route.repeatable
+            && has_alternatives
+            && self.tries.made() + 1 < self.req.route.route.attempts;
+        may_repeat.then(|| {
+            (self.req.objective() * SILENCE_OBJECTIVE_FACTOR).clamp(SILENCE_TIMEOUT.0, SILENCE_TIMEOUT.1)
+        })
     }
 
-    /// Reads an answer whole and passes it on.
-    async fn whole(&mut self, answered: Answered<W>) -> Result<Response<AnswerBody>, (Failure, BackendKey)> {
+    /// Buffers an answer and passes it on.
+    async fn buffer_answer(
+        &mut self,
+        answered: Answered<W>,
+    ) -> Result<Response<AnswerBody>, (Failure, BackendKey)> {
         let Answered { head, read, body, conn, work } = answered;
         let key = work.key;
-        let reading = Limited::new(body, MOST_WHOLE).collect();
+        let reading = Limited::new(body, MAX_BUFFERED_BYTES).collect();
         let bytes = match tokio::time::timeout(self.req.left(now()), reading).await {
             Ok(Ok(collected)) => collected.to_bytes(),
             Ok(Err(e)) => {
-                spdlog::debug!("answer to {} broke off: {e}", self.req.id);
+                spdlog::debug!("the answer to {} was truncated: {e}", self.req.id);
                 return Err((Failure::Broken, key));
             }
             Err(_) => return Err((Failure::Late, key)),
@@ -340,13 +357,13 @@
             self.relay.keep(key, conn, read.keep_alive);
         }
         drop(work);
-        if head.status.is_server_error() && self.may_repeat_error() {
-            self.note_failure(Failure::Errored, key);
-            if self.decide(Failure::Errored, key).is_ok() {
+        if head.status.is_server_error() && self.may_retry_error() {
+            self.record_failure(Failure::Errored, key);
+            if self.decide_retry(Failure::Errored, key).is_ok() {
                 return match Box::pin(self.attempt(self.req.after)).await {
-                    Ok(answered) => {
-                        Box::pin(self.whole(answered)).await.or_else(|_| Ok(self.deliver(head, bytes)))
-                    }
+                    Ok(answered) => Box::pin(self.buffer_answer(answered))
+                        .await
+                        .or_else(|_| Ok(self.deliver(head, bytes))),
                     Err(_) => Ok(self.deliver(head, bytes)),
                 };
             }
@@ -357,7 +374,7 @@
         Ok(self.deliver(head, bytes))
     }
 
-    fn may_repeat_error(&self) -> bool {
+    fn may_retry_error(&self) -> bool {
         self.req.route.repeatable && !self.req.route.stream
     }
 
@@ -370,8 +387,8 @@
         self.relay.wire.caller_response(head, AnswerBody::Whole(bytes))
     }
 
-    /// The answer to a request that is not sent, since its service has as much work as it can finish in time.
-    fn turn_away(&mut self, refused: Refused) -> Response<AnswerBody> {
+    /// Rejects a request that is not sent, because its service has as much work as it can finish in time.
+    fn reject_overloaded(&mut self, refused: Refused) -> Response<AnswerBody> {
         self.outcome = Some(Outcome::Refused);
         let kind = Kind::Overloaded;
         self.relay.metrics.add(Counter::RelayRefusals, kind.answer().code, 1);
@@ -383,13 +400,13 @@
         self.relay.wire.refuse(&Refusal { kind, ran: Ran::No, retry_after: Some(refused.after) })
     }
 
-    /// The final answer to a request that is given up.
+    /// Refuses a request that is given up.
     pub(crate) fn give_up(&mut self, kind: Kind, last: Option<Failure>) -> Response<AnswerBody> {
         let ran = if self.tries.is_unrun() { Ran::No } else { Ran::Unknown };
         self.outcome = Some(if ran == Ran::No { Outcome::Refused } else { Outcome::Failed });
         self.relay.metrics.add(Counter::RelayRefusals, kind.answer().code, 1);
-        let comes_back = ran == Ran::No && kind != Kind::Quarantined;
-        let retry_after = comes_back.then(|| match last {
+        let may_retry = ran == Ran::No && kind != Kind::Quarantined;
+        let retry_after = may_retry.then(|| match last {
             Some(Failure::Refused) => come_back_late(self.req.left(now()), self.relay.draw()),
             _ => self.relay.back_after(&self.req, kind),
         });
@@ -407,7 +424,7 @@
     req.route.stream && head.status.is_success()
 }
 
-fn kind(failure: Failure, stop: Stop) -> Kind {
+fn error_kind(failure: Failure, stop: Stop) -> Kind {
     match (stop, failure) {
         (Stop::Deadline, _) | (_, Failure::Late) => Kind::DeadlinePassed,
         (Stop::Budget, _) => Kind::RetryBudget,
--- a/src/relay/stop.rs
+++ b/src/relay/stop.rs
@@ -1,4 +1,4 @@
-//! The end of a host's service: from the signal, through the requests in progress, to the last connection.
+//! Graceful shutdown of a host: from the signal, through the requests in progress, to the last connection.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 };
 
 impl<W: Wire> Relay<W> {
-    /// Starts to leave: no new callers are sent here.
+    /// Starts the shutdown: no new callers are sent here.
     pub fn leave(&self) {
         let mut state = self.state();
         if state.leaving.is_none() {
@@ -21,19 +21,19 @@
         self.tell.notify_one();
     }
 
-    /// Whether a request that ends at `deadline` can still be taken.
+    /// Whether a request with this deadline is still accepted.
     pub fn accepts(&self, deadline: Instant) -> bool {
         let open = !*self.closing.borrow();
         open && self.state().leaving.is_none_or(|l| l.accepts(now(), deadline))
     }
 
-    /// Takes no more requests and closes the connections of callers as they become idle. From here on a request that
-    /// still arrives is refused, provably not run, so that none is cut by the end of the process.
+    /// Accepts no more requests, and closes connections of callers as they become idle. A request that still arrives is
+    /// refused, provably not run, so that none is cut off by the end of the process.
     pub fn stop_accepting(&self) {
         self.closing.send_replace(true);
     }
 
-    /// Connections of callers that are still open.
+    /// Number of open connections of callers.
     pub fn connections(&self) -> usize {
         self.state().connections
     }
@@ -43,29 +43,29 @@
         *connections = if opened { *connections + 1 } else { connections.saturating_sub(1) };
     }
 
-    /// Whether this host is leaving.
+    /// Whether this host is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.state().leaving.is_some()
     }
 
-    /// Whether a leaving host may stop now.
+    /// Whether a host that is shutting down may stop now.
     pub fn may_stop(&self) -> bool {
         let state = self.state();
         state.leaving.is_some_and(|l| l.may_stop(now(), state.in_progress))
     }
 
-    /// Counts a request in progress until the guard is dropped.
-    pub fn track_request(self: &Arc<Self>) -> Entered<W> {
+    /// Counts a request as in progress until the guard is dropped.
+    pub fn track_request(self: &Arc<Self>) -> RequestGuard<W> {
         self.state().in_progress += 1;
-        Entered(self.clone())
+        RequestGuard(self.clone())
     }
 }
 
-/// A request in progress at this host.
+/// Guard of a request in progress at this host.
 #[derive(Debug)]
-pub struct Entered<W: Wire>(Arc<Relay<W>>);
+pub struct RequestGuard<W: Wire>(Arc<Relay<W>>);
 
-impl<W: Wire> Drop for Entered<W> {
+impl<W: Wire> Drop for RequestGuard<W> {
     fn drop(&mut self) {
         self.0.state().in_progress -= 1;
     }
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -1,4 +1,5 @@
-//! What an adapter translates between the pipeline and an interface of callers and backend servers.
+//! The interface of protocol adapters, which translate between the pipeline and the protocol of callers and backend
+//! servers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,64 +16,64 @@
 };
 use crate::error::{Kind, Ran};
 
-/// What an attempt tells its backend server beside the request itself.
+/// What an attempt sends to its backend server in addition to the request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptContext<'a> {
-    /// Identifier of the server that is meant.
+    /// Identifier of the intended server.
     pub backend: &'a str,
-    /// Time that is left.
+    /// Time left until the deadline.
     pub left: Duration,
-    /// Event after which a stream goes on.
+    /// Event after which a stream resumes.
     pub after: Option<EventNumber>,
     /// Server from which shared parts of the prompt can be fetched.
     pub fetch_from: Option<SocketAddr>,
 }
 
-/// What the head of a backend server's answer says.
+/// The parsed head of a backend server's response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResponseHead {
-    /// Why it is not the answer, if it isn't.
+    /// Why the response must not be passed on, if so.
     pub failure: Option<Failure>,
-    /// How long it keeps an idle connection, if it tells.
+    /// How long the server keeps an idle connection, if it says so.
     pub keep_alive: Option<Duration>,
-    /// Whether it closes the connection after this answer.
+    /// Whether the server closes the connection after this response.
     pub closes: bool,
-    /// The work at the server, if it tells.
+    /// The load of the server, if it reports it.
     pub load: Option<Told>,
-    /// Whether the server says that it leaves.
+    /// Whether the server says that it is leaving.
     pub leaving: bool,
-    /// For how long it wants nothing from this host, if it has turned the request away and tells so.
+    /// How long the server wants no requests from this host, if it refused the request and says so.
     pub pause: Option<Duration>,
 }
 
-/// A request that is given up.
+/// The refusal of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub kind: Kind,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub ran: Ran,
-    /// When the caller should come back, if that makes sense.
+    /// When the caller should retry, if that makes sense.
     pub retry_after: Option<Duration>,
 }
 
-/// Translates between the pipeline and one interface.
+/// A protocol adapter.
 pub trait Wire: Send + Sync + 'static {
-    /// Reads the head of a request.
+    /// Parses the head of a request.
     fn parse_request(&self, head: &request::Parts) -> RequestHead;
 
-    /// The headers of a request that are passed on.
+    /// The headers of a request that are forwarded.
     fn forwarded_headers(&self, headers: HeaderMap) -> HeaderMap;
 
-    /// The request as a backend server takes it.
+    /// Builds the request for a backend server.
     fn backend_request(&self, req: &Request, sending: &AttemptContext<'_>) -> http::Request<Full<Bytes>>;
 
-    /// Reads the head of a backend server's answer.
+    /// Parses the head of a backend server's response.
     fn parse_response(&self, req: &Request, head: &response::Parts) -> ResponseHead;
 
-    /// Head and body of an answer with headers that only concern one connection taken out.
+    /// Builds the response for the caller, without hop-by-hop headers.
     fn caller_response(&self, head: response::Parts, body: AnswerBody) -> Response<AnswerBody>;
 
-    /// The answer to a request that is given up.
+    /// Builds the response that refuses a request.
     fn refuse(&self, refusal: &Refusal) -> Response<AnswerBody>;
 }
