--- a/tests/relay_configurations.rs
+++ b/tests/relay_configurations.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of a newer configuration.
+//! Tests the differences between configurations that hosts send to each other.
 
 use std::sync::Arc;
 
@@ -37,43 +37,44 @@
     configuration(version, routes.collect(), vec![workspace(1, 1)])
 }
 
-/// A configuration of 1,800 routes changes by one. Every host of a data centre was given the whole of it over the link of
-/// the one that had it, for seconds, behind which the requests of callers waited for 0.6 s.
+/// One of 1,800 routes changes. Sending the full configuration to every host of a data centre kept the link of the one
+/// host that had it busy for seconds, and requests of callers were delayed by 0.6 s behind it.
 #[test]
 fn a_small_change_of_a_large_configuration_takes_few_bytes() {
     let (old, new) = (large(1, 2_000), large(2, 3_000));
 
-    let told = postcard::to_allocvec(&diff(&old, &new)).unwrap();
-    let whole = postcard::to_allocvec(&new).unwrap();
+    let encoded = postcard::to_allocvec(&diff(&old, &new)).unwrap();
+    let full = postcard::to_allocvec(&new).unwrap();
 
-    assert!(told.len() < 300 && whole.len() > 50_000, "{} of {} bytes", told.len(), whole.len());
-    assert_eq!(apply(&old, &postcard::from_bytes(&told).unwrap()), Some(new));
+    assert!(encoded.len() < 300 && full.len() > 50_000, "{} of {} bytes", encoded.len(), full.len());
+    assert_eq!(apply(&old, &postcard::from_bytes(&encoded).unwrap()), Some(new));
 }
 
-/// A host was away for longer than the others remember, or they have dropped what it knows since all is large.
+/// A host was away for longer than the other hosts keep versions, or they dropped its version because all of them are
+/// large.
 #[test]
-fn changes_are_told_from_what_is_remembered() {
-    let mut known = ConfigurationHistory::default();
+fn changes_are_computed_from_kept_versions() {
+    let mut history = ConfigurationHistory::default();
     for version in 1..=40 {
-        known.push(Arc::new(configuration(version, vec![route(1, version as u32)], Vec::new())));
+        history.push(Arc::new(configuration(version, vec![route(1, version as u32)], Vec::new())));
     }
 
-    let told = known.diff_from(39).unwrap();
-    assert_eq!((told.from, told.version), (39, 40));
-    assert!(known.diff_from(34).is_some());
-    assert!(known.diff_from(1).is_none());
-    assert!(known.diff_from(41).is_none());
+    let changes = history.diff_from(39).unwrap();
+    assert_eq!((changes.from, changes.version), (39, 40));
+    assert!(history.diff_from(34).is_some());
+    assert!(history.diff_from(1).is_none());
+    assert!(history.diff_from(41).is_none());
 
     let routes = |n: u32| (0..n).map(|i| route(0, i)).collect::<Vec<_>>();
     for version in 41..=44 {
-        known.push(Arc::new(configuration(version, routes(20_000), Vec::new())));
+        history.push(Arc::new(configuration(version, routes(20_000), Vec::new())));
     }
-    assert!(known.diff_from(43).is_none(), "all of it is too much to remember");
+    assert!(history.diff_from(43).is_none(), "the limit on kept items is exceeded");
 }
 
-/// A peer tells changes that lead from another content, reach beyond the list, or lack items. Nothing is put in force.
+/// A peer sends changes that start from other content, exceed the list, or lack items. They must not be applied.
 #[test]
-fn changes_that_do_not_fit_are_not_applied() {
+fn mismatched_changes_are_not_applied() {
     let old = configuration(1, vec![route(1, 1), route(2, 2)], vec![workspace(1, 1)]);
     let new = configuration(2, vec![route(2, 2), route(3, 3)], vec![workspace(1, 2)]);
     let good = diff(&old, &new);
@@ -86,9 +87,9 @@
     assert_eq!(apply(&other, &good), None, "the same version with other routes");
     assert_eq!(apply(&configuration(3, Vec::new(), Vec::new()), &good), None, "another version");
     for routes in bad {
-        let mut told = good.clone();
-        told.routes = routes;
-        assert_eq!(apply(&old, &told), None, "{:?}", told.routes);
+        let mut changes = good.clone();
+        changes.routes = routes;
+        assert_eq!(apply(&old, &changes), None, "{:?}", changes.routes);
     }
 }
 
@@ -101,7 +102,7 @@
 }
 
 proptest! {
-    /// Whatever changes, in any order and with doubled names: what is put together is what was told.
+    /// For any change, with any order and duplicate names, applying the difference gives the new configuration.
     #[test]
     fn changes_lead_to_the_new_configuration(
         old in (routes(), workspaces()),
--- a/tests/relay_confirmations.rs
+++ b/tests/relay_confirmations.rs
@@ -1,4 +1,4 @@
-//! When hosts ask the store whether what they know is the newest, and what they make of each other's word, in virtual time.
+//! Tests in virtual time when hosts query the store for newer state, and how they merge each other's reports.
 
 #[path = "support/relay.rs"]
 mod relay_support;
@@ -17,14 +17,14 @@
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-/// Time within which changes must be in force.
+/// The propagation bound.
 const BOUND: Duration = ms(2_000);
-const STEP: Duration = ms(10);
-/// Time between beats.
-const PERIOD: Duration = ms(250);
-/// Time for an answer of the store, and after which a lost one is given up.
-const ANSWER: Duration = ms(10);
-const GIVEN_UP: Duration = ms(400);
+const TIME_STEP: Duration = ms(10);
+/// Interval between heartbeats.
+const HEARTBEAT_PERIOD: Duration = ms(250);
+/// Time for an answer of the store, and the timeout after which a lost one is given up.
+const ANSWER_TIME: Duration = ms(10);
+const TIMEOUT: Duration = ms(400);
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -42,17 +42,18 @@
     CheckOrder { follows: false, before, others_fail }
 }
 
-/// A host of a fleet whose waiting calls hear nothing and whose hosts can't fetch from each other: it learns only by asking.
+/// A host whose watches never return and that can't fetch from its peers: it learns of changes only by querying the
+/// store.
 struct Host {
     peers: Peers,
     confirmations: Confirmations,
     version: u64,
     start: u64,
     started: Duration,
-    beats: u64,
-    next_beat: Duration,
-    /// When a call was made, when it ends, and the version that it brings unless its answer is lost.
-    asks: Option<(Duration, Duration, Option<u64>)>,
+    heartbeats: u64,
+    next_heartbeat: Duration,
+    /// Start and end of the pending query, and the version that it returns unless its answer is lost.
+    pending_query: Option<(Duration, Duration, Option<u64>)>,
 }
 
 impl Host {
@@ -63,9 +64,9 @@
             version,
             start,
             started: now,
-            beats: 0,
-            next_beat: now,
-            asks: None,
+            heartbeats: 0,
+            next_heartbeat: now,
+            pending_query: None,
         }
     }
 
@@ -80,30 +81,30 @@
     }
 }
 
-/// What happens to a fleet.
+/// Random faults and changes in a fleet.
 #[derive(Clone, Debug)]
-struct Days {
+struct Scenario {
     hosts: usize,
     seed: u64,
-    /// Pairs of hosts between which beats are lost, from the first to the second.
-    cuts: Vec<(usize, usize)>,
-    /// One of so many beats is late, and by how much at most.
+    /// Pairs of sender and receiver between which heartbeats are lost.
+    lost_links: Vec<(usize, usize)>,
+    /// One in this many heartbeats is late, and the maximum delay in milliseconds.
     late: (u32, u64),
-    /// One of so many answers of the store is lost; never two of a host in a row.
+    /// One in this many answers of the store is lost, but never two of a host in a row.
     lost: u32,
-    /// Mean time between changes, and between starts, in steps.
+    /// Mean interval between changes, and between restarts, in steps.
     changes: u32,
     starts: u32,
 }
 
-fn days() -> impl Strategy<Value = Days> {
-    let cuts = |hosts| proptest::collection::vec((0..hosts, 0..hosts), 0..hosts * hosts);
+fn scenarios() -> impl Strategy<Value = Scenario> {
+    let lost_links = |hosts| proptest::collection::vec((0..hosts, 0..hosts), 0..hosts * hosts);
     let rest = (any::<u64>(), (2_u32..40, 0_u64..3_000), 2_u32..20, 20_u32..400, 200_u32..2_000);
-    (2_usize..7).prop_flat_map(move |hosts| (Just(hosts), cuts(hosts), rest.clone())).prop_map(
-        |(hosts, cuts, (seed, late, lost, changes, starts))| Days {
+    (2_usize..7).prop_flat_map(move |hosts| (Just(hosts), lost_links(hosts), rest.clone())).prop_map(
+        |(hosts, lost_links, (seed, late, lost, changes, starts))| Scenario {
             hosts,
             seed,
-            cuts,
+            lost_links,
             late,
             lost,
             changes,
@@ -112,50 +113,50 @@
     )
 }
 
-/// Plays some seconds; returns the first host that is further behind than the bound, and when.
-fn play(days: &Days) -> Option<String> {
-    let mut rng = SmallRng::seed_from_u64(days.seed);
-    let mut hosts: Vec<_> = (0..days.hosts).map(|i| Host::new(i, ms(0), 0, 1)).collect();
-    let mut lost_last = vec![false; days.hosts];
+/// Simulates some seconds; returns the first host that lags behind by more than the bound, and when.
+fn first_violation(scenario: &Scenario) -> Option<String> {
+    let mut rng = SmallRng::seed_from_u64(scenario.seed);
+    let mut hosts: Vec<_> = (0..scenario.hosts).map(|i| Host::new(i, ms(0), 0, 1)).collect();
+    let mut lost_last_answer = vec![false; scenario.hosts];
     let (mut newest, mut acked) = (1, BTreeMap::from([(1, ms(0))]));
-    let mut under_way: Vec<(Duration, usize, usize, Beat)> = Vec::new();
+    let mut in_flight: Vec<(Duration, usize, usize, Beat)> = Vec::new();
     let mut now = ms(0);
     while now < ms(20_000) {
-        now += STEP;
-        if rng.random_ratio(1, days.changes) {
+        now += TIME_STEP;
+        if rng.random_ratio(1, scenario.changes) {
             newest += 1;
             acked.insert(newest, now);
         }
-        for i in 0..days.hosts {
-            if rng.random_ratio(1, days.starts) {
-                // A copy of any age.
+        for i in 0..scenario.hosts {
+            if rng.random_ratio(1, scenario.starts) {
+                // The restarted host reads a copy of any age.
                 let (version, start) = (rng.random_range(0..=newest), hosts[i].start + 1);
                 hosts[i] = Host::new(i, now, version, start);
             }
             let host = &mut hosts[i];
-            if let Some((asked, _, brought)) = host.asks.take_if(|(_, ends, _)| *ends <= now)
-                && let Some(version) = brought
+            if let Some((asked, _, version)) = host.pending_query.take_if(|(_, ends, _)| *ends <= now)
+                && let Some(version) = version
             {
                 host.version = host.version.max(version);
                 host.confirm(asked);
-                host.next_beat = now;
+                host.next_heartbeat = now;
             }
-            let turn = host.peers.turn(now, FollowState::Follows);
-            if host.asks.is_none() && host.confirmations.next_check_at(turn) <= now {
+            let order = host.peers.turn(now, FollowState::Follows);
+            if host.pending_query.is_none() && host.confirmations.next_check_at(order) <= now {
                 host.confirmations.record_check(now);
-                let is_lost = !lost_last[i] && rng.random_ratio(1, days.lost);
-                lost_last[i] = is_lost;
-                let ends = now + if is_lost { GIVEN_UP } else { ANSWER };
-                host.asks = Some((now, ends, (!is_lost).then_some(newest)));
+                let is_lost = !lost_last_answer[i] && rng.random_ratio(1, scenario.lost);
+                lost_last_answer[i] = is_lost;
+                let ends = now + if is_lost { TIMEOUT } else { ANSWER_TIME };
+                host.pending_query = Some((now, ends, (!is_lost).then_some(newest)));
             }
-            if host.next_beat <= now {
-                host.next_beat = now + PERIOD;
-                host.beats += 1;
+            if host.next_heartbeat <= now {
+                host.next_heartbeat = now + HEARTBEAT_PERIOD;
+                host.heartbeats += 1;
                 let member =
                     Member { peers: addr(i).to_string(), data_centre: "a".into(), ..Member::default() };
                 let beat = Beat {
                     start: host.start,
-                    number: host.beats,
+                    number: host.heartbeats,
                     ready: true,
                     configuration: host.version,
                     follows_store: true,
@@ -163,15 +164,20 @@
                     confirmed: Some(host.confirmations.summary(now)),
                     ..Beat::default()
                 };
-                for to in (0..days.hosts).filter(|to| *to != i && !days.cuts.contains(&(i, *to))) {
-                    let late =
-                        if rng.random_ratio(1, days.late.0) { rng.random_range(0..=days.late.1) } else { 0 };
-                    under_way.push((now + ms(1 + late), i, to, beat.clone()));
+                for to in
+                    (0..scenario.hosts).filter(|to| *to != i && !scenario.lost_links.contains(&(i, *to)))
+                {
+                    let late = if rng.random_ratio(1, scenario.late.0) {
+                        rng.random_range(0..=scenario.late.1)
+                    } else {
+                        0
+                    };
+                    in_flight.push((now + ms(1 + late), i, to, beat.clone()));
                 }
             }
         }
-        let (arrived, rest) = under_way.into_iter().partition(|(at, ..)| *at <= now);
-        under_way = rest;
+        let (arrived, rest) = in_flight.into_iter().partition(|(at, ..)| *at <= now);
+        in_flight = rest;
         let arrived: Vec<_> = arrived;
         for (_, from, to, beat) in arrived {
             let host = &mut hosts[to];
@@ -179,16 +185,16 @@
             let heard = host.peers.hear(now, addr(from), &beat, own);
             if !heard.old && beat.configuration <= host.version {
                 let sent = now.saturating_sub(heard.late);
-                let told = beat.confirmed.unwrap();
+                let report = beat.confirmed.unwrap();
                 for topic in Topic::ALL {
-                    host.confirmations.merge(sent, topic, &told);
+                    host.confirmations.merge(sent, topic, &report);
                 }
             }
         }
         for (i, host) in hosts.iter().enumerate() {
             let due = acked.iter().filter(|(_, at)| **at + BOUND <= now).map(|(version, _)| *version).max();
             if host.started + BOUND <= now && due.is_some_and(|due| host.version < due) {
-                return Some(format!("host {i} has {} of {due:?} at {now:?}", host.version));
+                return Some(format!("host {i} has version {} instead of {due:?} at {now:?}", host.version));
             }
         }
     }
@@ -198,55 +204,60 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// A host more than the bound behind, though the store answers it.
+    /// Guards against a host that lags behind by more than the bound although the store answers it.
     #[test]
-    fn no_host_that_the_store_answers_is_more_than_the_bound_behind(days in days()) {
-        prop_assert_eq!(play(&days), None);
+    fn no_host_that_the_store_answers_is_more_than_the_bound_behind(scenario in scenarios()) {
+        prop_assert_eq!(first_violation(&scenario), None);
     }
 }
 
-/// All hosts of a fleet asking at once, or none while the first is gone.
+/// Guards against all hosts querying at once, and against none querying while the first is down.
 #[test]
-fn the_first_host_asks_and_the_others_only_where_it_does_not() {
-    let mut sure = Confirmations::new(ms(0), BOUND, false);
-    sure.confirm(Topic::Configuration, ms(10_000));
-    sure.confirm(Topic::Backends, ms(10_000));
-
-    let due: Vec<_> = [0, 1, 2, 300].map(|before| sure.next_check_at(follows(before)) - ms(10_000)).into();
-    let told = sure.summary(ms(10_760));
-    sure.merge(ms(10_760), Topic::Configuration, &told);
-    sure.record_check(ms(10_760));
-
-    assert_eq!(due, [ms(750), ms(875), Duration::from_micros(906_250), ms(1_000)]);
-    assert_eq!(sure.next_check_at(follows(0)), ms(11_510), "not again at once, whatever the answer");
+fn hosts_query_the_store_in_order() {
+    let mut confirmed = Confirmations::new(ms(0), BOUND, false);
+    confirmed.confirm(Topic::Configuration, ms(10_000));
+    confirmed.confirm(Topic::Backends, ms(10_000));
+
+    let delays: Vec<_> =
+        [0, 1, 2, 300].map(|before| confirmed.next_check_at(follows(before)) - ms(10_000)).into();
+    let report = confirmed.summary(ms(10_760));
+    confirmed.merge(ms(10_760), Topic::Configuration, &report);
+    confirmed.record_check(ms(10_760));
+
+    assert_eq!(delays, [ms(750), ms(875), Duration::from_micros(906_250), ms(1_000)]);
+    assert_eq!(
+        confirmed.next_check_at(follows(0)),
+        ms(11_510),
+        "the next query waits for the minimum interval, whatever the answer"
+    );
 }
 
-/// Three hundred hosts calling a store that is away, since none of them is sure any more.
+/// Guards against three hundred hosts calling a store that is down because none has a recent confirmation.
 #[test]
-fn hosts_that_leave_the_store_to_others_ask_late_and_few_at_a_time_while_it_fails() {
-    let unsure = Confirmations::new(ms(0), BOUND, false);
+fn idle_hosts_query_late_and_staggered_during_an_outage() {
+    let unconfirmed = Confirmations::new(ms(0), BOUND, false);
 
-    let while_it_fails = [0, 1, 20].map(|before| unsure.next_check_at(idle(before, true)));
-    let else_by = [0, 1, 20].map(|before| unsure.next_check_at(idle(before, false)));
+    let while_store_fails = [0, 1, 20].map(|before| unconfirmed.next_check_at(idle(before, true)));
+    let otherwise = [0, 1, 20].map(|before| unconfirmed.next_check_at(idle(before, false)));
 
-    assert_eq!(while_it_fails, [ms(1_250), ms(1_500), ms(6_250)]);
-    assert_eq!(else_by, [ms(1_250), ms(1_500), ms(1_750)]);
+    assert_eq!(while_store_fails, [ms(1_250), ms(1_500), ms(6_250)]);
+    assert_eq!(otherwise, [ms(1_250), ms(1_500), ms(1_750)]);
 }
 
-/// A host that has read a copy telling others that it knows all changes.
+/// Guards against a host with a stale copy confirming its state to other hosts.
 #[test]
-fn what_was_never_confirmed_confirms_nothing_elsewhere() {
-    let (copied, mut other) =
+fn an_unconfirmed_topic_confirms_nothing_on_other_hosts() {
+    let (never_confirmed, mut other) =
         (Confirmations::new(ms(0), BOUND, false), Confirmations::new(ms(0), BOUND, false));
 
-    let is_news = other.merge(ms(5_000), Topic::Configuration, &copied.summary(ms(5_000)));
+    let advanced = other.merge(ms(5_000), Topic::Configuration, &never_confirmed.summary(ms(5_000)));
 
-    assert!(!is_news && other.is_stale(ms(5_000), Topic::Configuration));
+    assert!(!advanced && other.is_stale(ms(5_000), Topic::Configuration));
 }
 
-/// A host that stood still taking beats that waited in its socket meanwhile for fresh ones.
+/// Guards against a host that was stalled and treats heartbeats that were queued in its socket as fresh.
 #[test]
-fn a_beat_that_comes_late_tells_of_the_time_when_it_was_sent() {
+fn a_delayed_heartbeat_counts_as_of_its_send_time() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     let beat = |number, sent_ms| Beat {
         start: 1,
@@ -264,23 +275,24 @@
     assert_eq!([first, queued, fresh, restarted], [ms(0), ms(3_750), ms(1), ms(0)]);
 }
 
-/// Nobody seeing that a host has had no word for long.
+/// Guards against a missing report when a host has had no confirmation for long.
 #[test]
-fn what_grows_old_and_is_renewed_is_told_once_each() {
-    let mut sure = Confirmations::new(ms(0), BOUND, false);
-    sure.confirm(Topic::Backends, ms(4_000));
+fn each_transition_to_stale_and_back_is_reported_once() {
+    let mut confirmed = Confirmations::new(ms(0), BOUND, false);
+    confirmed.confirm(Topic::Backends, ms(4_000));
 
-    let old = [sure.changes(ms(900)), sure.changes(ms(1_100)), sure.changes(ms(1_200))];
-    sure.confirm(Topic::Configuration, ms(3_000));
-    let renewed = [sure.changes(ms(3_100)), sure.changes(ms(3_200))];
+    let stale = [confirmed.changes(ms(900)), confirmed.changes(ms(1_100)), confirmed.changes(ms(1_200))];
+    confirmed.confirm(Topic::Configuration, ms(3_000));
+    let renewed = [confirmed.changes(ms(3_100)), confirmed.changes(ms(3_200))];
 
-    assert_eq!(old, [vec![], vec![Change::Stale(Topic::Configuration, ms(1_100))], vec![]]);
+    assert_eq!(stale, [vec![], vec![Change::Stale(Topic::Configuration, ms(1_100))], vec![]]);
     assert_eq!(renewed, [vec![Change::Renewed(Topic::Configuration, ms(3_100))], vec![]]);
 }
 
-/// Bounds that are missing, no number or out of all reason stopping a host, or making it call without end.
+/// Guards against bounds that are missing, not a number or out of range, which could stop a host or make it call in a
+/// tight loop.
 #[test]
-fn the_shortest_bound_counts_within_reason() {
+fn the_shortest_valid_bound_is_used_within_limits() {
     let bounds = [
         propagation_bound([Some(3_000.0), None, Some(2_500.0)]),
         propagation_bound([None, None, None]),
@@ -292,29 +304,29 @@
     assert_eq!(bounds, [ms(2_500), ms(2_000), ms(4_000), ms(500), ms(60_000)]);
 }
 
-/// A host deaf for good, since it took a wrong number for the store's epoch.
+/// Guards against a host that ignores the store forever because it accepted a wrong epoch.
 #[test]
-fn an_earlier_epoch_counts_once_the_store_tells_nothing_else() {
+fn an_earlier_epoch_is_accepted_after_repeated_answers() {
     let mut epochs = EpochTracker::default();
     epochs.observe(9_000_000);
 
-    let odd: Vec<_> = (0..7).map(|_| epochs.observe(3)).collect();
-    let settled = [epochs.observe(3), epochs.observe(3)];
+    let rejected: Vec<_> = (0..7).map(|_| epochs.observe(3)).collect();
+    let rolled_back = [epochs.observe(3), epochs.observe(3)];
     let from_host = [epochs.observe_peer(9_000_000), epochs.observe_peer(4)];
 
-    assert!(odd.iter().all(|heard| *heard == EpochCheck::Rejected));
-    assert_eq!(settled, [EpochCheck::RolledBack, EpochCheck::Current]);
+    assert!(rejected.iter().all(|check| *check == EpochCheck::Rejected));
+    assert_eq!(rolled_back, [EpochCheck::RolledBack, EpochCheck::Current]);
     assert_eq!((from_host, epochs.current()), ([false, true], 4));
 }
 
-/// A host that is led to an epoch far from the store's by another host's word.
+/// Guards against a host that adopts an epoch far beyond the store's from another host's report.
 #[test]
-fn a_host_is_not_believed_that_tells_of_restores_without_end() {
+fn a_peer_epoch_too_far_ahead_is_rejected() {
     let mut epochs = EpochTracker::default();
     epochs.observe(3);
 
-    let told =
+    let accepted =
         [epochs.observe_peer(100), epochs.observe_peer(5), epochs.observe_peer(21), epochs.observe_peer(22)];
 
-    assert_eq!((told, epochs.current()), ([false, true, true, true], 22));
+    assert_eq!((accepted, epochs.current()), ([false, true, true, true], 22));
 }
--- a/tests/relay_confirmed.rs
+++ b/tests/relay_confirmed.rs
@@ -1,4 +1,4 @@
-//! How sure hosts are that what they know from the store is the newest, and when they ask again.
+//! Tests that hosts confirm with the store that their state is the newest.
 
 use std::{
     sync::Arc,
@@ -19,17 +19,17 @@
 #[path = "support/wire.rs"]
 mod wire;
 
-/// Longest wait for hosts to start.
-const STARTS: Duration = Duration::from_secs(30);
-/// Longest wait for a change, half of the time for which a watch may wait.
-const PATIENCE: Duration = Duration::from_secs(7);
+/// Timeout for hosts to start.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout for a change to take effect, half of the time for which the store may hold a watch open.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(7);
 
-/// Waits until a host serves an added route; returns whether it does.
+/// Waits until a host serves a newly added route; returns whether it does.
 async fn serves_added(hosts: &Hosts, n: usize, record: &Record) -> bool {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + CHANGE_TIMEOUT;
     while Instant::now() < until {
         let end = call(hosts.addresses()[n], Kind::Safe, KEY, store::ADDED, record).await;
-        // The servers are none, so that a request on a known route is refused and not denied.
+        // There are no servers, so a request on a known route is refused as unavailable instead of not found.
         if matches!(end, End::Whole { status: 503, .. }) {
             return true;
         }
@@ -38,13 +38,13 @@
     false
 }
 
-/// A configuration not in force for 15 s at a host that nobody tells, whose watch is never answered.
+/// Guards against a configuration that takes 15 s to take effect on a host without peers whose watch is never answered.
 #[tokio::test]
-async fn a_change_is_in_force_though_the_watch_for_it_is_never_answered() {
+async fn a_change_takes_effect_although_its_watch_is_never_answered() {
     let (record, store) = (Arc::new(Record::default()), Store::start().await);
     store.put("config", "main", store::configuration(1, false));
     let hosts = Hosts::start(1, store.addr(), record.clone());
-    hosts.until_ready(STARTS).await;
+    hosts.until_ready(START_TIMEOUT).await;
 
     store.set_deaf(true);
     store.put("config", "main", store::configuration(2, true));
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -1,4 +1,4 @@
-//! What an outage of the store means for backend servers whose entries are missing.
+//! Tests how a host gets through outages of the store, and how it reads large state at startup.
 
 use std::{future::pending, sync::Arc, time::Duration};
 
@@ -27,7 +27,7 @@
     Duration::from_secs(seconds)
 }
 
-fn listed(id: &str) -> fleet::Backend {
+fn backend(id: &str) -> fleet::Backend {
     let (service, addr) = ("app".into(), "10.0.0.1:80".into());
     fleet::Backend {
         id: id.into(),
@@ -40,24 +40,24 @@
 }
 
 fn list(revision: u64, ids: &[&str]) -> fleet::Backends {
-    let items = ids.iter().map(|id| listed(id)).collect();
+    let items = ids.iter().map(|id| backend(id)).collect();
     fleet::Backends { revision, items, ..fleet::Backends::default() }
 }
 
-/// A host loses the store for eight seconds. Entries that lapsed while it was away come back within two seconds if
-/// their servers live, so the host goes on using them for that long after the store's return, and no longer.
+/// A host loses the store for eight seconds. Entries that expired meanwhile are written again within two seconds if
+/// their servers are alive, so the host keeps using them for that long after the store's return, and no longer.
 #[test]
-fn entries_that_lapsed_count_until_their_servers_could_have_written_again() {
+fn missing_entries_stay_valid_until_their_servers_could_rewrite_them() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut contact = StoreRetry::new("backends");
+    let mut retry = StoreRetry::new("backends");
     let mut backends = Backends::default();
     backends.list(s(0), &list(5, &["lives", "gone"]), None);
-    contact.record_failure(s(1), false, &mut rng);
+    retry.record_failure(s(1), false, &mut rng);
 
-    let (away, grace) = contact.record_answer(s(9));
+    let (outage, grace) = retry.record_answer(s(9));
     let changes = backends.list(s(9), &list(9, &["lives"]), grace);
 
-    assert_eq!(away, Some(s(8)));
+    assert_eq!(outage, Some(s(8)));
     assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Missing]);
     assert_eq!(backends.of("app").count(), 2);
     assert_eq!(backends.expire(s(9) + Duration::from_millis(1_600)).0, []);
@@ -65,74 +65,74 @@
     assert_eq!(backends.of("app").count(), 1);
 }
 
-/// Four seconds after the store came back, a server leaves by having its entry removed. That is no lapse any more:
-/// the server gets no new work from then on. Seen as requests that reached servers 2.1 s after they had left.
+/// Four seconds after the store came back, a server leaves by having its entry removed. The grace period is over, so
+/// the server must get no new work from then on. Guards against requests that reach servers 2.1 s after they left.
 #[test]
-fn an_entry_that_is_removed_later_counts_as_gone_at_once() {
+fn an_entry_removed_after_the_grace_period_is_gone_at_once() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut contact = StoreRetry::new("backends");
+    let mut retry = StoreRetry::new("backends");
     let mut backends = Backends::default();
     backends.list(s(0), &list(5, &["a", "b"]), None);
-    contact.record_failure(s(1), false, &mut rng);
-    contact.record_answer(s(9));
+    retry.record_failure(s(1), false, &mut rng);
+    retry.record_answer(s(9));
 
-    let (_, grace) = contact.record_answer(s(13));
+    let (_, grace) = retry.record_answer(s(13));
     let changes = backends.change(s(13), rev(12), &[], &["b".into()], grace);
 
     assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Left]);
     assert_eq!(backends.of("app").count(), 1);
 }
 
-/// All hosts start again within half a second while the store accepts calls and answers none, and 560 ms after the first
-/// start it is back. The call that is waiting then gets no answer. As long as the first one could take two seconds, no host
-/// had a configuration for 1.4 s more, and callers were refused meanwhile. One host that has it tells the others.
+/// All hosts restart within half a second while the store accepts calls but answers none; it recovers 560 ms after the
+/// first start, and pending calls get no answer. With a first timeout of two seconds no host had a configuration for
+/// 1.4 s more, and callers were refused meanwhile. One host that has the configuration passes it on to the others.
 #[test]
-fn hosts_that_start_while_the_store_is_silent_soon_call_again() {
+fn hosts_that_start_during_an_outage_retry_soon() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let back = Duration::from_millis(560);
-    let starts = (0..6).map(|n| Duration::from_millis(90 * n));
+    let recovered_at = Duration::from_millis(560);
+    let start_times = (0..6).map(|n| Duration::from_millis(90 * n));
 
-    let calls_after_return = starts.map(|start| {
-        let mut contact = StoreRetry::new("configuration");
+    let calls_after_return = start_times.map(|start| {
+        let mut retry = StoreRetry::new("configuration");
         let mut at = start;
-        while at < back {
-            at += contact.timeout();
-            at += contact.record_failure(at, true, &mut rng).wait;
+        while at < recovered_at {
+            at += retry.timeout();
+            at += retry.record_failure(at, true, &mut rng).wait;
         }
         at
     });
 
     let first = calls_after_return.min().unwrap();
-    assert!(first < back + Duration::from_millis(250), "the first call is at {first:?}");
+    assert!(first < recovered_at + Duration::from_millis(250), "the first call is at {first:?}");
 }
 
-/// A store that takes over a second for each answer, as under load. Hosts that gave it up at the same short time again and
-/// again would never learn anything.
+/// A store under load takes over a second for each answer. Hosts that give up after the same short timeout each time
+/// would never learn anything.
 #[test]
-fn a_slow_store_is_given_more_time_with_each_call() {
+fn the_timeout_grows_for_a_slow_store() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut contact = StoreRetry::new("configuration");
-    let first = contact.timeout();
+    let mut retry = StoreRetry::new("configuration");
+    let first = retry.timeout();
 
-    contact.record_failure(s(1), true, &mut rng);
-    contact.record_failure(s(2), true, &mut rng);
-    contact.record_failure(s(3), false, &mut rng);
-    contact.record_answer(s(4));
+    retry.record_failure(s(1), true, &mut rng);
+    retry.record_failure(s(2), true, &mut rng);
+    retry.record_failure(s(3), false, &mut rng);
+    retry.record_answer(s(4));
 
-    assert_eq!(contact.timeout(), first * 4, "a refusal or an answer changes nothing");
+    assert_eq!(retry.timeout(), first * 4, "a refusal or an answer changes nothing");
     for n in 0..9 {
-        contact.record_failure(s(5 + n), true, &mut rng);
+        retry.record_failure(s(5 + n), true, &mut rng);
     }
-    assert_eq!(contact.timeout(), s(2));
+    assert_eq!(retry.timeout(), s(2));
 }
 
-/// A store that fails once and then answers; it tells with which revision it is asked.
-struct Flaky {
-    asked: UnboundedSender<Option<Revision>>,
+/// A store that fails once and then answers; it reports the revision of each call.
+struct FlakyStore {
+    revisions: UnboundedSender<Option<Revision>>,
     calls: usize,
 }
 
-impl Store for Flaky {
+impl Store for FlakyStore {
     async fn configuration(
         &mut self,
         _: Call,
@@ -141,7 +141,7 @@
     }
 
     async fn backends(&mut self, call: Call) -> Result<BackendsUpdate, StoreError> {
-        self.asked.send(call.after).unwrap();
+        self.revisions.send(call.after).unwrap();
         self.calls += 1;
         match self.calls {
             1 | 3 | 5 => Ok(BackendsUpdate::List(list(5, &["a"]))),
@@ -163,30 +163,30 @@
     }
 }
 
-/// After an outage the store answers again, but a waiting watch would show that only at the next change, seconds
-/// later, and a server that leaves then would be taken for one whose entry had lapsed. So the host lists first.
+/// After an outage the store answers again, but a watch would show that only at the next change, seconds later, and a
+/// server that leaves then would be mistaken for one whose entry expired in the outage. So the host lists first.
 #[tokio::test]
 async fn a_host_lists_again_after_an_outage() {
-    // A seed: others read a copy first.
+    // A seed, since other hosts start with a stale read.
     let mut cfg = relay_config("host-1");
     cfg.seeds = vec![cfg.peer_addr];
     let relay = Arc::new(Relay::new(cfg, PlatformWire).unwrap());
-    let (asked, mut calls) = unbounded_channel();
+    let (revisions, mut calls) = unbounded_channel();
 
-    let task = tokio::spawn(follow::follow_backends(relay, Flaky { asked, calls: 0 }));
+    let task = tokio::spawn(follow::follow_backends(relay, FlakyStore { revisions, calls: 0 }));
     let asked = [calls.recv().await, calls.recv().await, calls.recv().await, calls.recv().await];
 
     task.abort();
     assert_eq!(asked, [Some(None), Some(Some(rev(5))), Some(None), Some(Some(rev(5)))]);
 }
 
-/// A host is suspended for some seconds. When it goes on, its waiting watch may be on a connection that went silent
-/// meanwhile, and servers may have left, so it lists again at once instead of waiting for the watch's end.
+/// A host is suspended for some seconds. When it resumes, the connection of its watch may be dead, and servers may have
+/// left, so it lists again at once instead of waiting for the watch to end.
 #[tokio::test]
 async fn a_host_that_was_suspended_lists_again() {
     let relay = Arc::new(Relay::new(relay_config("host-1"), PlatformWire).unwrap());
-    let (asked, mut calls) = unbounded_channel();
-    let task = tokio::spawn(follow::follow_backends(relay.clone(), Flaky { asked, calls: 0 }));
+    let (revisions, mut calls) = unbounded_channel();
+    let task = tokio::spawn(follow::follow_backends(relay.clone(), FlakyStore { revisions, calls: 0 }));
     for _ in 0..4 {
         calls.recv().await;
     }
@@ -196,14 +196,14 @@
     let after = calls.recv().await;
 
     task.abort();
-    assert!(stale, "until then, what it does not know is refused and not denied");
+    assert!(stale, "until then unknown routes are refused as unavailable");
     assert_eq!(after, Some(None));
 }
 
-/// A store whose list takes many calls; it tells how it is asked.
-struct Long(UnboundedSender<Call>);
+/// A store whose list has many pages; it reports each call.
+struct LongListStore(UnboundedSender<Call>);
 
-impl Store for Long {
+impl Store for LongListStore {
     async fn configuration(
         &mut self,
         _: Call,
@@ -233,35 +233,36 @@
     }
 }
 
-/// Three hundred hosts start at once before ten thousand servers. If each read the whole list, the store would turn most
-/// calls away and nobody would serve for half a minute. Seeds read it; the others are told, and follow from there.
+/// Three hundred hosts start at once in front of ten thousand servers. If each read the whole list, the store would
+/// refuse most calls and no host would serve for half a minute. Seeds read the list; the others receive it and follow
+/// the store from its revision.
 #[tokio::test]
-async fn a_long_list_is_read_by_seeds_and_told_to_the_others() {
+async fn a_long_list_is_read_by_seeds_and_sent_to_the_others() {
     let mut cfg = relay_config("host-1");
     cfg.seeds = vec![cfg.peer_addr];
     let seed = Arc::new(Relay::new(cfg, PlatformWire).unwrap());
     let other = Arc::new(Relay::new(relay_config("host-2"), PlatformWire).unwrap());
-    let (tx, mut seeds_calls) = unbounded_channel();
-    let (other_tx, mut others_calls) = unbounded_channel();
+    let (tx, mut seed_calls) = unbounded_channel();
+    let (other_tx, mut other_calls) = unbounded_channel();
 
     let tasks = [
-        tokio::spawn(follow::follow_backends(seed, Long(tx))),
-        tokio::spawn(follow::follow_backends(other.clone(), Long(other_tx))),
+        tokio::spawn(follow::follow_backends(seed, LongListStore(tx))),
+        tokio::spawn(follow::follow_backends(other.clone(), LongListStore(other_tx))),
     ];
-    let first = others_calls.recv().await.unwrap();
+    let first = other_calls.recv().await.unwrap();
     other.update_backends(BackendsUpdate::List(list(7, &["a"])), None, "a peer");
-    let second = others_calls.recv().await.unwrap();
-    let seeds = [seeds_calls.recv().await.unwrap(), seeds_calls.recv().await.unwrap()];
+    let second = other_calls.recv().await.unwrap();
+    let seeds = [seed_calls.recv().await.unwrap(), seed_calls.recv().await.unwrap()];
 
     tasks.iter().for_each(|task| task.abort());
     assert_eq!(((first.after, first.allow_large), second.after), ((None, false), Some(rev(7))));
     assert_eq!(seeds.map(|call| (call.after, call.allow_large)), [(None, false), (None, true)]);
 }
 
-/// A store whose configuration is long; it tells how it is asked.
-struct LongConfiguration(UnboundedSender<Call>);
+/// A store with a long configuration; it reports each call.
+struct LongConfigurationStore(UnboundedSender<Call>);
 
-impl Store for LongConfiguration {
+impl Store for LongConfigurationStore {
     async fn configuration(
         &mut self,
         call: Call,
@@ -291,48 +292,48 @@
     }
 }
 
-/// All hosts start at once, before a configuration with thousands of routes. Seeds read it; another host reads it only when
-/// nobody has told it for a while, and one that was told follows the store from there, as in a small fleet.
+/// All hosts start at once with a configuration of thousands of routes. Seeds read it. Another host reads it only if it
+/// has not received it for a while; one that has received it follows the store from its version, as in a small fleet.
 #[tokio::test]
-async fn a_long_configuration_is_read_by_seeds_and_told_to_the_others() {
+async fn a_long_configuration_is_read_by_seeds_and_sent_to_the_others() {
     let mut cfg = relay_config("host-1");
     cfg.seeds = vec![cfg.peer_addr];
     let seed = Arc::new(Relay::new(cfg, PlatformWire).unwrap());
-    let told = Arc::new(Relay::new(relay_config("host-2"), PlatformWire).unwrap());
+    let informed = Arc::new(Relay::new(relay_config("host-2"), PlatformWire).unwrap());
     let alone = Arc::new(Relay::new(relay_config("host-3"), PlatformWire).unwrap());
     let (channels, calls): (Vec<_>, Vec<_>) = (0..3).map(|_| unbounded_channel()).unzip();
-    let hosts = [seed.clone(), told.clone(), alone.clone()];
-    let stores = channels.into_iter().map(LongConfiguration);
+    let hosts = [seed.clone(), informed.clone(), alone.clone()];
+    let stores = channels.into_iter().map(LongConfigurationStore);
     let tasks: Vec<_> = hosts
         .into_iter()
         .zip(stores)
         .map(|(relay, store)| tokio::spawn(follow::follow_configuration(relay, store)))
         .collect();
-    let [mut seeds, mut tolds, mut alones] = <[_; 3]>::try_from(calls).unwrap();
+    let [mut seeds, mut informed_calls, mut alone_calls] = <[_; 3]>::try_from(calls).unwrap();
 
-    let tolds_first = tolds.recv().await.unwrap();
+    let informed_first = informed_calls.recv().await.unwrap();
     let newer = fleet::Configuration { version: 4, ..fleet::Configuration::default() };
-    told.set_configuration(newer, "a peer");
+    informed.set_configuration(newer, "a peer");
     let first = [seeds.recv().await.unwrap(), seeds.recv().await.unwrap()];
-    let last = [alones.recv().await.unwrap(), alones.recv().await.unwrap()];
-    let tolds_next = tolds.recv().await.unwrap();
+    let last = [alone_calls.recv().await.unwrap(), alone_calls.recv().await.unwrap()];
+    let informed_next = informed_calls.recv().await.unwrap();
 
     tasks.iter().for_each(|task| task.abort());
     let asked = |calls: [Call; 2]| calls.map(|call| (call.allow_large, call.stale_ok));
     assert_eq!(asked(first), [(false, false), (true, false)], "a seed");
-    assert_eq!(asked(last), [(false, true), (true, true)], "a host that nobody told");
-    assert_eq!((tolds_first.allow_large, tolds_first.stale_ok), (false, true));
-    assert_eq!(told.routes().unwrap().version(), 4);
+    assert_eq!(asked(last), [(false, true), (true, true)], "a host that received nothing");
+    assert_eq!((informed_first.allow_large, informed_first.stale_ok), (false, true));
+    assert_eq!(informed.routes().unwrap().version(), 4);
     assert!(
-        tolds_next.allow_large && !tolds_next.stale_ok,
-        "it follows the store itself now: {tolds_next:?}"
+        informed_next.allow_large && !informed_next.stale_ok,
+        "it follows the store itself now: {informed_next:?}"
     );
 }
 
-/// A store that answers lists, lets watches of the configuration wait, and ends those of the servers at once.
-struct Calm;
+/// A store that answers lists, holds watches of the configuration open, and ends those of the servers at once.
+struct IdleStore;
 
-impl Store for Calm {
+impl Store for IdleStore {
     async fn configuration(
         &mut self,
         call: Call,
@@ -367,34 +368,35 @@
     }
 }
 
-/// A route and its key were added a second ago, and a host starts. The copy that it reads may not hold them yet: until it
-/// follows the store, or hears somebody who does, it refuses what it does not know and does not deny it.
+/// A route and its key were added a second ago, and a host starts. Its stale read may lack them: until it follows the
+/// store, or hears from a host that does, it refuses unknown routes and keys as unavailable instead of denying that
+/// they exist.
 #[tokio::test]
-async fn what_is_known_from_a_copy_denies_nothing() {
+async fn a_stale_read_denies_nothing() {
     let relay = Arc::new(Relay::new(relay_config("host-1"), PlatformWire).unwrap());
     let before = relay.is_stale();
-    let following = tokio::spawn(follow::follow_configuration(relay.clone(), Calm));
+    let following = tokio::spawn(follow::follow_configuration(relay.clone(), IdleStore));
     let until = async |topic: &dyn Fn() -> bool| {
         let waiting = async {
             while !topic() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(s(10), waiting).await.expect("it comes about");
+        tokio::time::timeout(s(10), waiting).await.expect("the condition holds within 10 s");
     };
     until(&|| relay.routes().is_some()).await;
-    let by_copy = relay.is_stale();
+    let after_stale_read = relay.is_stale();
 
-    let listing = tokio::spawn(follow::follow_backends(relay.clone(), Calm));
+    let listing = tokio::spawn(follow::follow_backends(relay.clone(), IdleStore));
     until(&|| !relay.is_stale()).await;
 
     following.abort();
     listing.abort();
-    assert!(!before && by_copy);
+    assert!(!before && after_stale_read);
 }
 
-/// Open connections go silent for good without a reset. A call that waits at the store for a change would not notice until
-/// its end, so the system probes its connection: after a second, and ends it when two probes are not acknowledged.
+/// Open connections die without a reset. A pending watch would notice that only at its end, so the system probes its
+/// connection after a second of silence, and closes it when two probes are not acknowledged.
 #[tokio::test]
 async fn a_connection_on_which_calls_wait_is_probed() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/tests/relay_followers.rs
+++ b/tests/relay_followers.rs
@@ -1,4 +1,4 @@
-//! Which hosts follow the store, decided by each host for itself.
+//! Tests the election of the hosts that follow the store.
 
 use std::time::Duration;
 
@@ -9,25 +9,26 @@
     Duration::from_millis(n)
 }
 
-/// A data centre in which each host sees the contact of all others as of the last step.
+/// A data centre in which each host sees the follow state of all others as of the previous step.
 struct Centre {
     hosts: Vec<(Neighbour, FollowerElection)>,
-    wanted: usize,
+    target: usize,
 }
 
 impl Centre {
-    fn new(hosts: usize, wanted: usize) -> Self {
+    fn new(hosts: usize, target: usize) -> Self {
         let host =
             |rank| (Neighbour { rank: rank as u64, contact: FollowState::Idle }, FollowerElection::default());
-        Self { hosts: (0..hosts).map(host).collect(), wanted }
+        Self { hosts: (0..hosts).map(host).collect(), target }
     }
 
-    /// Lets all decide, and those that shall follow call the store, which answers the hosts that `reaches` names.
+    /// Runs the election on every host. Those that should follow call the store, which answers the hosts for which
+    /// `reaches` is true.
     fn step(&mut self, now: Duration, reaches: impl Fn(usize) -> bool) {
         let seen: Vec<_> = self.hosts.iter().map(|(host, _)| *host).collect();
-        for (i, (host, duty)) in self.hosts.iter_mut().enumerate() {
+        for (i, (host, election)) in self.hosts.iter_mut().enumerate() {
             let others = seen.iter().copied().filter(|other| other.rank != host.rank);
-            host.contact = match duty.decide(now, *host, others, self.wanted) {
+            host.contact = match election.decide(now, *host, others, self.target) {
                 true if reaches(i) => FollowState::Follows,
                 true => FollowState::Lost,
                 false => FollowState::Idle,
@@ -40,26 +41,26 @@
     }
 }
 
-/// The store resets all connections for eight seconds. As long as every host that heard of no follower stepped in, 295 hosts
-/// called it twice a second each; now a handful of each data centre does.
+/// The store resets all connections for eight seconds. When every host that heard of no follower stepped in, 295 hosts
+/// called it twice a second each; a few per data centre are enough.
 #[test]
-fn an_outage_of_the_store_makes_few_hosts_call_it() {
+fn few_hosts_call_the_store_during_an_outage() {
     let mut centre = Centre::new(59, 1);
     centre.step(ms(0), |_| true);
     assert_eq!(centre.count(FollowState::Follows), 1);
 
-    let mut most = 0;
+    let mut max_calling = 0;
     for step in 1..=32 {
         centre.step(ms(250 * step), |_| false);
-        most = most.max(centre.count(FollowState::Lost));
+        max_calling = max_calling.max(centre.count(FollowState::Lost));
     }
 
-    assert!((2..=6).contains(&most), "{most} hosts called the store");
+    assert!((2..=6).contains(&max_calling), "{max_calling} hosts called the store");
 }
 
-/// The store is back. The hosts that called it in vain all reach it; but for one they leave it to the others again.
+/// The store recovers. All hosts that called it during the outage now reach it; all but one stand down again.
 #[test]
-fn after_an_outage_as_few_follow_as_before() {
+fn the_number_of_followers_recovers_after_an_outage() {
     let mut centre = Centre::new(59, 1);
     for step in 0..=32 {
         centre.step(ms(250 * step), |_| step == 0);
@@ -72,34 +73,34 @@
     assert_eq!((centre.count(FollowState::Follows), centre.count(FollowState::Lost)), (1, 0));
 }
 
-/// The host that follows the store is cut off from it alone. Another one steps in at once, and the first gives up: each of
-/// its calls costs and brings nothing.
+/// The follower alone is cut off from the store. Another host steps in at once, and the first one gives up, since its
+/// calls are costly and useless.
 #[test]
-fn a_follower_that_is_cut_off_is_replaced_at_once() {
+fn a_partitioned_follower_is_replaced_at_once() {
     let mut centre = Centre::new(59, 1);
     centre.step(ms(0), |_| true);
-    let cut = centre.hosts.iter().position(|(host, _)| host.contact == FollowState::Follows).unwrap();
+    let partitioned = centre.hosts.iter().position(|(host, _)| host.contact == FollowState::Follows).unwrap();
 
-    centre.step(ms(250), |i| i != cut);
-    centre.step(ms(500), |i| i != cut);
-    centre.step(ms(750), |i| i != cut);
+    centre.step(ms(250), |i| i != partitioned);
+    centre.step(ms(500), |i| i != partitioned);
+    centre.step(ms(750), |i| i != partitioned);
 
     assert_eq!((centre.count(FollowState::Follows), centre.count(FollowState::Lost)), (1, 0));
-    assert_eq!(centre.hosts[cut].0.contact, FollowState::Idle);
+    assert_eq!(centre.hosts[partitioned].0.contact, FollowState::Idle);
 }
 
-/// The first hosts in the order don't step in, as where they see others that this host does not. It waits for them for a
-/// while and then does it itself.
+/// The highest-ranked hosts don't step in, for example because they see followers that this host does not. It waits for
+/// them for a while and then steps in itself.
 #[test]
-fn a_host_does_not_wait_for_ever_for_those_before_it() {
+fn a_host_steps_in_if_higher_ranked_hosts_do_not() {
     let me = Neighbour { rank: 0, contact: FollowState::Idle };
     let idle = [3, 2, 1].map(|rank| Neighbour { rank, contact: FollowState::Idle });
-    let mut duty = FollowerElection::default();
+    let mut election = FollowerElection::default();
 
-    let decided: Vec<_> = (0..=30).map(|s| duty.decide(ms(1_000 * s), me, idle, 1)).collect();
+    let decisions: Vec<_> = (0..=30).map(|s| election.decide(ms(1_000 * s), me, idle, 1)).collect();
 
-    assert!(!decided[0] && !decided[2]);
-    assert!(decided[30]);
+    assert!(!decisions[0] && !decisions[2]);
+    assert!(decisions[30]);
 }
 
 #[test]
@@ -108,23 +109,23 @@
 }
 
 proptest! {
-    /// Whichever hosts reach the store, as long as one does: in the end some host follows it, and where enough do, none that
-    /// does not reach it goes on calling.
+    /// Whichever hosts reach the store, at least one of them ends up following it, and if enough reach it, no
+    /// unreachable host goes on calling.
     #[test]
     fn some_host_that_reaches_the_store_follows_it(
         reaches in proptest::collection::vec(any::<bool>(), 2..40).prop_filter("one", |r| r.contains(&true)),
-        wanted in 1_usize..4,
+        target in 1_usize..4,
     ) {
-        let mut centre = Centre::new(reaches.len(), wanted);
-        let can = reaches.iter().filter(|r| **r).count();
+        let mut centre = Centre::new(reaches.len(), target);
+        let reachable = reaches.iter().filter(|r| **r).count();
 
         for step in 0..=1_000 {
             centre.step(ms(4_000 * step), |i| reaches[i]);
         }
 
         prop_assert!(centre.count(FollowState::Follows) >= 1);
-        prop_assert!(centre.count(FollowState::Follows) <= wanted.min(can));
-        if can >= wanted {
+        prop_assert!(centre.count(FollowState::Follows) <= target.min(reachable));
+        if reachable >= target {
             prop_assert_eq!(centre.count(FollowState::Lost), 0);
         }
     }
