--- a/src/relay/revision.rs
+++ b/src/relay/revision.rs
@@ -1,6 +1,6 @@
 //! Revisions of the store across its restores.
 //!
-//! A store that is restored from a copy goes back to an earlier revision and reuses the revision numbers after it for
+//! A store that is restored from a backup goes back to an earlier revision and reuses the revision numbers after it for
 //! other changes. It counts its restores as epochs: a number is meaningful only together with its epoch, and every
 //! revision of a later epoch is later than all revisions of earlier epochs.
 
--- a/tests/relay_datagrams.rs
+++ b/tests/relay_datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams that anyone who reaches the port may send.
+//! Tests the validation of heartbeat datagrams, which anyone who reaches the port may send.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -23,39 +23,39 @@
     Beat { start, number, ready: true, configuration: 5, backends: 9, ..Beat::default() }
 }
 
-fn read(beat: &Beat) -> Result<Beat, DropReason> {
+fn round_trip(beat: &Beat) -> Result<Beat, DropReason> {
     decode(&encode(beat).unwrap(), NOW_MS)
 }
 
-/// Somebody tells in a host's name of a start in a year, or of a number that it will reach in a year. If that were believed,
-/// nothing that the host itself tells would count until then.
+/// A forged heartbeat carries a start time one year ahead, or a sequence number that the host will reach in a year. If
+/// it were accepted, the host's own heartbeats would count as outdated until then.
 #[test]
-fn starts_and_numbers_that_can_not_be_are_dropped() {
+fn implausible_starts_and_numbers_are_dropped() {
     let start = NOW_MS - HOUR_MS;
-    assert!(read(&beat(start, 40_000)).is_ok(), "eleven a second for an hour");
-    assert!(read(&beat(NOW_MS + HOUR_MS / 2, 1)).is_ok(), "a clock that is ahead");
+    assert!(round_trip(&beat(start, 40_000)).is_ok(), "eleven heartbeats a second for an hour");
+    assert!(round_trip(&beat(NOW_MS + HOUR_MS / 2, 1)).is_ok(), "a clock that is half an hour ahead");
 
-    assert_eq!(read(&beat(NOW_MS + 2 * HOUR_MS, 1)), Err(DropReason::Future));
-    assert_eq!(read(&beat(u64::MAX, 1)), Err(DropReason::Future));
-    assert_eq!(read(&beat(start, u64::MAX)), Err(DropReason::Future));
-    assert_eq!(read(&beat(start, 10_000_000)), Err(DropReason::Future));
+    assert_eq!(round_trip(&beat(NOW_MS + 2 * HOUR_MS, 1)), Err(DropReason::Future));
+    assert_eq!(round_trip(&beat(u64::MAX, 1)), Err(DropReason::Future));
+    assert_eq!(round_trip(&beat(start, u64::MAX)), Err(DropReason::Future));
+    assert_eq!(round_trip(&beat(start, 10_000_000)), Err(DropReason::Future));
 }
 
 #[test]
-fn a_beat_that_comes_twice_is_told_apart() {
+fn a_duplicate_heartbeat_is_detected() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     let own = Own::default();
 
     let first = peers.hear(Duration::ZERO, addr(1), &beat(1, 2), own);
-    let again = peers.hear(Duration::ZERO, addr(1), &beat(1, 2), own);
-    let earlier = peers.hear(Duration::ZERO, addr(1), &beat(1, 1), own);
+    let duplicate = peers.hear(Duration::ZERO, addr(1), &beat(1, 2), own);
+    let older = peers.hear(Duration::ZERO, addr(1), &beat(1, 1), own);
 
-    assert_eq!((first.old, again.old, earlier.old), (false, true, true));
+    assert_eq!((first.old, duplicate.old, older.old), (false, true, true));
 }
 
-/// Ten thousand tags, parts or members: a datagram is as long as it may be, and the rest is left out.
+/// With ten thousand tags, parts or members a datagram stays within its maximum size, and the rest is left out.
 #[test]
-fn beats_fit_their_datagram() {
+fn heartbeats_fit_their_datagram() {
     let in_progress: Vec<_> = (0..10_000).map(|backend| InProgress { backend, requests: 3 }).collect();
     let held = (0..10_000).map(|part| Held { part, backend: 1 }).collect();
     let member =
@@ -68,12 +68,13 @@
 
     assert!(encode(&own).unwrap().len() <= 1_400);
     let read = decode(&encode(&summary).unwrap(), NOW_MS).unwrap();
-    assert_eq!(read.centre.unwrap().ready.len(), 59, "who is ready is told in any case");
+    assert_eq!(read.centre.unwrap().ready.len(), 59, "the ready hosts are never left out");
 }
 
-/// Somebody sends from a thousand addresses, each with members and contents that are made up. What is remembered is bounded.
+/// Forged heartbeats arrive from a thousand addresses, each with made-up members and contents. Memory use must stay
+/// bounded.
 #[test]
-fn what_is_made_up_does_not_fill_the_memory() {
+fn forged_heartbeats_do_not_fill_the_memory() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     let mut suspects = Suspects::default();
     for i in 1..4_000 {
@@ -88,24 +89,25 @@
 }
 
 proptest! {
-    /// Any bytes are read as a beat or dropped for a reason; what is read is one that could have been sent.
+    /// Any bytes are decoded as a heartbeat or dropped for a reason; a decoded one could have been sent.
     #[test]
-    fn any_bytes_are_read_or_dropped(bytes in proptest::collection::vec(any::<u8>(), 0..2 * MAX_DATAGRAM_BYTES)) {
+    fn any_bytes_are_decoded_or_dropped(bytes in proptest::collection::vec(any::<u8>(), 0..2 * MAX_DATAGRAM_BYTES)) {
         match decode(&bytes, NOW_MS) {
             Ok(beat) => prop_assert!(beat.start <= NOW_MS + HOUR_MS),
-            Err(fault) => prop_assert_eq!(fault == DropReason::TooLarge, bytes.len() > MAX_DATAGRAM_BYTES),
+            Err(reason) => prop_assert_eq!(reason == DropReason::TooLarge, bytes.len() > MAX_DATAGRAM_BYTES),
         }
     }
 
-    /// A beat with one byte changed or cut off is read or dropped, and never more than a datagram is remembered of it.
+    /// A heartbeat with one byte changed, or truncated, is decoded or dropped, and its lists are never longer than the
+    /// datagram.
     #[test]
-    fn a_damaged_beat_is_read_or_dropped(at in any::<prop::sample::Index>(), byte in any::<u8>(), cut in any::<bool>()) {
+    fn a_damaged_heartbeat_is_decoded_or_dropped(index in any::<prop::sample::Index>(), byte in any::<u8>(), truncate in any::<bool>()) {
         let in_progress = (0..9).map(|backend| InProgress { backend, requests: 3 }).collect();
         let mut bytes = encode(&Beat { in_progress, avoided: vec![7, 8], ..beat(NOW_MS, 6) }).unwrap();
-        let at = at.index(bytes.len());
-        match cut {
-            true => bytes.truncate(at),
-            false => bytes[at] = byte,
+        let index = index.index(bytes.len());
+        match truncate {
+            true => bytes.truncate(index),
+            false => bytes[index] = byte,
         }
 
         if let Ok(beat) = decode(&bytes, NOW_MS) {
--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -1,4 +1,4 @@
-//! The store comes back from a copy of some seconds ago: what was written since is gone, and revisions are given out again.
+//! Tests restores of the store from a backup some seconds old: later writes are lost, and revision numbers are reused.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,7 +10,7 @@
     platform::{PlatformWire, store::StoreClient},
     relay::{
         Relay,
-        backends::{Backend as Known, Backends, Change, State},
+        backends::{Backend as KnownBackend, Backends, Change, State},
         follow,
         revision::{EpochCheck, EpochTracker, Revision},
     },
@@ -28,88 +28,89 @@
 mod wire;
 use relay_support::{host, listed, relay_config};
 
-/// Longest wait for what must come about; reached only when it does not.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for conditions that must become true.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A host that follows the servers at a store; its tasks end with it.
-struct Following {
+/// A host that follows the servers in a store; its task ends with it.
+struct Follower {
     relay: Arc<Relay<PlatformWire>>,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Following {
+impl Follower {
     fn start(store: &Store) -> Self {
         let relay = Arc::new(Relay::new(relay_config("host-1"), PlatformWire).unwrap());
         let task = tokio::spawn(follow::follow_backends(relay.clone(), StoreClient::new(store.addr())));
         Self { relay, task }
     }
 
-    /// Waits until so many servers take work; fails when it does not come about.
+    /// Waits until this number of servers takes work; fails after the timeout.
     async fn until_servers(&self, count: usize) {
         until(&format!("work for {count} servers"), || self.relay.servers("app") == count).await;
     }
 }
 
-impl Drop for Following {
+impl Drop for Follower {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// Waits until something holds; fails when it does not come about.
-async fn until(what: &str, holds: impl Fn() -> bool) {
+/// Waits until a condition holds; fails after the timeout.
+async fn until(what: &str, condition: impl Fn() -> bool) {
     let waiting = async {
-        while !holds() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    assert!(tokio::time::timeout(PATIENCE, waiting).await.is_ok(), "{what} does not come about");
+    assert!(tokio::time::timeout(TIMEOUT, waiting).await.is_ok(), "timed out waiting for {what}");
 }
 
-/// Writes an entry of a server.
+/// Writes the entry of a server.
 fn put(store: &Store, id: &str, state: &str) {
     let port: u16 = id.bytes().map(u16::from).sum();
     store.put("servers", id, server(([127, 0, 0, 1], port).into(), state));
 }
 
-/// Changes of other objects, that only take up revisions.
-fn pass_revisions(store: &Store, count: usize) {
+/// Changes other objects, which only consumes revisions.
+fn consume_revisions(store: &Store, count: usize) {
     (0..count).for_each(|n| store.put("others", "o", json!({ "n": n })));
 }
 
-/// Work for a server that left after a restore, until the revisions had passed those of before.
+/// Guards against work for a server that left after a restore, until the revisions exceeded those before it.
 #[tokio::test]
-async fn a_server_that_leaves_after_the_store_was_restored_gets_no_new_work() {
+async fn a_server_that_leaves_after_a_restore_gets_no_new_work() {
     let store = Store::start().await;
     put(&store, "i-1", "ready");
     put(&store, "i-2", "ready");
-    let copy = store.copy();
-    pass_revisions(&store, 20);
-    let host = Following::start(&store);
+    let backup = store.copy();
+    consume_revisions(&store, 20);
+    let host = Follower::start(&store);
     host.until_servers(2).await;
 
-    store.restore(&copy);
+    store.restore(&backup);
     put(&store, "i-1", "draining");
 
     host.until_servers(1).await;
 }
 
-/// Work for a server that left under a revision that was given out before: the watch from there goes on behind it.
+/// Guards against work for a server that left under a reused revision, where a watch from the old revision skips the
+/// change.
 #[tokio::test]
-async fn a_change_under_a_revision_that_is_given_out_again_is_not_skipped() {
+async fn a_change_under_a_reused_revision_is_not_skipped() {
     let store = Store::start().await;
     put(&store, "i-1", "ready");
     put(&store, "i-2", "ready");
-    let copy = store.copy();
-    pass_revisions(&store, 20);
-    let known = store.last_revision();
-    let host = Following::start(&store);
+    let backup = store.copy();
+    consume_revisions(&store, 20);
+    let last_known = store.last_revision();
+    let host = Follower::start(&store);
     host.until_servers(2).await;
 
-    store.restore(&copy);
+    store.restore(&backup);
     put(&store, "i-1", "draining");
-    while store.last_revision() < known {
-        pass_revisions(&store, 1);
+    while store.last_revision() < last_known {
+        consume_revisions(&store, 1);
     }
     put(&store, "i-3", "ready");
     put(&store, "i-4", "ready");
@@ -117,19 +118,19 @@
     host.until_servers(3).await;
 }
 
-/// Changes unseen by a host that has started after a restore and read a copy of before it: its revision is higher than any
-/// that the store has given out since.
+/// Guards against changes that are missed by a host that starts after a restore and gets a stale read from before it,
+/// whose revision is higher than any that the store has assigned since.
 #[tokio::test]
-async fn a_copy_of_before_the_restore_hides_nothing() {
+async fn a_stale_read_from_before_the_restore_hides_nothing() {
     let store = Store::start().await;
     put(&store, "i-1", "ready");
     put(&store, "i-2", "ready");
-    let copy = store.copy();
-    pass_revisions(&store, 20);
+    let backup = store.copy();
+    consume_revisions(&store, 20);
     store.answer_old_data_from(store.copy());
-    store.restore(&copy);
+    store.restore(&backup);
 
-    let host = Following::start(&store);
+    let host = Follower::start(&store);
     host.until_servers(2).await;
     put(&store, "i-3", "ready");
     host.until_servers(3).await;
@@ -138,21 +139,22 @@
     host.until_servers(2).await;
 }
 
-/// A configuration in force gone back with the store, or the next one ignored since its revision is lower.
+/// Guards against a configuration that goes back with the store, and against ignoring the next one because its revision
+/// is lower.
 #[tokio::test]
-async fn a_configuration_in_force_stays_and_the_next_one_follows() {
+async fn a_configuration_in_force_survives_a_restore_until_the_next_one() {
     let store = Store::start().await;
     store.put("config", "main", configuration(3, false));
-    let copy = store.copy();
-    pass_revisions(&store, 20);
+    let backup = store.copy();
+    consume_revisions(&store, 20);
     store.put("config", "main", configuration(5, true));
-    let host = Following::start(&store);
+    let host = Follower::start(&store);
     let client = StoreClient::new(store.addr());
     let following = tokio::spawn(follow::follow_configuration(host.relay.clone(), client));
     let version = || host.relay.routes().map(|r| r.version());
     until("version 5", || version() == Some(5)).await;
 
-    store.restore(&copy);
+    store.restore(&backup);
     put(&store, "i-1", "ready");
     until("the list after the restore", || host.relay.servers("app") == 1).await;
     let after = version();
@@ -163,13 +165,14 @@
     assert_eq!(after, Some(5));
 }
 
-/// A host deaf for good that starts and is told a wrong epoch by the first answer: all later ones seem to be earlier.
+/// Guards against a host that ignores the store forever because the first answer after its start carried a wrong epoch,
+/// so that all later ones seem earlier.
 #[tokio::test]
 async fn a_wrong_epoch_in_the_first_answer_does_not_hide_what_follows() {
     let store = Store::start().await;
     put(&store, "i-1", "ready");
     store.tell_epoch_once(9_000_000);
-    let host = Following::start(&store);
+    let host = Follower::start(&store);
     host.until_servers(1).await;
 
     put(&store, "i-2", "ready");
@@ -177,31 +180,33 @@
     host.until_servers(2).await;
 }
 
-/// Hosts that start after the restore find nobody, since the entry of hosts is gone and nobody writes it again.
+/// Guards against hosts that find no peers after a restore because the registration of hosts was lost and not written
+/// again.
 #[tokio::test]
-async fn the_entry_of_hosts_is_written_again() {
+async fn hosts_are_registered_again_after_a_restore() {
     let store = Store::start().await;
     put(&store, "i-1", "ready");
-    let copy = store.copy();
+    let backup = store.copy();
     let (first, seed) = host("host-1", &[]).await;
     let (_second, _) = host("host-2", &[seed]).await;
     let following = tokio::spawn(follow::follow_backends(first.clone(), StoreClient::new(store.addr())));
-    let entering = tokio::spawn(follow::sync_hosts(first, StoreClient::new(store.addr())));
+    let registering = tokio::spawn(follow::sync_hosts(first, StoreClient::new(store.addr())));
     until("the entry", || store.is_present("hosts", "a")).await;
 
-    store.restore(&copy);
+    store.restore(&backup);
     let lost = !store.is_present("hosts", "a");
     put(&store, "i-2", "ready");
     until("the entry again", || store.is_present("hosts", "a")).await;
 
-    entering.abort();
+    registering.abort();
     following.abort();
     assert!(lost);
 }
 
-/// A host deaf for good after one wrong epoch, or believing a store that has gone back.
+/// Guards against a host that ignores the store forever after one wrong epoch, and against one that accepts state from
+/// before a restore.
 #[test]
-fn a_later_epoch_counts_once_it_was_told_twice() {
+fn a_later_epoch_is_accepted_after_two_answers() {
     let mut epochs = EpochTracker::default();
 
     let first = epochs.observe(3);
@@ -219,7 +224,7 @@
     assert_eq!(epochs.current(), 6);
 }
 
-/// A number of before a restore taken for later than one after it.
+/// Guards against treating a revision from before a restore as later than one after it.
 #[test]
 fn a_revision_of_a_later_epoch_is_later() {
     assert!(Revision::new(2, 3) > Revision::new(1, 22));
@@ -230,151 +235,152 @@
     Duration::from_millis(n)
 }
 
-/// Servers as the store lists them in its epoch.
+/// A list of servers in an epoch of the store.
 fn list(epoch: u64, revision: u64, items: &[Backend]) -> List {
     List { epoch, revision, items: items.to_vec() }
 }
 
-/// A host that has heard of `x` and `yy`, and then of the end of `x` by these words of the first epoch.
-fn host_that_lost_x(words: &[(Option<Backend>, u64)]) -> Backends {
+/// A host that has listed `x` and `yy` and then applied these updates of `x` in the first epoch.
+fn host_with_x(updates: &[(Option<Backend>, u64)]) -> Backends {
     let mut host = Backends::default();
     host.list(ms(0), &list(1, 5, &[listed("x", false), listed("yy", false)]), None);
-    for (put, number) in words {
+    for (put, number) in updates {
         let removed = if put.is_none() { vec!["x".to_owned()] } else { Vec::new() };
         host.change(ms(*number), Revision::new(1, *number), put.as_slice(), &removed, None);
     }
     host
 }
 
-fn working(host: &Backends) -> Vec<&str> {
+fn usable(host: &Backends) -> Vec<&str> {
     let mut ids: Vec<_> = host.of("s").map(|(_, b)| &*b.id).collect();
     ids.sort_unstable();
     ids
 }
 
-/// Work for a server that had left, once the restored store listed it as ready again.
+/// Guards against work for a server that has left, once the restored store lists it as ready again.
 #[test]
-fn a_server_that_has_left_does_not_come_back_with_the_copy() {
-    let copy = list(2, 6, &[listed("x", false), listed("yy", false)]);
+fn a_server_that_has_left_does_not_return_with_the_restore() {
+    let backup = list(2, 6, &[listed("x", false), listed("yy", false)]);
     let draining = (Some(listed("x", true)), 7);
-    for words in [vec![draining.clone()], vec![draining, (None, 9)]] {
-        let mut host = host_that_lost_x(&words);
+    for updates in [vec![draining.clone()], vec![draining, (None, 9)]] {
+        let mut host = host_with_x(&updates);
 
-        host.list(ms(100), &copy, None);
+        host.list(ms(100), &backup, None);
         host.change(ms(200), Revision::new(2, 7), &[listed("x", false)], &[], None);
         host.expire(ms(20_000));
 
-        assert_eq!(working(&host), ["yy"]);
+        assert_eq!(usable(&host), ["yy"]);
     }
 }
 
-/// Work for a server whose entry had been removed, since the restored store has it again; or none for one that lives.
+/// Guards against work for a server whose removed entry is back in the restored store, and against no work for one that
+/// is alive.
 #[test]
-fn a_removed_entry_that_is_back_counts_once_its_server_has_shown_that_it_lives() {
-    let copy = list(2, 6, &[listed("x", false), listed("yy", false)]);
-    let (mut gone, mut writes, mut outlasts) =
-        (host_that_lost_x(&[(None, 9)]), host_that_lost_x(&[(None, 9)]), host_that_lost_x(&[(None, 9)]));
-    for host in [&mut gone, &mut writes, &mut outlasts] {
-        let changes = host.list(ms(100), &copy, None);
+fn a_restored_entry_counts_once_its_server_proves_to_be_alive() {
+    let backup = list(2, 6, &[listed("x", false), listed("yy", false)]);
+    let (mut gone, mut rewritten, mut kept) =
+        (host_with_x(&[(None, 9)]), host_with_x(&[(None, 9)]), host_with_x(&[(None, 9)]));
+    for host in [&mut gone, &mut rewritten, &mut kept] {
+        let changes = host.list(ms(100), &backup, None);
         assert_eq!(changes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), [Change::Unconfirmed]);
-        assert_eq!(working(host), ["yy"]);
+        assert_eq!(usable(host), ["yy"]);
     }
 
     gone.change(ms(3_000), Revision::new(2, 8), &[], &["x".into()], None);
     gone.expire(ms(20_000));
-    writes.change(ms(300), Revision::new(2, 8), &[listed("x", false)], &[], None);
-    outlasts.expire(ms(5_000));
-    let early = working(&outlasts).len();
-    outlasts.expire(ms(6_200));
+    rewritten.change(ms(300), Revision::new(2, 8), &[listed("x", false)], &[], None);
+    kept.expire(ms(5_000));
+    let early = usable(&kept).len();
+    kept.expire(ms(6_200));
 
-    assert_eq!((working(&gone), early), (vec!["yy"], 1));
-    assert_eq!((working(&writes), working(&outlasts)), (vec!["x", "yy"], vec!["x", "yy"]));
+    assert_eq!((usable(&gone), early), (vec!["yy"], 1));
+    assert_eq!((usable(&rewritten), usable(&kept)), (vec!["x", "yy"], vec!["x", "yy"]));
 }
 
-/// Live servers without work since a restored store had not heard of them yet.
+/// Guards against live servers that get no work because the restored store does not list them yet.
 #[test]
-fn a_server_that_the_copy_does_not_have_keeps_its_work_while_it_may_write_again() {
-    let mut host = host_that_lost_x(&[]);
+fn a_server_missing_from_the_backup_stays_usable_in_the_grace_period() {
+    let mut host = host_with_x(&[]);
 
     host.list(ms(100), &list(2, 4, &[listed("x", false)]), None);
-    let (before, kept) = (working(&host).len(), host.expire(ms(1_700)).0);
+    let (before, kept) = (usable(&host).len(), host.expire(ms(1_700)).0);
     host.list(ms(1_750), &list(2, 4, &[listed("x", false)]), None);
-    let after = working(&host).len();
+    let after = usable(&host).len();
     host.expire(ms(1_900));
 
     assert_eq!((before, kept, after), (2, Vec::new(), 2));
-    assert_eq!(working(&host), ["x"]);
+    assert_eq!(usable(&host), ["x"]);
 }
 
-/// A word that a server leaves dropped as older, since it is of the epoch before.
+/// Guards against ignoring that a server is leaving because the report belongs to the previous epoch.
 #[test]
-fn who_leaves_is_heard_from_an_older_list_too() {
-    let mut host = host_that_lost_x(&[]);
+fn leaving_is_applied_from_an_older_list_too() {
+    let mut host = host_with_x(&[]);
     host.list(ms(100), &list(2, 4, &[listed("x", false), listed("yy", false)]), None);
 
     host.list(ms(200), &list(1, 9, &[listed("x", true), listed("zzz", false)]), None);
 
-    assert_eq!(working(&host), ["yy"]);
+    assert_eq!(usable(&host), ["yy"]);
     assert_eq!(host.revision(), Revision::new(2, 4));
 }
 
-/// A host that starts after the restore reads in the copy that a server is ready which the others have seen leaving.
+/// A host that starts after the restore lists a server as ready that the others have seen leaving.
 #[test]
-fn a_host_that_starts_learns_who_has_left() {
-    let knows = host_that_lost_x(&[(Some(listed("x", true)), 7), (None, 9)]);
-    let copy = list(2, 6, &[listed("x", false), listed("yy", false)]);
-    let (mut told_first, mut told_last) = (Backends::default(), Backends::default());
+fn a_starting_host_learns_which_servers_have_left() {
+    let informed = host_with_x(&[(Some(listed("x", true)), 7), (None, 9)]);
+    let backup = list(2, 6, &[listed("x", false), listed("yy", false)]);
+    let (mut informed_early, mut informed_late) = (Backends::default(), Backends::default());
 
-    told_first.learn_left(ms(50), &knows.left());
-    told_first.list(ms(100), &copy, None);
-    told_last.list(ms(100), &copy, None);
-    told_last.learn_left(ms(150), &knows.left());
+    informed_early.learn_left(ms(50), &informed.left());
+    informed_early.list(ms(100), &backup, None);
+    informed_late.list(ms(100), &backup, None);
+    informed_late.learn_left(ms(150), &informed.left());
 
-    assert_eq!(knows.left(), [Start { id: "x".into(), born: 0 }]);
-    assert_eq!((working(&told_first), working(&told_last)), (vec!["yy"], vec!["yy"]));
+    assert_eq!(informed.left(), [Start { id: "x".into(), born: 0 }]);
+    assert_eq!((usable(&informed_early), usable(&informed_late)), (vec!["yy"], vec!["yy"]));
 }
 
-/// A server that is seen leaving by one host gets work from another that still reads it as ready.
+/// Guards against work for a server that one host has seen leaving while another still lists it as ready.
 #[test]
-fn hosts_tell_each_other_for_a_while_who_leaves() {
-    let mut knows = host_that_lost_x(&[(Some(listed("x", true)), 7)]);
-    let mut behind = host_that_lost_x(&[]);
-    knows.list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
-    behind.list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
+fn hosts_report_leaving_servers_to_each_other_for_a_while() {
+    let mut informed = host_with_x(&[(Some(listed("x", true)), 7)]);
+    let mut outdated = host_with_x(&[]);
+    informed.list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
+    outdated.list(ms(100), &list(2, 6, &[listed("x", false), listed("yy", false)]), None);
 
-    let told = knows.left_lately(ms(200));
-    behind.hear_left(ms(200), &told);
+    let report = informed.left_lately(ms(200));
+    outdated.hear_left(ms(200), &report);
 
-    assert_eq!(working(&behind), ["yy"]);
-    assert_eq!((behind.digest(), knows.left_lately(ms(20_000))), (knows.digest(), Vec::new()));
+    assert_eq!(usable(&outdated), ["yy"]);
+    assert_eq!((outdated.digest(), informed.left_lately(ms(20_000))), (informed.digest(), Vec::new()));
 }
 
-/// One wrong answer at a server's address ending it for all hosts, and for good.
+/// Guards against one wrong answer at a server's address removing it on all hosts forever.
 #[test]
-fn only_a_word_that_a_server_leaves_is_told_on() {
-    let (mut lost, mut told) = (host_that_lost_x(&[]), host_that_lost_x(&[]));
+fn only_a_servers_own_notice_is_passed_on() {
+    let (mut lost, mut left) = (host_with_x(&[]), host_with_x(&[]));
     let key = |host: &Backends| host.of("s").find(|(_, b)| &*b.id == "x").unwrap().0;
-    let (lost_key, told_key) = (key(&lost), key(&told));
+    let (lost_key, left_key) = (key(&lost), key(&left));
 
     lost.lose(lost_key);
-    told.leave(ms(10), told_key);
+    left.leave(ms(10), left_key);
 
-    assert_eq!((working(&lost), working(&told)), (vec!["yy"], vec!["yy"]));
+    assert_eq!((usable(&lost), usable(&left)), (vec!["yy"], vec!["yy"]));
     assert_eq!((lost.left_lately(ms(20)).len(), lost.left().len()), (0, 0));
     assert!(lost.snapshot(ms(20)).items.iter().all(|item| !item.leaving));
-    assert_eq!((told.left_lately(ms(20)).len(), told.left().len()), (1, 1));
+    assert_eq!((left.left_lately(ms(20)).len(), left.left().len()), (1, 1));
 }
 
-/// What the model's store does next, with one of three servers.
+/// The next step of the model, with one of three servers or hosts.
 #[derive(Clone, Debug)]
 enum Step {
     Ready(usize),
     Leave(usize),
     Remove(usize),
-    Copy,
+    Backup,
     Restore,
-    Hear { host: usize, whole: bool },
-    Tell { from: usize, to: usize },
+    Fetch { host: usize, full: bool },
+    Gossip { from: usize, to: usize },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -382,14 +388,14 @@
         (0..3_usize).prop_map(Step::Ready),
         (0..3_usize).prop_map(Step::Leave),
         (0..3_usize).prop_map(Step::Remove),
-        Just(Step::Copy),
+        Just(Step::Backup),
         Just(Step::Restore),
-        (0..3_usize, any::<bool>()).prop_map(|(host, whole)| Step::Hear { host, whole }),
-        (0..3_usize, 0..3_usize).prop_map(|(from, to)| Step::Tell { from, to }),
+        (0..3_usize, any::<bool>()).prop_map(|(host, full)| Step::Fetch { host, full }),
+        (0..3_usize, 0..3_usize).prop_map(|(from, to)| Step::Gossip { from, to }),
     ]
 }
 
-/// The model's store: its entries, and all changes in the order of their numbers.
+/// The model of the store: its entries, and all changes in the order of their numbers.
 #[derive(Clone, Debug, Default)]
 struct Model {
     epoch: u64,
@@ -413,10 +419,10 @@
         self.log.len() as u64 + 1
     }
 
-    /// Tells a host what is new to it: what has changed, where that leads on from what it knows, or all.
-    fn tell(&self, host: &mut Backends, now: Duration, whole: bool) {
+    /// Sends a host the changes since its revision, or the full list if they don't lead on from there.
+    fn deliver(&self, host: &mut Backends, now: Duration, full: bool) {
         let known = host.revision();
-        if whole || known.epoch != self.epoch || !known.is_known() {
+        if full || known.epoch != self.epoch || !known.is_known() {
             let items: Vec<_> = self.present.values().cloned().collect();
             host.list(now, &list(self.epoch, self.number(), &items), None);
             return;
@@ -434,15 +440,15 @@
 
 const NAMES: [&str; 3] = ["x", "yy", "zzz"];
 
-/// What a host has known of servers so far.
+/// What a host has known about servers so far.
 #[derive(Clone, Debug, Default)]
-struct Past {
+struct History {
     left: BTreeSet<(String, u64)>,
     last_start: BTreeMap<String, u64>,
 }
 
-impl Past {
-    fn note(&mut self, b: &Known) {
+impl History {
+    fn record(&mut self, b: &KnownBackend) {
         if b.state == State::Leaving && b.gone.is_none() {
             self.left.insert((b.id.to_string(), b.born));
         }
@@ -458,68 +464,69 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..Default::default() })]
-    /// Servers write, leave and end, the store is restored at any time, hosts hear of it late, and from each other. A server that
-    /// a host has once known as leaving never gets work from it again; once all is quiet, each host sends to all that the
-    /// store lists as ready and that no host has seen leaving, and to no other.
+    /// Servers register, leave and end, the store is restored at any time, and hosts receive updates late, also from
+    /// each other. A server that a host has seen leaving never gets work from it again. Once no more changes occur,
+    /// each host uses all servers that the store lists as ready and that it has not seen leaving, and no others.
     #[test]
-    fn no_restore_brings_back_who_has_left_or_keeps_out_who_lives(steps in prop::collection::vec(step(), 0..60)) {
+    fn a_restore_neither_revives_left_servers_nor_drops_live_ones(steps in prop::collection::vec(step(), 0..60)) {
         let mut store = Model { epoch: 1, ..Model::default() };
-        let mut copy = store.clone();
+        let mut backup = store.clone();
         let mut hosts = vec![Backends::default(); 3];
-        let mut pasts = vec![Past::default(); 3];
-        let mut starts = [0_u64; 3];
+        let mut histories = vec![History::default(); 3];
+        let mut start_numbers = [0_u64; 3];
         let mut now = ms(0);
         let entry = |server: usize, born: u64, leaving| Backend { born, ..listed(NAMES[server], leaving) };
         for step in &steps {
             now += ms(10);
             match *step {
                 Step::Ready(n) => {
-                    // What has left for good starts anew, under its identifier.
+                    // A server that has left starts again under its identifier.
                     let live = store.present.get(&n).is_some_and(|e| !e.leaving);
-                    starts[n] += u64::from(!live);
-                    store.write(n, Some(entry(n, starts[n], false)));
+                    start_numbers[n] += u64::from(!live);
+                    store.write(n, Some(entry(n, start_numbers[n], false)));
                 }
-                Step::Leave(n) if store.present.contains_key(&n) => store.write(n, Some(entry(n, starts[n], true))),
+                Step::Leave(n) if store.present.contains_key(&n) => store.write(n, Some(entry(n, start_numbers[n], true))),
                 Step::Leave(_) => {}
                 Step::Remove(n) => store.write(n, None),
-                Step::Copy => copy = store.clone(),
+                Step::Backup => backup = store.clone(),
                 Step::Restore => {
                     let epoch = store.epoch + 1;
-                    store = Model { epoch, ..copy.clone() };
+                    store = Model { epoch, ..backup.clone() };
                 }
-                Step::Hear { host, whole } => store.tell(&mut hosts[host], now, whole),
-                Step::Tell { from, to } => {
+                Step::Fetch { host, full } => store.deliver(&mut hosts[host], now, full),
+                Step::Gossip { from, to } => {
                     let (tags, snapshot) = (hosts[from].left_lately(now), hosts[from].snapshot(now));
                     hosts[to].hear_left(now, &tags);
-                    hosts[to].iter().for_each(|(_, b)| pasts[to].note(b));
+                    hosts[to].iter().for_each(|(_, b)| histories[to].record(b));
                     hosts[to].list(now, &snapshot, None);
                 }
             }
-            for (host, past) in hosts.iter().zip(&mut pasts) {
+            for (host, history) in hosts.iter().zip(&mut histories) {
                 for (_, b) in host.iter() {
-                    past.note(b);
-                    prop_assert!(!b.takes_work() || !past.has_left(&b.id, b.born), "{} works again", b.id);
+                    history.record(b);
+                    prop_assert!(!b.takes_work() || !history.has_left(&b.id, b.born), "{} works again", b.id);
                 }
             }
         }
         now += ms(10);
         for host in &mut hosts {
-            store.tell(host, now, true);
+            store.deliver(host, now, true);
         }
         now += ms(10_000);
-        for (host, past) in hosts.iter_mut().zip(&pasts) {
+        for (host, history) in hosts.iter_mut().zip(&histories) {
             host.expire(now);
-            let working: BTreeSet<_> = host.of("s").map(|(_, b)| (b.id.to_string(), b.born)).collect();
+            let usable: BTreeSet<_> = host.of("s").map(|(_, b)| (b.id.to_string(), b.born)).collect();
             let listed: Vec<_> = store.present.values().map(|b| (b.id.clone(), b.born, b.leaving)).collect();
             for (id, born, leaving) in &listed {
-                let lives = !leaving && !past.has_left(id, *born);
-                prop_assert!(!lives || working.contains(&(id.clone(), *born)), "{id} {born} stays out");
+                let is_live = !leaving && !history.has_left(id, *born);
+                prop_assert!(!is_live || usable.contains(&(id.clone(), *born)), "{id} {born} gets no work");
             }
-            // An entry of an earlier start, from the copy, ends with its server or is written again: a later one lives on.
-            let stands = |(id, born): &(String, u64)| {
+            // An entry of an earlier start, from the backup, is removed or rewritten by its server; a later start stays
+            // usable.
+            let is_justified = |(id, born): &(String, u64)| {
                 listed.iter().any(|(i, b, leaving)| i == id && (b < born || b == born && !leaving))
             };
-            prop_assert!(working.iter().all(stands), "{working:?} of {listed:?}");
+            prop_assert!(usable.iter().all(is_justified), "{usable:?} of {listed:?}");
         }
     }
 }
--- a/tests/relay_told.rs
+++ b/tests/relay_told.rs
@@ -1,4 +1,4 @@
-//! What backend servers say of themselves in their answers: that they leave, and that they want nothing for a while.
+//! Tests the notices that backend servers send in their responses: that they are leaving, and that they want a pause.
 
 #[path = "support/relay.rs"]
 mod relay_support;
@@ -15,20 +15,20 @@
 use relay_support::rev;
 use wire::{Act, Host, Server, answer, chunk, event, not_run, ok, request, status, stream_head};
 
-/// An answer with one more header.
-fn with(text: &str, name: &str, value: &str) -> Act {
+/// A response with one more header.
+fn with_header(text: &str, name: &str, value: &str) -> Act {
     Act::Write(text.replacen("\r\n", &format!("\r\n{name}: {value}\r\n"), 1))
 }
 
-/// A whole stream of twelve events.
+/// A complete stream of twelve events.
 fn stream() -> String {
     let events: String = (1..=12).map(|n| chunk(&event(n))).collect();
     format!("{}{events}0\r\n\r\n", stream_head())
 }
 
-/// Requests that reach the first of two servers once it has answered one with each of these.
-async fn later_requests(path: &str, first_answer: Act) -> usize {
-    let first = Server::start("i-1", [first_answer, Act::Write(ok("fine"))]).await;
+/// Number of requests that reach the first of two servers after it has answered one with `first_response`.
+async fn later_requests(path: &str, first_response: Act) -> usize {
+    let first = Server::start("i-1", [first_response, Act::Write(ok("fine"))]).await;
     let second =
         Server::start("i-2", [Act::Write(if path == "/stream/x" { stream() } else { ok("fine") })]).await;
     let host = Host::with(&[&first, &second]).await;
@@ -41,9 +41,9 @@
     first.seen().len() - 1
 }
 
-/// Work for a server whose answers say that it leaves, while the store can't be asked.
+/// Guards against work for a server whose responses say that it is leaving while the store is unavailable.
 #[tokio::test]
-async fn a_server_that_says_in_an_answer_that_it_leaves_gets_no_new_work() {
+async fn a_server_that_announces_its_leaving_gets_no_new_work() {
     let answers = [
         ("/safe/x", ok("fine")),
         ("/unsafe/x", answer("500 Internal Server Error", "no")),
@@ -52,37 +52,39 @@
         ("/stream/x", stream()),
     ];
     for (path, text) in answers {
-        let later = later_requests(path, with(&text, "Server-Leaving", "1")).await;
+        let later = later_requests(path, with_header(&text, "Server-Leaving", "1")).await;
 
         assert_eq!(later, 0, "{path}: {text}");
     }
 }
 
-/// A server left alone for a header that says nothing.
+/// Guards against avoiding a server because of a meaningless header value.
 #[tokio::test]
-async fn another_value_does_not_say_that_a_server_leaves() {
+async fn other_header_values_do_not_announce_leaving() {
     for value in ["0", "", "true", "11", "1, 1"] {
-        let later = later_requests("/unsafe/x", with(&ok("fine"), "Server-Leaving", value)).await;
+        let later = later_requests("/unsafe/x", with_header(&ok("fine"), "Server-Leaving", value)).await;
 
         assert_eq!(later, 3, "{value:?}");
     }
 }
 
-/// Requests at a server that has turned one away and asked for nothing more for half a minute.
+/// Guards against requests to a server that refused one and asked for no more for half a minute.
 #[tokio::test]
-async fn a_server_that_asks_for_a_pause_gets_nothing_from_this_host() {
+async fn a_server_that_asks_for_a_pause_gets_no_requests() {
     for (path, text) in [("/unsafe/x", not_run()), ("/safe/x", not_run())] {
-        let later = later_requests(path, with(&text, "Retry-After", "30")).await;
+        let later = later_requests(path, with_header(&text, "Retry-After", "30")).await;
 
         assert_eq!(later, 0, "{path}");
     }
 }
 
-/// All servers of a service ask for a pause: callers are held, or their requests sent on.
+/// All servers of a service ask for a pause. Guards against callers that are kept waiting, and against requests that
+/// are sent anyway.
 #[tokio::test]
 async fn callers_are_refused_at_once_while_all_servers_ask_for_a_pause() {
-    let only = Server::start("i-1", [with(&not_run(), "Retry-After", "30"), Act::Write(ok("fine"))]).await;
-    let host = Host::with(&[&only]).await;
+    let server =
+        Server::start("i-1", [with_header(&not_run(), "Retry-After", "30"), Act::Write(ok("fine"))]).await;
+    let host = Host::with(&[&server]).await;
 
     let answers = [host.call(&request("/unsafe/x", "")).await, host.call(&request("/safe/x", "")).await];
 
@@ -91,10 +93,11 @@
         let after: f64 = wire::header(&answer, "retry-after").unwrap().parse().unwrap();
         assert!(after > 20.0 && after <= 30.0, "{after}");
     }
-    assert_eq!(only.seen().len(), 1);
+    assert_eq!(server.seen().len(), 1);
 }
 
-/// A pause cut short by a later, shorter one, by a whole answer or by an hour being over; or one that never ends.
+/// Guards against a pause that is cut short by a later, shorter one or by a successful answer, and against one that
+/// lasts longer than an hour.
 #[test]
 fn a_pause_lasts_as_long_as_it_was_asked_for() {
     let mut arena = slotmap::SlotMap::with_key();
@@ -113,30 +116,31 @@
     assert_eq!(health.asked_pause(s(12), far), None);
 }
 
-/// A server left alone for an hour of nonsense.
+/// Guards against avoiding a server because of an invalid header value.
 #[tokio::test]
-async fn a_pause_that_is_none_changes_nothing() {
+async fn an_invalid_pause_is_ignored() {
     for value in ["0", "", "soon", "-5", "NaN", "inf", "Fri, 01 Jan 2027 00:00:00 GMT"] {
-        let later = later_requests("/unsafe/x", with(&not_run(), "Retry-After", value)).await;
+        let later = later_requests("/unsafe/x", with_header(&not_run(), "Retry-After", value)).await;
 
         assert_eq!(later, 3, "{value:?}");
     }
 }
 
-/// A pause taken from an answer that turned nothing away.
+/// Guards against a pause taken from a response that is not a refusal.
 #[tokio::test]
 async fn only_a_refusal_asks_for_a_pause() {
     for text in [ok("fine"), answer("500 Internal Server Error", "no")] {
-        let later = later_requests("/unsafe/x", with(&text, "Retry-After", "30")).await;
+        let later = later_requests("/unsafe/x", with_header(&text, "Retry-After", "30")).await;
 
         assert_eq!(later, 3, "{text}");
     }
 }
 
-/// A server that had said it leaves, back at work since the store still lists it as ready; or one that has started again left out.
+/// Guards against work for a server that announced its leaving but is still listed as ready in the store, and against
+/// leaving out one that has restarted.
 #[tokio::test]
-async fn only_a_later_start_ends_a_servers_word_that_it_leaves() {
-    let first = Server::start("i-1", [with(&ok("fine"), "Server-Leaving", "1")]).await;
+async fn only_a_later_start_ends_the_leaving_of_a_server() {
+    let first = Server::start("i-1", [with_header(&ok("fine"), "Server-Leaving", "1")]).await;
     let second = Server::start("i-2", [Act::Write(ok("fine"))]).await;
     let host = Host::with(&[&first, &second]).await;
     let entry = |born| Backend {
