--- a/src/relay/belief.rs
+++ b/src/relay/belief.rs
@@ -23,8 +23,8 @@
     util::{Instant, now},
 };
 
-/// Maximum number of backend server changes that are logged individually. Of a longer list only the count is logged in
-/// addition: at startup with ten thousand servers it would use up a second's quota of log lines.
+/// Maximum number of backend server changes that are logged individually. For a longer list the total is logged as
+/// well: at startup with ten thousand servers, a line for each would use up a second's quota of log lines.
 const MAX_BACKEND_LOG_LINES: usize = 128;
 /// Maximum number of hosts per data centre that are registered in the store. They are replaced once half of them are
 /// gone.
@@ -90,7 +90,7 @@
         let before = state.epochs.current();
         let check = state.epochs.observe(epoch);
         drop(state);
-        self.report_epoch(check, before, epoch, from);
+        self.record_epoch_check(check, before, epoch, from);
         check
     }
 
@@ -98,16 +98,17 @@
     pub(super) fn observe_peer_epoch(&self, state: &mut State, epoch: Epoch, from: &str) -> bool {
         let before = state.epochs.current();
         if !state.epochs.is_plausible(epoch) {
-            self.report_epoch(EpochCheck::Rejected, before, epoch, from);
+            self.record_epoch_check(EpochCheck::Rejected, before, epoch, from);
             return false;
         }
         if state.epochs.observe_peer(epoch) {
-            self.report_epoch(EpochCheck::Newer, before, epoch, from);
+            self.record_epoch_check(EpochCheck::Newer, before, epoch, from);
         }
         true
     }
 
-    fn report_epoch(&self, check: EpochCheck, before: Epoch, epoch: Epoch, from: &str) {
+    /// Counts and logs the check of an epoch; a newer epoch wakes the followers of the store.
+    fn record_epoch_check(&self, check: EpochCheck, before: Epoch, epoch: Epoch, from: &str) {
         if check == EpochCheck::Current {
             return;
         }
@@ -143,7 +144,7 @@
     }
 
     /// Applies configuration changes received from another host. Returns whether the full configuration is needed
-    /// instead, since the version that the changes start from is not the one that is known here.
+    /// instead, since the changes don't apply to the one known here.
     pub(crate) fn apply_configuration_changes(&self, changes: &ConfigurationChanges, from: &str) -> bool {
         let Some(routes) = self.routes() else { return true };
         if routes.version() >= changes.version {
@@ -164,7 +165,8 @@
         }
     }
 
-    /// Logs changes of the backend servers, drops outdated state of restarted and cold ones, and passes the changes on.
+    /// Logs changes of the backend servers, drops outdated state of restarted and cold ones, and triggers an early
+    /// heartbeat.
     pub(crate) fn on_backend_changes(&self, state: &mut State, changes: &[(BackendKey, Change)], from: &str) {
         if changes.len() > MAX_BACKEND_LOG_LINES {
             line(Weight::Notable, "backends", |l| {
--- a/src/relay/confirm.rs
+++ b/src/relay/confirm.rs
@@ -201,7 +201,7 @@
     }
 
     /// The confirmation ages that are sent to other hosts.
-    pub fn summary(&self, now: Instant) -> Confirmed {
+    pub fn report(&self, now: Instant) -> Confirmed {
         // A topic that was never confirmed, such as one read from a stale copy, must not confirm anything on other
         // hosts.
         let age = |topic: Topic| {
--- a/src/relay/evacuations.rs
+++ b/src/relay/evacuations.rs
@@ -63,7 +63,7 @@
 
 impl Update {
     /// Marks a list as a stale read, which any later list replaces and from which no watch continues.
-    pub(crate) fn mark_stale(&mut self) {
+    pub(crate) fn mark_as_stale_read(&mut self) {
         if let Update::List(list) = self {
             (list.epoch, list.revision) = (Revision::STALE_READ.epoch, Revision::STALE_READ.number);
         }
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -33,8 +33,8 @@
 };
 
 /// Pause between a change and the next watch, so that changes in quick succession cost one call. The same pause follows
-/// a watch that ended sooner than this: a store that does not hold watches open would be called in a tight loop. A
-/// server that is leaving may get new work for two seconds.
+/// a watch that ended sooner than this: a store that does not hold watches open would be called in a tight loop. The
+/// pause must be short, since a leaving server may get new work for only two seconds.
 const COALESCE_DELAY: Duration = Duration::from_millis(200);
 /// The pause after a change of the backend servers, as a fraction of the propagation bound, in a small fleet and in a
 /// large one, where each change costs one call per data centre.
@@ -103,7 +103,7 @@
     }
 
     /// Marks a list as a stale read, which any later list replaces and from which no watch continues.
-    fn mark_stale(&mut self) {
+    fn mark_as_stale_read(&mut self) {
         if let BackendsUpdate::List(list) = self {
             (list.epoch, list.revision) = (Revision::STALE_READ.epoch, Revision::STALE_READ.number);
         }
@@ -124,7 +124,7 @@
 /// Client interface of the platform's store.
 pub trait Store: Send + Sync + 'static {
     /// Reads the configuration: immediately if the call has no revision, otherwise once it has changed after that
-    /// revision, or without it after the watch timeout.
+    /// revision, or unchanged after the watch timeout.
     fn configuration(
         &mut self,
         call: Call,
@@ -168,8 +168,8 @@
             stale_ok,
             no_wait: false,
         };
-        let asked = relay.start_call(call);
-        let answer = relay.ask_store(StoreCall::configuration(call), after, store.configuration(call)).await;
+        let sent_at = relay.start_call(call);
+        let answer = relay.call_store(StoreCall::configuration(call), after, store.configuration(call)).await;
         match relay.check_epoch(answer, |(revision, _)| revision.epoch) {
             Ok((revision, cfg)) => {
                 started = true;
@@ -177,12 +177,12 @@
                 relay.state().copied |= stale_ok;
                 record_answer_and_log(&mut retry);
                 let changed = after.is_some() && cfg.is_some();
-                let ended_early = after.is_some() && now() < asked + COALESCE_DELAY;
+                let ended_early = after.is_some() && now() < sent_at + COALESCE_DELAY;
                 after = after.max(revision);
                 if let Some(cfg) = cfg {
                     relay.set_configuration(cfg, "store");
                 }
-                relay.record_answer(Topic::Configuration, call, asked, revision);
+                relay.record_answer(Topic::Configuration, call, sent_at, revision);
                 if changed || ended_early {
                     tokio::time::sleep(COALESCE_DELAY).await;
                 }
@@ -224,21 +224,21 @@
             stale_ok,
             no_wait: false,
         };
-        let asked = relay.start_call(call);
-        let answer = relay.ask_store(StoreCall::backends(call), after, store.backends(call)).await;
+        let sent_at = relay.start_call(call);
+        let answer = relay.call_store(StoreCall::backends(call), after, store.backends(call)).await;
         match relay.check_epoch(answer, |update| update.revision().epoch) {
             Ok(mut update) => {
                 needs_list = stale_ok;
                 if stale_ok {
-                    update.mark_stale();
+                    update.mark_as_stale_read();
                 }
                 let grace = record_answer_and_log(&mut retry);
                 let changed = matches!(&update, BackendsUpdate::Changes { puts, removed, .. }
                     if !puts.is_empty() || !removed.is_empty());
-                let ended_early = after.is_some() && now() < asked + COALESCE_DELAY;
+                let ended_early = after.is_some() && now() < sent_at + COALESCE_DELAY;
                 let revision = Some(update.revision()).filter(|_| !stale_ok);
                 relay.update_backends(update, grace, "store");
-                relay.record_answer(Topic::Backends, call, asked, revision);
+                relay.record_answer(Topic::Backends, call, sent_at, revision);
                 relay.set_follow_state(FollowState::Follows);
                 if changed || ended_early {
                     tokio::time::sleep(relay.coalesce_delay()).await;
@@ -279,11 +279,11 @@
         now
     }
 
-    /// Records that the store answered a call that was sent at `asked`, as of `revision`, which is `None` for a stale
+    /// Records that the store answered a call that was sent at `sent_at`, as of `revision`, which is `None` for a stale
     /// read. The answer to a watch is current as of its end.
-    fn record_answer(&self, topic: Topic, call: Call, asked: Instant, revision: Option<Revision>) {
+    fn record_answer(&self, topic: Topic, call: Call, sent_at: Instant, revision: Option<Revision>) {
         let Some(revision) = revision else { return };
-        let at = if call.after.is_some() && !call.no_wait { now() } else { asked };
+        let at = if call.after.is_some() && !call.no_wait { now() } else { sent_at };
         let confirmations = &mut self.state().confirmations;
         confirmations.confirm(topic, at);
         confirmations.record_revision(topic, Some(revision));
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -142,7 +142,7 @@
     /// Counts a call and waits for its answer. A pending call is cancelled when the host resumes from a suspension,
     /// since the connection may be dead, when the store was restored, since no watch can continue from an earlier
     /// epoch, and when the watch is found to be stalled.
-    pub(super) async fn ask_store<T>(
+    pub(super) async fn call_store<T>(
         &self,
         call_kind: StoreCall,
         after: Option<Revision>,
--- a/src/relay/follow/confirm.rs
+++ b/src/relay/follow/confirm.rs
@@ -44,16 +44,16 @@
 
 /// Checks the configuration, and the other topics only if the store has changed since their revision.
 async fn check_store<W: Wire>(relay: &Relay<W>, store: &mut impl Store) -> Result<(), StoreError> {
-    let asked = now();
-    relay.state().confirmations.record_check(asked);
-    let newest = check_configuration(relay, store, asked).await?;
+    let sent_at = now();
+    relay.state().confirmations.record_check(sent_at);
+    let newest = check_configuration(relay, store, sent_at).await?;
     let topics: Vec<_> = relay.state().confirmations.topics().collect();
     for topic in topics {
         match topic {
             Topic::Configuration => {}
-            _ if relay.is_up_to_date(topic, newest) => relay.state().confirmations.confirm(topic, asked),
-            Topic::Backends => check_backends(relay, store, asked).await?,
-            Topic::Evacuations => check_evacuations(relay, store, asked).await?,
+            _ if relay.is_up_to_date(topic, newest) => relay.state().confirmations.confirm(topic, sent_at),
+            Topic::Backends => check_backends(relay, store, sent_at).await?,
+            Topic::Evacuations => check_evacuations(relay, store, sent_at).await?,
         }
     }
     Ok(())
@@ -63,19 +63,19 @@
 async fn check_configuration<W: Wire>(
     relay: &Relay<W>,
     store: &mut impl Store,
-    asked: Instant,
+    sent_at: Instant,
 ) -> Result<Revision, StoreError> {
     for _ in 0..MAX_EPOCH_ATTEMPTS {
         let after = relay.state().confirmations.last_revision(Topic::Configuration);
         let call = no_wait_call(after, relay.epoch());
-        let answer = relay.ask_store(StoreCall::ConfigurationCheck, None, store.configuration(call)).await;
+        let answer = relay.call_store(StoreCall::ConfigurationCheck, None, store.configuration(call)).await;
         match relay.check_epoch(answer, |(revision, _)| revision.epoch) {
             Ok((revision, cfg)) => {
                 let changed = after.is_some() && cfg.is_some();
                 if let Some(cfg) = cfg {
                     relay.set_configuration(cfg, "store");
                 }
-                relay.record_answer(Topic::Configuration, call, asked, Some(revision));
+                relay.record_answer(Topic::Configuration, call, sent_at, Some(revision));
                 if changed {
                     relay.cancel_stalled_watch(Topic::Configuration, revision).await;
                 }
@@ -93,7 +93,7 @@
 async fn check_backends<W: Wire>(
     relay: &Relay<W>,
     store: &mut impl Store,
-    asked: Instant,
+    sent_at: Instant,
 ) -> Result<(), StoreError> {
     let known = relay.state().backends.revision();
     if !known.is_known() || known == Revision::STALE_READ {
@@ -101,7 +101,7 @@
         return Ok(());
     }
     let call = no_wait_call(Some(known), relay.epoch());
-    let answer = relay.ask_store(StoreCall::BackendsCheck, None, store.backends(call)).await;
+    let answer = relay.call_store(StoreCall::BackendsCheck, None, store.backends(call)).await;
     let update = match relay.check_epoch(answer, |update| update.revision().epoch) {
         Ok(update) => update,
         Err(StoreError::HistoryGone | StoreError::Restored { .. }) => {
@@ -120,24 +120,24 @@
         return Ok(());
     }
     relay.update_backends(update, None, "store");
-    relay.record_answer(Topic::Backends, call, asked, Some(revision));
+    relay.record_answer(Topic::Backends, call, sent_at, Some(revision));
     Ok(())
 }
 
 async fn check_evacuations<W: Wire>(
     relay: &Relay<W>,
     store: &mut impl Store,
-    asked: Instant,
+    sent_at: Instant,
 ) -> Result<(), StoreError> {
     let known = relay.state().evacuations.revision();
     let after = Some(known).filter(|known| known.is_known() && *known != Revision::STALE_READ);
     let call = no_wait_call(after, relay.epoch());
-    let answer = relay.ask_store(StoreCall::EvacuationsCheck, None, store.evacuations(call)).await;
+    let answer = relay.call_store(StoreCall::EvacuationsCheck, None, store.evacuations(call)).await;
     match relay.check_epoch(answer, |update| update.revision().epoch) {
         Ok(update) => {
             let (revision, has_changes) = (update.revision(), has_changes(&update));
             relay.update_evacuations(&update, "store");
-            relay.record_answer(Topic::Evacuations, call, asked, Some(revision));
+            relay.record_answer(Topic::Evacuations, call, sent_at, Some(revision));
             if has_changes {
                 relay.cancel_stalled_watch(Topic::Evacuations, revision).await;
             }
--- a/src/relay/follow/evacuations.rs
+++ b/src/relay/follow/evacuations.rs
@@ -42,19 +42,19 @@
             stale_ok,
             no_wait: false,
         };
-        let asked = relay.start_call(call);
-        let answer = relay.ask_store(StoreCall::evacuations(call), after, store.evacuations(call)).await;
+        let sent_at = relay.start_call(call);
+        let answer = relay.call_store(StoreCall::evacuations(call), after, store.evacuations(call)).await;
         match relay.check_epoch(answer, |update| update.revision().epoch) {
             Ok(mut update) => {
                 needs_list = stale_ok;
                 if stale_ok {
-                    update.mark_stale();
+                    update.mark_as_stale_read();
                 }
                 record_answer_and_log(&mut retry);
                 relay.update_evacuations(&update, "store");
                 let revision = Some(update.revision()).filter(|_| !stale_ok);
-                relay.record_answer(Topic::Evacuations, call, asked, revision);
-                if after.is_some() && now() < asked + COALESCE_DELAY {
+                relay.record_answer(Topic::Evacuations, call, sent_at, revision);
+                if after.is_some() && now() < sent_at + COALESCE_DELAY {
                     tokio::time::sleep(COALESCE_DELAY).await;
                 }
             }
--- a/src/relay/follow/hosts.rs
+++ b/src/relay/follow/hosts.rs
@@ -39,7 +39,7 @@
             registered = Hosts::default();
         }
         if relay.is_alone() {
-            match relay.ask_store(StoreCall::Hosts, None, store.hosts()).await {
+            match relay.call_store(StoreCall::Hosts, None, store.hosts()).await {
                 Ok(mut hosts) => {
                     relay.add_hosts(&hosts.sample);
                     hosts.sample.retain(|m| m.data_centre == centre);
@@ -49,7 +49,7 @@
             }
         }
         let Some(hosts) = relay.hosts_to_register(&registered) else { continue };
-        match relay.ask_store(StoreCall::Register, None, store.register_hosts(&centre, &hosts)).await {
+        match relay.call_store(StoreCall::Register, None, store.register_hosts(&centre, &hosts)).await {
             Ok(()) => registered = hosts,
             Err(e) => log_hosts_failure(&e),
         }
--- a/src/relay/follow/start.rs
+++ b/src/relay/follow/start.rs
@@ -25,7 +25,7 @@
     store: &mut impl Store,
     bytes: u64,
 ) -> Range<Duration> {
-    let hosts = match relay.ask_store(StoreCall::Hosts, None, store.hosts()).await {
+    let hosts = match relay.call_store(StoreCall::Hosts, None, store.hosts()).await {
         Ok(hosts) => hosts,
         Err(e) => {
             log_hosts_failure(&e);
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -199,7 +199,7 @@
         relay.update_backends(BackendsUpdate::Changes { revision, puts, removed }, None, &from);
     }
     relay.merge_holders(&fetched.held);
-    relay.learn_left(&fetched.left, &from);
+    relay.merge_left_servers(&fetched.left, &from);
     wants_full
 }
 
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -237,11 +237,11 @@
         body: Incoming,
         conn: Conn,
         key: BackendKey,
-        keeps: Option<Duration>,
+        keep_alive: Option<Duration>,
     ) {
         let read = Limited::new(body, MAX_BUFFERED_BYTES).collect();
         if let Ok(Ok(_)) = tokio::time::timeout(REFUSED_RETRY_PAUSE, read).await {
-            self.relay.keep(key, conn, keeps);
+            self.relay.keep(key, conn, keep_alive);
         }
     }
 
--- a/src/relay/tell.rs
+++ b/src/relay/tell.rs
@@ -61,7 +61,7 @@
             suspects: state.suspects.told(now),
             evacuations: state.evacuations.snapshot(now),
             left: state.backends.left_lately(now),
-            confirmed: Some(state.confirmations.summary(now)),
+            confirmed: Some(state.confirmations.report(now)),
             ..Beat::default()
         };
         state.peers.number(&mut beat, &self.cfg.me, full);
@@ -123,7 +123,7 @@
     }
 
     /// Merges server starts that another host has seen leaving.
-    pub(crate) fn learn_left(&self, starts: &[Start], from: &str) {
+    pub(crate) fn merge_left_servers(&self, starts: &[Start], from: &str) {
         let mut state = self.state();
         let changes = state.backends.learn_left(now(), starts);
         self.on_backend_changes(&mut state, &changes, from);
@@ -147,18 +147,18 @@
 fn merge_confirmations(state: &mut State, sent: Instant, beat: &Beat, own: Own) -> bool {
     let Some(report) = &beat.confirmed else { return false };
     let backends = beat.backends_as_of();
-    let is_passed = backends.epoch == own.backends.epoch && backends <= own.backends;
-    let is_same = backends.epoch >= own.backends.epoch && beat.backends_digest == own.digest;
+    let is_not_newer = backends.epoch == own.backends.epoch && backends <= own.backends;
+    let has_same_digest = backends.epoch >= own.backends.epoch && beat.backends_digest == own.digest;
     let known = state.evacuations.revision();
-    let is_known = |e: &Evacuations| e.epoch == known.epoch && e.as_of() <= known;
+    let are_not_newer = |e: &Evacuations| e.epoch == known.epoch && e.as_of() <= known;
     let mut advanced = false;
     if beat.configuration <= own.configuration {
         advanced |= state.confirmations.merge(sent, Topic::Configuration, report);
     }
-    if is_passed || is_same {
+    if is_not_newer || has_same_digest {
         advanced |= state.confirmations.merge(sent, Topic::Backends, report);
     }
-    if beat.evacuations.as_ref().is_some_and(is_known) {
+    if beat.evacuations.as_ref().is_some_and(are_not_newer) {
         advanced |= state.confirmations.merge(sent, Topic::Evacuations, report);
     }
     advanced && beat.centre.is_some()
--- a/tests/relay_confirmations.rs
+++ b/tests/relay_confirmations.rs
@@ -161,7 +161,7 @@
                     configuration: host.version,
                     follows_store: true,
                     sender: Some(member),
-                    confirmed: Some(host.confirmations.summary(now)),
+                    confirmed: Some(host.confirmations.report(now)),
                     ..Beat::default()
                 };
                 for to in
@@ -220,7 +220,7 @@
 
     let delays: Vec<_> =
         [0, 1, 2, 300].map(|before| confirmed.next_check_at(follows(before)) - ms(10_000)).into();
-    let report = confirmed.summary(ms(10_760));
+    let report = confirmed.report(ms(10_760));
     confirmed.merge(ms(10_760), Topic::Configuration, &report);
     confirmed.record_check(ms(10_760));
 
@@ -250,7 +250,7 @@
     let (never_confirmed, mut other) =
         (Confirmations::new(ms(0), BOUND, false), Confirmations::new(ms(0), BOUND, false));
 
-    let advanced = other.merge(ms(5_000), Topic::Configuration, &never_confirmed.summary(ms(5_000)));
+    let advanced = other.merge(ms(5_000), Topic::Configuration, &never_confirmed.report(ms(5_000)));
 
     assert!(!advanced && other.is_stale(ms(5_000), Topic::Configuration));
 }
