--- a/src/relay.rs
+++ b/src/relay.rs
@@ -9,7 +9,7 @@
 //! What is decided lies in modules without I/O: [`routes`], [`backends`], [`admission`], [`place`], [`holders`], [`health`],
 //! [`budget`], [`suspects`], [`configurations`], [`confirm`], [`evacuations`], [`revision`], [`warmup`], [`datagram`], [`followers`], [`contact`], [`directory`], [`verdict`], [`peers`], [`leave`], [`events`]. The I/O is in [`inbound`],
 //! [`pool`], [`run`], [`stream`], [`follow`] and [`mesh`]. [`Wire`] and [`follow::Store`] are what an adapter
-//! translates. This file holds what a host knows and has in progress; `belief` changes what it knows, with a line each,
+//! translates. This file holds what a host knows and has in progress; `updates` changes what it knows, with a line each,
 //! `stop` ends its service.
 
 use std::{
@@ -32,7 +32,6 @@
 pub mod admission;
 pub mod answer;
 pub mod backends;
-pub mod belief;
 pub mod budget;
 mod choose;
 pub mod configurations;
@@ -61,6 +60,7 @@
 pub mod stream;
 pub mod suspects;
 mod tell;
+pub mod updates;
 pub mod verdict;
 pub mod warmup;
 mod wire;
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -7,9 +7,10 @@
     logs::lines::{Weight, line},
     metrics::Counter,
     relay::{
-        Relay, Wire, belief,
+        Relay, Wire,
         confirm::Topic,
         revision::{Epoch, EpochCheck, Revision},
+        updates,
     },
     util::now,
 };
@@ -165,7 +166,7 @@
         }
         line(Weight::Routine, "store_called", |l| {
             let l = l.text("call", call_kind.as_str()).flag("answered", answer.is_ok());
-            let l = if let Some(after) = after { belief::with_revision(l, after) } else { l };
+            let l = if let Some(after) = after { updates::with_revision(l, after) } else { l };
             l.ms("after_ms", now().saturating_sub(begun))
         });
         answer
--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -9,13 +9,13 @@
 use cranberrytally::{
     metrics::{Counter, Gauge, Latency},
     relay::{
-        belief::ServerNotice,
         datagram::DropReason,
         follow::StoreCall,
         outcome::Outcome,
         place::Why,
         revision::EpochCheck,
         stream::After,
+        updates::ServerNotice,
         verdict::{Failure, Stop},
     },
 };
