--- a/src/relay.rs
+++ b/src/relay.rs
@@ -7,7 +7,7 @@
 //! 4. [`answer`] and [`stream`]: the answer on its way back.
 //!
 //! What is decided lies in modules without I/O: [`routes`], [`backends`], [`admission`], [`place`], [`holders`], [`health`],
-//! [`budget`], [`suspects`], [`configurations`], [`confirm`], [`evacuations`], [`revision`], [`warmup`], [`datagram`], [`followers`], [`store_retry`], [`directory`], [`verdict`], [`peers`], [`leave`], [`events`]. The I/O is in [`inbound`],
+//! [`budget`], [`suspects`], [`configurations`], [`confirm`], [`evacuations`], [`revision`], [`warmup`], [`datagram`], [`followers`], [`contact`], [`directory`], [`verdict`], [`peers`], [`leave`], [`events`]. The I/O is in [`inbound`],
 //! [`pool`], [`run`], [`stream`], [`follow`] and [`mesh`]. [`Wire`] and [`follow::Store`] are what an adapter
 //! translates. This file holds what a host knows and has in progress; `updates` changes what it knows, with a line each,
 //! `stop` ends its service.
@@ -36,6 +36,7 @@
 mod choose;
 pub mod configurations;
 pub mod confirm;
+pub mod contact;
 pub mod datagram;
 pub mod directory;
 pub mod evacuations;
@@ -57,7 +58,6 @@
 pub mod routes;
 pub mod run;
 mod stop;
-pub mod store_retry;
 pub mod stream;
 pub mod suspects;
 pub mod updates;
--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -18,7 +18,7 @@
 
 use slotmap::{SlotMap, new_key_type};
 
-use super::{revision::Revision, store_retry::MISSING_ENTRY_GRACE};
+use super::{contact::MISSING_ENTRY_GRACE, revision::Revision};
 use crate::{
     schema::fleet,
     util::{Instant, Map, Set, hash},
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -22,9 +22,9 @@
 use super::{
     Relay, Wire,
     confirm::Topic,
+    contact::StoreRetry,
     followers::FollowState,
     revision::{Epoch, Revision},
-    store_retry::StoreRetry,
 };
 use crate::{
     logs::lines::{Weight, line},
--- a/src/relay/follow/evacuations.rs
+++ b/src/relay/follow/evacuations.rs
@@ -11,7 +11,7 @@
 };
 use crate::{
     logs::lines::{Weight, line},
-    relay::{Relay, Wire, confirm::Topic, store_retry::StoreRetry},
+    relay::{Relay, Wire, confirm::Topic, contact::StoreRetry},
     util::now,
 };
 
--- a/tests/relay_contact.rs
+++ b/tests/relay_contact.rs
@@ -7,11 +7,11 @@
     relay::{
         Relay,
         backends::{Backends, Change},
+        contact::StoreRetry,
         evacuations::Update,
         follow::{self, BackendsUpdate, Call, Hosts, Store, StoreError},
         pool,
         revision::Revision,
-        store_retry::StoreRetry,
     },
     schema::fleet,
 };
