--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -246,7 +246,8 @@
     async fn configuration(&mut self, call: Call) -> Result<(Revision, Option<Configuration>), StoreError> {
         let (revision, objects) = match call.after {
             None => {
-                let max_bytes = if call.allow_large { MAX_PAGE_BYTES } else { MAX_INITIAL_CONFIGURATION_BYTES };
+                let max_bytes =
+                    if call.allow_large { MAX_PAGE_BYTES } else { MAX_INITIAL_CONFIGURATION_BYTES };
                 self.list(CONFIGURATION_KIND, call, max_bytes).await?
             }
             Some(after) => {
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -10,7 +10,7 @@
 //! [`health`], [`budget`], [`suspects`], [`configurations`], [`confirm`], [`evacuations`], [`revision`],
 //! [`warmup`], [`datagram`], [`followers`], [`contact`], [`directory`], [`verdict`], [`peers`], [`leave`],
 //! [`events`]. The I/O is in [`inbound`], [`pool`], [`run`], [`stream`], [`follow`] and [`mesh`]. [`Wire`] and
-//! [`follow::Store`] are the traits that an adapter implements. This file holds the state of a host; `belief`
+//! [`follow::Store`] are the traits that an adapter implements. This file holds the state of a host; `updates`
 //! changes and logs what the host knows, and `stop` shuts the host down.
 
 use std::{
@@ -33,7 +33,6 @@
 pub mod admission;
 pub mod answer;
 pub mod backends;
-pub mod belief;
 pub mod budget;
 mod choose;
 pub mod configurations;
@@ -46,6 +45,7 @@
 pub mod follow;
 pub mod followers;
 pub mod health;
+mod heartbeat;
 pub mod holders;
 pub mod inbound;
 pub mod leave;
@@ -61,7 +61,7 @@
 mod stop;
 pub mod stream;
 pub mod suspects;
-mod tell;
+pub mod updates;
 pub mod verdict;
 pub mod warmup;
 mod wire;
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -231,7 +231,9 @@
                 ErrorKind::Paused
             }
             Eligible { warm, cold, .. } if warm.is_empty() && !cold.is_empty() => ErrorKind::WarmingUp,
-            Eligible { warm, cold, .. } if warm.is_empty() && cold.is_empty() && listed => ErrorKind::Evacuated,
+            Eligible { warm, cold, .. } if warm.is_empty() && cold.is_empty() && listed => {
+                ErrorKind::Evacuated
+            }
             _ => ErrorKind::NoEngine,
         }
     }
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -46,7 +46,12 @@
             Some(me) if !self.is_small() => {
                 let me = Neighbour { rank: hash(me), contact };
                 let near = self.neighbours(now);
-                self.duty.decide(now, me, near, followers::followers_per_data_centre(self.data_centre_count()))
+                self.duty.decide(
+                    now,
+                    me,
+                    near,
+                    followers::followers_per_data_centre(self.data_centre_count()),
+                )
             }
             _ => true,
         };
