--- a/src/claim/shard_claims/merge.rs
+++ b/src/claim/shard_claims/merge.rs
@@ -258,8 +258,8 @@
     }
 
     /// Removes archives that the shard's object no longer references from memory, and schedules their deletion.
-    fn drop_unlisted_archives(&mut self, kept: &[ClaimArchiveRef]) {
-        let listed: BTreeSet<_> = kept.iter().map(|a| a.name.as_str()).collect();
+    fn drop_unlisted_archives(&mut self, listed_refs: &[ClaimArchiveRef]) {
+        let listed: BTreeSet<_> = listed_refs.iter().map(|a| a.name.as_str()).collect();
         let removed: Vec<_> =
             self.loaded_archives.keys().filter(|n| !listed.contains(n.as_str())).cloned().collect();
         for name in removed {
--- a/src/order/pools.rs
+++ b/src/order/pools.rs
@@ -67,7 +67,7 @@
 /// the platform over the routers.
 pub fn is_candidate<'a>(me: &str, members: impl IntoIterator<Item = &'a str>, pool: &str) -> bool {
     let rank = |name: &str| hash(("orders", pool, name));
-    let mine = rank(me);
-    let ahead = members.into_iter().filter(|name| *name != me && rank(name) < mine).count();
-    ahead < LEASE_CANDIDATES
+    let own_rank = rank(me);
+    let higher_ranked = members.into_iter().filter(|name| *name != me && rank(name) < own_rank).count();
+    higher_ranked < LEASE_CANDIDATES
 }
--- a/src/order/run.rs
+++ b/src/order/run.rs
@@ -89,8 +89,8 @@
         }
         let peers = follow.peers();
         let members = || std::iter::once(&*me).chain(peers.iter().map(|p| &*p.name));
-        let mine = all.iter().filter(|(name, _)| pools::is_candidate(&me, members(), name));
-        update_tasks(&cx, &mut tasks, mine.map(|(n, p)| (n.clone(), p.clone())).collect());
+        let candidate_pools = all.iter().filter(|(name, _)| pools::is_candidate(&me, members(), name));
+        update_tasks(&cx, &mut tasks, candidate_pools.map(|(n, p)| (n.clone(), p.clone())).collect());
         let _ = tokio::time::timeout(RECONCILE_INTERVAL, stopped.changed()).await;
     }
     let ending = tasks.into_values().map(|(tx, task)| {
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -69,23 +69,23 @@
         Self { addr, conn: None }
     }
 
-    /// Makes one call for a response of at most `max_bytes`, and returns it with its epoch, or with `known` if it has none. A
+    /// Makes one call for a response of at most `max_bytes`; returns it with its epoch, or `known_epoch` if it has none. A
     /// connection on which a call failed is not reused, because the late response might still arrive on it.
     async fn call<T: DeserializeOwned>(
         &mut self,
         target: &str,
         timeout: Duration,
         max_bytes: usize,
-        known: Epoch,
+        known_epoch: Epoch,
     ) -> Result<(Epoch, T), StoreError> {
         let response = self.send(Method::GET, target, Bytes::new(), timeout, max_bytes).await?;
-        let epoch = response.epoch.unwrap_or(known);
+        let epoch = response.epoch.unwrap_or(known_epoch);
         match response.status {
             // Another writer's bytes may not be valid UTF-8; that must invalidate only the entry that has them.
             200 => serde_json::from_str(&String::from_utf8_lossy(&response.body))
                 .map(|answer| (epoch, answer))
                 .map_err(|e| StoreError::Unreadable(e.to_string())),
-            410 if epoch != known => Err(StoreError::Restored { epoch }),
+            410 if epoch != known_epoch => Err(StoreError::Restored { epoch }),
             410 => Err(StoreError::HistoryGone),
             status => Err(status_error(status)),
         }
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -158,11 +158,11 @@
     if head.status != StatusCode::SERVICE_UNAVAILABLE {
         return None;
     }
-    let told = text(&head.headers, &header::RETRY_AFTER)?;
-    let seconds = told.trim().parse().ok().filter(|seconds: &f64| *seconds > 0.0);
+    let value = text(&head.headers, &header::RETRY_AFTER)?;
+    let seconds = value.trim().parse().ok().filter(|seconds: &f64| *seconds > 0.0);
     let pause = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     if pause.is_none() {
-        spdlog::debug!("invalid retry-after header of a server: {told:?}");
+        spdlog::debug!("invalid retry-after header of a server: {value:?}");
     }
     pause
 }
