--- a/src/claim/ticket_claims.rs
+++ b/src/claim/ticket_claims.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Removes claims whose tickets expired more than [`RETENTION_AFTER_EXPIRY`] ago.
+    /// Removes claims whose tickets expired more than `RETENTION_AFTER_EXPIRY` ago.
     pub fn evict_expired(&mut self, clock: Clock) {
         let retention = super::ticket::TICKET_LIFETIME + RETENTION_AFTER_EXPIRY;
         self.slots.retain(|_, slot| clock.now < slot.inserted_at + retention);
--- a/src/order/guard.rs
+++ b/src/order/guard.rs
@@ -50,10 +50,10 @@
     /// This protects against a holder that is paused past the end of its lease and then continues. An engine that checks
     /// fencing numbers refuses its order once the new holder's first order has arrived. Other engines accept any
     /// order, so the old holder must not send one: the lease has to outlast the order's timeout plus a pause of
-    /// [`MAX_PAUSE`], and a new holder waits for the same time before its first order.
+    /// `MAX_PAUSE`, and a new holder waits for the same time before its first order.
     ///
     /// With engines that ignore the fencing number an order can still take effect late: if the process is paused for
-    /// longer than [`MAX_PAUSE`] between this check and the send, or if the order stays in a socket buffer or in
+    /// longer than `MAX_PAUSE` between this check and the send, or if the order stays in a socket buffer or in
     /// the engine's queue for longer than its timeout. The holder then sees the report diverge and sends a new order.
     pub fn fence(&self, now: Instant, held: &mut Held, order: EngineOrder) -> Option<FencedOrder> {
         if !self.checks_fencing && now < held.acquired() + ORDER_TIMEOUT + MAX_PAUSE {
--- a/src/order/pools.rs
+++ b/src/order/pools.rs
@@ -63,7 +63,7 @@
 
 /// Whether `me` competes for the lease of `pool`, among the live routers `members`, which include `me`.
 ///
-/// Rendezvous hashing selects [`LEASE_CANDIDATES`] routers for each pool, which spreads the leases and their calls to
+/// Rendezvous hashing selects `LEASE_CANDIDATES` routers for each pool, which spreads the leases and their calls to
 /// the platform over the routers.
 pub fn is_candidate<'a>(me: &str, members: impl IntoIterator<Item = &'a str>, pool: &str) -> bool {
     let rank = |name: &str| hash(("orders", pool, name));
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -27,7 +27,7 @@
 const WATCH_WAIT: Duration = Duration::from_secs(30);
 /// Wait of a watch that should return at once: the minimum that the store accepts.
 const MIN_WATCH_WAIT: Duration = Duration::from_millis(1);
-/// Timeout of a call that no request waits for; a slow store takes a few hundred milliseconds.
+/// Timeout of a call; no caller waits for it, and a slow store takes a few hundred milliseconds.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Timeout of a response body after its head: half a megabyte over the slowest links, 10 Mbit/s, takes 0.4 s, and while bytes
 /// arrive a second call would only compete for the same bandwidth.
