--- a/src/order/pools.rs
+++ b/src/order/pools.rs
@@ -63,11 +63,11 @@
 
 /// Whether `me` competes for the lease of `pool`, among the live routers `members`, which include `me`.
 ///
-/// Rendezvous hashing selects [`LEASE_CANDIDATES`] routers for each pool, which spreads the leases and their calls to
+/// Rendezvous hashing selects `LEASE_CANDIDATES` routers for each pool, which spreads the leases and their calls to
 /// the platform over the routers.
 pub fn is_candidate<'a>(me: &str, members: impl IntoIterator<Item = &'a str>, pool: &str) -> bool {
     let rank = |name: &str| hash(("orders", pool, name));
-    let mine = rank(me);
-    let ahead = members.into_iter().filter(|name| *name != me && rank(name) < mine).count();
-    ahead < LEASE_CANDIDATES
+    let own_rank = rank(me);
+    let higher_ranked = members.into_iter().filter(|name| *name != me && rank(name) < own_rank).count();
+    higher_ranked < LEASE_CANDIDATES
 }
