--- a/tests/relay_backends.rs
+++ b/tests/relay_backends.rs
@@ -1,4 +1,4 @@
-//! What is known of backend servers: their entries, their starts, and what hosts tell each other of them.
+//! The list of backend servers: their entries, their incarnations, and the exchange of both between hosts.
 
 #[path = "support/relay.rs"]
 mod relay_support;
@@ -16,27 +16,27 @@
     Duration::from_millis(n)
 }
 
-/// The start of the server `x` that began at this time.
+/// The incarnation of the server `x` that started at this time.
 fn born(at: u64) -> Backend {
     Backend { born: at, ..listed("x", false) }
 }
 
-/// An entry under this identifier that names no server.
+/// An entry with this identifier that cannot be read.
 fn unreadable(id: &str) -> Backend {
     Backend { id: id.into(), ..Backend::default() }
 }
 
-/// Backend servers as of one list.
-fn known(items: Vec<Backend>) -> Backends {
+/// Backend servers from one list.
+fn backends_with(items: Vec<Backend>) -> Backends {
     let mut backends = Backends::default();
     backends.apply_list(ms(0), &List { revision: 1, items, ..List::default() }, None);
     backends
 }
 
-/// Two followers tell of the same server: one that it is leaving, another, late, that it is ready. Whatever the order,
-/// a server that leaves takes no new work again.
+/// Two followers report the same server: one that it is leaving, the other, later and outdated, that it is ready.
+/// In any order, a leaving server never gets new requests again.
 #[test]
-fn what_is_known_of_a_server_never_goes_back() {
+fn a_server_that_leaves_never_becomes_ready_again() {
     let mut backends = Backends::default();
     backends.apply_list(
         ms(0),
@@ -59,49 +59,51 @@
     assert_eq!(backends.revision(), rev(9));
 }
 
-/// One host lost the store for a while, and gives a server whose entry is gone by its return time to come back. Another
-/// saw the entry go. It must not hear from the first that the server is there: it would take it for a new one and send it
-/// work 3.1 s after it left, as happened in a large fleet.
+/// One host lost the store for a while, and grants a server whose entry was missing afterwards time to write it
+/// again. Another host saw the entry being removed. If it learnt from the first host that the server is listed, it
+/// would take it for a new one and send it requests, 3.1 s after the server left in a large fleet.
 #[test]
-fn a_server_that_one_host_misses_is_not_brought_back_at_another() {
-    let (mut misses, mut knows) = (Backends::default(), Backends::default());
-    for b in [&mut misses, &mut knows] {
+fn a_removed_server_is_not_brought_back_by_a_host_that_grants_it_grace() {
+    let (mut grants_grace, mut saw_removal) = (Backends::default(), Backends::default());
+    for b in [&mut grants_grace, &mut saw_removal] {
         b.apply_list(ms(0), &List { revision: 5, items: vec![listed("x", false)], ..List::default() }, None);
     }
-    knows.apply_changes(ms(10), rev(8), &[], &["x".into()], None);
-    misses.apply_changes(ms(20), rev(9), &[], &["x".into()], Some(ms(1_700)));
-    assert_eq!(misses.available("s").count(), 1);
+    saw_removal.apply_changes(ms(10), rev(8), &[], &["x".into()], None);
+    grants_grace.apply_changes(ms(20), rev(9), &[], &["x".into()], Some(ms(1_700)));
+    assert_eq!(grants_grace.available("s").count(), 1);
 
-    let changes = misses.changes_since(ms(30), rev(8)).unwrap();
+    let changes = grants_grace.changes_since(ms(30), rev(8)).unwrap();
     let from_changes =
-        knows.clone().apply_changes(ms(30), changes.as_of(), &changes.puts, &changes.removed, None);
-    let from_list = knows.apply_list(ms(30), &misses.snapshot(ms(30)), None);
+        saw_removal.clone().apply_changes(ms(30), changes.as_of(), &changes.puts, &changes.removed, None);
+    let from_list = saw_removal.apply_list(ms(30), &grants_grace.snapshot(ms(30)), None);
 
     assert_eq!((from_changes, from_list), (Vec::new(), Vec::new()));
-    assert_eq!(knows.available("s").count(), 0);
+    assert_eq!(saw_removal.available("s").count(), 0);
 }
 
-/// A host that has not heard of the removal yet fetches from one that misses the server. The revision that it gets counts
-/// the removal in, so the removal must come with it, or no one would ever tell it again.
+/// A host that has not learnt of the removal yet fetches from a host that grants the server a grace period. The
+/// revision that it gets includes the removal, so that the removal must be sent too, or it would never be sent
+/// again.
 #[test]
-fn a_host_behind_hears_of_a_removal_from_one_that_misses_the_server() {
-    let (mut misses, mut behind) = (Backends::default(), Backends::default());
-    for b in [&mut misses, &mut behind] {
+fn a_removal_is_passed_on_by_a_host_that_grants_the_server_grace() {
+    let (mut grants_grace, mut behind) = (Backends::default(), Backends::default());
+    for b in [&mut grants_grace, &mut behind] {
         b.apply_list(ms(0), &List { revision: 5, items: vec![listed("x", false)], ..List::default() }, None);
     }
-    misses.apply_changes(ms(20), rev(9), &[], &["x".into()], Some(ms(1_700)));
+    grants_grace.apply_changes(ms(20), rev(9), &[], &["x".into()], Some(ms(1_700)));
 
-    let changes = misses.changes_since(ms(30), behind.revision()).unwrap();
-    let from_list = behind.clone().apply_list(ms(30), &misses.snapshot(ms(30)), None);
+    let changes = grants_grace.changes_since(ms(30), behind.revision()).unwrap();
+    let from_list = behind.clone().apply_list(ms(30), &grants_grace.snapshot(ms(30)), None);
     let from_changes = behind.apply_changes(ms(30), changes.as_of(), &changes.puts, &changes.removed, None);
 
     assert_eq!((from_changes.len(), from_list.len()), (1, 1));
     assert_eq!(behind.available("s").count(), 0);
 }
 
-/// Another host lacks the last changes only. It gets these, and the whole list where they are not known any more.
+/// Another host lacks only the latest changes. It gets only these, or the full list if they are no longer in the
+/// log.
 #[test]
-fn a_host_that_is_close_behind_gets_the_changes_alone() {
+fn a_host_that_is_slightly_behind_gets_only_the_changes() {
     let mut ahead = Backends::default();
     let mut behind = Backends::default();
     for b in [&mut ahead, &mut behind] {
@@ -128,10 +130,10 @@
     assert_eq!(ahead.changes_since(ms(30), rev(9)), None);
 }
 
-/// A server's entry goes while a request is in progress there. The request keeps its place in the arena, and other
-/// servers can fetch prompt parts from it for a while.
+/// A server's entry is removed while a request is in progress there. The server stays in the arena for the request,
+/// and other servers can fetch prompt parts from it for a while.
 #[test]
-fn a_server_that_is_gone_is_forgotten_after_its_last_request() {
+fn a_removed_server_is_dropped_after_its_last_request() {
     let mut backends = Backends::default();
     backends.apply_list(
         ms(0),
@@ -151,11 +153,12 @@
     assert_eq!(done, [key]);
 }
 
-/// A server crashes and starts again under its identifier within a heartbeat, so that its entry never goes. Work that was
-/// counted there, and what the others tell of the earlier start, must not be taken for the new one's.
+/// A server crashes and restarts under the same identifier within a heartbeat, so that its entry never lapses.
+/// Requests counted at the earlier incarnation, and reports of it by other hosts, must not be attributed to the new
+/// one.
 #[test]
-fn a_later_start_under_the_same_identifier_is_another_server() {
-    let mut backends = known(vec![born(100)]);
+fn a_restarted_server_gets_a_new_key_and_tag() {
+    let mut backends = backends_with(vec![born(100)]);
     let (before, tag) = backends.available("s").map(|(key, b)| (key, b.tag)).next().unwrap();
     backends.begin_request(before);
 
@@ -170,10 +173,10 @@
     assert_eq!(backends.available("s").count(), 1);
 }
 
-/// The server had left before it started again: the leaving is the earlier start's, and the new one takes work.
+/// The server left before it restarted: only the earlier incarnation is leaving, the new one gets requests.
 #[test]
-fn a_server_that_left_takes_work_again_only_after_a_new_start() {
-    let mut backends = known(vec![Backend { leaving: true, ..born(100) }]);
+fn a_server_that_left_accepts_work_only_after_a_restart() {
+    let mut backends = backends_with(vec![Backend { leaving: true, ..born(100) }]);
 
     backends.apply_changes(ms(10), rev(2), &[born(100)], &[], None);
     let same = backends.available("s").count();
@@ -182,11 +185,12 @@
     assert_eq!((same, backends.available("s").count()), (0, 1));
 }
 
-/// A host hears late from another one that knows only the earlier start, or that it left. The newer one stays.
+/// A late message of a host that knows only the earlier incarnation, or that it left, does not replace the later
+/// one.
 #[test]
-fn an_earlier_start_never_replaces_a_later_one() {
+fn an_earlier_incarnation_never_replaces_a_later_one() {
     for late in [born(100), Backend { leaving: true, ..born(100) }] {
-        let mut backends = known(vec![born(200)]);
+        let mut backends = backends_with(vec![born(200)]);
         let key = backends.available("s").next().unwrap().0;
 
         let changes = backends.apply_changes(ms(10), rev(2), &[late], &[], None);
@@ -196,25 +200,25 @@
     }
 }
 
-/// A host that fetches the list from another one learns of a restart as from the store.
+/// A host that fetches the list from another host learns of a restart as it would from the store.
 #[test]
-fn hosts_tell_each_other_of_restarts() {
-    let mut ahead = known(vec![born(100)]);
+fn restarts_are_passed_on_to_other_hosts() {
+    let mut ahead = backends_with(vec![born(100)]);
     let mut behind = ahead.clone();
     ahead.apply_changes(ms(10), rev(2), &[born(200)], &[], None);
 
     let changes = ahead.changes_since(ms(30), behind.revision()).unwrap();
-    let told = behind.apply_changes(ms(20), changes.as_of(), &changes.puts, &changes.removed, None);
+    let changed = behind.apply_changes(ms(20), changes.as_of(), &changes.puts, &changes.removed, None);
 
-    assert_eq!(told.len(), 2);
+    assert_eq!(changed.len(), 2);
     assert_eq!(behind.digest(), ahead.digest());
 }
 
-/// Somebody else overwrites the entry of a live server: with bytes that can't be read, another service, another address,
-/// or without the start that the server tells. It gets no work, and again as soon as it has written its own entry; all
-/// other servers go on. Of one that was never readable nothing is known.
+/// Another party overwrites the entry of a live server: with bytes that cannot be read, another service, another
+/// address, or without the server's start time. The server gets no requests until it has written its own entry
+/// again; all other servers stay in use. A server whose entry was never readable is not listed.
 #[test]
-fn an_entry_of_another_writer_names_no_server_to_use() {
+fn an_entry_of_another_writer_is_not_used() {
     let foreign = [
         unreadable("x"),
         Backend { service: "other".into(), ..born(100) },
@@ -223,7 +227,7 @@
         Backend { born: 0, ..born(100) },
     ];
     for entry in foreign {
-        let mut backends = known(vec![born(100), listed("yy", false)]);
+        let mut backends = backends_with(vec![born(100), listed("yy", false)]);
         let key = backends.by_tag(cranberrytally::relay::backends::tag("x", 100)).unwrap();
 
         let lost = backends.apply_changes(ms(10), rev(2), &[entry.clone(), unreadable("zzz")], &[], None);
@@ -238,10 +242,11 @@
     }
 }
 
-/// A host that lists servers with an unreadable entry passes that on, so that the others leave the server alone as well.
+/// A host that lists servers with an unreadable entry passes that on, so that other hosts stop using the server
+/// too.
 #[test]
-fn an_unreadable_entry_is_told_to_other_hosts() {
-    let mut ahead = known(vec![born(100)]);
+fn unreadable_entries_are_passed_on_to_other_hosts() {
+    let mut ahead = backends_with(vec![born(100)]);
     let mut behind = ahead.clone();
     ahead.apply_changes(ms(10), rev(2), &[unreadable("x")], &[], None);
 
@@ -253,10 +258,10 @@
 }
 
 proptest! {
-    /// Entries of three servers come in any order, with starts that go up and down, some spoiled. What is used is a start
-    /// that was told, never an earlier one than before under the same identifier.
+    /// Entries of three servers arrive in any order, with start times that go up and down, and some unreadable. The
+    /// incarnation in use is always a listed one, and never earlier than a previous one of the same server.
     #[test]
-    fn starts_only_go_up(entries in prop::collection::vec((0usize..3, 0u64..5, 0u8..4), 1..60)) {
+    fn incarnations_never_go_back(entries in prop::collection::vec((0usize..3, 0u64..5, 0u8..4), 1..60)) {
         let mut backends = Backends::default();
         let mut latest = [0; 3];
         for (at, (id, start, kind)) in entries.into_iter().enumerate() {
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions of the relay: routes, placement, retries, the budget, soundness, and leaving.
+//! Decisions of the relay: routes, placement, retries, the retry budget, server health, and shutdown.
 
 #[path = "support/relay.rs"]
 mod relay_support;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_split_route_draws_its_service_by_weight() {
+fn a_split_route_selects_its_service_by_weight() {
     let routes = vec![route("h", "/", &[("most", 90), ("never", 0), ("few", 10)])];
     let routes = Routes::new(Arc::new(Configuration { routes, ..Default::default() }));
     let route = routes.find("h", "/x").unwrap();
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn streams_may_be_repeated_only_where_they_may_be_resumed() {
+fn streams_are_repeatable_only_if_resumable() {
     let cases = [
         (Repeat::Never, true, false),
         (Repeat::Idempotent, false, true),
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn keys_belong_to_their_workspaces() {
+fn api_keys_map_to_their_workspaces() {
     let workspace = |name: &str, keys: &[&str], rank| Workspace {
         name: name.into(),
         keys: keys.iter().map(|k| (*k).into()).collect(),
@@ -105,14 +105,14 @@
     assert_eq!(caller("k4"), None);
 }
 
-/// Nine servers of the fixture, each with a load.
+/// Up to nine servers of the fixture, each with a load.
 fn fleet(loads: &[f64]) -> (Backends, Vec<Candidate>) {
     let mut backends = Backends::default();
     let items = (0..loads.len()).map(|i| listed(&"s".repeat(i + 1), false)).collect();
     backends.apply_list(ms(0), &List { revision: 1, items, ..List::default() }, None);
-    let mut known: Vec<_> = backends.iter().map(|(key, b)| (b.id.len(), key, b.tag)).collect();
-    known.sort_by_key(|(len, ..)| *len);
-    let candidates = known.into_iter().zip(loads).map(|((_, key, tag), load)| Candidate {
+    let mut sorted: Vec<_> = backends.iter().map(|(key, b)| (b.id.len(), key, b.tag)).collect();
+    sorted.sort_by_key(|(len, ..)| *len);
+    let candidates = sorted.into_iter().zip(loads).map(|((_, key, tag), load)| Candidate {
         key,
         tag,
         local: true,
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn hosts_that_know_no_holder_choose_the_same_home() {
+fn hosts_without_a_known_holder_choose_the_same_home() {
     let (_, mut candidates) = fleet(&[2.0; 9]);
     let holders = Holders::default();
 
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_prompt_goes_to_the_holder_of_its_shared_parts() {
+fn a_prompt_is_placed_on_the_holder_of_its_shared_parts() {
     let (_, candidates) = fleet(&[2.0; 9]);
     let mut holders = Holders::default();
     let parts = prompt(7, 100);
@@ -160,11 +160,11 @@
     assert_eq!(chosen.fetch_from, None);
 }
 
-/// Every prompt begins with the same part, so that all nine servers hold it and only the latest holders are remembered. A
-/// server that read another part behind it minutes ago then seemed to hold nothing of it: requests for that part went to
-/// its home by rendezvous instead, where it was moved or read once more.
+/// Every prompt begins with the same part, so that all nine servers hold it and only the latest holders are
+/// remembered. A server that had read a further part minutes ago then seemed to hold nothing of the prompt, and
+/// requests for that part went to its home by rendezvous hashing, where it was moved or read again.
 #[test]
-fn a_holder_counts_though_it_is_forgotten_for_the_part_that_all_share() {
+fn a_holder_is_found_although_it_is_dropped_for_the_common_first_part() {
     let (_, candidates) = fleet(&[2.0; 9]);
     let mut holders = Holders::default();
     let parts = prompt(7, 100);
@@ -180,10 +180,10 @@
     assert_eq!(chosen.fetch_from, None);
 }
 
-/// A hot part's holder is at the load bound. The next request goes elsewhere and fetches the part from the holder,
-/// rather than having another server read ten thousand tokens again.
+/// The holder of a hot part is at the load bound. The next request goes to another server, which fetches the part
+/// from the holder rather than reading ten thousand tokens again.
 #[test]
-fn a_prompt_that_finds_its_holder_full_is_fetched_from_it() {
+fn a_prompt_whose_holder_is_full_is_fetched_from_it() {
     let (_, mut candidates) = fleet(&[2.0; 9]);
     let mut holders = Holders::default();
     let parts = prompt(7, 100);
@@ -198,11 +198,12 @@
     assert_eq!(chosen.fetch_from, Some(home));
 }
 
-/// All servers are at their places but a few, and a hot part is asked for again and again. Each server that reads it gives up
-/// other parts; at 140 servers past their capacity half of the work was to read parts again. Requests for the part wait a
-/// little at the few servers that have it, and go further only when these are crowded.
+/// All but a few servers have no free slot, and a hot part is requested repeatedly. Each server that reads it
+/// evicts other parts; with 140 servers past their capacity, half of the work was reading evicted parts again.
+/// Requests for the part queue briefly on the few servers that have it, and spill further only when these are
+/// crowded.
 #[test]
-fn a_part_is_read_at_few_servers_while_places_are_scarce() {
+fn a_part_is_cached_on_few_servers_while_slots_are_scarce() {
     let (_, mut candidates) = fleet(&[64.0; 12]);
     candidates[..4].iter_mut().for_each(|c| c.load = 50.0);
     let mut holders = Holders::default();
@@ -221,10 +222,10 @@
     assert!(candidates.iter().all(|c| c.load <= 81.0), "{candidates:?}");
 }
 
-/// A server that holds a part is at its places while others have some. The request goes to another one, though the load
-/// bound would let it wait there.
+/// A server that holds a part has no free slot while other servers do. The request goes to another server although
+/// the load bound would let it queue on the holder.
 #[test]
-fn a_holder_at_its_places_is_no_reason_to_wait() {
+fn a_holder_without_a_free_slot_is_passed_over() {
     let (_, mut candidates) = fleet(&[50.0; 12]);
     let mut holders = Holders::default();
     let home = choose(&candidates, &prompt(7, 100), &holders).key;
@@ -237,40 +238,40 @@
     assert_eq!(chosen.fetch_from, Some(home));
 }
 
-/// A server joins and becomes the home of parts that the former home has read, as far as nobody here knows: the next
-/// place by rendezvous is asked for them.
+/// A server joins and becomes the home of parts that the previous home has read, unknown to this host: the next
+/// server in rendezvous order is asked for them.
 #[test]
-fn a_new_home_fetches_from_the_former_one() {
+fn a_new_home_fetches_from_the_previous_one() {
     let (_, candidates) = fleet(&[2.0; 9]);
     let holders = Holders::default();
     let new = choose(&candidates, &prompt(7, 100), &holders);
-    let before: Vec<_> = candidates.iter().copied().filter(|c| c.key != new.key).collect();
-    let former = choose(&before, &prompt(7, 100), &holders);
+    let others: Vec<_> = candidates.iter().copied().filter(|c| c.key != new.key).collect();
+    let previous = choose(&others, &prompt(7, 100), &holders);
 
-    assert_eq!(new.fetch_from, Some(former.key));
+    assert_eq!(new.fetch_from, Some(previous.key));
 }
 
 #[test]
-fn unsound_servers_are_chosen_only_when_all_are() {
+fn unhealthy_servers_are_chosen_only_if_all_are_unhealthy() {
     let (_, mut candidates) = fleet(&[2.0; 3]);
     let holders = Holders::default();
     let home = choose(&candidates, &prompt(7, 1), &holders).key;
     candidates.iter_mut().filter(|c| c.key == home).for_each(|c| c.unhealthy = true);
 
-    let around = choose(&candidates, &prompt(7, 1), &holders);
-    let plain = (0..50).all(|_| choose(&candidates, &[], &holders).key != home);
+    let other_choice = choose(&candidates, &prompt(7, 1), &holders);
+    let avoided = (0..50).all(|_| choose(&candidates, &[], &holders).key != home);
     candidates.iter_mut().for_each(|c| c.unhealthy = true);
     let all = choose(&candidates, &[], &holders);
 
-    assert_ne!(around.key, home);
-    assert!(plain);
+    assert_ne!(other_choice.key, home);
+    assert!(avoided);
     assert!(candidates.iter().any(|c| c.key == all.key));
 }
 
-/// Sixty hosts see the same loads, some of them old. If each took the least loaded server, all would send to the same
-/// one until the next beats and it would reject most.
+/// Sixty hosts see the same, partly outdated loads. If each chose the least loaded server, all would send to the
+/// same one until the next heartbeats, and it would reject most requests.
 #[test]
-fn plain_requests_are_spread_over_servers_that_are_not_mostly_free() {
+fn plain_requests_are_spread_over_servers_that_are_not_lightly_loaded() {
     let (_, mut candidates) = fleet(&[3.0, 3.5, 4.0]);
     candidates.iter_mut().for_each(|c| c.slots = 6);
     let mut rng = SmallRng::seed_from_u64(3);
@@ -287,7 +288,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..Default::default() })]
 
-    /// Whatever the loads and holders, a prompt goes to a server under the bound as long as there is one.
+    /// For any loads and holders, a prompt goes to a server below the bound as long as there is one.
     #[test]
     fn the_load_bound_holds(loads in prop::collection::vec(0u32..60, 2..20), holder in 0usize..20, part in 2u64..50) {
         let loads: Vec<_> = loads.into_iter().map(f64::from).collect();
@@ -303,10 +304,10 @@
         prop_assert!(chosen.load + 1.0 <= bound, "{} over {bound}", chosen.load);
     }
 
-    /// Eight hosts that hear nothing of each other stay within the fleet's budget in any window, however requests and
-    /// failures are spread over them.
+    /// Eight partitioned hosts stay within the fleet's retry budget in any window, however requests and failures
+    /// are distributed over them.
     #[test]
-    fn the_budget_holds_over_all_hosts(events in prop::collection::vec((0usize..8, 0u64..40, prop::bool::ANY), 500..3_000)) {
+    fn the_retry_budget_holds_across_all_hosts(events in prop::collection::vec((0usize..8, 0u64..40, prop::bool::ANY), 500..3_000)) {
         let cfg = BudgetConfig { ratio: 0.2, extra: 56.0, window: ms(10_000) };
         let service: Arc<str> = "s".into();
         let mut hosts = vec![FleetBudget::new(cfg); 8];
@@ -326,10 +327,11 @@
     }
 }
 
-/// A service refuses most requests, and all sixty hosts are killed in the middle of that. None knows what it has spent, nor
-/// for a second that there are others. The service must not get more retries in a window than the fleet is allowed.
+/// A service refuses most requests, and all sixty hosts are killed meanwhile. After the restart no host knows what
+/// it has spent nor, for a second, that there are others. The service must not get more retries in a window than
+/// the fleet is allowed.
 #[test]
-fn the_budget_holds_over_a_restart_of_all_hosts() {
+fn the_retry_budget_holds_across_a_restart_of_all_hosts() {
     let cfg = BudgetConfig { ratio: 0.2, extra: 160.0, window: ms(10_000) };
     let service: Arc<str> = "s".into();
     let mut hosts = vec![FleetBudget::new(cfg); 60];
@@ -354,9 +356,9 @@
     assert!(f64::from(retries) <= allowed, "{retries} of {allowed}");
 }
 
-/// A host was started a moment ago and the first request that it sends is refused by a server that is full. The caller got
-/// a failure, since the host's part of the extra retries grows from nothing; the reserve of a small fleet holds one retry
-/// for each host.
+/// A host has just started, and its first request is refused by a full server. Since the host's share of the extra
+/// retries grows from zero, the caller used to get a failure; the reserve of a small fleet holds one retry for each
+/// host.
 #[test]
 fn a_host_that_has_just_started_may_retry_once() {
     let cfg = BudgetConfig { ratio: 0.2, extra: 52.0, window: ms(10_000) };
@@ -373,7 +375,7 @@
 }
 
 #[test]
-fn only_proof_or_permission_allows_another_attempt() {
+fn only_unexecuted_or_repeatable_requests_get_another_attempt() {
     let cases = [
         // failure, of a request that may be repeated, of one that may not
         (Failure::Connect, Ok(()), Ok(())),
@@ -389,10 +391,10 @@
     assert_eq!(cases.len(), Failure::ALL.len());
     for (failure, repeatable, not) in cases {
         for (may, expected) in [(true, repeatable), (false, not)] {
-            let mut tries = Attempts::new(may, 2, ms(1_000));
+            let mut attempts = Attempts::new(may, 2, ms(1_000));
 
             assert_eq!(
-                tries.record_failure(ms(10), failure, || true),
+                attempts.record_failure(ms(10), failure, || true),
                 expected,
                 "{failure:?}, may be repeated: {may}"
             );
@@ -401,7 +403,7 @@
 }
 
 #[test]
-fn attempts_end_at_their_bounds() {
+fn attempts_stop_at_their_limits() {
     let mut runs = Attempts::new(true, 2, ms(1_000));
     let mut refused = Attempts::new(false, 1, ms(1_000));
     let mut budget = Attempts::new(true, 2, ms(1_000));
@@ -417,10 +419,10 @@
     assert_eq!(late.record_failure(ms(1_000), Failure::Connect, || true), Err(Stop::Deadline));
 }
 
-/// One server fails a third of its requests while the others are well. It is left alone, and tried again once it has
-/// had no requests for a while.
+/// One server fails a third of its requests while the others are healthy. It is avoided, and tried again once it
+/// has had no requests for a while.
 #[test]
-fn a_server_that_fails_more_than_the_others_is_unsound() {
+fn a_server_that_fails_more_than_the_others_is_unhealthy() {
     let (backends, _) = fleet(&[0.0; 3]);
     let keys: Vec<_> = backends.iter().map(|(key, _)| key).collect();
     let mut health = Health::default();
@@ -439,9 +441,9 @@
     assert!(!health.is_unhealthy(ms(10_000), keys[0], health.failure_summary(ms(10_000), &keys)));
 }
 
-/// A whole service fails. Leaving all of its servers alone would turn a bad service into none.
+/// All servers of a service fail. Avoiding all of them would turn a bad service into an unavailable one.
 #[test]
-fn servers_that_all_fail_are_all_kept() {
+fn servers_that_all_fail_stay_in_use() {
     let (backends, _) = fleet(&[0.0; 3]);
     let keys: Vec<_> = backends.iter().map(|(key, _)| key).collect();
     let mut health = Health::default();
@@ -453,7 +455,7 @@
 }
 
 #[test]
-fn a_server_that_can_not_be_reached_is_paused_longer_each_time() {
+fn the_backoff_of_an_unreachable_server_doubles() {
     let (backends, _) = fleet(&[0.0]);
     let key = backends.iter().next().unwrap().0;
     let mut health = Health::default();
@@ -468,7 +470,7 @@
 }
 
 #[test]
-fn a_leaving_host_takes_only_what_it_can_finish() {
+fn a_leaving_host_accepts_only_what_it_can_finish() {
     let leaving = Leaving::new(ms(0), LeaveConfig { grace: ms(8_000), outlive: ms(3_300) });
     let cases = [(0, 15_000, true), (2_499, 20_000, true), (2_500, 15_000, false), (6_000, 7_000, true)];
     for (now, deadline, takes) in cases {
@@ -480,8 +482,8 @@
     assert!(leaving.may_stop(ms(7_500), 1));
 }
 
-/// A content crashes each server that runs it and is sent again, to any host. After its third crash it is refused here
-/// and, by beats, at the other hosts. One that ran beside it once is not.
+/// A content crashes each server that runs it and is sent again, to any host. After its third crash it is refused
+/// by this host and, through heartbeats, by the others. A content that ran beside it once is not.
 #[test]
 fn a_content_that_crashed_three_servers_is_refused_everywhere() {
     let (mut here, mut there) = (Suspects::default(), Suspects::default());
@@ -500,7 +502,7 @@
 }
 
 #[test]
-fn only_whole_events_are_passed_on() {
+fn only_complete_events_are_passed_on() {
     let mut splitter = Splitter::default();
 
     assert_eq!(splitter.push("id: 4\ndata: a".into()), None);
@@ -512,10 +514,11 @@
     assert_eq!((rest.last, splitter.is_empty()), (Some(6), true));
 }
 
-/// Three hundred hosts, and an answer to callers holds 64. While all hosts told the same 64, the others had no callers. A
-/// host that leaves changes one address in an answer, so that callers keep their other connections.
+/// Three hundred hosts, while an answer to callers holds 64 addresses. When all hosts handed out the same 64, the
+/// other hosts got no callers. A host that leaves changes only one address in an answer, so that callers keep their
+/// other connections.
 #[test]
-fn every_host_of_a_large_fleet_gets_callers() {
+fn every_host_of_a_large_fleet_is_handed_out() {
     let all: Vec<_> = (0..300).map(|n| format!("10.0.{}.{}:80", n / 250, n % 250)).collect();
     let asked = |n: usize| SocketAddr::from(([10, 1, (n / 250) as u8, (n % 250) as u8], 7000));
 
@@ -523,17 +526,18 @@
     let without: Vec<_> = all.iter().filter(|a| **a != answers[0][0]).cloned().collect();
     let next = directory::choose(without, asked(0), 64);
 
-    let told = |addr: &String| answers.iter().filter(|a| a.contains(addr)).count();
+    let count = |addr: &String| answers.iter().filter(|a| a.contains(addr)).count();
     assert!(answers.iter().all(|a| a.len() == 64));
-    assert!(all.iter().all(|addr| (30..110).contains(&told(addr))));
+    assert!(all.iter().all(|addr| (30..110).contains(&count(addr))));
     assert_eq!(next.iter().filter(|a| answers[0].contains(a)).count(), 63);
 }
 
-/// Two data centres were evacuated in a surge and taken back. The servers of the third hold nearly all parts, so that many of
-/// them stay near the bound at once, and what hosts send on views half a second old passed the limit: 124 of 3,485 requests met
-/// servers above it seconds after all was back. Until loads are even the bound is as far from the limit as from the mean.
+/// Two data centres were evacuated during a surge, and the evacuation ended. The servers of the third hold nearly
+/// all parts, so that many of them stay near the bound at once, and requests placed on reports half a second old
+/// exceeded the limit: 124 of 3,485 requests met servers above it within seconds. Until loads are even, the bound
+/// lies midway between the mean and the limit.
 #[test]
-fn the_bound_keeps_away_from_the_limit_after_an_evacuation() {
+fn the_load_bound_is_tightened_after_an_evacuation() {
     for mean in [1.0, 4.5, 12.0] {
         let bound = Bound::default().after_evacuation(mean, mean);
 
@@ -542,24 +546,28 @@
     }
 }
 
-/// A third of the servers is evacuated and empties. The mean of all falls, the others' loads rise to one and a half times of
-/// it, and views are half a second old: with the common bound 130 of 4,276 requests met servers above twice the mean and three.
-/// The bound leaves more room then, still lets requests spread, and never allows more than the limit. Where one server of many
-/// gets nothing it stays as it is: the tighter one reads parts again at more servers.
+/// A third of the servers is evacuated and drains. The mean of all falls, the loads of the others rise to one and a
+/// half times of it, and load reports are half a second old: with the common bound, 130 of 4,276 requests met
+/// servers above the limit of twice the mean plus three. The tightened bound leaves more room, still lets requests
+/// spread, and never exceeds the limit. If only one server of many is excluded, the bound stays as it is, since a
+/// tighter one makes more servers read parts again.
 #[test]
-fn the_bound_keeps_away_from_the_limit_while_servers_get_nothing() {
+fn the_load_bound_is_tightened_while_servers_are_excluded() {
     for mean in [0.5, 1.0, 5.6, 12.0] {
         let one_of_many = Bound::default().with_servers_excluded(mean, mean * 140.0 / 139.0);
         assert!(Bound::default().at(mean) - one_of_many < 0.15, "{mean}: {one_of_many}");
-        for open in [1.5, 3.0] {
-            let (limit, loads) = (2.0 * mean + 3.0, open * mean);
+        for excess in [1.5, 3.0] {
+            let (limit, loads) = (2.0 * mean + 3.0, excess * mean);
             let bound = Bound::default().with_servers_excluded(mean, loads);
 
             assert!(bound <= Bound::default().at(mean));
             if loads < limit {
-                assert!(bound >= loads && limit - bound >= 0.25 * (limit - loads), "{mean} {open}: {bound}");
+                assert!(
+                    bound >= loads && limit - bound >= 0.25 * (limit - loads),
+                    "{mean} {excess}: {bound}"
+                );
             } else {
-                assert!(bound < loads, "{mean} {open}: {bound}");
+                assert!(bound < loads, "{mean} {excess}: {bound}");
             }
         }
     }
--- a/tests/relay_faults.rs
+++ b/tests/relay_faults.rs
@@ -18,13 +18,14 @@
     name: &'static str,
     act: Act,
     /// Whether a request that may not be repeated is sent to the second server.
-    unsafe_goes_on: bool,
+    unsafe_is_retried: bool,
     /// Status for a request that may not be repeated.
     unsafe_status: u16,
 }
 
 fn cases() -> Vec<Case> {
-    let case = |name, act, unsafe_goes_on, unsafe_status| Case { name, act, unsafe_goes_on, unsafe_status };
+    let case =
+        |name, act, unsafe_is_retried, unsafe_status| Case { name, act, unsafe_is_retried, unsafe_status };
     let foreign = ok("other").replace("{id}", "r0");
     let unsigned = ok("unsigned").replace("Response-Seal: s1\r\n", "");
     let moved = "HTTP/1.1 421 Misdirected Request\r\nInstance-Id: i-x\r\nContent-Length: 0\r\n\r\n";
@@ -44,10 +45,10 @@
 /// next server. One that may not runs at a second server only where the first proved that it did not run it, and
 /// otherwise ends with a status that promises nothing.
 #[tokio::test]
-async fn a_request_goes_on_elsewhere_only_where_that_is_safe() {
+async fn a_request_is_retried_elsewhere_only_if_that_is_safe() {
     for case in cases() {
-        for (path, goes_on, expected) in
-            [("/safe/x", true, 200), ("/unsafe/x", case.unsafe_goes_on, case.unsafe_status)]
+        for (path, is_retried, expected) in
+            [("/safe/x", true, 200), ("/unsafe/x", case.unsafe_is_retried, case.unsafe_status)]
         {
             let first = Server::start("i-1", [case.act.clone()]).await;
             let second = Server::start("i-2", [Act::Write(ok("fine"))]).await;
@@ -58,7 +59,7 @@
             let name = format!("{path}: a server that {}", case.name);
             assert_eq!(status(&answer), expected, "{name}: {answer}");
             assert_eq!(first.seen().len(), 1, "{name}");
-            assert_eq!(second.seen().len(), usize::from(goes_on), "{name}");
+            assert_eq!(second.seen().len(), usize::from(is_retried), "{name}");
         }
     }
 }
@@ -66,7 +67,7 @@
 /// The server's own failure is its answer: the caller gets it with its signature, for a request that may not be
 /// repeated at once, for one that may after another server has failed as well.
 #[tokio::test]
-async fn a_servers_own_failure_is_passed_on_unchanged() {
+async fn an_error_of_the_server_is_passed_on_unchanged() {
     for (path, attempts) in [("/unsafe/x", 1), ("/safe/x", 2)] {
         let first = Server::start("i-1", [Act::Write(answer("500 Internal Server Error", "no"))]).await;
         let second = Server::start("i-2", [Act::Write(answer("500 Internal Server Error", "no"))]).await;
@@ -82,7 +83,7 @@
 
 /// No server can be reached: nothing has run, so the caller is told so and when to come back.
 #[tokio::test]
-async fn without_a_reachable_server_the_answer_is_not_run() {
+async fn an_unreachable_server_is_reported_as_not_run() {
     // The port stays bound and takes no connection: one that was let go may become another test's server.
     let bound = TcpSocket::new_v4().unwrap();
     bound.bind("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -100,7 +101,7 @@
 /// A server writes a second answer after a whole one. Those bytes belong to no request: the next request must not get
 /// them, so it goes over another connection.
 #[tokio::test]
-async fn spare_bytes_after_an_answer_reach_nobody() {
+async fn extra_bytes_after_an_answer_are_discarded() {
     let extra = ok("first") + &ok("extra");
     let server = Server::start("i-1", [Act::Write(extra), Act::Write(ok("second"))]).await;
     let host = Host::with(&[&server]).await;
@@ -115,7 +116,7 @@
 /// A server closes a connection that it kept. The next request finds that out before it is written and goes over a
 /// new one, also where it may not be repeated.
 #[tokio::test]
-async fn a_kept_connection_that_was_closed_costs_no_request() {
+async fn a_closed_idle_connection_fails_no_request() {
     let server = Server::start("i-1", [Act::WriteAndClose(ok("a")), Act::Write(ok("b"))]).await;
     let host = Host::with(&[&server]).await;
     host.call(&request("/unsafe/x", "")).await;
@@ -129,7 +130,7 @@
 /// A server breaks a stream off in the middle of its third event. The stream goes on at another server after the
 /// second one, within the same answer, and the caller sees each event once.
 #[tokio::test]
-async fn a_resumable_stream_goes_on_after_its_last_whole_event() {
+async fn a_resumable_stream_continues_after_its_last_complete_event() {
     let begun = stream_head() + &chunk(&event(1)) + &chunk(&event(2)) + &chunk("id: 3\nda");
     let rest = stream_head() + &chunk(&event(3)) + &chunk(&event(4)) + "0\r\n\r\n";
     let first = Server::start("i-1", [Act::WriteAndReset(begun)]).await;
@@ -146,7 +147,7 @@
 /// The server that takes a stream over goes on at another event than it was asked for. The caller must not miss
 /// events or read some twice, so the stream ends visibly cut.
 #[tokio::test]
-async fn a_stream_that_goes_on_elsewhere_than_asked_is_cut() {
+async fn a_stream_resumed_at_the_wrong_event_is_truncated() {
     for number in [2, 4] {
         let begun = stream_head() + &chunk(&event(1)) + &chunk(&event(2));
         let rest = stream_head() + &chunk(&event(number)) + "0\r\n\r\n";
@@ -164,7 +165,7 @@
 /// A stream that may not be resumed breaks off: it may have run, so it is not sent again, and the caller sees whole
 /// events and then a broken connection, never an ordinary end.
 #[tokio::test]
-async fn a_stream_that_may_not_be_resumed_is_visibly_cut() {
+async fn a_stream_that_is_not_resumable_is_visibly_truncated() {
     let begun = stream_head() + &chunk(&event(1)) + &chunk("id: 2\n");
     let first = Server::start("i-1", [Act::WriteAndClose(begun)]).await;
     let second = Server::start("i-2", [Act::Write(ok("fine"))]).await;
@@ -180,7 +181,7 @@
 /// A caller hangs up while its answer is awaited. The server is told by the close of its connection, so that it stops
 /// working for nobody.
 #[tokio::test]
-async fn a_server_is_told_when_the_caller_has_gone() {
+async fn the_server_connection_closes_when_the_caller_disconnects() {
     let server = Server::start("i-1", [Act::Hang]).await;
     let host = Host::with(&[&server]).await;
     let mut caller = host.connect().await;
@@ -195,7 +196,7 @@
 /// A content crashes every server that begins to run it, and its caller sends it again, each time. It is refused, as
 /// not run, once it has crashed three servers; other requests of the same caller are still answered.
 #[tokio::test]
-async fn a_content_that_crashes_servers_is_refused_in_the_end() {
+async fn a_content_that_crashes_servers_is_quarantined() {
     let mut servers = Vec::new();
     for i in 0..5 {
         servers.push(Server::start(&format!("i-{i}"), [Act::Crash]).await);
@@ -220,7 +221,7 @@
 /// All servers are full and refuse. The caller used its only retry after 200 ms and met the same, together with all others;
 /// it is asked back later, and not past a third of its time.
 #[tokio::test]
-async fn a_caller_that_found_all_servers_full_comes_back_late() {
+async fn a_caller_that_found_all_servers_full_is_asked_to_retry_late() {
     let server = Server::start("i-1", [Act::Write(not_run())]).await;
     let host = Host::with(&[&server]).await;
     let begun = Instant::now();
--- a/tests/relay_input.rs
+++ b/tests/relay_input.rs
@@ -17,7 +17,7 @@
 
 /// Each of these is answered with an error of its own and reaches no server.
 #[tokio::test]
-async fn requests_that_are_not_allowed_reach_no_server() {
+async fn invalid_requests_reach_no_server() {
     let server = server().await;
     let host = Host::with(&[&server]).await;
     let good = request("/unsafe/x", "body");
@@ -48,7 +48,7 @@
 
 /// A caller breaks off in the middle of a body. What has come must not run as if it were all.
 #[tokio::test]
-async fn a_cut_body_does_not_run() {
+async fn a_truncated_body_does_not_run() {
     let server = server().await;
     let host = Host::with(&[&server]).await;
     let mut caller = host.connect().await;
@@ -80,7 +80,7 @@
 
 /// A caller sets headers that are the system's to set. The server gets the system's values, and never the key.
 #[tokio::test]
-async fn headers_of_the_system_are_its_own() {
+async fn callers_cannot_set_internal_headers() {
     let server = server().await;
     let host = Host::with(&[&server]).await;
     let forged = "Tenant: other\r\nExpected-Instance: i-9\r\nKv-Hold: h\r\nPin-Duration: 9\r\nKv-Backup: b\r\n\
@@ -110,7 +110,7 @@
 /// is heard, all have lost their configuration and the store is away: callers come back in a second, since their only
 /// retry would meet the same.
 #[tokio::test]
-async fn a_host_without_configuration_refuses_as_not_run() {
+async fn a_host_without_configuration_reports_not_run() {
     let host = Host::empty().await;
 
     let mut told = Vec::new();
@@ -146,7 +146,7 @@
 
 /// The store lists servers that can't be used; the others still are.
 #[tokio::test]
-async fn a_server_without_a_usable_address_is_left_out() {
+async fn a_server_with_an_invalid_address_is_ignored() {
     let server = server().await;
     let host = Host::with(&[&server]).await;
     let bad = cranberrytally::schema::fleet::Backend {
@@ -176,7 +176,7 @@
 /// Somebody else writes an entry with a start far in the future. Taken for true it would hide for good what the server
 /// itself tells; the server is left alone until it has written its own entry again.
 #[tokio::test]
-async fn a_start_in_the_far_future_is_not_believed() {
+async fn a_start_time_in_the_far_future_is_rejected() {
     let server = server().await;
     let host = Host::with(&[]).await;
     let entry = |born| cranberrytally::schema::fleet::Backend {
@@ -202,7 +202,7 @@
 /// A service has ten times the requests that it can run, so that new streams are turned away. A caller whose stream broke off
 /// comes back for the rest of it: it is never turned away, or what has been done for it would be lost.
 #[tokio::test]
-async fn a_stream_that_is_taken_up_again_is_not_turned_away() {
+async fn a_resumed_stream_is_not_rejected() {
     let server = Server::start("i-1", [Act::Hang]).await;
     let host = Host::with(&[&server]).await;
     let again = request("/once/x", "").replace("\r\n\r\n", "\r\nLast-Event-Id: 2\r\n\r\n");
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn settings_that_lack_a_needed_field_name_it() {
+fn missing_settings_are_named_in_the_error() {
     for field in ["node", "zone", "listen", "internalPortRange", "bounds", "platformConfig"] {
         let text = SETTINGS.replace(&format!("\"{field}\""), "\"other\"");
 
--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -1,4 +1,4 @@
-//! Loads past the capacity of a service, replayed in virtual time against the relay's admission.
+//! Admission control under overload, simulated in virtual time.
 
 #[path = "support/load.rs"]
 mod load;
@@ -14,7 +14,7 @@
     Duration::from_millis(n)
 }
 
-/// Model engines before six hosts, asked for three times what they can do for ten seconds.
+/// Model engines behind six hosts, with three times the load that they can handle for ten seconds.
 fn engines() -> Load {
     Load {
         hosts: 6,
@@ -33,7 +33,7 @@
     }
 }
 
-/// A plain service of three servers with six places each before 75 hosts.
+/// A plain service of three servers with six slots each, behind 75 hosts.
 fn tiny() -> Load {
     Load {
         hosts: 75,
@@ -50,14 +50,14 @@
     }
 }
 
-/// Requests a second that were begun in time, over the seconds after the knee.
+/// Requests a second that were begun on time, over the seconds after the capacity is exceeded.
 fn goodput(seconds: &[Second]) -> f64 {
     let over = &seconds[5..13];
     f64::from(over.iter().map(|s| s.in_time).sum::<u32>()) / over.len() as f64
 }
 
-/// Callers ask for three times what the engines can do. Taking everything, the service answers everything late: requests
-/// wait for the whole deadline of those before them. Turning a part away keeps the rest in time.
+/// Callers send three times what the engines can handle. Without admission control the service answers everything
+/// late: requests wait for the whole deadline of those ahead of them. Rejecting a part keeps the rest on time.
 #[test]
 fn goodput_stays_at_the_capacity_past_it() {
     for seed in SEEDS {
@@ -71,9 +71,10 @@
     }
 }
 
-/// A third of the engines is lost in the middle of the surge. What is left goes on at its own capacity.
+/// A third of the engines is lost in the middle of the surge. The remaining ones keep working at their own
+/// capacity.
 #[test]
-fn goodput_follows_the_servers_that_are_left() {
+fn goodput_drops_only_to_the_capacity_of_the_remaining_servers() {
     for seed in SEEDS {
         let load = Load { lost: (4, 5_000), ..engines() };
 
@@ -83,11 +84,12 @@
     }
 }
 
-/// A tiny service before many hosts: no host ever has more than one request there, and what it knows of the others is old.
-/// Its servers refuse what they can't queue, and their queue is short enough for the objective. Hosts that turned callers
-/// away by what they know of the places kept half of them empty; they must leave this to the servers.
+/// A small service behind many hosts: no host ever has more than one request there, and its knowledge of the others
+/// is outdated. The servers refuse what they cannot queue, and their queue is short enough for the objective. Hosts
+/// that rejected callers based on their view of the slots kept half of them empty; they must leave this to the
+/// servers.
 #[test]
-fn a_tiny_service_before_many_hosts_is_kept_busy() {
+fn a_small_service_behind_many_hosts_is_kept_busy() {
     for seed in SEEDS {
         let load = tiny();
 
@@ -97,9 +99,10 @@
     }
 }
 
-/// Requests of three ranks past the capacity: a more urgent rank is never served less often, and no rank is shut out.
+/// Requests of three ranks exceed the capacity: a more urgent rank is never served less often, and no rank is
+/// starved.
 #[test]
-fn more_urgent_requests_are_served_more_often_and_none_is_starved() {
+fn urgent_requests_are_served_more_often_and_no_rank_starves() {
     for seed in SEEDS {
         let load = Load { ranks: vec![0, 1, 2], surge: (2.0, 3_000, 13_000), ..engines() };
 
@@ -116,9 +119,9 @@
     }
 }
 
-/// At nine tenths of the capacity nobody is turned away, also while the load comes at once.
+/// At nine tenths of the capacity no request is rejected, even if the load starts abruptly.
 #[test]
-fn nobody_is_turned_away_below_the_capacity() {
+fn no_request_is_rejected_below_the_capacity() {
     for (load, least) in [(engines(), 0.99), (tiny(), 0.97)] {
         let load = Load { surge: (0.8, 3_000, 13_000), ..load };
 
@@ -130,14 +133,15 @@
     }
 }
 
-/// A request while so many requests are in progress at a hundred places, all of them this host's.
+/// A request while this many requests, all of this host, are in progress at a hundred slots.
 fn ask(left: Duration, own: u32) -> AdmissionRequest {
     let load = ServiceLoad { own, all: own, slots: 100 };
     AdmissionRequest { route: 1, rank: 1, route_rank: 1, objective: ms(600), left, load }
 }
 
-/// What a host decides that has seen places taken as given and no request before.
-fn decide(first: Duration, own: u32, left: Duration, draws: [f64; 2]) -> Result<(), Refused> {
+/// Admits a request of a route on which another one has been admitted, on a host that assumes all slots taken as
+/// the limit.
+fn admit_second(first: Duration, own: u32, left: Duration, draws: [f64; 2]) -> Result<(), Refused> {
     let service: Arc<str> = "s".into();
     let mut admission = Admission::default();
     admission.record_load(ms(0), &service, ReportedLoad { running: 1, waiting: 0, slots: 64 });
@@ -145,32 +149,34 @@
     admission.admit(ms(5_000), &service, ask(left, own), draws)
 }
 
-/// Callers that are refused come back while their answer could still be in time, if they have a chance to be taken, and
-/// else as late as they may: never past a third of their time, and apart from each other.
+/// Rejected callers are asked to retry while their answer could still be on time if they have a chance to be
+/// admitted, and otherwise as late as possible: never after more than a third of their remaining time, and spread
+/// out.
 #[test]
-fn callers_are_told_when_to_come_back() {
-    let back = |own, draw| decide(ms(9_000), own, ms(9_000), [0.0, draw]).unwrap_err().after;
+fn rejected_callers_get_a_retry_delay() {
+    let retry_after = |own, draw| admit_second(ms(9_000), own, ms(9_000), [0.0, draw]).unwrap_err().after;
 
-    let slightly = [back(90, 0.0), back(90, 1.0)];
-    let far = [back(300, 0.0), back(300, 1.0)];
+    let slightly = [retry_after(90, 0.0), retry_after(90, 1.0)];
+    let far = [retry_after(300, 0.0), retry_after(300, 1.0)];
 
     assert!(ms(100) <= slightly[0] && slightly[0] < slightly[1] && slightly[1] < ms(600), "{slightly:?}");
     assert!(ms(1_000) <= far[0] && far[0] < far[1] && far[1] <= ms(3_000), "{far:?}");
 }
 
-/// A caller comes back after its objective has passed. While places are scarce those go first that can be in time.
+/// A caller retries after its objective has passed. While slots are scarce, requests that can still be on time are
+/// preferred.
 #[test]
-fn a_request_that_is_overdue_is_refused_earlier() {
-    let is_sent = |left| decide(ms(9_000), 85, left, [0.3, 0.5]).is_ok();
+fn an_overdue_request_is_rejected_earlier() {
+    let is_admitted = |left| admit_second(ms(9_000), 85, left, [0.3, 0.5]).is_ok();
 
-    assert!(is_sent(ms(9_000)));
-    assert!(is_sent(ms(8_500)), "its objective has not passed");
-    assert!(!is_sent(ms(6_000)));
+    assert!(is_admitted(ms(9_000)));
+    assert!(is_admitted(ms(8_500)), "its objective has not passed");
+    assert!(!is_admitted(ms(6_000)));
 }
 
-/// What servers told is soon out of date: once they are silent only the requests in progress count.
+/// Load reports of servers are soon out of date: once servers stop reporting, only the requests in progress count.
 #[test]
-fn what_servers_told_is_forgotten_within_a_second() {
+fn load_reports_expire_within_a_second() {
     let service: Arc<str> = "s".into();
     let mut admission = Admission::default();
     admission.record_load(ms(0), &service, ReportedLoad { running: 64, waiting: 200, slots: 64 });
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -24,7 +24,7 @@
     net::TcpStream,
 };
 
-const OWN: LocalVersions =
+const LOCAL: LocalVersions =
     LocalVersions { configuration: 5, backends: Revision { epoch: 0, number: 9 }, digest: 1 };
 
 const fn ms(n: u64) -> Duration {
@@ -75,36 +75,36 @@
 #[test]
 fn loads_are_summed_and_replaced_by_newer_beats_only() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.receive(ms(0), addr(1), &busy(1, 2, &[(77, 3), (78, 1)]), OWN);
-    peers.receive(ms(0), addr(2), &busy(2, 1, &[(77, 4)]), OWN);
+    peers.receive(ms(0), addr(1), &busy(1, 2, &[(77, 3), (78, 1)]), LOCAL);
+    peers.receive(ms(0), addr(2), &busy(2, 1, &[(77, 4)]), LOCAL);
     assert_eq!((peers.remote_load(77), peers.remote_load(78)), (7, 1));
 
     // One that comes late, one that comes twice, and a newer one.
-    peers.receive(ms(10), addr(1), &busy(1, 1, &[(77, 9)]), OWN);
-    peers.receive(ms(10), addr(2), &busy(2, 1, &[(77, 4)]), OWN);
-    peers.receive(ms(20), addr(1), &busy(1, 3, &[(78, 2)]), OWN);
+    peers.receive(ms(10), addr(1), &busy(1, 1, &[(77, 9)]), LOCAL);
+    peers.receive(ms(10), addr(2), &busy(2, 1, &[(77, 4)]), LOCAL);
+    peers.receive(ms(20), addr(1), &busy(1, 3, &[(78, 2)]), LOCAL);
 
     assert_eq!((peers.remote_load(77), peers.remote_load(78)), (4, 2));
 }
 
 /// A host restarts: its numbers begin again, and its beats must count at once.
 #[test]
-fn a_restarted_host_is_heard() {
+fn heartbeats_of_a_restarted_host_count_at_once() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.receive(ms(0), addr(1), &busy(1, 100, &[(77, 3)]), OWN);
+    peers.receive(ms(0), addr(1), &busy(1, 100, &[(77, 3)]), LOCAL);
 
-    let heard = peers.receive(ms(10), addr(1), &Beat { start: 2, ..busy(1, 1, &[(77, 1)]) }, OWN);
+    let receipt = peers.receive(ms(10), addr(1), &Beat { start: 2, ..busy(1, 1, &[(77, 1)]) }, LOCAL);
 
-    assert!(heard.joined);
+    assert!(receipt.joined);
     assert_eq!(peers.remote_load(77), 1);
 }
 
 /// A host loses its power. Callers must not be sent there any more, and its requests are none any more.
 #[test]
-fn a_silent_host_stops_counting() {
+fn a_lost_host_stops_counting() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.receive(ms(0), addr(1), &busy(1, 1, &[(77, 3)]), OWN);
-    peers.receive(ms(900), addr(2), &busy(2, 1, &[(77, 2)]), OWN);
+    peers.receive(ms(0), addr(1), &busy(1, 1, &[(77, 3)]), LOCAL);
+    peers.receive(ms(900), addr(2), &busy(2, 1, &[(77, 2)]), LOCAL);
 
     let lost = peers.expire(ms(1_400));
 
@@ -119,11 +119,11 @@
 fn hosts_that_avoid_a_server_are_counted() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     let avoids = |i, number, tags: &[u32]| Beat { avoided: tags.to_vec(), ..beat(i, "a", number) };
-    peers.receive(ms(0), addr(1), &avoids(1, 1, &[77, 78]), OWN);
-    peers.receive(ms(0), addr(2), &avoids(2, 1, &[77]), OWN);
+    peers.receive(ms(0), addr(1), &avoids(1, 1, &[77, 78]), LOCAL);
+    peers.receive(ms(0), addr(2), &avoids(2, 1, &[77]), LOCAL);
     assert_eq!((peers.avoiding_hosts(77), peers.avoiding_hosts(78)), (2, 1));
 
-    peers.receive(ms(1_000), addr(1), &avoids(1, 2, &[78]), OWN);
+    peers.receive(ms(1_000), addr(1), &avoids(1, 2, &[78]), LOCAL);
     assert_eq!(peers.avoiding_hosts(77), 1);
     peers.expire(ms(1_400));
 
@@ -133,8 +133,8 @@
 #[test]
 fn a_leaving_host_is_not_handed_out() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.receive(ms(0), addr(1), &beat(1, "a", 1), OWN);
-    peers.receive(ms(10), addr(1), &Beat { ready: false, ..beat(1, "a", 2) }, OWN);
+    peers.receive(ms(0), addr(1), &beat(1, "a", 1), LOCAL);
+    peers.receive(ms(10), addr(1), &Beat { ready: false, ..beat(1, "a", 2) }, LOCAL);
 
     assert_eq!(ready(&peers, ms(10)), BTreeSet::new());
 }
@@ -142,46 +142,47 @@
 /// A peer has a newer configuration. The store mostly tells both within milliseconds, so it is fetched only when the
 /// peer stays ahead; a host without any configuration fetches at once.
 #[test]
-fn what_a_peer_has_had_for_a_while_is_fetched() {
+fn newer_state_is_fetched_once_a_peer_stays_ahead() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     let none = LocalVersions::default();
-    peers.receive(ms(0), addr(1), &Beat { configuration: 6, ..beat(1, "a", 1) }, OWN);
-    peers.receive(ms(250), addr(1), &Beat { configuration: 6, ..beat(1, "a", 2) }, OWN);
+    peers.receive(ms(0), addr(1), &Beat { configuration: 6, ..beat(1, "a", 1) }, LOCAL);
+    peers.receive(ms(250), addr(1), &Beat { configuration: 6, ..beat(1, "a", 2) }, LOCAL);
 
-    assert_eq!(peers.fetch_source(ms(199), OWN, &mut rng()), None);
-    assert_eq!(peers.fetch_source(ms(250), OWN, &mut rng()), Some(addr(1)));
+    assert_eq!(peers.fetch_source(ms(199), LOCAL, &mut rng()), None);
+    assert_eq!(peers.fetch_source(ms(250), LOCAL, &mut rng()), Some(addr(1)));
     assert_eq!(peers.fetch_source(ms(0), none, &mut rng()), Some(addr(1)));
-    assert_eq!(peers.fetch_source(ms(250), LocalVersions { configuration: 6, ..OWN }, &mut rng()), None);
+    assert_eq!(peers.fetch_source(ms(250), LocalVersions { configuration: 6, ..LOCAL }, &mut rng()), None);
 }
 
 /// A data centre of 30 hosts hears of a change at the same moment, from several that have it. If all asked the same one
 /// its answers would take longer than they wait, and each would ask it again.
 #[test]
-fn hosts_that_lack_the_same_ask_different_peers() {
+fn hosts_that_lack_the_same_state_ask_different_peers() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..9 {
-        peers.receive(ms(0), addr(i), &Beat { configuration: 6, ..beat(i, "a", 1) }, OWN);
+        peers.receive(ms(0), addr(i), &Beat { configuration: 6, ..beat(i, "a", 1) }, LOCAL);
     }
     let mut rng = rng();
 
-    let asked: BTreeSet<_> = (0..100).filter_map(|_| peers.fetch_source(ms(250), OWN, &mut rng)).collect();
+    let sources: BTreeSet<_> =
+        (0..100).filter_map(|_| peers.fetch_source(ms(250), LOCAL, &mut rng)).collect();
 
-    assert_eq!(asked.len(), 8);
+    assert_eq!(sources.len(), 8);
 }
 
 /// A change reaches the followers of data centre `b` first. Host 0 leaves the store to others of its own data centre, which
 /// will have the change in a moment: it fetches it from `b` only when they don't.
 #[test]
-fn news_are_fetched_from_the_own_data_centre_if_it_has_them_soon() {
-    let mut peers = large();
+fn changes_are_fetched_from_the_local_data_centre_first() {
+    let mut peers = large_fleet();
     assert!(!peers.decide_following(ms(10), Contact::Idle), "two of its data centre follow");
     let next = |i, centre| Beat { configuration: 6, ..beat(i, centre, 2) };
-    peers.receive(ms(100), addr(4), &next(4, "b"), OWN);
-    let before = peers.fetch_source(ms(400), OWN, &mut rng());
-    let alone = peers.fetch_source(ms(800), OWN, &mut rng());
-    peers.receive(ms(800), addr(3), &next(3, "a"), OWN);
+    peers.receive(ms(100), addr(4), &next(4, "b"), LOCAL);
+    let before = peers.fetch_source(ms(400), LOCAL, &mut rng());
+    let alone = peers.fetch_source(ms(800), LOCAL, &mut rng());
+    peers.receive(ms(800), addr(3), &next(3, "a"), LOCAL);
 
-    let near = peers.fetch_source(ms(800), OWN, &mut rng());
+    let near = peers.fetch_source(ms(800), LOCAL, &mut rng());
 
     assert_eq!((before, alone, near), (None, Some(addr(4)), Some(addr(3))));
 }
@@ -189,14 +190,14 @@
 /// A host of a data centre of twenty has been told a configuration. It tells a few neighbours out of turn, each time others,
 /// so that what one host can give to few at a time spreads from many.
 #[test]
-fn a_few_neighbours_are_told_out_of_turn() {
-    let peers = large();
+fn a_configuration_is_gossiped_to_a_few_random_neighbours() {
+    let peers = large_fleet();
     let mut rng = rng();
 
-    let told: Vec<_> = (0..40).map(|_| peers.gossip_targets(ms(10), &mut rng)).collect();
+    let reported: Vec<_> = (0..40).map(|_| peers.gossip_targets(ms(10), &mut rng)).collect();
 
-    assert!(told.iter().all(|few| few.len() == 4));
-    let all: BTreeSet<_> = told.iter().flatten().collect();
+    assert!(reported.iter().all(|few| few.len() == 4));
+    let all: BTreeSet<_> = reported.iter().flatten().collect();
     assert_eq!(all.len(), 19, "all of the own data centre, and no other");
 }
 
@@ -204,27 +205,27 @@
 #[test]
 fn a_higher_revision_of_the_same_list_is_not_fetched() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.receive(ms(0), addr(1), &Beat { backends: 12, ..beat(1, "a", 1) }, OWN);
-    assert_eq!(peers.fetch_source(ms(1_000), OWN, &mut rng()), None);
+    peers.receive(ms(0), addr(1), &Beat { backends: 12, ..beat(1, "a", 1) }, LOCAL);
+    assert_eq!(peers.fetch_source(ms(1_000), LOCAL, &mut rng()), None);
 
-    peers.receive(ms(1), addr(1), &Beat { backends: 12, backends_digest: 2, ..beat(1, "a", 2) }, OWN);
+    peers.receive(ms(1), addr(1), &Beat { backends: 12, backends_digest: 2, ..beat(1, "a", 2) }, LOCAL);
 
-    assert_eq!(peers.fetch_source(ms(1_000), OWN, &mut rng()), Some(addr(1)));
+    assert_eq!(peers.fetch_source(ms(1_000), LOCAL, &mut rng()), Some(addr(1)));
 }
 
 /// Sixty hosts in three data centres, as host 0 in `a` knows them.
-fn large() -> Peers {
+fn large_fleet() -> Peers {
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..60 {
         let centre = ["a", "b", "c"][usize::from(i) % 3];
-        peers.receive(ms(0), addr(i), &beat(i, centre, 1), OWN);
+        peers.receive(ms(0), addr(i), &beat(i, centre, 1), LOCAL);
     }
     peers
 }
 
 #[test]
-fn in_a_large_fleet_beats_go_to_the_own_data_centre_and_one_host_of_each_other() {
-    let mut peers = large();
+fn in_a_large_fleet_heartbeats_go_to_the_local_data_centre_and_one_host_of_each_other() {
+    let mut peers = large_fleet();
 
     let targets = peers.targets(ms(10), &mut rng());
 
@@ -237,8 +238,8 @@
 /// All hosts restart and know three seeds. A seed that knows sixty hosts tells a new one of all of them within a few
 /// beats; until then callers would be sent to the seeds alone.
 #[test]
-fn a_new_host_hears_of_all_members_within_its_first_beats() {
-    let mut seed = large();
+fn a_new_host_learns_all_members_within_its_first_heartbeats() {
+    let mut seed = large_fleet();
     let mut new = Peers::new(addr(100), "a", &[addr(0)]);
     let me = member(0, "a");
 
@@ -248,7 +249,7 @@
         assert!(asks.wants_full);
         let mut answer = Beat { number: 0, ..beat(0, "a", 0) };
         seed.finish_beat(&mut answer, &me, true);
-        new.receive(ms(n), addr(0), &answer, OWN);
+        new.receive(ms(n), addr(0), &answer, LOCAL);
     }
 
     // Near ones are sought; a summary of `b` suffices to hand out all of its hosts.
@@ -257,10 +258,10 @@
     let mut other = Peers::new(addr(1), "b", &[]);
     let centre_b = (4..60).filter(|i| i % 3 == 1);
     for i in centre_b.clone() {
-        other.receive(ms(0), addr(i), &beat(i, "b", 1), OWN);
+        other.receive(ms(0), addr(i), &beat(i, "b", 1), LOCAL);
     }
     let summary = other.data_centre_summary(&[], &member(1, "b"), true);
-    new.receive(ms(5_001), addr(1), &Beat { centre: Some(summary), ..beat(1, "b", 9) }, OWN);
+    new.receive(ms(5_001), addr(1), &Beat { centre: Some(summary), ..beat(1, "b", 9) }, LOCAL);
     let handed_out = ready(&new, ms(5_001));
     assert!(centre_b.clone().all(|i| handed_out.contains(&format!("host-{i}"))), "{handed_out:?}");
 }
@@ -279,7 +280,7 @@
             let centre = ["a", "b", "c"][usize::from(i) % 3];
             let follows_store = contact(i) == Contact::Follows;
             let lost_store = contact(i) == Contact::Lost;
-            peers.receive(ms(0), addr(i), &Beat { follows_store, lost_store, ..beat(i, centre, 1) }, OWN);
+            peers.receive(ms(0), addr(i), &Beat { follows_store, lost_store, ..beat(i, centre, 1) }, LOCAL);
         }
         peers.decide_following(ms(10), contact(*me))
     };
@@ -306,7 +307,7 @@
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..20 {
         let leaves = Beat { ready: false, follows_store: true, ..beat(i, "a", 1) };
-        peers.receive(ms(0), addr(i), &leaves, OWN);
+        peers.receive(ms(0), addr(i), &leaves, LOCAL);
     }
 
     assert!(peers.decide_following(ms(10), Contact::Idle));
@@ -316,7 +317,7 @@
 /// were refused for a second in which no host followed the store, since none knew yet how many others there are. The seeds
 /// do, from their start; the others once they have heard of most hosts.
 #[test]
-fn a_seed_follows_the_store_before_it_knows_the_others() {
+fn a_seed_follows_the_store_before_it_knows_the_fleet() {
     let seeds = [addr(1), addr(2)];
     let mut peers = [1, 9].map(|i| Peers::new(addr(i), "a", &seeds).with_start(ms(50_000)));
 
@@ -333,32 +334,32 @@
 /// Ninety of three hundred hosts following the store after a start of all, since each had heard of few others by then, and all
 /// calls being paid for.
 #[test]
-fn a_host_that_hears_others_lets_them_follow_the_store_first() {
+fn a_host_with_peers_waits_for_them_to_follow_the_store() {
     let start = |i: u8| Peers::new(addr(i), "a", &[]).with_start(ms(50_000));
     let tell = |peers: &mut Peers, follows_store, at| {
-        peers.receive(ms(at), addr(1), &Beat { follows_store, ..beat(1, "a", at) }, OWN);
+        peers.receive(ms(at), addr(1), &Beat { follows_store, ..beat(1, "a", at) }, LOCAL);
     };
-    let [mut alone, mut heard, mut told] = [9, 9, 9].map(start);
-    tell(&mut heard, false, 50_100);
-    (0..8).for_each(|n| tell(&mut told, true, 50_100 + 500 * n));
+    let [mut alone, mut peered, mut followed] = [9, 9, 9].map(start);
+    tell(&mut peered, false, 50_100);
+    (0..8).for_each(|n| tell(&mut followed, true, 50_100 + 500 * n));
 
     let at = |peers: &mut Peers, at| peers.should_follow_store(ms(at), Contact::Idle);
-    let alones = [at(&mut alone, 50_900), at(&mut alone, 51_100)];
-    tell(&mut heard, false, 51_900);
-    let heards = [at(&mut heard, 51_950), at(&mut heard, 52_100)];
-    let tolds = [at(&mut told, 53_900), at(&mut told, 54_100)];
+    let alone_decisions = [at(&mut alone, 50_900), at(&mut alone, 51_100)];
+    tell(&mut peered, false, 51_900);
+    let peered_decisions = [at(&mut peered, 51_950), at(&mut peered, 52_100)];
+    let followed_decisions = [at(&mut followed, 53_900), at(&mut followed, 54_100)];
 
-    assert_eq!([alones, heards, tolds], [[false, true]; 3]);
+    assert_eq!([alone_decisions, peered_decisions, followed_decisions], [[false, true]; 3]);
 }
 
 /// The seeds of a new host are all gone. It finds others by the entry of a data centre, which names hosts that were up for
 /// long, and is written anew only once half of them are gone.
 #[test]
-fn the_hosts_of_a_data_centre_that_are_entered_have_been_up_for_long() {
+fn hosts_entered_for_a_data_centre_are_those_up_the_longest() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..40 {
         let start = u64::from(100 - i);
-        peers.receive(ms(0), addr(i), &Beat { start, ..beat(i, ["a", "b"][usize::from(i) % 2], 1) }, OWN);
+        peers.receive(ms(0), addr(i), &Beat { start, ..beat(i, ["a", "b"][usize::from(i) % 2], 1) }, LOCAL);
     }
 
     let near: Vec<_> = peers.ready_in_data_centre(3).into_iter().map(|m| m.name).collect();
@@ -369,20 +370,20 @@
 /// Host 0 hears of data centre `b` only by its summaries, from any of its hosts. A newer one replaces the older one,
 /// and when they stop, `b` counts for nothing.
 #[test]
-fn summaries_tell_of_other_data_centres() {
-    let mut peers = large();
+fn summaries_report_other_data_centres() {
+    let mut peers = large_fleet();
     peers.expire(ms(2_000));
     let mut sender = Peers::new(addr(4), "b", &[]);
-    sender.receive(ms(0), addr(7), &Beat { sender: Some(member(7, "b")), ..busy(7, 1, &[(77, 3)]) }, OWN);
+    sender.receive(ms(0), addr(7), &Beat { sender: Some(member(7, "b")), ..busy(7, 1, &[(77, 3)]) }, LOCAL);
     let own = [InProgress { backend: 77, requests: 2 }];
-    let told = sender.data_centre_summary(&own, &member(4, "b"), true);
-    assert_eq!(told.in_progress, [InProgress { backend: 77, requests: 5 }]);
+    let reported = sender.data_centre_summary(&own, &member(4, "b"), true);
+    assert_eq!(reported.in_progress, [InProgress { backend: 77, requests: 5 }]);
 
-    peers.receive(ms(2_000), addr(4), &Beat { centre: Some(told), ..beat(4, "b", 2) }, OWN);
+    peers.receive(ms(2_000), addr(4), &Beat { centre: Some(reported), ..beat(4, "b", 2) }, LOCAL);
     assert_eq!(peers.remote_load(77), 5);
     assert_eq!(ready(&peers, ms(2_000)), BTreeSet::from(["host-4".into(), "host-7".into()]));
     let less = Centre { in_progress: vec![InProgress { backend: 77, requests: 1 }], ready: Vec::new() };
-    peers.receive(ms(2_100), addr(7), &Beat { centre: Some(less), ..beat(7, "b", 2) }, OWN);
+    peers.receive(ms(2_100), addr(7), &Beat { centre: Some(less), ..beat(7, "b", 2) }, LOCAL);
     assert_eq!(peers.remote_load(77), 1);
     peers.expire(ms(5_200));
 
@@ -394,23 +395,23 @@
 /// for as long as a summary counts, on top of the time that the neighbours took. A host of `b` that has just started, and
 /// knows few of the others, makes nobody forget them.
 #[test]
-fn a_host_that_its_data_centre_has_lost_is_not_handed_out() {
-    let mut peers = large();
+fn a_host_missing_from_its_data_centres_summary_is_not_handed_out() {
+    let mut peers = large_fleet();
     let of_b: Vec<u8> = (0..60).filter(|i| i % 3 == 1).collect();
     let summary = |hosts: &[u8], number| {
         let mut sender = Peers::new(addr(1), "b", &[]);
         for i in hosts {
-            sender.receive(ms(0), addr(*i), &beat(*i, "b", 1), OWN);
+            sender.receive(ms(0), addr(*i), &beat(*i, "b", 1), LOCAL);
         }
         Beat { centre: Some(sender.data_centre_summary(&[], &member(1, "b"), true)), ..beat(1, "b", number) }
     };
     let in_b = |peers: &Peers, now| ready(peers, now).iter().filter(|name| is_of(name, &of_b)).count();
-    peers.receive(ms(100), addr(1), &summary(&of_b, 2), OWN);
+    peers.receive(ms(100), addr(1), &summary(&of_b, 2), LOCAL);
     assert_eq!(in_b(&peers, ms(100)), 20);
 
-    peers.receive(ms(200), addr(1), &summary(&of_b[..19], 3), OWN);
+    peers.receive(ms(200), addr(1), &summary(&of_b[..19], 3), LOCAL);
     let lost = in_b(&peers, ms(200));
-    peers.receive(ms(300), addr(1), &summary(&of_b[..3], 4), OWN);
+    peers.receive(ms(300), addr(1), &summary(&of_b[..3], 4), LOCAL);
 
     assert_eq!(lost, 19);
     assert_eq!(in_b(&peers, ms(300)), 19, "a host that knows three says nothing of the others");
@@ -423,16 +424,16 @@
 /// A host of data centre `a` hears a host of `b` once in half a minute, and in full once in minutes. A neighbour has told
 /// what it is, so that it needs no full beat of it, a summary of `b` is enough to hand it out, and it counts in budgets at once.
 #[test]
-fn hosts_of_other_data_centres_are_known_from_neighbours() {
-    let mut peers = large();
-    let told = Beat { members: vec![member(70, "b"), member(71, "b")], ..beat(3, "a", 2) };
-    peers.receive(ms(10), addr(3), &told, OWN);
-    peers.receive(ms(20), addr(70), &Beat { sender: None, ..beat(70, "b", 1) }, OWN);
+fn hosts_of_other_data_centres_are_learnt_from_neighbours() {
+    let mut peers = large_fleet();
+    let reported = Beat { members: vec![member(70, "b"), member(71, "b")], ..beat(3, "a", 2) };
+    peers.receive(ms(10), addr(3), &reported, LOCAL);
+    peers.receive(ms(20), addr(70), &Beat { sender: None, ..beat(70, "b", 1) }, LOCAL);
     let mut sender = Peers::new(addr(4), "b", &[]);
-    sender.receive(ms(0), addr(71), &beat(71, "b", 1), OWN);
+    sender.receive(ms(0), addr(71), &beat(71, "b", 1), LOCAL);
     let summary = sender.data_centre_summary(&[], &member(4, "b"), true);
 
-    peers.receive(ms(30), addr(4), &Beat { centre: Some(summary), ..beat(4, "b", 2) }, OWN);
+    peers.receive(ms(30), addr(4), &Beat { centre: Some(summary), ..beat(4, "b", 2) }, LOCAL);
 
     let mut next = Beat::default();
     (0..13).for_each(|_| peers.finish_beat(&mut next, &member(0, "a"), false));
@@ -444,26 +445,27 @@
 /// A host is gone, and others still tell of it. It is not told on, and forgotten after a minute, or the fleet would seek
 /// hosts that are gone for ever.
 #[test]
-fn a_host_that_nobody_hears_is_not_told_on() {
+fn a_host_without_heartbeats_is_not_passed_on() {
     let mut peers = Peers::new(addr(0), "a", &[]);
-    peers.receive(ms(0), addr(1), &Beat { members: vec![member(9, "a")], ..beat(1, "a", 1) }, OWN);
+    peers.receive(ms(0), addr(1), &Beat { members: vec![member(9, "a")], ..beat(1, "a", 1) }, LOCAL);
     let mut full = Beat::default();
     peers.finish_beat(&mut full, &member(0, "a"), true);
-    let sought = |peers: &mut Peers, at| peers.targets(at, &mut rng()).iter().any(|(to, _)| *to == addr(9));
-    let first = sought(&mut peers, ms(10));
+    let is_target =
+        |peers: &mut Peers, at| peers.targets(at, &mut rng()).iter().any(|(to, _)| *to == addr(9));
+    let first = is_target(&mut peers, ms(10));
 
-    peers.receive(ms(61_000), addr(1), &beat(1, "a", 2), OWN);
+    peers.receive(ms(61_000), addr(1), &beat(1, "a", 2), LOCAL);
     peers.expire(ms(61_000));
 
     assert!(first);
     assert_eq!(full.members, [member(1, "a")]);
-    assert!(!sought(&mut peers, ms(62_000)));
+    assert!(!is_target(&mut peers, ms(62_000)));
 }
 
 /// Three hosts know one seed. Only the first reaches the store. The others get configuration and backend servers from
 /// it, become ready, and are handed out to callers; a change and a leaving server reach them as well.
 #[tokio::test]
-async fn hosts_that_do_not_reach_the_store_learn_from_one_that_does() {
+async fn hosts_without_the_store_learn_from_one_that_reaches_it() {
     let (first, seed) = host("host-1", &[]).await;
     let (second, _) = host("host-2", &[seed]).await;
     let (third, _) = host("host-3", &[seed]).await;
@@ -492,11 +494,11 @@
 }
 
 /// Asks a host as another one does.
-async fn ask(at: SocketAddr, ask: Fetch) -> Fetched {
+async fn fetch(at: SocketAddr, fetch: Fetch) -> Fetched {
     let mut stream = TcpStream::connect(at).await.unwrap();
-    let ask = postcard::to_allocvec(&ask).unwrap();
-    stream.write_all(&(ask.len() as u32).to_le_bytes()).await.unwrap();
-    stream.write_all(&ask).await.unwrap();
+    let fetch = postcard::to_allocvec(&fetch).unwrap();
+    stream.write_all(&(fetch.len() as u32).to_le_bytes()).await.unwrap();
+    stream.write_all(&fetch).await.unwrap();
     let mut answer = vec![0; stream.read_u32_le().await.unwrap() as usize];
     stream.read_exact(&mut answer).await.unwrap();
     postcard::from_bytes(&answer).unwrap()
@@ -505,7 +507,7 @@
 /// A route's time changes. A host that has the configuration before is told just that; one that has none, or one that nobody
 /// remembers, is told the whole.
 #[tokio::test]
-async fn a_host_is_told_what_it_lacks_of_a_configuration() {
+async fn a_host_gets_only_the_configuration_changes_it_lacks() {
     let (host, at) = host("host-1", &[]).await;
     let mut newer = Configuration { version: 7, ..wire::configuration() };
     newer.routes[1].timeout_ms += 1;
@@ -513,22 +515,22 @@
     host.set_configuration(newer.clone(), "test");
     let knows = |configuration| Fetch { configuration, ..Fetch::default() };
 
-    let one = ask(at, knows(1)).await;
-    let none = ask(at, knows(0)).await;
-    let unknown = ask(at, knows(5)).await;
+    let one = fetch(at, knows(1)).await;
+    let none = fetch(at, knows(0)).await;
+    let unknown = fetch(at, knows(5)).await;
 
     let changes = one.configuration_changes.unwrap();
     assert_eq!((one.configuration, changes.new_routes.len()), (None, 1));
     assert_eq!(configurations::apply(&wire::configuration(), &changes), Some(newer.clone()));
     assert_eq!((none.configuration, none.configuration_changes), (Some(newer.clone()), None));
     assert_eq!(unknown.configuration, Some(newer));
-    assert_eq!(ask(at, knows(7)).await.configuration_changes, None);
+    assert_eq!(fetch(at, knows(7)).await.configuration_changes, None);
 }
 
 /// Two hosts hold different contents under one version, as when somebody has written it anew. The changes that one of them
 /// tells lead nowhere at the other, which asks for the whole and has it.
 #[tokio::test]
-async fn changes_that_do_not_fit_are_made_up_for_by_the_whole() {
+async fn changes_that_do_not_apply_are_replaced_by_the_full_configuration() {
     let (first, seed) = host("host-1", &[]).await;
     let (second, _) = host("host-2", &[seed]).await;
     let mut other = wire::configuration();
@@ -544,14 +546,14 @@
 /// All hosts of a data centre start at once and ask the first that has the list. Answering all at a time would keep each
 /// beyond its patience; those who are turned away ask others that have been answered meanwhile.
 #[tokio::test]
-async fn a_host_answers_a_few_fetches_at_a_time() {
+async fn a_host_answers_a_limited_number_of_fetches_at_once() {
     let (_host, at) = host("host-1", &[]).await;
     let mut waiting = Vec::new();
     for _ in 0..3 {
         waiting.push(TcpStream::connect(at).await.unwrap());
     }
 
-    let fetched = ask(at, Fetch::default()).await;
+    let fetched = fetch(at, Fetch::default()).await;
 
     assert!(fetched.busy);
     assert_eq!(waiting.len(), 3);
@@ -559,18 +561,18 @@
 
 /// A host behind for seconds while it asks hosts that it can't reach again and again, though another one would answer.
 #[test]
-fn hosts_that_did_not_give_what_they_have_are_asked_last() {
+fn hosts_with_failed_fetches_are_asked_last() {
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..=7 {
-        peers.receive(ms(0), addr(i), &Beat { configuration: 6, ..beat(i, "a", 1) }, OWN);
+        peers.receive(ms(0), addr(i), &Beat { configuration: 6, ..beat(i, "a", 1) }, LOCAL);
     }
     let later = ms(700);
 
     (1..=6).for_each(|i| peers.record_fetch_failure(later, addr(i)));
-    let asked: BTreeSet<_> = (0..50).filter_map(|_| peers.fetch_source(later, OWN, &mut rng())).collect();
+    let sources: BTreeSet<_> = (0..50).filter_map(|_| peers.fetch_source(later, LOCAL, &mut rng())).collect();
     peers.record_fetch_failure(later, addr(7));
-    let again = peers.fetch_source(later, OWN, &mut rng());
+    let again = peers.fetch_source(later, LOCAL, &mut rng());
 
-    assert_eq!(asked, BTreeSet::from([addr(7)]));
+    assert_eq!(sources, BTreeSet::from([addr(7)]));
     assert!(again.is_some(), "where all have failed they are asked again");
 }
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -1,4 +1,4 @@
-//! Cold backend servers: who sends to them, how much, and how hosts learn of them.
+//! Cold backend servers: which hosts send to them, at what rate, and how hosts learn that they are cold.
 
 #[path = "support/relay.rs"]
 mod relay_support;
@@ -28,7 +28,7 @@
     Duration::from_millis(n)
 }
 
-/// The start of the server `x`, which tells for how much longer it is cold.
+/// An entry of the server `x` with its remaining cold period.
 fn cold(cold_ms: u32) -> Backend {
     Backend { cold_ms, ..listed("x", false) }
 }
@@ -37,7 +37,7 @@
     SocketAddr::from(([10, 0, (i / 250) as u8, (i % 250) as u8], 7_000))
 }
 
-/// What the host `me` knows of these hosts.
+/// The peers of the host `me`.
 fn peers(me: usize, known: impl Iterator<Item = usize>) -> Peers {
     let member = |i| Member { peers: addr(i).to_string(), data_centre: "a".into(), ..Member::default() };
     let members: Vec<_> = known.map(member).collect();
@@ -46,7 +46,7 @@
     peers
 }
 
-/// One host of a fleet that is split into sides.
+/// A host of a fleet that is partitioned into sides.
 struct Node {
     peers: Peers,
     warmup: Warmup,
@@ -57,7 +57,7 @@
     Node { peers: peers(i, known), warmup: Warmup::default().with_start(started) }
 }
 
-/// The most requests in any second.
+/// The maximum number of requests in any second.
 fn busiest_second(sent: &[Duration]) -> usize {
     let within = |from: &Duration| sent.iter().filter(|at| (*from..*from + ms(1_000)).contains(at)).count();
     sent.iter().map(within).max().unwrap_or(0)
@@ -65,11 +65,11 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
-    /// A surge meets a fleet that is cut into sides, in which hosts have restarted, know only their own side and have
-    /// forgotten what they sent. A cold server must not get more than it bears in any second from all of them together, and
-    /// something from hosts that stay.
+    /// A surge meets a partitioned fleet in which restarted hosts know only their own side and have forgotten what
+    /// they sent. The hosts together must not send a cold server more than its limit in any second, and hosts
+    /// without a restart must send it some requests.
     #[test]
-    fn a_cold_server_gets_no_more_than_it_bears(
+    fn a_cold_server_gets_no_more_than_its_limit(
         hosts in 3..120_usize,
         sides in 1..4_usize,
         restarts in prop::collection::vec((0..120_usize, 0..8_000_u64), 0..60),
@@ -83,16 +83,16 @@
                 nodes[*i] = node(*i, hosts, sides, false, ms(at));
             }
             for node in nodes.iter_mut().filter(|_| rng.random_bool(0.7)) {
-                let feeds = || node.peers.is_top_ranked(TAG, COLD_SENDERS);
-                if node.warmup.may_send(ms(at), TAG, LIMIT, feeds) {
+                let is_sender = || node.peers.is_top_ranked(TAG, COLD_SENDERS);
+                if node.warmup.may_send(ms(at), TAG, LIMIT, is_sender) {
                     node.warmup.record_send(ms(at), TAG, LIMIT);
                     sent.push(ms(at));
                 }
             }
         }
 
-        let most = (LIMIT.per_second * 1.5 + 5.0) as usize;
-        prop_assert!(busiest_second(&sent) <= most, "{} of {most}", busiest_second(&sent));
+        let max = (LIMIT.per_second * 1.5 + 5.0) as usize;
+        prop_assert!(busiest_second(&sent) <= max, "{} of {max}", busiest_second(&sent));
         if sides == 1 {
             prop_assert!(busiest_second(&sent) <= LIMIT.per_second as usize);
         }
@@ -102,10 +102,11 @@
     }
 }
 
-/// A server turns cold without a start; its next entries count down. The host that follows the store tells the others once, with
-/// the time that is left when it tells, and their lists agree until the server tells that it is warm.
+/// A server turns cold without a restart, and its next entries count down. The host that follows the store passes
+/// this on once, with the remaining time at that moment, and the lists stay equal until an entry declares the
+/// server warm.
 #[test]
-fn what_an_entry_tells_of_cold_is_told_on_with_its_age() {
+fn the_remaining_cold_period_is_passed_on() {
     let (mut follower, mut other) = (Backends::default(), Backends::default());
     for b in [&mut follower, &mut other] {
         b.apply_list(ms(0), &List { revision: 5, items: vec![cold(0)], ..List::default() }, None);
@@ -114,12 +115,12 @@
 
     let turned = follower.apply_changes(ms(100), rev(6), &[cold(3_000)], &[], None);
     let counted = follower.apply_changes(ms(1_300), rev(7), &[cold(1_800)], &[], None);
-    let told = follower.changes_since(ms(1_500), rev(5)).unwrap();
-    other.apply_changes(ms(1_500), told.as_of(), &told.puts, &told.removed, None);
+    let changes = follower.changes_since(ms(1_500), rev(5)).unwrap();
+    other.apply_changes(ms(1_500), changes.as_of(), &changes.puts, &changes.removed, None);
 
     assert!(matches!(turned[..], [(_, Change::Cold)]), "{turned:?}");
     assert_eq!(counted, []);
-    assert_eq!(told.puts[0].cold_ms, 1_600);
+    assert_eq!(changes.puts[0].cold_ms, 1_600);
     assert!(follower.digest() != warm && follower.digest() == other.digest());
     let until = other.available("s").next().unwrap().1.cold_until;
     assert_eq!(until, ms(3_100));
@@ -127,9 +128,9 @@
     assert_eq!(follower.digest(), warm);
 }
 
-/// An entry tells of a cold start that lasts for weeks: somebody else wrote it. The server must not stay without work.
+/// An entry written by another party declares its server cold for weeks. The server must still get requests.
 #[test]
-fn no_entry_keeps_a_server_cold_for_long() {
+fn the_cold_period_of_an_entry_is_capped() {
     let mut backends = Backends::default();
 
     backends.apply_list(ms(0), &List { revision: 5, items: vec![cold(u32::MAX)], ..List::default() }, None);
@@ -137,23 +138,25 @@
     assert!(backends.available("s").next().unwrap().1.cold_until <= ms(60_000));
 }
 
-/// A data centre is taken back with its servers' caches empty. Requests for parts that had been read there would read them
-/// again, so that a host forgets who held them: it is told which servers are cold now, and none of another data centre.
+/// The evacuation of a data centre ends, and its servers' caches are empty. Since requests placed on them for parts
+/// that they had cached would read the parts again, a host forgets these holders: it gets the servers that are cold
+/// now, and none of another data centre.
 #[test]
-fn the_servers_of_a_data_centre_that_is_taken_back_are_named() {
+fn marking_a_data_centre_cold_returns_its_servers() {
     let other = Backend { id: "yy".into(), data_centre: "b".into(), ..cold(0) };
     let mut backends = Backends::default();
     backends.apply_list(ms(0), &List { revision: 5, items: vec![cold(0), other], ..List::default() }, None);
 
-    let never = backends.mark_cold(ms(10), "a", |_| ms(0));
-    let named = backends.mark_cold(ms(10), "a", |_| ms(3_000));
+    let unmarked = backends.mark_cold(ms(10), "a", |_| ms(0));
+    let marked = backends.mark_cold(ms(10), "a", |_| ms(3_000));
 
-    assert_eq!(never, []);
-    assert_eq!(named.iter().map(|key| &*backends.get(*key).unwrap().id).collect::<Vec<_>>(), ["x"]);
-    assert_eq!(backends.get(named[0]).unwrap().cold_until, ms(3_010));
+    assert_eq!(unmarked, []);
+    assert_eq!(marked.iter().map(|key| &*backends.get(*key).unwrap().id).collect::<Vec<_>>(), ["x"]);
+    assert_eq!(backends.get(marked[0]).unwrap().cold_until, ms(3_010));
 }
 
-/// Servers of the fixture's configuration, cold for three seconds after a start and bearing this many requests a minute.
+/// The fixture's configuration, with servers that are cold for three seconds after a start and take this many
+/// requests a minute.
 fn cold_configuration(per_minute: u32) -> cranberrytally::schema::fleet::Configuration {
     let mut cfg = configuration();
     cfg.version = 2;
@@ -162,7 +165,7 @@
     cfg
 }
 
-fn tell_cold(host: &Host, server: &Server, data_centre: &str) {
+fn report_cold(host: &Host, server: &Server, data_centre: &str) {
     let put = Backend {
         id: server.id.clone(),
         service: "app".into(),
@@ -176,24 +179,24 @@
     host.relay.update_backends(update, None, "test");
 }
 
-/// The nearest server has just come back cold. While another one has room, callers must be served there.
+/// The nearest server has just restarted cold. While another server has a free slot, requests go there.
 #[tokio::test]
-async fn a_cold_server_is_left_alone_while_another_has_room() {
+async fn a_cold_server_gets_no_requests_while_another_has_room() {
     let near = Server::start("near", vec![Act::Write(ok("near")); 4]).await;
     let far = Server::start("far", vec![Act::Write(ok("far")); 4]).await;
     let host = Host::with(&[&near, &far]).await;
     host.relay.set_configuration(cold_configuration(600), "test");
 
     let before = host.call(&request("/safe/1", "")).await;
-    tell_cold(&host, &near, "a");
+    report_cold(&host, &near, "a");
     let after = host.call(&request("/safe/2", "")).await;
 
     assert!(before.ends_with("near") && after.ends_with("far"), "{before} {after}");
 }
 
-/// A data centre is taken back, and the entries of its servers do not tell yet that they are cold.
+/// The evacuation of a data centre ends, and the entries of its servers do not yet declare them cold.
 #[tokio::test]
-async fn servers_of_a_data_centre_that_is_taken_back_count_as_cold() {
+async fn servers_are_cold_after_the_evacuation_of_their_data_centre() {
     use cranberrytally::relay::evacuations::Update;
     let near = Server::start("near", vec![Act::Write(ok("near")); 4]).await;
     let far = Server::start("far", vec![Act::Write(ok("far")); 4]).await;
@@ -209,13 +212,13 @@
     assert!(answer.ends_with("far"), "{answer}");
 }
 
-/// Every server of a service is cold and bears no more. Callers must hear at once that nothing ran.
+/// Every server of a service is cold and takes no more requests. Callers must learn at once that nothing ran.
 #[tokio::test]
-async fn a_service_that_is_cold_as_a_whole_is_refused() {
+async fn requests_are_refused_while_all_servers_are_cold() {
     let near = Server::start("near", vec![Act::Write(ok("near")); 4]).await;
     let host = Host::with(&[&near]).await;
     host.relay.set_configuration(cold_configuration(0), "test");
-    tell_cold(&host, &near, "a");
+    report_cold(&host, &near, "a");
 
     let answer = host.call(&request("/unsafe/1", "")).await;
 
@@ -225,10 +228,11 @@
     assert_eq!(near.seen().len(), 0);
 }
 
-/// The nearest server refuses connections, and is back before any entry tells of its start. A request that meets it first goes
-/// elsewhere, and so do the next ones while it may be cold, also once the pause after the failure is over.
+/// The nearest server refuses connections, and is back before an entry with its new start time arrives. The first
+/// request that meets it goes to another server, and so do the next ones while it may be cold, even after the
+/// backoff.
 #[tokio::test]
-async fn a_server_that_could_not_be_reached_counts_as_cold() {
+async fn an_unreachable_server_counts_as_cold() {
     let near = Server::start("near", vec![Act::Crash]).await;
     let far = Server::start("far", vec![Act::Write(ok("far")); 8]).await;
     let host = Host::with(&[&near, &far]).await;
@@ -244,9 +248,10 @@
     assert_eq!(near.seen().len(), 1);
 }
 
-/// A server is back without an entry. It counts as cold for as long after its first answer as after a start.
+/// A server answers again without a new entry. It counts as cold for the same period after its first answer as
+/// after a start.
 #[test]
-fn a_doubt_lasts_as_long_as_a_start_is_cold() {
+fn a_possible_restart_counts_for_the_cold_period() {
     let mut warmup = Warmup::default();
 
     warmup.note_possible_restart(ms(0), TAG, LIMIT);
