--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -377,7 +377,7 @@
 #[test]
 fn only_unexecuted_or_repeatable_requests_get_another_attempt() {
     let cases = [
-        // failure, of a request that may be repeated, of one that may not
+        // failure, result for a repeatable request, result for one that is not
         (Failure::Connect, Ok(()), Ok(())),
         (Failure::Unsent, Ok(()), Ok(())),
         (Failure::Refused, Ok(()), Ok(())),
--- a/tests/relay_faults.rs
+++ b/tests/relay_faults.rs
@@ -1,4 +1,5 @@
-//! What callers and backend servers see when a backend server fails, over sockets and the platform's wire.
+//! What callers and backend servers observe when a backend server fails, over sockets and the platform's wire
+//! format.
 
 #[path = "support/relay.rs"]
 mod relay_support;
@@ -13,13 +14,13 @@
     Act, Host, Server, answer, chunk, event, events, is_whole, not_run, ok, request, status, stream_head,
 };
 
-/// One fault at the server that is asked first.
+/// A fault of the server that is asked first.
 struct Case {
     name: &'static str,
     act: Act,
-    /// Whether a request that may not be repeated is sent to the second server.
+    /// Whether a non-idempotent request is sent to the second server.
     unsafe_is_retried: bool,
-    /// Status for a request that may not be repeated.
+    /// Status of a non-idempotent request.
     unsafe_status: u16,
 }
 
@@ -41,9 +42,9 @@
     ]
 }
 
-/// A server fails one request in each of the ways that are known. A request that may be repeated is answered by the
-/// next server. One that may not runs at a second server only where the first proved that it did not run it, and
-/// otherwise ends with a status that promises nothing.
+/// A server fails one request in each known way. An idempotent request is answered by the next server. A
+/// non-idempotent one runs on a second server only if the first proved that it did not run it; otherwise it ends
+/// with a status that makes no such claim.
 #[tokio::test]
 async fn a_request_is_retried_elsewhere_only_if_that_is_safe() {
     for case in cases() {
@@ -64,8 +65,8 @@
     }
 }
 
-/// The server's own failure is its answer: the caller gets it with its signature, for a request that may not be
-/// repeated at once, for one that may after another server has failed as well.
+/// An error of the server itself is its answer. The caller gets it with its signature: at once for a non-idempotent
+/// request, and after another server has failed as well for an idempotent one.
 #[tokio::test]
 async fn an_error_of_the_server_is_passed_on_unchanged() {
     for (path, attempts) in [("/unsafe/x", 1), ("/safe/x", 2)] {
@@ -81,10 +82,10 @@
     }
 }
 
-/// No server can be reached: nothing has run, so the caller is told so and when to come back.
+/// No server can be reached: nothing has run, so that the caller gets a status that says so and when to retry.
 #[tokio::test]
 async fn an_unreachable_server_is_reported_as_not_run() {
-    // The port stays bound and takes no connection: one that was let go may become another test's server.
+    // The port stays bound without accepting connections, so that no other test can get it.
     let bound = TcpSocket::new_v4().unwrap();
     bound.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let mut gone = Server::start("i-1", [Act::Hang]).await;
@@ -98,8 +99,8 @@
     assert!(wire::header(&answer, "retry-after").is_some());
 }
 
-/// A server writes a second answer after a whole one. Those bytes belong to no request: the next request must not get
-/// them, so it goes over another connection.
+/// A server writes a second answer after a complete one. Those bytes belong to no request and must not reach the
+/// next one, which is therefore sent on another connection.
 #[tokio::test]
 async fn extra_bytes_after_an_answer_are_discarded() {
     let extra = ok("first") + &ok("extra");
@@ -113,8 +114,8 @@
     assert!(second.ends_with("second"), "{second}");
 }
 
-/// A server closes a connection that it kept. The next request finds that out before it is written and goes over a
-/// new one, also where it may not be repeated.
+/// A server closes a connection that was kept idle. The next request detects that before it is written and is sent
+/// on a new connection, even if it is not idempotent.
 #[tokio::test]
 async fn a_closed_idle_connection_fails_no_request() {
     let server = Server::start("i-1", [Act::WriteAndClose(ok("a")), Act::Write(ok("b"))]).await;
@@ -127,8 +128,8 @@
     assert!(answer.ends_with('b'), "{answer}");
 }
 
-/// A server breaks a stream off in the middle of its third event. The stream goes on at another server after the
-/// second one, within the same answer, and the caller sees each event once.
+/// A server breaks off a stream in the middle of its third event. The stream continues from another server after
+/// the second event, within the same answer, and the caller gets each event once.
 #[tokio::test]
 async fn a_resumable_stream_continues_after_its_last_complete_event() {
     let begun = stream_head() + &chunk(&event(1)) + &chunk(&event(2)) + &chunk("id: 3\nda");
@@ -144,8 +145,8 @@
     assert_eq!(wire::header(&second.seen()[0], "last-event-id").as_deref(), Some("2"));
 }
 
-/// The server that takes a stream over goes on at another event than it was asked for. The caller must not miss
-/// events or read some twice, so the stream ends visibly cut.
+/// The server that takes over a stream resumes it at a different event than requested. The caller must not miss
+/// events or get some twice, so that the stream is visibly truncated.
 #[tokio::test]
 async fn a_stream_resumed_at_the_wrong_event_is_truncated() {
     for number in [2, 4] {
@@ -162,8 +163,8 @@
     }
 }
 
-/// A stream that may not be resumed breaks off: it may have run, so it is not sent again, and the caller sees whole
-/// events and then a broken connection, never an ordinary end.
+/// A stream that is not resumable breaks off. As it may have run, it is not sent again, and the caller gets
+/// complete events and then a broken connection, never a regular end.
 #[tokio::test]
 async fn a_stream_that_is_not_resumable_is_visibly_truncated() {
     let begun = stream_head() + &chunk(&event(1)) + &chunk("id: 2\n");
@@ -178,8 +179,8 @@
     assert_eq!(second.seen().len(), 0);
 }
 
-/// A caller hangs up while its answer is awaited. The server is told by the close of its connection, so that it stops
-/// working for nobody.
+/// A caller disconnects while its answer is pending. The server's connection is closed, so that it stops working on
+/// the request.
 #[tokio::test]
 async fn the_server_connection_closes_when_the_caller_disconnects() {
     let server = Server::start("i-1", [Act::Hang]).await;
@@ -193,8 +194,8 @@
     wire::until("the close of the server's connection", || server.closed() == 1).await;
 }
 
-/// A content crashes every server that begins to run it, and its caller sends it again, each time. It is refused, as
-/// not run, once it has crashed three servers; other requests of the same caller are still answered.
+/// A content crashes every server that starts to run it, and its caller keeps sending it. It is refused, as not
+/// run, once it has crashed three servers; other requests of the same caller are still answered.
 #[tokio::test]
 async fn a_content_that_crashes_servers_is_quarantined() {
     let mut servers = Vec::new();
@@ -218,8 +219,8 @@
     assert_eq!(status(&other), 200);
 }
 
-/// All servers are full and refuse. The caller used its only retry after 200 ms and met the same, together with all others;
-/// it is asked back later, and not past a third of its time.
+/// All servers are full and refuse. Callers used their only retry after 200 ms and met the same, all of them
+/// together; they are now asked to retry later, but not after more than a third of their time.
 #[tokio::test]
 async fn a_caller_that_found_all_servers_full_is_asked_to_retry_late() {
     let server = Server::start("i-1", [Act::Write(not_run())]).await;
@@ -228,8 +229,8 @@
 
     let answer = host.call(&request("/unsafe/x", "")).await;
 
-    // The fixture's caller gives 3 s, of which the tries that were refused have taken a part; the header's last digit is
-    // a millisecond, rounded.
+    // The fixture's caller allows 3 s, part of which the refused attempts have taken; the header is rounded to a
+    // millisecond.
     let left = 3.0 - begun.elapsed().as_secs_f64();
     let after: f64 = wire::header(&answer, "retry-after").unwrap().parse().unwrap();
     assert_eq!(status(&answer), 503, "{answer}");
--- a/tests/relay_input.rs
+++ b/tests/relay_input.rs
@@ -1,4 +1,4 @@
-//! What callers may send, and what of it reaches a backend server.
+//! What callers may send, and which of it reaches a backend server.
 
 #[path = "support/relay.rs"]
 mod relay_support;
@@ -15,7 +15,7 @@
     Server::start("i-1", [Act::Write(ok("fine"))]).await
 }
 
-/// Each of these is answered with an error of its own and reaches no server.
+/// Each of these is answered with its own error and reaches no server.
 #[tokio::test]
 async fn invalid_requests_reach_no_server() {
     let server = server().await;
@@ -46,7 +46,7 @@
     request("/unsafe/x", "").replace("Content-Length: 0\r\n", "Transfer-Encoding: chunked\r\n") + body
 }
 
-/// A caller breaks off in the middle of a body. What has come must not run as if it were all.
+/// A caller disconnects in the middle of a body. The received part must not run as if it were complete.
 #[tokio::test]
 async fn a_truncated_body_does_not_run() {
     let server = server().await;
@@ -55,14 +55,14 @@
     caller.send(&request("/unsafe/x", "whole body")[..request("/unsafe/x", "whole body").len() - 4]).await;
     drop(caller);
 
-    // A request that was sent after the cut one has been served, so that the cut one would have run by now.
+    // Once a later request has been answered, the truncated one would have run.
     host.call(&request("/unsafe/y", "")).await;
 
     assert!(server.seen().iter().all(|req| !req.contains("/unsafe/x")), "{:?}", server.seen());
 }
 
-/// A request hides another one in its body, behind two lengths that disagree. A server must never see the hidden one
-/// as a request of its own.
+/// A request hides another one in its body, by means of two conflicting lengths. A server must never see the hidden
+/// one as a separate request.
 #[tokio::test]
 async fn a_smuggled_request_does_not_run() {
     let server = server().await;
@@ -78,7 +78,7 @@
     assert!(heads.iter().all(|head| !head.contains("hidden")), "{heads:?}");
 }
 
-/// A caller sets headers that are the system's to set. The server gets the system's values, and never the key.
+/// A caller sets headers that only the system may set. The server gets the system's values, and never the API key.
 #[tokio::test]
 async fn callers_cannot_set_internal_headers() {
     let server = server().await;
@@ -105,10 +105,10 @@
     assert!(seen.ends_with("body"));
 }
 
-/// A host that has no configuration yet knows nothing about any key or path, so it says that the request has not run
-/// and nothing else. Just after its start other hosts may serve, so callers come back at once. Later, while no other host
-/// is heard, all have lost their configuration and the store is away: callers come back in a second, since their only
-/// retry would meet the same.
+/// A host without a configuration knows no key or path, so that it can only report that the request has not run.
+/// Shortly after its start other hosts may be serving, and callers are asked to retry at once. Later, while no
+/// other host is alive, the whole fleet has lost its configuration during an outage of the store: callers are asked
+/// to retry in a second, since their only retry would fail the same way.
 #[tokio::test]
 async fn a_host_without_configuration_reports_not_run() {
     let host = Host::empty().await;
@@ -125,8 +125,8 @@
     assert!(!host.relay.is_ready());
 }
 
-/// A host that is leaving answers what it still takes and tells the caller to connect elsewhere next time; once its
-/// listeners are closed it refuses, as not run, what still arrives on a kept connection.
+/// A leaving host answers the requests that it still accepts, and tells callers to connect elsewhere next time;
+/// once its listeners are closed it refuses, as not run, what still arrives on a kept connection.
 #[tokio::test]
 async fn a_leaving_host_sends_callers_elsewhere() {
     let server = server().await;
@@ -144,7 +144,7 @@
     wire::until("all connections are closed", || host.relay.connections() == 0).await;
 }
 
-/// The store lists servers that can't be used; the others still are.
+/// The store lists a server with an invalid address; the others stay in use.
 #[tokio::test]
 async fn a_server_with_an_invalid_address_is_ignored() {
     let server = server().await;
@@ -173,8 +173,8 @@
     assert_eq!(status(&host.call(&request("/unsafe/x", "")).await), 200);
 }
 
-/// Somebody else writes an entry with a start far in the future. Taken for true it would hide for good what the server
-/// itself tells; the server is left alone until it has written its own entry again.
+/// Another party writes an entry with a start time far in the future. If it were accepted, the server's own entries
+/// would be ignored forever; instead, the server is not used until it has written its own entry again.
 #[tokio::test]
 async fn a_start_time_in_the_far_future_is_rejected() {
     let server = server().await;
@@ -199,15 +199,15 @@
     assert_eq!(servers, [1, 0, 1]);
 }
 
-/// A service has ten times the requests that it can run, so that new streams are turned away. A caller whose stream broke off
-/// comes back for the rest of it: it is never turned away, or what has been done for it would be lost.
+/// A service has ten times the requests that it can run, so that new streams are rejected. A caller whose stream
+/// broke off resumes it: this is never rejected, since the work already done for it would be lost.
 #[tokio::test]
 async fn a_resumed_stream_is_not_rejected() {
     let server = Server::start("i-1", [Act::Hang]).await;
     let host = Host::with(&[&server]).await;
     let again = request("/once/x", "").replace("\r\n\r\n", "\r\nLast-Event-Id: 2\r\n\r\n");
     let mut callers = Vec::new();
-    // Ten times the places.
+    // Ten times the slots.
     for n in 1..=60 {
         let mut caller = host.connect().await;
         caller.send(&again).await;
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other, and what each does with it.
+//! Heartbeats and fetches between hosts, and their effects.
 
 #[path = "support/relay.rs"]
 mod relay_support;
@@ -79,7 +79,7 @@
     peers.receive(ms(0), addr(2), &busy(2, 1, &[(77, 4)]), LOCAL);
     assert_eq!((peers.remote_load(77), peers.remote_load(78)), (7, 1));
 
-    // One that comes late, one that comes twice, and a newer one.
+    // An older heartbeat, a duplicate, and a newer one.
     peers.receive(ms(10), addr(1), &busy(1, 1, &[(77, 9)]), LOCAL);
     peers.receive(ms(10), addr(2), &busy(2, 1, &[(77, 4)]), LOCAL);
     peers.receive(ms(20), addr(1), &busy(1, 3, &[(78, 2)]), LOCAL);
@@ -87,7 +87,7 @@
     assert_eq!((peers.remote_load(77), peers.remote_load(78)), (4, 2));
 }
 
-/// A host restarts: its numbers begin again, and its beats must count at once.
+/// A host restarts: its heartbeats are numbered from the start again, and must count at once.
 #[test]
 fn heartbeats_of_a_restarted_host_count_at_once() {
     let mut peers = Peers::new(addr(0), "a", &[]);
@@ -99,7 +99,7 @@
     assert_eq!(peers.remote_load(77), 1);
 }
 
-/// A host loses its power. Callers must not be sent there any more, and its requests are none any more.
+/// A host loses power. Callers must no longer be sent there, and its requests must no longer count.
 #[test]
 fn a_lost_host_stops_counting() {
     let mut peers = Peers::new(addr(0), "a", &[]);
@@ -111,10 +111,10 @@
     assert_eq!(lost, [addr(1)]);
     assert_eq!(peers.remote_load(77), 2);
     assert_eq!(ready(&peers, ms(1_400)), BTreeSet::from(["host-2".into()]));
-    assert_eq!(peers.host_count(), 3, "it may be cut off and still spend its share of budgets");
+    assert_eq!(peers.host_count(), 3, "it may be partitioned and still spend its share of budgets");
 }
 
-/// Two hosts keep away from a server, one of them takes it back, the other falls silent.
+/// Two hosts avoid a server; then one of them uses it again, and the other is lost.
 #[test]
 fn hosts_that_avoid_a_server_are_counted() {
     let mut peers = Peers::new(addr(0), "a", &[]);
@@ -139,8 +139,8 @@
     assert_eq!(ready(&peers, ms(10)), BTreeSet::new());
 }
 
-/// A peer has a newer configuration. The store mostly tells both within milliseconds, so it is fetched only when the
-/// peer stays ahead; a host without any configuration fetches at once.
+/// A peer has a newer configuration. Since the store usually delivers it to both hosts within milliseconds, it is
+/// fetched only if the peer stays ahead; a host without any configuration fetches at once.
 #[test]
 fn newer_state_is_fetched_once_a_peer_stays_ahead() {
     let mut peers = Peers::new(addr(0), "a", &[]);
@@ -154,8 +154,8 @@
     assert_eq!(peers.fetch_source(ms(250), LocalVersions { configuration: 6, ..LOCAL }, &mut rng()), None);
 }
 
-/// A data centre of 30 hosts hears of a change at the same moment, from several that have it. If all asked the same one
-/// its answers would take longer than they wait, and each would ask it again.
+/// A data centre of 30 hosts learns of a change at the same moment, from several hosts that have it. If all asked
+/// the same one, its answers would take longer than they wait, and each would ask it again.
 #[test]
 fn hosts_that_lack_the_same_state_ask_different_peers() {
     let mut peers = Peers::new(addr(0), "a", &[]);
@@ -170,12 +170,12 @@
     assert_eq!(sources.len(), 8);
 }
 
-/// A change reaches the followers of data centre `b` first. Host 0 leaves the store to others of its own data centre, which
-/// will have the change in a moment: it fetches it from `b` only when they don't.
+/// A change reaches the followers in data centre `b` first. Host 0 does not follow the store; the followers in its
+/// own data centre will have the change in a moment. It fetches from `b` only if they do not.
 #[test]
 fn changes_are_fetched_from_the_local_data_centre_first() {
     let mut peers = large_fleet();
-    assert!(!peers.decide_following(ms(10), Contact::Idle), "two of its data centre follow");
+    assert!(!peers.decide_following(ms(10), Contact::Idle), "two hosts of its data centre follow");
     let next = |i, centre| Beat { configuration: 6, ..beat(i, centre, 2) };
     peers.receive(ms(100), addr(4), &next(4, "b"), LOCAL);
     let before = peers.fetch_source(ms(400), LOCAL, &mut rng());
@@ -187,8 +187,9 @@
     assert_eq!((before, alone, near), (None, Some(addr(4)), Some(addr(3))));
 }
 
-/// A host of a data centre of twenty has been told a configuration. It tells a few neighbours out of turn, each time others,
-/// so that what one host can give to few at a time spreads from many.
+/// A host in a data centre of twenty has fetched a configuration. It notifies a few neighbours at once, different
+/// ones each time, so that the configuration spreads quickly although one host can serve it to only a few at a
+/// time.
 #[test]
 fn a_configuration_is_gossiped_to_a_few_random_neighbours() {
     let peers = large_fleet();
@@ -198,10 +199,11 @@
 
     assert!(reported.iter().all(|few| few.len() == 4));
     let all: BTreeSet<_> = reported.iter().flatten().collect();
-    assert_eq!(all.len(), 19, "all of the own data centre, and no other");
+    assert_eq!(all.len(), 19, "all of the local data centre, and no others");
 }
 
-/// Two followers have seen the store at different revisions, but their lists are the same: nothing is to be fetched.
+/// Two followers have read the store at different revisions, but their lists are equal: nothing needs to be
+/// fetched.
 #[test]
 fn a_higher_revision_of_the_same_list_is_not_fetched() {
     let mut peers = Peers::new(addr(0), "a", &[]);
@@ -213,7 +215,7 @@
     assert_eq!(peers.fetch_source(ms(1_000), LOCAL, &mut rng()), Some(addr(1)));
 }
 
-/// Sixty hosts in three data centres, as host 0 in `a` knows them.
+/// Sixty hosts in three data centres, from the view of host 0 in `a`.
 fn large_fleet() -> Peers {
     let mut peers = Peers::new(addr(0), "a", &[]);
     for i in 1..60 {
@@ -235,8 +237,8 @@
     assert!(peers.period() < ms(500), "{:?}", peers.period());
 }
 
-/// All hosts restart and know three seeds. A seed that knows sixty hosts tells a new one of all of them within a few
-/// beats; until then callers would be sent to the seeds alone.
+/// All hosts restart, knowing three seeds. A seed that knows sixty hosts sends all of them to a new host within a
+/// few heartbeats; until then callers would be sent to the seeds alone.
 #[test]
 fn a_new_host_learns_all_members_within_its_first_heartbeats() {
     let mut seed = large_fleet();
@@ -252,7 +254,7 @@
         new.receive(ms(n), addr(0), &answer, LOCAL);
     }
 
-    // Near ones are sought; a summary of `b` suffices to hand out all of its hosts.
+    // Direct peers are sent heartbeats; a summary of `b` is enough to hand out all of its hosts.
     let near = new.targets(ms(5_000), &mut rng()).into_iter().filter(|(_, scope)| *scope == Scope::Host);
     assert_eq!(near.count(), 20);
     let mut other = Peers::new(addr(1), "b", &[]);
@@ -266,8 +268,8 @@
     assert!(centre_b.clone().all(|i| handed_out.contains(&format!("host-{i}"))), "{handed_out:?}");
 }
 
-/// The hosts of data centre `a` that follow the store, of sixty hosts in three data centres, as each of them decides; these
-/// follow already, and those have lost the store.
+/// The hosts of data centre `a`, of sixty hosts in three data centres, that decide to follow the store, while those
+/// in `follow` already do and those in `lost` cannot reach it.
 fn followers(follow: &[u8], lost: &[u8]) -> Vec<u8> {
     let contact = |i: u8| match (follow.contains(&i), lost.contains(&i)) {
         (true, _) => Contact::Follows,
@@ -287,8 +289,8 @@
     (0..60).filter(|i| i % 3 == 0).filter(decides).collect()
 }
 
-/// Each host decides by itself whether it follows the store. However the hashes fall, two of a data centre do, and they go
-/// on while nothing changes; when one of them loses the store, one other host steps in beside the one that is left.
+/// Each host decides by itself whether it follows the store. For any hashes, two hosts of a data centre do, and
+/// they continue while nothing changes; if one of them loses the store, one other host joins the remaining one.
 #[test]
 fn a_few_hosts_of_each_data_centre_follow_the_store() {
     let first = followers(&[], &[]);
@@ -301,7 +303,7 @@
     assert!(first.iter().all(|i| cut.contains(i)), "{first:?} {cut:?}");
 }
 
-/// A follower is told to stop. It still beats for seconds, and must not be counted on.
+/// A follower is shutting down. It still sends heartbeats for seconds, but no longer counts as a follower.
 #[test]
 fn a_host_that_leaves_does_not_follow_the_store() {
     let mut peers = Peers::new(addr(0), "a", &[]);
@@ -313,9 +315,9 @@
     assert!(peers.decide_following(ms(10), Contact::Idle));
 }
 
-/// All hosts were killed while the store was away. After its return the entries of servers come back one by one, and callers
-/// were refused for a second in which no host followed the store, since none knew yet how many others there are. The seeds
-/// do, from their start; the others once they have heard of most hosts.
+/// All hosts were killed during an outage of the store. After the outage the entries of servers reappeared one by
+/// one, and callers were refused for a second because no host followed the store, as none knew the number of hosts
+/// yet. Seeds therefore follow it from their start; the other hosts decide once they know most of the fleet.
 #[test]
 fn a_seed_follows_the_store_before_it_knows_the_fleet() {
     let seeds = [addr(1), addr(2)];
@@ -328,11 +330,11 @@
     let settled = duty(&mut peers, ms(51_100));
 
     assert_eq!((first, early), ([true, false], [true, false]));
-    assert_eq!(settled, [true, true], "in a small fleet all follow");
+    assert_eq!(settled, [true, true], "all hosts follow in a small fleet");
 }
 
-/// Ninety of three hundred hosts following the store after a start of all, since each had heard of few others by then, and all
-/// calls being paid for.
+/// After a start of the whole fleet, ninety of three hundred hosts followed the store because each knew few others
+/// by then, and every call costs. A host that has peers therefore decides later.
 #[test]
 fn a_host_with_peers_waits_for_them_to_follow_the_store() {
     let start = |i: u8| Peers::new(addr(i), "a", &[]).with_start(ms(50_000));
@@ -352,8 +354,8 @@
     assert_eq!([alone_decisions, peered_decisions, followed_decisions], [[false, true]; 3]);
 }
 
-/// The seeds of a new host are all gone. It finds others by the entry of a data centre, which names hosts that were up for
-/// long, and is written anew only once half of them are gone.
+/// The seeds of a new host are all gone. It finds other hosts by the entry of a data centre in the store, which
+/// lists those that have been up the longest and is rewritten only once half of them are gone.
 #[test]
 fn hosts_entered_for_a_data_centre_are_those_up_the_longest() {
     let mut peers = Peers::new(addr(0), "a", &[]);
@@ -367,8 +369,8 @@
     assert_eq!(near, ["host-38", "host-36", "host-34"]);
 }
 
-/// Host 0 hears of data centre `b` only by its summaries, from any of its hosts. A newer one replaces the older one,
-/// and when they stop, `b` counts for nothing.
+/// Host 0 learns about data centre `b` only from summaries, sent by any of its hosts. A newer summary replaces an
+/// older one, and when they stop, `b` no longer counts.
 #[test]
 fn summaries_report_other_data_centres() {
     let mut peers = large_fleet();
@@ -391,9 +393,9 @@
     assert_eq!(ready(&peers, ms(5_200)), BTreeSet::new());
 }
 
-/// A host of `b` loses its power. Its neighbours miss it and leave it out of their summaries; `a` must not send callers there
-/// for as long as a summary counts, on top of the time that the neighbours took. A host of `b` that has just started, and
-/// knows few of the others, makes nobody forget them.
+/// A host of `b` loses power. Its neighbours notice and omit it from their summaries. `a` must then stop sending
+/// callers there at once, rather than only when the last summary that lists the host times out. A host of `b` that
+/// has just started, and knows few others, does not make anybody forget them.
 #[test]
 fn a_host_missing_from_its_data_centres_summary_is_not_handed_out() {
     let mut peers = large_fleet();
@@ -414,15 +416,16 @@
     peers.receive(ms(300), addr(1), &summary(&of_b[..3], 4), LOCAL);
 
     assert_eq!(lost, 19);
-    assert_eq!(in_b(&peers, ms(300)), 19, "a host that knows three says nothing of the others");
+    assert_eq!(in_b(&peers, ms(300)), 19, "a host that knows three others proves nothing about the rest");
 }
 
 fn is_of(name: &str, hosts: &[u8]) -> bool {
     hosts.iter().any(|i| name == format!("host-{i}"))
 }
 
-/// A host of data centre `a` hears a host of `b` once in half a minute, and in full once in minutes. A neighbour has told
-/// what it is, so that it needs no full beat of it, a summary of `b` is enough to hand it out, and it counts in budgets at once.
+/// A host of data centre `a` gets a heartbeat from a given host of `b` once in half a minute, and a full one once
+/// in minutes. A neighbour has reported its description, so that no full heartbeat is needed; a summary of `b` is
+/// enough to hand it out, and it counts for budgets at once.
 #[test]
 fn hosts_of_other_data_centres_are_learnt_from_neighbours() {
     let mut peers = large_fleet();
@@ -442,8 +445,8 @@
     assert_eq!(peers.host_count(), 62);
 }
 
-/// A host is gone, and others still tell of it. It is not told on, and forgotten after a minute, or the fleet would seek
-/// hosts that are gone for ever.
+/// A host is gone, and others still report it. It is not passed on, and is forgotten after a minute; otherwise the
+/// fleet would send heartbeats to hosts that are gone forever.
 #[test]
 fn a_host_without_heartbeats_is_not_passed_on() {
     let mut peers = Peers::new(addr(0), "a", &[]);
@@ -462,8 +465,8 @@
     assert!(!is_target(&mut peers, ms(62_000)));
 }
 
-/// Three hosts know one seed. Only the first reaches the store. The others get configuration and backend servers from
-/// it, become ready, and are handed out to callers; a change and a leaving server reach them as well.
+/// Three hosts know one seed, and only the first reaches the store. The others get the configuration and backend
+/// servers from it, become ready, and are handed out to callers; a change and a leaving server reach them as well.
 #[tokio::test]
 async fn hosts_without_the_store_learn_from_one_that_reaches_it() {
     let (first, seed) = host("host-1", &[]).await;
@@ -493,7 +496,7 @@
     assert_eq!(first.server_count("app"), 0);
 }
 
-/// Asks a host as another one does.
+/// Sends a fetch to a host, as another host would.
 async fn fetch(at: SocketAddr, fetch: Fetch) -> Fetched {
     let mut stream = TcpStream::connect(at).await.unwrap();
     let fetch = postcard::to_allocvec(&fetch).unwrap();
@@ -504,8 +507,8 @@
     postcard::from_bytes(&answer).unwrap()
 }
 
-/// A route's time changes. A host that has the configuration before is told just that; one that has none, or one that nobody
-/// remembers, is told the whole.
+/// A route's timeout changes. A host with the previous configuration gets only this change; a host without a
+/// configuration, or with one that is no longer in the log, gets the full configuration.
 #[tokio::test]
 async fn a_host_gets_only_the_configuration_changes_it_lacks() {
     let (host, at) = host("host-1", &[]).await;
@@ -527,8 +530,8 @@
     assert_eq!(fetch(at, knows(7)).await.configuration_changes, None);
 }
 
-/// Two hosts hold different contents under one version, as when somebody has written it anew. The changes that one of them
-/// tells lead nowhere at the other, which asks for the whole and has it.
+/// Two hosts hold different configurations under the same version, for instance because it was rewritten. The
+/// changes sent by one do not apply on the other, which fetches the full configuration.
 #[tokio::test]
 async fn changes_that_do_not_apply_are_replaced_by_the_full_configuration() {
     let (first, seed) = host("host-1", &[]).await;
@@ -543,8 +546,9 @@
     wire::until("the newer one", || second.routes().is_some_and(|r| **r.source() == newer)).await;
 }
 
-/// All hosts of a data centre start at once and ask the first that has the list. Answering all at a time would keep each
-/// beyond its patience; those who are turned away ask others that have been answered meanwhile.
+/// All hosts of a data centre start at once and ask the first one that has the list. If it answered all of them
+/// concurrently, each would wait longer than its timeout; those that are turned away ask hosts that have been
+/// answered meanwhile.
 #[tokio::test]
 async fn a_host_answers_a_limited_number_of_fetches_at_once() {
     let (_host, at) = host("host-1", &[]).await;
@@ -559,7 +563,8 @@
     assert_eq!(waiting.len(), 3);
 }
 
-/// A host behind for seconds while it asks hosts that it can't reach again and again, though another one would answer.
+/// A host stayed behind for seconds because it kept asking hosts that it could not reach, although another one
+/// would have answered.
 #[test]
 fn hosts_with_failed_fetches_are_asked_last() {
     let mut peers = Peers::new(addr(0), "a", &[]);
@@ -574,5 +579,5 @@
     let again = peers.fetch_source(later, LOCAL, &mut rng());
 
     assert_eq!(sources, BTreeSet::from([addr(7)]));
-    assert!(again.is_some(), "where all have failed they are asked again");
+    assert!(again.is_some(), "once all have failed they are asked again");
 }
