--- a/src/admit/queue.rs
+++ b/src/admit/queue.rs
@@ -19,6 +19,7 @@
     util::{Instant, Map},
 };
 
+/// Range of the retry delay that refusals tell callers.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
--- a/src/error.rs
+++ b/src/error.rs
@@ -111,7 +111,7 @@
 
 /// HTTP answer for an error kind.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer {
+pub struct ErrorAnswer {
     /// HTTP status.
     pub status: u16,
     /// Machine-readable code.
@@ -169,9 +169,9 @@
     ];
 
     /// HTTP answer for this kind.
-    pub fn answer(self) -> Answer {
+    pub fn answer(self) -> ErrorAnswer {
         let row =
-            |status, code, ran, retry_after_s, about| Answer { status, code, ran, retry_after_s, about };
+            |status, code, ran, retry_after_s, about| ErrorAnswer { status, code, ran, retry_after_s, about };
         match self {
             ErrorKind::BadRequest => {
                 row(400, "bad_request", Ran::No, None, "The request can't be understood")
--- a/src/place/ledger.rs
+++ b/src/place/ledger.rs
@@ -184,6 +184,7 @@
         }
     }
 
+    /// Remembers a release without a reservation, so that the reservation is ignored if it arrives later.
     fn remember_release(&mut self, id: ReservationId) {
         if !self.early_release_set.insert(id) {
             return;
@@ -215,6 +216,7 @@
         self.accounts.retain(|&id, account| account.running > 0 || keep(id));
     }
 
+    /// Releases all reservations that match.
     fn end_matching(&mut self, now: Instant, matches: impl Fn(&ReservationId, &Reservation) -> bool) {
         let ids: Vec<_> = self
             .reservations
--- a/src/place/placer.rs
+++ b/src/place/placer.rs
@@ -73,17 +73,20 @@
     data_centre: Arc<str>,
     members: Members,
     digests: LoadDigests,
-    means: Map<Id, (LoadDigest, Instant)>,
+    /// Cached total load of each pool, with the time of its computation.
+    pool_loads: Map<Id, (LoadDigest, Instant)>,
     owned_engines: Map<Id, OwnedEngines>,
     /// Engines that this router already owned before the latest change of the member list.
     settled: Set<Id>,
+    /// End of the period in which engines that are not settled are assumed to carry the mean load.
     takeover_until: Instant,
+    /// Unreachable routers, with the end of their backoff.
     unreachable: Map<Id, Instant>,
     /// Health of engines.
     pub health: Health,
     /// Reservations granted by this router.
     pub ledger: Ledger,
-    /// Cache events of engines.
+    /// Recent cache evictions of engines.
     pub cache: EvictionTracker,
 }
 
@@ -95,7 +98,7 @@
             data_centre: data_centre.into(),
             members: Members::default(),
             digests: LoadDigests::default(),
-            means: Map::default(),
+            pool_loads: Map::default(),
             owned_engines: Map::default(),
             settled: Set::default(),
             takeover_until: Instant::ZERO,
@@ -130,6 +133,8 @@
         self.owned_engines.clear();
     }
 
+    /// Starts a takeover period after a change of the member list, except when the first list contains only one
+    /// member: without other routers there is no former owner.
     fn begin_takeover(&mut self, members: usize, now: Instant) {
         let alone = self.members.list().is_empty() && members == 1;
         if alone {
@@ -199,13 +204,13 @@
 
     /// Mean load of a pool over all owners.
     pub fn mean(&mut self, cat: &Catalog, pool: &Pool, now: Instant) -> MeanLoad {
-        if let Some((load, at)) = self.means.get(&pool.id)
+        if let Some((load, at)) = self.pool_loads.get(&pool.id)
             && now.saturating_sub(*at) < MEAN_TTL
         {
             return MeanLoad::from_total(*load);
         }
         let load = total(self.digest(cat, pool, now), self.digests.total(pool.id, now));
-        self.means.insert(pool.id, (load, now));
+        self.pool_loads.insert(pool.id, (load, now));
         MeanLoad::from_total(load)
     }
 
@@ -255,7 +260,7 @@
         self.ledger.add(req.reservation, engine, req.work, now);
         // Update the cached mean: with the value from before a burst, idle engines would refuse all but one request
         // each until the mean is recomputed.
-        if let Some((load, _)) = self.means.get_mut(&req.pool) {
+        if let Some((load, _)) = self.pool_loads.get_mut(&req.pool) {
             load.work += req.work;
             load.running += 1;
         }
@@ -319,6 +324,7 @@
         }
     }
 
+    /// Engines of a pool that this router owns, with their capacities.
     fn owned_engines(&mut self, cat: &Catalog, pool: &Pool) -> Arc<[(Id, u32)]> {
         if let Some(owned) = self.owned_engines.get(&pool.id)
             && owned.version == cat.version
@@ -354,6 +360,7 @@
         work as f64 + f64::from(foreign.unwrap_or(0)) * mean.work_per_request
     }
 
+    /// Available engine of this router in a pool with the lowest load per capacity.
     fn least_loaded(&mut self, cat: &Catalog, pool: &Pool, now: Instant) -> Option<Id> {
         let mean = self.mean(cat, pool, now);
         let mut best: Option<(f64, Id)> = None;
--- a/src/place/rank.rs
+++ b/src/place/rank.rs
@@ -82,6 +82,7 @@
 }
 
 impl Group {
+    /// Top engines of the group by hash.
     fn top(&self, chat: u64) -> [Option<(u64, EngineKey)>; MAX_RANKED] {
         let mut best = [None; MAX_RANKED];
         let mut floor = 0;
@@ -96,6 +97,7 @@
     }
 }
 
+/// Inserts an entry into a list sorted by descending score, dropping the last one.
 fn insert<S: PartialOrd + Copy>(best: &mut [Option<(S, EngineKey)>; MAX_RANKED], entry: (S, EngineKey)) {
     let at = best.iter().position(|b| b.is_none_or(|(score, _)| entry.0 > score));
     if let Some(at) = at {
--- a/src/place/search.rs
+++ b/src/place/search.rs
@@ -13,11 +13,11 @@
 };
 
 /// Reservations tried on named engines before any engine owned by this router at or below the mean is accepted.
-const ASKS_BEFORE_LOCAL: u32 = 2;
+const NAMED_TRIES_BEFORE_LOCAL: u32 = 2;
 /// Reservations tried on named engines before any engine within the bound is accepted.
-const MAX_NAMED_ASKS: u32 = 6;
+const MAX_NAMED_TRIES: u32 = 6;
 /// Owners that are asked for any of their engines within the bound.
-const MAX_ANY_ASKS: u32 = 3;
+const MAX_ANY_TRIES: u32 = 3;
 
 /// Engine that may answer a chat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,9 +65,9 @@
     data_centres: VecDeque<usize>,
     seen: Set<Id>,
     excluded: Vec<Id>,
-    named_asked: u32,
+    named_tries: u32,
     local_tried: bool,
-    any_asked: u32,
+    any_tries: u32,
     scored: usize,
     any_available: bool,
 }
@@ -107,9 +107,9 @@
             home,
             seen: excluded.iter().copied().collect(),
             excluded,
-            named_asked: 0,
+            named_tries: 0,
             local_tried: false,
-            any_asked: 0,
+            any_tries: 0,
             scored: 0,
             any_available: false,
         }
@@ -159,26 +159,27 @@
     /// Engines whose owner is unreachable are skipped. If each router counted their load on its own, the routers
     /// together would overload them; their chats lose their cache until the member lists converge.
     pub fn next(&mut self, placer: &mut Placer, cat: &Catalog, pool: &Pool, now: Instant) -> Option<Step> {
-        if self.named_asked >= ASKS_BEFORE_LOCAL && !self.local_tried {
+        if self.named_tries >= NAMED_TRIES_BEFORE_LOCAL && !self.local_tried {
             self.local_tried = true;
             return Some(Step { owner: None, engine: None, above_mean: false });
         }
         if let Some(step) = self.next_named(placer, cat, pool, now) {
             return Some(step);
         }
-        if !self.any_available || self.any_asked >= MAX_ANY_ASKS {
+        if !self.any_available || self.any_tries >= MAX_ANY_TRIES {
             return None;
         }
-        self.any_asked += 1;
-        let owner = match self.any_asked {
+        self.any_tries += 1;
+        let owner = match self.any_tries {
             1 => None,
             n => Some(self.next_other_owner(placer, n, now)?),
         };
         Some(Step { owner, engine: None, above_mean: true })
     }
 
+    /// Returns the next named engine whose owner is reachable.
     fn next_named(&mut self, placer: &mut Placer, cat: &Catalog, pool: &Pool, now: Instant) -> Option<Step> {
-        while self.named_asked < MAX_NAMED_ASKS {
+        while self.named_tries < MAX_NAMED_TRIES {
             let candidate = self.next_candidate(placer, cat, pool, now)?;
             let data_centre = &cat.engine(candidate.engine).data_centre;
             let me = placer.me();
@@ -186,12 +187,13 @@
             if owner.as_ref().is_some_and(|m| !placer.is_reachable(m.id, now)) {
                 continue;
             }
-            self.named_asked += 1;
+            self.named_tries += 1;
             return Some(Step { owner, engine: Some(candidate), above_mean: candidate.cached > 0 });
         }
         None
     }
 
+    /// Returns the next available engine, first from the hint, then from the ranking of the nearest data centre.
     fn next_candidate(
         &mut self,
         placer: &Placer,
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -18,7 +18,7 @@
 pub use budget::RetryBudget;
 pub use cooldown::Cooldowns;
 
-/// Why an attempt failed.
+/// Why a request is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RetryReason {
     /// No connection could be made.
--- a/src/retry/cooldown.rs
+++ b/src/retry/cooldown.rs
@@ -7,6 +7,7 @@
     util::{Instant, Map},
 };
 
+/// Cool-down after the first failure.
 const BASE_COOLDOWN: Duration = Duration::from_secs(1);
 const MAX_COOLDOWN: Duration = Duration::from_secs(8);
 
--- a/src/suspect/crashes.rs
+++ b/src/suspect/crashes.rs
@@ -29,6 +29,7 @@
         new
     }
 
+    /// Removes expired crashes, and the oldest one if there are still too many.
     fn evict(&mut self, now: Instant) {
         self.expiries.retain(|_, until| *until > now);
         let oldest = self.expiries.iter().min_by_key(|(_, until)| **until).map(|(crash, _)| *crash);
--- a/src/suspect/permit.rs
+++ b/src/suspect/permit.rs
@@ -75,6 +75,7 @@
         self.contents.is_empty()
     }
 
+    /// Removes expired permits.
     fn expire(&mut self, now: Instant) {
         let engines = &mut self.engines;
         self.contents.retain(|_, permit| {
--- a/src/suspect/table.rs
+++ b/src/suspect/table.rs
@@ -81,6 +81,7 @@
         entry.is_some_and(|e| e.until > now + settled_ttl)
     }
 
+    /// Standing of an entry at `now`: an expired one is cleared, a formerly quarantined one is a suspect at first.
     fn standing_of(&self, now: Instant, entry: &Entry) -> Standing {
         match entry.standing {
             _ if entry.until <= now => Standing::Cleared,
@@ -161,6 +162,7 @@
         self.demote_others(now, content, &crashes);
     }
 
+    /// Makes other contents that are quarantined for any of these crashes suspects again.
     fn demote_others(&mut self, now: Instant, content: Fingerprint, crashes: &[CrashId]) {
         let until = now + self.limits.suspect_ttl;
         for (other, entry) in &mut self.entries {
@@ -212,6 +214,7 @@
         self.select(now, bytes, 0)
     }
 
+    /// Selects entries that were sent at most `max_sends` times, up to `bytes` in total, and counts them as sent.
     fn select(&mut self, now: Instant, bytes: usize, max_sends: u32) -> Digest {
         self.entries.retain(|_, e| e.until > now);
         let mut order: Vec<_> = self.entries.iter().filter(|(_, e)| e.sends <= max_sends).collect();
@@ -243,6 +246,7 @@
         self.evict(now);
     }
 
+    /// Merges one entry: the higher epoch wins, then the higher standing (suspect, cleared, quarantined).
     fn merge_entry(&mut self, now: Instant, wire: &WireEntry) {
         let max_ttl = self.limits.suspect_ttl.max(self.limits.quarantine_ttl * 2);
         let until = now + Duration::from_millis(wire.ttl_ms.into()).min(max_ttl);
@@ -260,6 +264,7 @@
         self.entries.insert(Fingerprint(wire.fingerprint), entry);
     }
 
+    /// Marks a content as suspect of a crash; a quarantined one only gets the crash added.
     fn mark_suspect(&mut self, now: Instant, content: Fingerprint, crash: CrashId) {
         let until = now + self.limits.suspect_ttl;
         let entry = self.entries.entry(content).or_insert_with(|| Entry {
