--- a/src/admit/flow.rs
+++ b/src/admit/flow.rs
@@ -19,6 +19,7 @@
     /// Start tag: work served for the workspace, in the queue's virtual time.
     pub(super) tag: u64,
     waiting: BTreeSet<(QueueOrder, Ticket, Work)>,
+    /// Queued work by priority class.
     work: [u64; 3],
 }
 
--- a/src/admit/rate.rs
+++ b/src/admit/rate.rs
@@ -18,6 +18,7 @@
 /// Moving averages of one queue.
 #[derive(Debug, Default)]
 pub(super) struct ServiceRate {
+    /// Start of uninterrupted measuring.
     measured_since: Option<Instant>,
     window_start: Option<Instant>,
     window_work: u64,
--- a/src/place/cache.rs
+++ b/src/place/cache.rs
@@ -26,7 +26,9 @@
 
 #[derive(Clone, Debug, Default)]
 struct EngineEvictions {
+    /// Sequence number of the last event.
     sequence: u64,
+    /// Chats in the order of their eviction.
     order: VecDeque<u64>,
     chats: Set<u64>,
 }
--- a/src/place/health.rs
+++ b/src/place/health.rs
@@ -17,9 +17,12 @@
 struct EngineState {
     down: bool,
     leaving: bool,
+    /// Consecutive failures, each within [`FLAP_WINDOW`] of the previous one.
     failures: u32,
     last_failure: Instant,
+    /// End of the hold-down.
     held_until: Instant,
+    /// Start number of the engine's process; 0 if unknown.
     start: u64,
 }
 
--- a/src/place/members.rs
+++ b/src/place/members.rs
@@ -39,6 +39,7 @@
 pub struct Members {
     list: Vec<Member>,
     regions: Map<Arc<str>, Arc<str>>,
+    /// Owner of each engine that was looked up, as position in `list`.
     owner_cache: Map<Id, usize>,
 }
 
--- a/src/suspect/table.rs
+++ b/src/suspect/table.rs
@@ -47,10 +47,12 @@
 
 #[derive(Clone, Debug)]
 struct Entry {
+    /// Increases with each change that must override the former standing at other routers.
     epoch: u32,
     standing: Standing,
     until: Instant,
     crashes: Vec<CrashId>,
+    /// How often the entry has been sent since its last change.
     sends: u32,
 }
 
@@ -126,7 +128,8 @@
         contents: &[Fingerprint],
         crash: CrashId,
     ) -> Standing {
-        let unstable_engines = self.crash_history.unstable_engines(now, &self.attributed(now), Some(crash));
+        let unstable_engines =
+            self.crash_history.unstable_engines(now, &self.attributed_crashes(now), Some(crash));
         self.mark_suspects(now, contents, crash);
         self.mark_suspect(now, content, crash);
         let crashes = self.entries.get(&content).map_or(0, |e| e.crashes.len());
@@ -140,11 +143,11 @@
 
     /// Engines that recently crashed without a known cause. Suspects should not run there.
     pub fn unstable_engines(&self, now: Instant) -> Set<EngineHash> {
-        self.crash_history.unstable_engines(now, &self.attributed(now), None)
+        self.crash_history.unstable_engines(now, &self.attributed_crashes(now), None)
     }
 
     /// Crashes attributed to a quarantined content.
-    fn attributed(&self, now: Instant) -> Set<CrashId> {
+    fn attributed_crashes(&self, now: Instant) -> Set<CrashId> {
         let is_quarantined = |e: &&Entry| e.standing == Standing::Quarantined && e.until > now;
         self.entries.values().filter(is_quarantined).flat_map(|e| e.crashes.iter().copied()).collect()
     }
