--- a/src/suspect/table.rs
+++ b/src/suspect/table.rs
@@ -47,10 +47,12 @@
 
 #[derive(Clone, Debug)]
 struct Entry {
+    /// Increases with each change that must override the former standing at other routers.
     epoch: u32,
     standing: Standing,
     until: Instant,
     crashes: Vec<CrashId>,
+    /// How often the entry has been sent since its last change.
     sends: u32,
 }
 
@@ -81,6 +83,7 @@
         entry.is_some_and(|e| e.until > now + settled_ttl)
     }
 
+    /// Standing of an entry at `now`: an expired one is cleared, a formerly quarantined one is a suspect at first.
     fn standing_of(&self, now: Instant, entry: &Entry) -> Standing {
         match entry.standing {
             _ if entry.until <= now => Standing::Cleared,
@@ -125,7 +128,8 @@
         contents: &[Fingerprint],
         crash: CrashId,
     ) -> Standing {
-        let unstable_engines = self.crash_history.unstable_engines(now, &self.attributed(now), Some(crash));
+        let unstable_engines =
+            self.crash_history.unstable_engines(now, &self.attributed_crashes(now), Some(crash));
         self.mark_suspects(now, contents, crash);
         self.mark_suspect(now, content, crash);
         let crashes = self.entries.get(&content).map_or(0, |e| e.crashes.len());
@@ -139,11 +143,11 @@
 
     /// Engines that recently crashed without a known cause. Suspects should not run there.
     pub fn unstable_engines(&self, now: Instant) -> Set<EngineHash> {
-        self.crash_history.unstable_engines(now, &self.attributed(now), None)
+        self.crash_history.unstable_engines(now, &self.attributed_crashes(now), None)
     }
 
     /// Crashes attributed to a quarantined content.
-    fn attributed(&self, now: Instant) -> Set<CrashId> {
+    fn attributed_crashes(&self, now: Instant) -> Set<CrashId> {
         let is_quarantined = |e: &&Entry| e.standing == Standing::Quarantined && e.until > now;
         self.entries.values().filter(is_quarantined).flat_map(|e| e.crashes.iter().copied()).collect()
     }
@@ -161,6 +165,7 @@
         self.demote_others(now, content, &crashes);
     }
 
+    /// Makes other contents that are quarantined for any of these crashes suspects again.
     fn demote_others(&mut self, now: Instant, content: Fingerprint, crashes: &[CrashId]) {
         let until = now + self.limits.suspect_ttl;
         for (other, entry) in &mut self.entries {
@@ -212,6 +217,7 @@
         self.select(now, bytes, 0)
     }
 
+    /// Selects entries that were sent at most `max_sends` times, up to `bytes` in total, and counts them as sent.
     fn select(&mut self, now: Instant, bytes: usize, max_sends: u32) -> Digest {
         self.entries.retain(|_, e| e.until > now);
         let mut order: Vec<_> = self.entries.iter().filter(|(_, e)| e.sends <= max_sends).collect();
@@ -243,6 +249,7 @@
         self.evict(now);
     }
 
+    /// Merges one entry: the higher epoch wins, then the higher standing (suspect, cleared, quarantined).
     fn merge_entry(&mut self, now: Instant, wire: &WireEntry) {
         let max_ttl = self.limits.suspect_ttl.max(self.limits.quarantine_ttl * 2);
         let until = now + Duration::from_millis(wire.ttl_ms.into()).min(max_ttl);
@@ -260,6 +267,7 @@
         self.entries.insert(Fingerprint(wire.fingerprint), entry);
     }
 
+    /// Marks a content as suspect of a crash; a quarantined one only gets the crash added.
     fn mark_suspect(&mut self, now: Instant, content: Fingerprint, crash: CrashId) {
         let until = now + self.limits.suspect_ttl;
         let entry = self.entries.entry(content).or_insert_with(|| Entry {
