--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -103,9 +103,9 @@
         match datagram::decode(&buf[..n], wall_ms()).and_then(|beat| relay.receive(from, &beat)) {
             Ok(true) => send_datagram(&socket, &encode(&relay.heartbeat(true)), from).await,
             Ok(false) => {}
-            Err(fault) => {
-                relay.metrics.add(Counter::RelayDatagrams, fault.as_str(), 1);
-                spdlog::debug!("dropped a datagram from {from}: {}", fault.as_str());
+            Err(reason) => {
+                relay.metrics.add(Counter::RelayDatagrams, reason.as_str(), 1);
+                spdlog::debug!("dropped a datagram from {from}: {}", reason.as_str());
             }
         }
     }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -44,7 +44,7 @@
 /// The head and body of an answer, with the connection and the work item that belong to it.
 pub(crate) struct Answered<W: Wire> {
     pub(crate) head: response::Parts,
-    pub(crate) read: ResponseHead,
+    pub(crate) parsed: ResponseHead,
     pub(crate) body: Incoming,
     pub(crate) conn: Conn,
     pub(crate) work: Work<W>,
@@ -215,20 +215,20 @@
                 return Err(AttemptError::Failed((failure, key)));
             }
         };
-        let read = self.relay.wire.parse_response(&self.req, &head);
-        if let Some(told) = read.load {
-            self.relay.note_told(&self.req.service, told);
+        let parsed = self.relay.wire.parse_response(&self.req, &head);
+        if let Some(load) = parsed.load {
+            self.relay.note_told(&self.req.service, load);
         }
-        self.relay.apply_server_notices(&self.req, key, &read);
-        if let Some(failure) = read.failure {
-            if matches!(failure, Failure::Refused | Failure::Moved) && !read.closes {
-                self.reuse_after_refusal(body, conn, key, read.keep_alive).await;
+        self.relay.apply_server_notices(&self.req, key, &parsed);
+        if let Some(failure) = parsed.failure {
+            if matches!(failure, Failure::Refused | Failure::Moved) && !parsed.closes {
+                self.reuse_after_refusal(body, conn, key, parsed.keep_alive).await;
             }
             return Err(AttemptError::Failed((failure, key)));
         }
         conn.reused = true;
         self.relay.record_prompt_parts(&self.req, key);
-        Ok(Answered { head, read, body, conn, work })
+        Ok(Answered { head, parsed, body, conn, work })
     }
 
     /// Returns the connection of a refusal to the pool once the body is read.
@@ -239,8 +239,8 @@
         key: BackendKey,
         keep_alive: Option<Duration>,
     ) {
-        let read = Limited::new(body, MAX_BUFFERED_BYTES).collect();
-        if let Ok(Ok(_)) = tokio::time::timeout(REFUSED_RETRY_PAUSE, read).await {
+        let reading = Limited::new(body, MAX_BUFFERED_BYTES).collect();
+        if let Ok(Ok(_)) = tokio::time::timeout(REFUSED_RETRY_PAUSE, reading).await {
             self.relay.keep(key, conn, keep_alive);
         }
     }
@@ -267,8 +267,8 @@
             if left.is_zero() {
                 return Err(Failure::Unsent);
             }
-            let sending = AttemptContext { backend: &id, left, after, fetch_from: from };
-            let req = self.relay.wire.backend_request(&self.req, &sending);
+            let context = AttemptContext { backend: &id, left, after, fetch_from: from };
+            let req = self.relay.wire.backend_request(&self.req, &context);
             self.log_sent(choice, &id, stale_conns);
             let reused = conn.reused;
             let result = self.await_head(&mut conn, req).await;
@@ -342,19 +342,19 @@
         &mut self,
         answered: Answered<W>,
     ) -> Result<Response<AnswerBody>, (Failure, BackendKey)> {
-        let Answered { head, read, body, conn, work } = answered;
+        let Answered { head, parsed, body, conn, work } = answered;
         let key = work.key;
         let reading = Limited::new(body, MAX_BUFFERED_BYTES).collect();
         let bytes = match tokio::time::timeout(self.req.left(now()), reading).await {
             Ok(Ok(collected)) => collected.to_bytes(),
             Ok(Err(e)) => {
-                spdlog::debug!("the answer to {} was truncated: {e}", self.req.id);
+                spdlog::debug!("could not read the answer to {}: {e}", self.req.id);
                 return Err((Failure::Broken, key));
             }
             Err(_) => return Err((Failure::Late, key)),
         };
-        if !read.closes {
-            self.relay.keep(key, conn, read.keep_alive);
+        if !parsed.closes {
+            self.relay.keep(key, conn, parsed.keep_alive);
         }
         drop(work);
         if head.status.is_server_error() && self.may_retry_error() {
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -208,8 +208,8 @@
         if let Some(answered) = self.answered.take() {
             let key = answered.work.key;
             run.relay.record_backend_success(key);
-            if !answered.read.closes {
-                run.relay.keep(key, answered.conn, answered.read.keep_alive);
+            if !answered.parsed.closes {
+                run.relay.keep(key, answered.conn, answered.parsed.keep_alive);
             }
         }
         run.relay.note(Weight::Routine, "answered", &run.req, |l| {
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -66,7 +66,7 @@
     fn forwarded_headers(&self, headers: HeaderMap) -> HeaderMap;
 
     /// Builds the request for a backend server.
-    fn backend_request(&self, req: &Request, sending: &AttemptContext<'_>) -> http::Request<Full<Bytes>>;
+    fn backend_request(&self, req: &Request, context: &AttemptContext<'_>) -> http::Request<Full<Bytes>>;
 
     /// Parses the head of a backend server's response.
     fn parse_response(&self, req: &Request, head: &response::Parts) -> ResponseHead;
