--- a/src/relay/configurations.rs
+++ b/src/relay/configurations.rs
@@ -12,7 +12,7 @@
     util::{Map, hash},
 };
 
-/// Maximum number of configurations kept: as many as arrive in a second or two when all of it changes at once.
+/// Maximum number of configurations kept: as many as arrive within a second or two of rapid changes.
 const MAX_CONFIGURATIONS: usize = 8;
 /// Maximum number of routes and workspaces in all kept configurations together: a few configurations with thousands of
 /// routes, 2 to 3 MB.
--- a/src/relay/confirm.rs
+++ b/src/relay/confirm.rs
@@ -183,6 +183,7 @@
             .map_or(due, |last_check| due.max(last_check + self.fraction(MIN_CHECK_INTERVAL_FRACTION)))
     }
 
+    /// Age of the oldest confirmation at which a host at this position queries the store.
     fn check_delay(&self, order: CheckOrder) -> Duration {
         let before = order.before as f64;
         self.fraction(match order {
@@ -196,6 +197,7 @@
         })
     }
 
+    /// A fraction of the propagation bound.
     fn fraction(&self, fraction: f64) -> Duration {
         self.bound.mul_f64(fraction)
     }
--- a/src/relay/evacuations.rs
+++ b/src/relay/evacuations.rs
@@ -4,8 +4,8 @@
 //! with the later revision wins, whichever host it comes from, so an outage of the store changes nothing and a starting
 //! host can learn the set from its peers.
 //!
-//! A store that was restored may lack an evacuation that is in force. Such an evacuation is retained
-//! until the operator has had time to write it again, or takes the data centre back.
+//! A store that was restored may lack an evacuation that is in force. Such an evacuation is retained until the operator
+//! has had time to write it again, or takes the data centre back.
 
 use std::{sync::Arc, time::Duration};
 
@@ -179,12 +179,14 @@
         self.data_centres.iter().chain(self.retained.keys()).cloned().collect()
     }
 
+    /// Changes from an earlier set of evacuated data centres to the current one.
     fn diff_from(&self, before: &Set<Arc<str>>) -> Vec<Change> {
         let now = self.evacuated();
-        let begun = now.difference(before).cloned().map(Change::Evacuated);
-        begun.chain(before.difference(&now).cloned().map(Change::TakenBack)).collect()
+        let added = now.difference(before).cloned().map(Change::Evacuated);
+        added.chain(before.difference(&now).cloned().map(Change::TakenBack)).collect()
     }
 
+    /// Replaces the listed set by a later one; after a restore, entries that are missing from it are retained.
     fn replace(&mut self, now: Instant, revision: Revision, data_centres: Set<Arc<str>>) {
         if revision <= self.revision {
             return;
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -145,13 +145,13 @@
     /// epoch, and when the watch is found to be stalled.
     pub(super) async fn call_store<T>(
         &self,
-        call_kind: StoreCall,
+        kind: StoreCall,
         after: Option<Revision>,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        self.metrics.add(Counter::RelayStoreCalls, call_kind.as_str(), 1);
-        let begun = now();
-        let watched_topic = call_kind.watched_topic();
+        self.metrics.add(Counter::RelayStoreCalls, kind.as_str(), 1);
+        let started = now();
+        let watched_topic = kind.watched_topic();
         if let Some(topic) = watched_topic {
             self.state().confirmations.record_watch(topic, after);
         }
@@ -165,9 +165,9 @@
             self.state().confirmations.record_watch(topic, None);
         }
         line(Weight::Routine, "store_called", |l| {
-            let l = l.text("call", call_kind.as_str()).flag("answered", answer.is_ok());
+            let l = l.text("call", kind.as_str()).flag("answered", answer.is_ok());
             let l = if let Some(after) = after { updates::with_revision(l, after) } else { l };
-            l.ms("after_ms", now().saturating_sub(begun))
+            l.ms("after_ms", now().saturating_sub(started))
         });
         answer
     }
@@ -212,8 +212,8 @@
             (EpochCheck::Rejected, _) => {
                 Err(StoreError::Unavailable(format!("unexpected epoch {epoch} in the answer")))
             }
-            (heard, _) => {
-                if heard == EpochCheck::RolledBack {
+            (check, _) => {
+                if check == EpochCheck::RolledBack {
                     self.forget_revisions();
                 }
                 Err(StoreError::Restored { epoch })
--- a/src/relay/follow/confirm.rs
+++ b/src/relay/follow/confirm.rs
@@ -90,6 +90,7 @@
     Err(StoreError::Unavailable("the store's epoch changes with each answer".into()))
 }
 
+/// Checks the backend servers for changes.
 async fn check_backends<W: Wire>(
     relay: &Relay<W>,
     store: &mut impl Store,
@@ -124,6 +125,7 @@
     Ok(())
 }
 
+/// Checks the evacuated data centres for changes.
 async fn check_evacuations<W: Wire>(
     relay: &Relay<W>,
     store: &mut impl Store,
--- a/src/relay/holders.rs
+++ b/src/relay/holders.rs
@@ -43,8 +43,8 @@
     }
 
     /// Number of tokens of the chain that a server has read. A server reads a part together with all parts before it,
-    /// and uses them equally often, so the last part that it is known to hold implies all earlier ones. This matters
-    /// because only the most recent holders are kept of a part that begins most chains.
+    /// and uses them equally often, so the last part that it is known to hold implies all earlier ones. The earlier
+    /// ones can't be looked up instead: only the most recent holders are kept of a part that begins most chains.
     pub fn tokens(&self, chain: &[Part], key: BackendKey) -> u32 {
         let held = |p: &Part| self.parts.get(&p.id).is_some_and(|e| e.holders.contains(&key));
         let read = chain.iter().rposition(held).map_or(0, |last| last + 1);
@@ -73,14 +73,15 @@
         self.parts.retain(|_, e| !e.holders.is_empty());
     }
 
+    /// Evicts parts that have expired, and if that does not make room, the less recently used half.
     fn evict(&mut self, now: Instant) {
         self.parts.retain(|_, e| e.last_used + UNUSED_TTL > now);
         if self.parts.len() < MAX_PARTS {
             return;
         }
-        let mut used: Vec<_> = self.parts.values().map(|e| e.last_used).collect();
-        let middle = used.len() / 2;
-        let (_, median, _) = used.select_nth_unstable(middle);
+        let mut last_used: Vec<_> = self.parts.values().map(|e| e.last_used).collect();
+        let middle = last_used.len() / 2;
+        let (_, median, _) = last_used.select_nth_unstable(middle);
         let median = *median;
         self.parts.retain(|_, e| e.last_used > median);
     }
--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -103,6 +103,7 @@
     TcpListener::bind(addr).await.with_context(|| format!("could not listen on {addr}"))
 }
 
+/// Serves one connection of a caller.
 async fn serve<W: Wire>(relay: Arc<Relay<W>>, stream: TcpStream, from: SocketAddr) {
     // Callers on unreliable links may be unreachable for seconds and still get their answer, so no timeout is set.
     pool::set_up(&stream, None);
@@ -166,6 +167,7 @@
     response
 }
 
+/// The retry delay for a caller that is refused before an attempt.
 fn retry_after_for<W: Wire>(relay: &Relay<W>, kind: Kind) -> Duration {
     if kind == Kind::NotReady && relay.is_alone_without_configuration(STARTUP_PERIOD) {
         return NO_CONFIGURATION_RETRY_AFTER;
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -64,6 +64,7 @@
     }
 }
 
+/// Sends a heartbeat to each target: in full within the data centre, as a summary to other ones.
 async fn send_heartbeat<W: Wire>(relay: &Relay<W>, socket: &UdpSocket, targets: Vec<(SocketAddr, Scope)>) {
     if targets.is_empty() {
         return;
@@ -203,6 +204,7 @@
     wants_full
 }
 
+/// Fetches the missing state from a peer.
 async fn fetch(peer: SocketAddr, fetch_request: Fetch) -> Result<Fetched> {
     let asking = async {
         let mut stream = TcpStream::connect(peer).await.context("could not connect")?;
--- a/src/relay/revision.rs
+++ b/src/relay/revision.rs
@@ -152,6 +152,7 @@
         }
     }
 
+    /// Makes an epoch the current one.
     fn adopt(&mut self, epoch: Epoch) {
         *self = Self {
             current: Some(epoch),
@@ -160,6 +161,7 @@
         };
     }
 
+    /// Processes an earlier epoch, which becomes current after enough consecutive answers.
     fn observe_earlier(&mut self, current: Epoch, epoch: Epoch) -> EpochCheck {
         let before = self.rollback.filter(|(earlier, _)| *earlier == epoch).map_or(0, |(_, times)| times);
         if before + 1 < ROLLBACK_ANSWERS {
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -106,6 +106,7 @@
 }
 
 impl<W: Wire> Run<W> {
+    /// Makes attempts until one is answered or none may follow.
     async fn answer(mut self) -> Response<AnswerBody> {
         loop {
             let (failure, key) = match self.attempt(self.req.after).await {
@@ -165,6 +166,7 @@
         next
     }
 
+    /// Updates the health of a server after a failed attempt.
     fn record_failure(&mut self, failure: Failure, key: BackendKey) {
         self.tried.push(key);
         let now = now();
@@ -245,6 +247,7 @@
         }
     }
 
+    /// Sends the request over a pooled or new connection, and waits for the head of the answer.
     async fn send(
         &mut self,
         choice: &Choice,
@@ -424,6 +427,7 @@
     req.route.stream && head.status.is_success()
 }
 
+/// The kind of error that the caller gets after the last failure.
 fn error_kind(failure: Failure, stop: Stop) -> Kind {
     match (stop, failure) {
         (Stop::Deadline, _) | (_, Failure::Late) => Kind::DeadlinePassed,
