--- a/src/relay/confirm.rs
+++ b/src/relay/confirm.rs
@@ -76,8 +76,8 @@
 pub struct CheckOrder {
     /// Whether this host follows the store.
     pub follows: bool,
-    /// Number of recently heard hosts that come earlier in the order.
-    pub before: usize,
+    /// Position in the order: the number of recently heard hosts before it.
+    pub position: usize,
     /// Whether any recently heard host reports that the store does not answer it.
     pub others_fail: bool,
 }
@@ -185,15 +185,15 @@
 
     /// Age of the oldest confirmation at which a host at this position queries the store.
     fn check_delay(&self, order: CheckOrder) -> Duration {
-        let before = order.before as f64;
+        let position = order.position as f64;
         self.fraction(match order {
-            CheckOrder { follows: true, before: 0, .. } => FIRST_FOLLOWER_FRACTION,
-            CheckOrder { follows: true, .. } => {
-                (NEXT_FOLLOWER_FRACTION + FOLLOWER_STEP_FRACTION * (before - 1.0)).min(LAST_FOLLOWER_FRACTION)
-            }
+            CheckOrder { follows: true, position: 0, .. } => FIRST_FOLLOWER_FRACTION,
+            CheckOrder { follows: true, .. } => (NEXT_FOLLOWER_FRACTION
+                + FOLLOWER_STEP_FRACTION * (position - 1.0))
+                .min(LAST_FOLLOWER_FRACTION),
             // While the store does not answer other hosts, this host would query in vain, so its delay is not capped.
-            CheckOrder { others_fail: true, .. } => FIRST_IDLE_FRACTION + IDLE_STEP_FRACTION * before,
-            _ => (FIRST_IDLE_FRACTION + IDLE_STEP_FRACTION * before).min(LAST_IDLE_FRACTION),
+            CheckOrder { others_fail: true, .. } => FIRST_IDLE_FRACTION + IDLE_STEP_FRACTION * position,
+            _ => (FIRST_IDLE_FRACTION + IDLE_STEP_FRACTION * position).min(LAST_IDLE_FRACTION),
         })
     }
 
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -80,7 +80,7 @@
         let centres = self.centres.iter().filter(|(name, c)| follows && heard(c.heard) && hash(name) > own);
         CheckOrder {
             follows,
-            before: near().filter(is_before).count() + centres.count(),
+            position: near().filter(is_before).count() + centres.count(),
             others_fail: near().any(|(_, p)| p.contact == FollowState::Lost),
         }
     }
--- a/tests/relay_confirmations.rs
+++ b/tests/relay_confirmations.rs
@@ -34,12 +34,12 @@
     SocketAddr::from(([10, 0, 0, i as u8], 7000))
 }
 
-fn follows(before: usize) -> CheckOrder {
-    CheckOrder { follows: true, before, others_fail: false }
+fn follows(position: usize) -> CheckOrder {
+    CheckOrder { follows: true, position, others_fail: false }
 }
 
-fn idle(before: usize, others_fail: bool) -> CheckOrder {
-    CheckOrder { follows: false, before, others_fail }
+fn idle(position: usize, others_fail: bool) -> CheckOrder {
+    CheckOrder { follows: false, position, others_fail }
 }
 
 /// A host whose watches never return and that can't fetch from its peers: it learns of changes only by querying the
@@ -219,7 +219,7 @@
     confirmed.confirm(Topic::Backends, ms(10_000));
 
     let delays: Vec<_> =
-        [0, 1, 2, 300].map(|before| confirmed.next_check_at(follows(before)) - ms(10_000)).into();
+        [0, 1, 2, 300].map(|position| confirmed.next_check_at(follows(position)) - ms(10_000)).into();
     let report = confirmed.report(ms(10_760));
     confirmed.merge(ms(10_760), Topic::Configuration, &report);
     confirmed.record_check(ms(10_760));
@@ -237,8 +237,8 @@
 fn idle_hosts_query_late_and_staggered_during_an_outage() {
     let unconfirmed = Confirmations::new(ms(0), BOUND, false);
 
-    let while_store_fails = [0, 1, 20].map(|before| unconfirmed.next_check_at(idle(before, true)));
-    let otherwise = [0, 1, 20].map(|before| unconfirmed.next_check_at(idle(before, false)));
+    let while_store_fails = [0, 1, 20].map(|position| unconfirmed.next_check_at(idle(position, true)));
+    let otherwise = [0, 1, 20].map(|position| unconfirmed.next_check_at(idle(position, false)));
 
     assert_eq!(while_store_fails, [ms(1_250), ms(1_500), ms(6_250)]);
     assert_eq!(otherwise, [ms(1_250), ms(1_500), ms(1_750)]);
