--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -64,6 +64,7 @@
     }
 }
 
+/// Sends a heartbeat to each target: in full within the data centre, as a summary to other ones.
 async fn send_heartbeat<W: Wire>(relay: &Relay<W>, socket: &UdpSocket, targets: Vec<(SocketAddr, Scope)>) {
     if targets.is_empty() {
         return;
@@ -103,9 +104,9 @@
         match datagram::decode(&buf[..n], wall_ms()).and_then(|beat| relay.receive(from, &beat)) {
             Ok(true) => send_datagram(&socket, &encode(&relay.heartbeat(true)), from).await,
             Ok(false) => {}
-            Err(fault) => {
-                relay.metrics.add(Counter::RelayDatagrams, fault.as_str(), 1);
-                spdlog::debug!("dropped a datagram from {from}: {}", fault.as_str());
+            Err(reason) => {
+                relay.metrics.add(Counter::RelayDatagrams, reason.as_str(), 1);
+                spdlog::debug!("dropped a datagram from {from}: {}", reason.as_str());
             }
         }
     }
@@ -203,6 +204,7 @@
     wants_full
 }
 
+/// Fetches the missing state from a peer.
 async fn fetch(peer: SocketAddr, fetch_request: Fetch) -> Result<Fetched> {
     let asking = async {
         let mut stream = TcpStream::connect(peer).await.context("could not connect")?;
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -90,7 +90,7 @@
             self.summaries.iter().filter(|(name, c)| follows && heard(c.received_at) && hash(name) > own);
         CheckOrder {
             follows,
-            before: near().filter(is_before).count() + summaries.count(),
+            position: near().filter(is_before).count() + summaries.count(),
             others_fail: near().any(|(_, p)| p.contact == FollowState::Lost),
         }
     }
