--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -17,7 +17,7 @@
     pool::Conn,
     request::{EventNumber, Request},
     stream,
-    verdict::{Attempts, Failure, Stop},
+    verdict::{Attempts, Failure, StopReason},
 };
 use crate::{
     error::{Kind, Ran},
@@ -126,7 +126,7 @@
     }
 
     /// Notes a failed attempt and decides whether another may follow.
-    pub(crate) async fn fail(&mut self, failure: Failure, key: BackendKey) -> Result<(), Stop> {
+    pub(crate) async fn fail(&mut self, failure: Failure, key: BackendKey) -> Result<(), StopReason> {
         self.note_failure(failure, key);
         if failure == Failure::Broken {
             self.note_if_crashed(key).await;
@@ -134,7 +134,7 @@
         self.decide(failure, key)?;
         let (relay, req) = (&self.relay, &self.req);
         if relay.is_quarantined(req) {
-            return Err(Stop::Suspect);
+            return Err(StopReason::Suspect);
         }
         let may: Vec<_> = relay.state().accepting(now(), &req.service).map(|(key, _)| key).collect();
         if !may.is_empty() && may.iter().all(|key| self.tried.contains(key)) {
@@ -146,7 +146,7 @@
     }
 
     /// Decides whether another attempt may follow a failed one, counts it and writes its line.
-    fn decide(&mut self, failure: Failure, key: BackendKey) -> Result<(), Stop> {
+    fn decide(&mut self, failure: Failure, key: BackendKey) -> Result<(), StopReason> {
         let (relay, req) = (self.relay.clone(), self.req.clone());
         let next = self.tries.record_failure(now(), failure, || relay.spend_retry(&req));
         match next {
@@ -406,13 +406,13 @@
     req.route.stream && head.status.is_success()
 }
 
-fn kind(failure: Failure, stop: Stop) -> Kind {
+fn kind(failure: Failure, stop: StopReason) -> Kind {
     match (stop, failure) {
-        (Stop::Deadline, _) | (_, Failure::Late) => Kind::DeadlinePassed,
-        (Stop::Budget, _) => Kind::RetryBudget,
-        (Stop::Suspect, _) => Kind::Quarantined,
-        (Stop::Attempts, Failure::Connect | Failure::Unsent) => Kind::ConnectFailed,
-        (Stop::Attempts, Failure::Refused | Failure::Moved) => Kind::EngineRefused,
-        (Stop::Attempts | Stop::NotRepeatable, _) => Kind::EngineFailed,
+        (StopReason::Deadline, _) | (_, Failure::Late) => Kind::DeadlinePassed,
+        (StopReason::Budget, _) => Kind::RetryBudget,
+        (StopReason::Suspect, _) => Kind::Quarantined,
+        (StopReason::Attempts, Failure::Connect | Failure::Unsent) => Kind::ConnectFailed,
+        (StopReason::Attempts, Failure::Refused | Failure::Moved) => Kind::EngineRefused,
+        (StopReason::Attempts | StopReason::NotRepeatable, _) => Kind::EngineFailed,
     }
 }
--- a/src/relay/verdict.rs
+++ b/src/relay/verdict.rs
@@ -74,7 +74,7 @@
 
 /// Why a request is not sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Stop {
+pub enum StopReason {
     /// It may have run and is not idempotent.
     NotRepeatable,
     /// It has used up its attempts.
@@ -87,19 +87,24 @@
     Suspect,
 }
 
-impl Stop {
+impl StopReason {
     /// All reasons.
-    pub const ALL: [Stop; 5] =
-        [Stop::NotRepeatable, Stop::Attempts, Stop::Budget, Stop::Deadline, Stop::Suspect];
+    pub const ALL: [StopReason; 5] = [
+        StopReason::NotRepeatable,
+        StopReason::Attempts,
+        StopReason::Budget,
+        StopReason::Deadline,
+        StopReason::Suspect,
+    ];
 
     /// Label in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Stop::NotRepeatable => "not_repeatable",
-            Stop::Attempts => "attempts",
-            Stop::Budget => "budget",
-            Stop::Deadline => "deadline",
-            Stop::Suspect => "suspect",
+            StopReason::NotRepeatable => "not_repeatable",
+            StopReason::Attempts => "attempts",
+            StopReason::Budget => "budget",
+            StopReason::Deadline => "deadline",
+            StopReason::Suspect => "suspect",
         }
     }
 }
@@ -139,22 +144,22 @@
         now: Instant,
         failure: Failure,
         spend: impl FnOnce() -> bool,
-    ) -> Result<(), Stop> {
+    ) -> Result<(), StopReason> {
         match failure.ran() {
             Ran::No => self.unexecuted += 1,
             Ran::Unknown | Ran::Yes => self.may_have_run += 1,
         }
         if self.may_have_run > 0 && !self.repeatable {
-            return Err(Stop::NotRepeatable);
+            return Err(StopReason::NotRepeatable);
         }
         if self.may_have_run >= self.max_runs || self.unexecuted >= MAX_UNEXECUTED_ATTEMPTS {
-            return Err(Stop::Attempts);
+            return Err(StopReason::Attempts);
         }
         if now >= self.deadline {
-            return Err(Stop::Deadline);
+            return Err(StopReason::Deadline);
         }
         if failure.reached_server() && !spend() {
-            return Err(Stop::Budget);
+            return Err(StopReason::Budget);
         }
         Ok(())
     }
--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -16,7 +16,7 @@
         place::Reason,
         revision::Heard,
         stream::StreamBreak,
-        verdict::{Failure, Stop},
+        verdict::{Failure, StopReason},
     },
 };
 
@@ -72,7 +72,7 @@
     let values = [
         (Counter::RelayRequests, names(&Outcome::ALL, |o| o.as_str())),
         (Counter::RelayRetries, names(&Failure::ALL, |f| f.as_str())),
-        (Counter::RelayStops, names(&Stop::ALL, |s| s.as_str())),
+        (Counter::RelayStops, names(&StopReason::ALL, |s| s.as_str())),
         (Counter::RelayPlacements, names(&Reason::ALL, |w| w.as_str())),
         (Counter::RelayStreams, names(&StreamBreak::ALL, |a| a.as_str())),
         (Counter::RelayStoreCalls, names(&Asked::ALL, |a| a.as_str())),
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -18,7 +18,7 @@
         request::Part,
         routes::Routes,
         suspects::Suspects,
-        verdict::{Attempts, Failure, Stop},
+        verdict::{Attempts, Failure, StopReason},
     },
     schema::fleet::{Backends as List, Configuration, Repeat, Route, Share, Workspace},
 };
@@ -382,11 +382,11 @@
         (Failure::Unsent, Ok(()), Ok(())),
         (Failure::Refused, Ok(()), Ok(())),
         (Failure::Moved, Ok(()), Ok(())),
-        (Failure::Broken, Ok(()), Err(Stop::NotRepeatable)),
-        (Failure::Garbled, Ok(()), Err(Stop::NotRepeatable)),
-        (Failure::Silent, Ok(()), Err(Stop::NotRepeatable)),
-        (Failure::Late, Ok(()), Err(Stop::NotRepeatable)),
-        (Failure::Errored, Ok(()), Err(Stop::NotRepeatable)),
+        (Failure::Broken, Ok(()), Err(StopReason::NotRepeatable)),
+        (Failure::Garbled, Ok(()), Err(StopReason::NotRepeatable)),
+        (Failure::Silent, Ok(()), Err(StopReason::NotRepeatable)),
+        (Failure::Late, Ok(()), Err(StopReason::NotRepeatable)),
+        (Failure::Errored, Ok(()), Err(StopReason::NotRepeatable)),
     ];
     assert_eq!(cases.len(), Failure::ALL.len());
     for (failure, repeatable, not) in cases {
@@ -410,13 +410,13 @@
     let mut late = Attempts::new(true, 2, ms(1_000));
 
     assert_eq!(runs.record_failure(ms(1), Failure::Broken, || true), Ok(()));
-    assert_eq!(runs.record_failure(ms(2), Failure::Broken, || true), Err(Stop::Attempts));
+    assert_eq!(runs.record_failure(ms(2), Failure::Broken, || true), Err(StopReason::Attempts));
     assert!(!runs.cannot_have_run());
     let refusals: Vec<_> = (0..4).map(|_| refused.record_failure(ms(1), Failure::Refused, || true)).collect();
-    assert_eq!(refusals, [Ok(()), Ok(()), Ok(()), Err(Stop::Attempts)]);
+    assert_eq!(refusals, [Ok(()), Ok(()), Ok(()), Err(StopReason::Attempts)]);
     assert!(refused.cannot_have_run());
-    assert_eq!(budget.record_failure(ms(1), Failure::Refused, || false), Err(Stop::Budget));
-    assert_eq!(late.record_failure(ms(1_000), Failure::Connect, || true), Err(Stop::Deadline));
+    assert_eq!(budget.record_failure(ms(1), Failure::Refused, || false), Err(StopReason::Budget));
+    assert_eq!(late.record_failure(ms(1_000), Failure::Connect, || true), Err(StopReason::Deadline));
 }
 
 /// One server fails a third of its requests while the others are healthy. It is avoided, and tried again once it
