--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -122,7 +122,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
     /// Delay after which the caller should retry.
-    pub after: Duration,
+    pub retry_after: Duration,
     /// Requests in progress divided by slots.
     pub occupancy: f64,
     /// Limit on the occupancy.
@@ -316,7 +316,7 @@
         if draws[0] >= chance {
             return Ok(());
         }
-        Err(Refused { after: retry_delay(ask, chance, draws[1]), occupancy, limit, chance })
+        Err(Refused { retry_after: retry_delay(ask, chance, draws[1]), occupancy, limit, chance })
     }
 
     /// Whether the objective of a request has already passed, since its caller has waited or retried before.
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -377,9 +377,9 @@
         self.relay.log_request(Weight::Notable, "turned_away", &self.req, |l| {
             let l = l.number("rank", self.req.rank()).decimal("occupancy", refused.occupancy);
             let l = l.decimal("limit", refused.limit).decimal("chance", refused.chance.min(1.0));
-            l.ms("retry_after_ms", refused.after).ms("after_ms", now() - self.req.arrived)
+            l.ms("retry_after_ms", refused.retry_after).ms("after_ms", now() - self.req.arrived)
         });
-        self.relay.wire.refuse(&Refusal { kind, ran: Ran::No, retry_after: Some(refused.after) })
+        self.relay.wire.refuse(&Refusal { kind, ran: Ran::No, retry_after: Some(refused.retry_after) })
     }
 
     /// The final answer to a request that is given up.
--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -154,7 +154,8 @@
 /// out.
 #[test]
 fn rejected_callers_get_a_retry_delay() {
-    let retry_after = |own, draw| admit_second(ms(9_000), own, ms(9_000), [0.0, draw]).unwrap_err().after;
+    let retry_after =
+        |own, draw| admit_second(ms(9_000), own, ms(9_000), [0.0, draw]).unwrap_err().retry_after;
 
     let slightly = [retry_after(90, 0.0), retry_after(90, 1.0)];
     let far = [retry_after(300, 0.0), retry_after(300, 1.0)];
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -171,7 +171,7 @@
             self.hosts[host].admit(ms(now), &service, ask, draws).err().filter(|_| self.load.admits);
         if let Some(refused) = refused {
             if asked == now {
-                let back = now + 1 + refused.after.as_millis() as u64;
+                let back = now + 1 + refused.retry_after.as_millis() as u64;
                 self.returns.entry(back).or_default().push((asked, rank));
             }
             return;
