--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -96,7 +96,7 @@
     /// Time within which the answer should begin.
     pub objective: Duration,
     /// Time until the deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Requests in progress at the servers of the service.
     pub load: ServiceLoad,
 }
@@ -322,8 +322,8 @@
     /// Whether the objective of a request has already passed, since its caller has waited or retried before.
     fn is_overdue(&mut self, ask: AdmissionRequest) -> bool {
         let longest = self.longest.entry(ask.route).or_default();
-        *longest = ask.left.max(*longest);
-        ask.left + ask.objective < *longest
+        *longest = ask.time_left.max(*longest);
+        ask.time_left + ask.objective < *longest
     }
 
     fn service(&mut self, now: Instant, service: &Arc<str>) -> &mut ServiceState {
@@ -344,12 +344,12 @@
         let soon = ask
             .objective
             .mul_f64(EARLY_RETRY_DELAYS.0 + (EARLY_RETRY_DELAYS.1 - EARLY_RETRY_DELAYS.0) * draw);
-        return soon.min(ask.left.mul_f64(MAX_RETRY_DELAY));
+        return soon.min(ask.time_left.mul_f64(MAX_RETRY_DELAY));
     }
-    late_retry_delay(ask.left, draw)
+    late_retry_delay(ask.time_left, draw)
 }
 
 /// Delay for callers that should retry as late as their remaining time allows, spread by `draw` in `0..1`.
-pub fn late_retry_delay(left: Duration, draw: f64) -> Duration {
-    left.mul_f64(MAX_RETRY_DELAY * (MIN_LATE_DELAY + (1.0 - MIN_LATE_DELAY) * draw))
+pub fn late_retry_delay(time_left: Duration, draw: f64) -> Duration {
+    time_left.mul_f64(MAX_RETRY_DELAY * (MIN_LATE_DELAY + (1.0 - MIN_LATE_DELAY) * draw))
 }
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -268,7 +268,7 @@
             rank: req.rank(),
             route_rank: req.route.route.rank,
             objective: req.objective(),
-            left: req.time_left(now),
+            time_left: req.time_left(now),
             load: self.service_load(now, &req.service),
         };
         let draws = [self.rng.random(), self.rng.random()];
--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -134,19 +134,19 @@
 }
 
 /// A request while this many requests, all of this host, are in progress at a hundred slots.
-fn ask(left: Duration, own: u32) -> AdmissionRequest {
+fn ask(time_left: Duration, own: u32) -> AdmissionRequest {
     let load = ServiceLoad { own, all: own, slots: 100 };
-    AdmissionRequest { route: 1, rank: 1, route_rank: 1, objective: ms(600), left, load }
+    AdmissionRequest { route: 1, rank: 1, route_rank: 1, objective: ms(600), time_left, load }
 }
 
 /// Admits a request of a route on which another one has been admitted, on a host that assumes all slots taken as
 /// the limit.
-fn admit_second(first: Duration, own: u32, left: Duration, draws: [f64; 2]) -> Result<(), Refused> {
+fn admit_second(first: Duration, own: u32, time_left: Duration, draws: [f64; 2]) -> Result<(), Refused> {
     let service: Arc<str> = "s".into();
     let mut admission = Admission::default();
     admission.record_load(ms(0), &service, ReportedLoad { running: 1, waiting: 0, slots: 64 });
     let _ = admission.admit(ms(0), &service, ask(first, 0), draws);
-    admission.admit(ms(5_000), &service, ask(left, own), draws)
+    admission.admit(ms(5_000), &service, ask(time_left, own), draws)
 }
 
 /// Rejected callers are asked to retry while their answer could still be on time if they have a chance to be
@@ -168,7 +168,7 @@
 /// preferred.
 #[test]
 fn an_overdue_request_is_rejected_earlier() {
-    let is_admitted = |left| admit_second(ms(9_000), 85, left, [0.3, 0.5]).is_ok();
+    let is_admitted = |time_left| admit_second(ms(9_000), 85, time_left, [0.3, 0.5]).is_ok();
 
     assert!(is_admitted(ms(9_000)));
     assert!(is_admitted(ms(8_500)), "its objective has not passed");
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -158,7 +158,7 @@
             rank,
             route_rank: rank,
             objective: ms(self.load.objective),
-            left: ms((asked + self.load.deadline).saturating_sub(now)),
+            time_left: ms((asked + self.load.deadline).saturating_sub(now)),
             load: ServiceLoad {
                 own: own as u32,
                 all: others as u32,
