--- a/benches/relay.rs
+++ b/benches/relay.rs
@@ -94,10 +94,10 @@
 /// Time to decide whether a request is sent, the sum of what is in progress not counted.
 fn admission() -> f64 {
     let (service, mut admission): (Arc<str>, _) = ("llm".into(), Admission::default());
-    let (objective, left) = (Duration::from_millis(600), Duration::from_secs(10));
+    let (objective, time_left) = (Duration::from_millis(600), Duration::from_secs(10));
     per_round(ROUNDS, |i| {
         let load = ServiceLoad { own: 60, all: 300 + (i % 100) as u32, slots: 384 };
-        let ask = AdmissionRequest { route: i % 5, rank: 1, route_rank: 1, objective, left, load };
+        let ask = AdmissionRequest { route: i % 5, rank: 1, route_rank: 1, objective, time_left, load };
         let now = Duration::from_micros(i * 100);
         let draw = (i % 100) as f64 / 100.0;
         let _ = std::hint::black_box(admission.admit(now, &service, ask, [draw, draw]));
