--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -16,9 +16,9 @@
         Read, Refusal, Sending, Wire,
         admission::ReportedLoad,
         answer::AnswerBody,
+        attempts::Failure,
         inbound::Ask,
         request::{Part, Request},
-        verdict::Failure,
     },
 };
 
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -3,12 +3,12 @@
 //! 1. [`routes`] maps host name and path to a route and an API key to a workspace; [`request`] is the result.
 //! 2. [`admission`] decides whether the request is sent at all while its service is overloaded.
 //! 3. [`run`] makes the attempts of the request. It asks `choose` and [`place`] for a server, [`pool`] for a
-//!    connection, and [`verdict`] after a failure whether another attempt may follow.
+//!    connection, and [`attempts`] after a failure whether another attempt may follow.
 //! 4. [`answer`] and [`stream`] pass the answer back.
 //!
 //! Decisions are made in modules without I/O: [`routes`], [`backends`], [`admission`], [`place`], [`holders`],
 //! [`health`], [`budget`], [`suspects`], [`configurations`], [`confirm`], [`evacuations`], [`revision`],
-//! [`warmup`], [`datagram`], [`followers`], [`contact`], [`directory`], [`verdict`], [`peers`], [`leave`],
+//! [`warmup`], [`datagram`], [`followers`], [`contact`], [`directory`], [`attempts`], [`peers`], [`leave`],
 //! [`events`]. The I/O is in [`inbound`], [`pool`], [`run`], [`stream`], [`follow`] and [`mesh`]. [`Wire`] and
 //! [`follow::Store`] are the traits that an adapter implements. This file holds the state of a host; `belief`
 //! changes and logs what the host knows, and `stop` shuts the host down.
@@ -32,6 +32,7 @@
 
 pub mod admission;
 pub mod answer;
+pub mod attempts;
 pub mod backends;
 pub mod belief;
 pub mod budget;
@@ -62,7 +63,6 @@
 pub mod stream;
 pub mod suspects;
 mod tell;
-pub mod verdict;
 pub mod warmup;
 mod wire;
 
--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -2,7 +2,7 @@
 //! the server keeps them.
 //!
 //! hyper's connections are used without its pool, because the pool repeats a request on its own if a kept
-//! connection turns out to be closed; whether a request may be sent again is decided in [`super::verdict`].
+//! connection turns out to be closed; whether a request may be sent again is decided in [`super::attempts`].
 
 use std::{
     net::SocketAddr,
@@ -21,7 +21,7 @@
 use rustix::net::sockopt;
 use tokio::{net::TcpStream, task::AbortHandle};
 
-use super::{backends::BackendKey, verdict::Failure};
+use super::{attempts::Failure, backends::BackendKey};
 use crate::util::{Instant, Map, lock, now};
 
 /// Time limit for connecting: a round trip within a region takes 3 ms, and a lost first packet is retransmitted
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -11,13 +11,13 @@
     InFlightRequest, Read, Refusal, Relay, Sending, Wire,
     admission::{Refused, late_retry_delay},
     answer::AnswerBody,
+    attempts::{Attempts, Failure, StopReason},
     backends::BackendKey,
     outcome::Outcome,
     place::{Choice, shared},
     pool::Conn,
     request::{EventNumber, Request},
     stream,
-    verdict::{Attempts, Failure, StopReason},
 };
 use crate::{
     error::{Kind, Ran},
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -11,12 +11,12 @@
 use super::{
     Wire,
     answer::{AnswerBody, Truncated},
+    attempts::Failure,
     backends::BackendKey,
     events::{Splitter, Whole},
     outcome::Outcome,
     request::EventNumber,
     run::{Answered, Gone, Run},
-    verdict::Failure,
 };
 use crate::{
     logs::lines::Weight,
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -9,9 +9,9 @@
 use super::{
     admission::ReportedLoad,
     answer::AnswerBody,
+    attempts::Failure,
     inbound::Ask,
     request::{EventNumber, Request},
-    verdict::Failure,
 };
 use crate::error::{Kind, Ran};
 
--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -9,6 +9,7 @@
 use cranberrytally::{
     metrics::{Counter, Gauge, Latency},
     relay::{
+        attempts::{Failure, StopReason},
         belief::Said,
         datagram::Fault,
         follow::Asked,
@@ -16,7 +17,6 @@
         place::Reason,
         revision::Heard,
         stream::StreamBreak,
-        verdict::{Failure, StopReason},
     },
 };
 
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -7,6 +7,7 @@
 
 use cranberrytally::{
     relay::{
+        attempts::{Attempts, Failure, StopReason},
         backends::Backends,
         budget::{BudgetConfig, FleetBudget},
         directory,
@@ -18,7 +19,6 @@
         request::Part,
         routes::Routes,
         suspects::Suspects,
-        verdict::{Attempts, Failure, StopReason},
     },
     schema::fleet::{Backends as List, Configuration, Repeat, Route, Share, Workspace},
 };
