--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -16,9 +16,9 @@
         AttemptContext, Refusal, ResponseHead, Wire,
         admission::ReportedLoad,
         answer::AnswerBody,
+        attempts::Failure,
         inbound::RequestHead,
         request::{Part, Request},
-        verdict::Failure,
     },
 };
 
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -11,13 +11,13 @@
     AttemptContext, InFlightRequest, Refusal, Relay, ResponseHead, Wire,
     admission::{Refused, late_retry_delay},
     answer::AnswerBody,
+    attempts::{Attempts, Failure, StopReason},
     backends::BackendKey,
     outcome::Outcome,
     place::{Choice, shared},
     pool::Conn,
     request::{EventNumber, Request},
     stream,
-    verdict::{Attempts, Failure, Stop},
 };
 use crate::{
     error::{ErrorKind, Ran},
@@ -130,7 +130,7 @@
     }
 
     /// Records a failed attempt and decides whether another may follow.
-    pub(crate) async fn fail(&mut self, failure: Failure, key: BackendKey) -> Result<(), Stop> {
+    pub(crate) async fn fail(&mut self, failure: Failure, key: BackendKey) -> Result<(), StopReason> {
         self.record_failure(failure, key);
         if failure == Failure::Broken {
             self.probe_for_crash(key).await;
@@ -138,7 +138,7 @@
         self.decide_retry(failure, key)?;
         let (relay, req) = (&self.relay, &self.req);
         if relay.is_quarantined(req) {
-            return Err(Stop::Suspect);
+            return Err(StopReason::Suspect);
         }
         let placeable: Vec<_> = relay.state().accepting(now(), &req.service).map(|(key, _)| key).collect();
         if !placeable.is_empty() && placeable.iter().all(|key| self.tried.contains(key)) {
@@ -150,7 +150,7 @@
     }
 
     /// Decides whether another attempt may follow a failed one, counts the decision and logs it.
-    fn decide_retry(&mut self, failure: Failure, key: BackendKey) -> Result<(), Stop> {
+    fn decide_retry(&mut self, failure: Failure, key: BackendKey) -> Result<(), StopReason> {
         let (relay, req) = (self.relay.clone(), self.req.clone());
         let next = self.tries.record_failure(now(), failure, || relay.spend_retry(&req));
         match next {
@@ -399,9 +399,9 @@
         self.relay.log_request(Weight::Notable, "turned_away", &self.req, |l| {
             let l = l.number("rank", self.req.rank()).decimal("occupancy", refused.occupancy);
             let l = l.decimal("limit", refused.limit).decimal("chance", refused.chance.min(1.0));
-            l.ms("retry_after_ms", refused.after).ms("after_ms", now() - self.req.arrived)
+            l.ms("retry_after_ms", refused.retry_after).ms("after_ms", now() - self.req.arrived)
         });
-        self.relay.wire.refuse(&Refusal { kind, ran: Ran::No, retry_after: Some(refused.after) })
+        self.relay.wire.refuse(&Refusal { kind, ran: Ran::No, retry_after: Some(refused.retry_after) })
     }
 
     /// Refuses a request that is given up.
@@ -429,13 +429,13 @@
 }
 
 /// The kind of error that the caller gets after the last failure.
-fn error_kind(failure: Failure, stop: Stop) -> ErrorKind {
+fn error_kind(failure: Failure, stop: StopReason) -> ErrorKind {
     match (stop, failure) {
-        (Stop::Deadline, _) | (_, Failure::Late) => ErrorKind::DeadlinePassed,
-        (Stop::Budget, _) => ErrorKind::RetryBudget,
-        (Stop::Suspect, _) => ErrorKind::Quarantined,
-        (Stop::Attempts, Failure::Connect | Failure::Unsent) => ErrorKind::ConnectFailed,
-        (Stop::Attempts, Failure::Refused | Failure::Moved) => ErrorKind::EngineRefused,
-        (Stop::Attempts | Stop::NotRepeatable, _) => ErrorKind::EngineFailed,
+        (StopReason::Deadline, _) | (_, Failure::Late) => ErrorKind::DeadlinePassed,
+        (StopReason::Budget, _) => ErrorKind::RetryBudget,
+        (StopReason::Suspect, _) => ErrorKind::Quarantined,
+        (StopReason::Attempts, Failure::Connect | Failure::Unsent) => ErrorKind::ConnectFailed,
+        (StopReason::Attempts, Failure::Refused | Failure::Moved) => ErrorKind::EngineRefused,
+        (StopReason::Attempts | StopReason::NotRepeatable, _) => ErrorKind::EngineFailed,
     }
 }
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -11,12 +11,12 @@
 use super::{
     Wire,
     answer::{AnswerBody, Truncated},
+    attempts::Failure,
     backends::BackendKey,
     events::{CompleteEvents, Splitter},
     outcome::Outcome,
     request::EventNumber,
     run::{Answered, AttemptError, Run},
-    verdict::Failure,
 };
 use crate::{
     logs::lines::Weight,
--- a/src/relay/wire.rs
+++ b/src/relay/wire.rs
@@ -10,9 +10,9 @@
 use super::{
     admission::ReportedLoad,
     answer::AnswerBody,
+    attempts::Failure,
     inbound::RequestHead,
     request::{EventNumber, Request},
-    verdict::Failure,
 };
 use crate::error::{ErrorKind, Ran};
 
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -158,7 +158,7 @@
             rank,
             route_rank: rank,
             objective: ms(self.load.objective),
-            left: ms((asked + self.load.deadline).saturating_sub(now)),
+            time_left: ms((asked + self.load.deadline).saturating_sub(now)),
             load: ServiceLoad {
                 own: own as u32,
                 all: others as u32,
@@ -171,7 +171,7 @@
             self.hosts[host].admit(ms(now), &service, ask, draws).err().filter(|_| self.load.admits);
         if let Some(refused) = refused {
             if asked == now {
-                let back = now + 1 + refused.after.as_millis() as u64;
+                let back = now + 1 + refused.retry_after.as_millis() as u64;
                 self.returns.entry(back).or_default().push((asked, rank));
             }
             return;
