--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -2,7 +2,7 @@
 //!
 //! A request starts with an [`Undispatched`] token. Only this token can create a "not run" outcome, and handing the
 //! request to a connection consumes it. The resulting [`Dispatched`] token creates "unknown" outcomes. It can be
-//! converted back only with an [`NotRunProof`] proof.
+//! converted back only with a [`NotRunProof`].
 
 use http::Response;
 
@@ -31,7 +31,7 @@
     pub fn into_result(self) -> Result<A, RequestError> {
         match self {
             Outcome::Ran(answer) => Ok(answer),
-            Outcome::NotRun(fault) | Outcome::Unknown(fault) => Err(fault),
+            Outcome::NotRun(error) | Outcome::Unknown(error) => Err(error),
         }
     }
 
@@ -56,8 +56,8 @@
     }
 
     /// Proof from the error of the retry loop, which is "not run" only if every attempt was proven not to have run.
-    pub(crate) fn from_attempts(fault: &RequestError) -> Option<Self> {
-        (fault.kind.answer().ran == Ran::No).then_some(Self(()))
+    pub(crate) fn from_attempts(error: &RequestError) -> Option<Self> {
+        (error.kind.answer().ran == Ran::No).then_some(Self(()))
     }
 
     /// Proof from a backend server's refusal with a header that states that the request did not run.
@@ -87,11 +87,11 @@
 
     /// Refuses the request.
     pub fn refuse<A>(self, kind: ErrorKind, message: impl Into<String>) -> Outcome<A> {
-        let fault = RequestError::new(kind, message);
+        let error = RequestError::new(kind, message);
         match kind.answer().ran {
-            Ran::No => Outcome::NotRun(fault),
+            Ran::No => Outcome::NotRun(error),
             // This attempt did not run, but the error is about an earlier attempt with the same idempotency key.
-            Ran::Unknown | Ran::Yes => Outcome::Unknown(fault),
+            Ran::Unknown | Ran::Yes => Outcome::Unknown(error),
         }
     }
 }
--- a/src/place/ledger.rs
+++ b/src/place/ledger.rs
@@ -210,7 +210,7 @@
         self.generations.remove(&router);
     }
 
-    /// Ends reservations older than [`MAX_RESERVATION_AGE`] and removes idle engines that are no longer configured.
+    /// Ends leaked reservations, older than any request runs, and removes idle engines that are no longer configured.
     pub fn expire(&mut self, now: Instant, keep: impl Fn(Id) -> bool) {
         self.end_matching(now, |_, reservation| now.saturating_sub(reservation.since) > MAX_RESERVATION_AGE);
         self.accounts.retain(|&id, account| account.running > 0 || keep(id));
--- a/src/suspect/crashes.rs
+++ b/src/suspect/crashes.rs
@@ -50,13 +50,13 @@
     pub(super) fn unstable_engines(
         &self,
         now: Instant,
-        attributed: &Set<CrashId>,
+        attributed_crashes: &Set<CrashId>,
         excluded: Option<CrashId>,
     ) -> Set<EngineHash> {
         let mut crashes: Map<EngineHash, usize> = Map::default();
         let unexpired = self.expiries.iter().filter(|(c, until)| **until > now && Some(**c) != excluded);
         for (crash, _) in unexpired {
-            let weight = if attributed.contains(crash) { 1 } else { UNSTABLE_CRASHES };
+            let weight = if attributed_crashes.contains(crash) { 1 } else { UNSTABLE_CRASHES };
             *crashes.entry(crash.engine()).or_default() += weight;
         }
         let disconnected =
--- a/tests/place_owners.rs
+++ b/tests/place_owners.rs
@@ -231,7 +231,11 @@
 
     assert_eq!(a.ledger.account(engine).unwrap().work, WORK);
     a.ledger.add(of_generation(1_000_000, 3), engine, WORK, s(3));
-    assert_eq!(a.ledger.account(engine).unwrap().running, 2, "a late reservation of the former generation");
+    assert_eq!(
+        a.ledger.account(engine).unwrap().running,
+        2,
+        "a late reservation of the former generation ends nothing"
+    );
 }
 
 /// While member lists differ, a former owner still grants work on an engine that a new owner takes over. The new
