--- a/src/entry/query.rs
+++ b/src/entry/query.rs
@@ -15,7 +15,7 @@
     pub region: Arc<str>,
     /// Chat or workspace that shall meet the same router again.
     pub key: Option<Arc<str>>,
-    /// Workspace of the chat that `engine_key` names; with it the owner of the chat's first engine comes first.
+    /// Workspace of the chat that `key` names; with it the owner of the chat's first engine comes first.
     pub workspace: Option<Arc<str>>,
     /// Model that the chat asks for.
     pub model: Option<Arc<str>>,
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -42,7 +42,7 @@
 }
 
 impl Claim {
-    /// Asks for the claim of `engine_key`.
+    /// Asks for the claim of `key`.
     ///
     /// # Errors
     /// When the request may not run.
--- a/src/place/health.rs
+++ b/src/place/health.rs
@@ -74,7 +74,7 @@
         self.engines.entry(engine).or_default().leaving = leaving;
     }
 
-    /// Sets the random start number of an engine's process; a new number means a restart and resets `is_leaving`.
+    /// Sets the random start number of an engine's process; a new number means a restart and resets `leaving`.
     pub fn set_start(&mut self, engine: Id, start: u64) {
         let state = self.engines.entry(engine).or_default();
         if state.start != start {
