--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -110,11 +110,7 @@
             },
             grace: Duration::from_secs_f64(bounds.grace_s.clamp(1.0, 3_600.0)),
             evacuates: bounds.evacuation_ms.is_some(),
-            in_force: confirm::propagation_bound([
-                bounds.config_apply_ms,
-                bounds.drain_ms,
-                bounds.evacuation_ms,
-            ]),
+            in_force: confirm::bound_from([bounds.config_apply_ms, bounds.drain_ms, bounds.evacuation_ms]),
         })
     }
 
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -37,7 +37,7 @@
 /// Maximum size of a page of a list, in bytes.
 const MAX_PAGE_BYTES: usize = 8 << 20;
 /// Maximum size of a configuration that a starting host reads by itself: a 1 Gbit/s link sends it to hundreds of hosts a call.
-const MAX_INITIAL_CONFIGURATION_BYTES: usize = 64 << 10;
+const MAX_INITIAL_CONFIG_BYTES: usize = 64 << 10;
 
 const CONFIGURATION_KIND: &str = "config";
 /// Name of the object that holds the configuration.
@@ -246,8 +246,7 @@
     async fn configuration(&mut self, call: Call) -> Result<(Revision, Option<Configuration>), StoreError> {
         let (revision, objects) = match call.after {
             None => {
-                let max_bytes =
-                    if call.allow_large { MAX_PAGE_BYTES } else { MAX_INITIAL_CONFIGURATION_BYTES };
+                let max_bytes = if call.allow_large { MAX_PAGE_BYTES } else { MAX_INITIAL_CONFIG_BYTES };
                 self.list(CONFIGURATION_KIND, call, max_bytes).await?
             }
             Some(after) => {
--- a/src/relay/confirm.rs
+++ b/src/relay/confirm.rs
@@ -39,7 +39,7 @@
 
 /// The propagation bound: the shortest of the configured limits (in milliseconds) on how long a change may take to
 /// reach every host.
-pub fn propagation_bound(bounds_ms: impl IntoIterator<Item = Option<f64>>) -> Duration {
+pub fn bound_from(bounds_ms: impl IntoIterator<Item = Option<f64>>) -> Duration {
     let shortest = bounds_ms.into_iter().flatten().filter(|ms| ms.is_finite()).reduce(f64::min);
     let (least, most) = PROPAGATION_BOUND_LIMITS;
     let within = |ms: f64| (ms / 1_000.0).clamp(least.as_secs_f64(), most.as_secs_f64());
