--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -63,15 +63,15 @@
 const MIN_UTILIZATION: f64 = 0.7;
 
 /// Maximum retry delay as a fraction of the time until the deadline; callers wait no longer.
-const MAX_RETRY_DELAY: f64 = 1.0 / 3.0;
+const MAX_RETRY_DELAY_FRACTION: f64 = 1.0 / 3.0;
 /// Minimum of a late retry delay as a fraction of its maximum. The delay is drawn from this range so that callers
 /// that were rejected together do not come back together.
-const MIN_LATE_DELAY: f64 = 0.5;
+const MIN_LATE_DELAY_FRACTION: f64 = 0.5;
 /// Chance of rejection up to which callers are asked to retry within the objective. Above it the retry would
 /// probably be rejected as well, and a caller has only one, so that it is asked to come back late.
 const MAX_EARLY_RETRY_CHANCE: f64 = 0.6;
 /// Range of early retry delays as fractions of the objective, which leaves the retry time to be answered on time.
-const EARLY_RETRY_DELAYS: (f64, f64) = (0.25, 0.6);
+const EARLY_RETRY_FRACTIONS: (f64, f64) = (0.25, 0.6);
 
 /// Load of a backend server, as reported with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -300,30 +300,30 @@
         &mut self,
         now: Instant,
         service: &Arc<str>,
-        ask: AdmissionRequest,
+        req: AdmissionRequest,
         draws: [f64; 2],
     ) -> Result<(), Refused> {
-        let overdue = self.is_overdue(ask);
+        let overdue = self.is_overdue(req);
         let service = self.service(now, service);
-        let occupancy = ask.load.occupancy(service.estimate.update(now, ask.load));
+        let occupancy = req.load.occupancy(service.estimate.update(now, req.load));
         // The reports count requests queued by hosts that have failed; the hosts' own counts include servers that
         // report nothing. The higher one is used.
         let occupancy =
             service.reported.mean(now, RECENT_HALF_LIFE).map_or(occupancy, |report| report.max(occupancy));
         service.limit.peak_occupancy = service.limit.peak_occupancy.max(occupancy);
         let limit = service.limit.value;
-        let chance = (occupancy / limit - shed_start(ask, overdue)) / SHED_RANGE;
+        let chance = (occupancy / limit - shed_start(req, overdue)) / SHED_RANGE;
         if draws[0] >= chance {
             return Ok(());
         }
-        Err(Refused { retry_after: retry_delay(ask, chance, draws[1]), occupancy, limit, chance })
+        Err(Refused { retry_after: retry_delay(req, chance, draws[1]), occupancy, limit, chance })
     }
 
     /// Whether the objective of a request has already passed, since its caller has waited or retried before.
-    fn is_overdue(&mut self, ask: AdmissionRequest) -> bool {
-        let longest = self.longest.entry(ask.route).or_default();
-        *longest = ask.time_left.max(*longest);
-        ask.time_left + ask.objective < *longest
+    fn is_overdue(&mut self, req: AdmissionRequest) -> bool {
+        let longest = self.longest.entry(req.route).or_default();
+        *longest = req.time_left.max(*longest);
+        req.time_left + req.objective < *longest
     }
 
     fn service(&mut self, now: Instant, service: &Arc<str>) -> &mut ServiceState {
@@ -332,24 +332,26 @@
 }
 
 /// Occupancy, as a fraction of the limit, above which such requests are rejected.
-fn shed_start(ask: AdmissionRequest, overdue: bool) -> f64 {
+fn shed_start(req: AdmissionRequest, overdue: bool) -> f64 {
     let rank = |rank: u32| f64::from(rank.min(MAX_RANK));
     let overdue = if overdue { OVERDUE_SHED_STEP } else { 0.0 };
-    SHED_START - RANK_SHED_STEP * rank(ask.rank) - ROUTE_RANK_SHED_STEP * rank(ask.route_rank) - overdue
+    SHED_START - RANK_SHED_STEP * rank(req.rank) - ROUTE_RANK_SHED_STEP * rank(req.route_rank) - overdue
 }
 
 /// Delay after which a caller that was rejected with this probability should retry.
-fn retry_delay(ask: AdmissionRequest, chance: f64, draw: f64) -> Duration {
+fn retry_delay(req: AdmissionRequest, chance: f64, draw: f64) -> Duration {
     if chance < MAX_EARLY_RETRY_CHANCE {
-        let soon = ask
+        let delay = req
             .objective
-            .mul_f64(EARLY_RETRY_DELAYS.0 + (EARLY_RETRY_DELAYS.1 - EARLY_RETRY_DELAYS.0) * draw);
-        return soon.min(ask.time_left.mul_f64(MAX_RETRY_DELAY));
+            .mul_f64(EARLY_RETRY_FRACTIONS.0 + (EARLY_RETRY_FRACTIONS.1 - EARLY_RETRY_FRACTIONS.0) * draw);
+        return delay.min(req.time_left.mul_f64(MAX_RETRY_DELAY_FRACTION));
     }
-    late_retry_delay(ask.time_left, draw)
+    late_retry_delay(req.time_left, draw)
 }
 
 /// Delay for callers that should retry as late as their remaining time allows, spread by `draw` in `0..1`.
 pub fn late_retry_delay(time_left: Duration, draw: f64) -> Duration {
-    time_left.mul_f64(MAX_RETRY_DELAY * (MIN_LATE_DELAY + (1.0 - MIN_LATE_DELAY) * draw))
+    time_left.mul_f64(
+        MAX_RETRY_DELAY_FRACTION * (MIN_LATE_DELAY_FRACTION + (1.0 - MIN_LATE_DELAY_FRACTION) * draw),
+    )
 }
--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -24,9 +24,9 @@
     util::{Instant, Map, Set, hash},
 };
 
+mod apply;
 mod ended;
 mod entry;
-mod intake;
 mod leaving;
 mod snapshot;
 
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -263,7 +263,7 @@
     /// # Errors
     /// If it is rejected; the caller should retry.
     pub(crate) fn admit(&mut self, now: Instant, req: &Request) -> Result<(), Refused> {
-        let ask = AdmissionRequest {
+        let admission_req = AdmissionRequest {
             route: hash((&req.route.route.name, req.route.route.timeout_ms)),
             rank: req.rank(),
             route_rank: req.route.route.rank,
@@ -272,6 +272,6 @@
             load: self.service_load(now, &req.service),
         };
         let draws = [self.rng.random(), self.rng.random()];
-        self.admission.admit(now, &req.service, ask, draws)
+        self.admission.admit(now, &req.service, admission_req, draws)
     }
 }
