--- a/src/relay.rs
+++ b/src/relay.rs
@@ -267,10 +267,10 @@
     }
 
     /// Decides whether a request is admitted to its service. One that resumes a stream always is: part of its work
-    /// is done, and a rejection would waste that.
+    /// is done, and a refusal would waste that.
     ///
     /// # Errors
-    /// If it is rejected; the caller should retry.
+    /// If it is refused; the caller should retry.
     pub(crate) fn admit(&self, req: &Request) -> Result<(), admission::Refused> {
         if req.after.is_some() {
             return Ok(());
--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -1,15 +1,15 @@
-//! Admission control: rejects part of the requests to a service whose backend servers are overloaded.
+//! Admission control: refuses part of the requests to a service whose backend servers are overloaded.
 //!
 //! Under overload, such as several times the servers' capacity for some seconds while some servers are lost, a
 //! service that accepts everything answers everything late: requests queue for longer than their callers wait, and
-//! running ones are preempted for lack of memory. Therefore part of the requests is rejected at once, with a
+//! running ones are preempted for lack of memory. Therefore part of the requests is refused at once, with a
 //! guarantee that they did not run, and the rest is answered in time.
 //!
-//! The rejected fraction follows from the occupancy, that is the requests at the servers divided by their slots,
+//! The refused fraction follows from the occupancy, that is the requests at the servers divided by their slots,
 //! and from a learned limit on it. The limit rises while answers begin well within their objectives and falls once
-//! too many do not. Requests queue only at the servers, and only as far as the limit allows. The rejected fraction
+//! too many do not. Requests queue only at the servers, and only as far as the limit allows. The refused fraction
 //! rises gradually with the occupancy because each host learns of the others' load with a delay: with a fixed
-//! threshold all hosts would start and stop rejecting together. Requests of a less urgent rank are rejected
+//! threshold all hosts would start and stop refusing together. Requests of a less urgent rank are refused
 //! earlier, and so are those whose objective has already passed, since the requests they would displace can still
 //! be in time.
 
@@ -17,20 +17,20 @@
 
 use crate::util::{Instant, Map, kept};
 
-/// Occupancy, as a fraction of the limit, above which requests of the most urgent rank are rejected.
-const SHED_START: f64 = 0.95;
+/// Occupancy, as a fraction of the limit, above which requests of the most urgent rank are refused.
+const REFUSAL_START: f64 = 0.95;
 /// Decrease of that fraction for each further rank of the workspace. Smaller than the step of routes, since most
 /// workspaces share a rank and the route's then tells requests apart.
-const RANK_SHED_STEP: f64 = 0.06;
+const RANK_REFUSAL_STEP: f64 = 0.06;
 /// Decrease of that fraction for each further rank of the route.
-const ROUTE_RANK_SHED_STEP: f64 = 0.08;
+const ROUTE_RANK_REFUSAL_STEP: f64 = 0.08;
 /// Higher ranks are treated as this one.
 const MAX_RANK: u32 = 3;
 /// Decrease of that fraction for requests whose objective has passed: the requests they would displace can still be
 /// in time.
-const OVERDUE_SHED_STEP: f64 = 0.15;
-/// Increase of that fraction from the first rejected request of a rank until all of them are rejected.
-const SHED_RANGE: f64 = 0.3;
+const OVERDUE_REFUSAL_STEP: f64 = 0.15;
+/// Increase of that fraction from the first refused request of a rank until all of them are refused.
+const REFUSAL_RANGE: f64 = 0.3;
 
 /// Half-life of current measurements; a host under load sees several requests within it.
 const RECENT_HALF_LIFE: Duration = Duration::from_millis(100);
@@ -44,7 +44,7 @@
 /// Initial limit where servers report their load: all slots taken.
 const INITIAL_LIMIT_REPORTED: f64 = 1.0;
 /// Initial limit where servers report no load. Requests to such services are short: three times as many as there
-/// are slots can queue without being late, and servers reject what they cannot queue.
+/// are slots can queue without being late, and servers refuse what they cannot queue.
 const INITIAL_LIMIT_UNREPORTED: f64 = 4.0;
 /// Range of the limit. Below it slots would stay empty; above it the queue would exceed what servers hold.
 const LIMIT_RANGE: (f64, f64) = (0.4, 4.0);
@@ -65,10 +65,10 @@
 /// Maximum retry delay as a fraction of the time until the deadline; callers wait no longer.
 const MAX_RETRY_DELAY_FRACTION: f64 = 1.0 / 3.0;
 /// Minimum of a late retry delay as a fraction of its maximum. The delay is drawn from this range so that callers
-/// that were rejected together do not come back together.
+/// that were refused together do not come back together.
 const MIN_LATE_DELAY_FRACTION: f64 = 0.5;
-/// Chance of rejection up to which callers are asked to retry within the objective. Above it the retry would
-/// probably be rejected as well, and a caller has only one, so that it is asked to come back late.
+/// Chance of refusal up to which callers are asked to retry within the objective. Above it the retry would
+/// probably be refused as well, and a caller has only one, so that it is asked to come back late.
 const MAX_EARLY_RETRY_CHANCE: f64 = 0.6;
 /// Range of early retry delays as fractions of the objective, which leaves the retry time to be answered on time.
 const EARLY_RETRY_FRACTIONS: (f64, f64) = (0.25, 0.6);
@@ -118,7 +118,7 @@
     }
 }
 
-/// Why a request was rejected, and when its caller should retry.
+/// Why a request was refused, and when its caller should retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
     /// Delay after which the caller should retry.
@@ -127,7 +127,7 @@
     pub occupancy: f64,
     /// Limit on the occupancy.
     pub limit: f64,
-    /// Probability with which the request was rejected.
+    /// Probability with which the request was refused.
     pub chance: f64,
 }
 
@@ -213,7 +213,7 @@
 
 /// Estimates the load of all hosts from this host's current load and its recent share of the total. What is known
 /// of the other hosts is up to half a second old. In a surge that is long enough to queue more than the servers can
-/// finish, after which all hosts would reject everything until the queue is empty. Since load reaches all hosts
+/// finish, after which all hosts would refuse everything until the queue is empty. Since load reaches all hosts
 /// alike, this host's own load shows a surge at once.
 #[derive(Clone, Copy, Debug, Default)]
 struct LoadEstimate {
@@ -279,7 +279,7 @@
         service.reported.add(now, RECENT_HALF_LIFE, load);
     }
 
-    /// Records how long a request waited for the beginning of its answer. Requests that a server rejects at once
+    /// Records how long a request waited for the beginning of its answer. Requests that a server refuses at once
     /// are not recorded: they delay nobody, and the server knows its queue better than any host does.
     pub fn record_wait(&mut self, now: Instant, service: &Arc<str>, objective: Duration, waited: Duration) {
         let late = waited > objective.mul_f64(ON_TIME_FRACTION);
@@ -295,7 +295,7 @@
     /// retry delay.
     ///
     /// # Errors
-    /// If it is rejected; the caller should retry after the given delay.
+    /// If it is refused; the caller should retry after the given delay.
     pub fn admit(
         &mut self,
         now: Instant,
@@ -312,7 +312,7 @@
             service.reported.mean(now, RECENT_HALF_LIFE).map_or(occupancy, |report| report.max(occupancy));
         service.limit.peak_occupancy = service.limit.peak_occupancy.max(occupancy);
         let limit = service.limit.value;
-        let chance = (occupancy / limit - shed_start(req, overdue)) / SHED_RANGE;
+        let chance = (occupancy / limit - refusal_start(req, overdue)) / REFUSAL_RANGE;
         if draws[0] >= chance {
             return Ok(());
         }
@@ -331,14 +331,17 @@
     }
 }
 
-/// Occupancy, as a fraction of the limit, above which such requests are rejected.
-fn shed_start(req: AdmissionRequest, overdue: bool) -> f64 {
+/// Occupancy, as a fraction of the limit, above which such requests are refused.
+fn refusal_start(req: AdmissionRequest, overdue: bool) -> f64 {
     let rank = |rank: u32| f64::from(rank.min(MAX_RANK));
-    let overdue = if overdue { OVERDUE_SHED_STEP } else { 0.0 };
-    SHED_START - RANK_SHED_STEP * rank(req.rank) - ROUTE_RANK_SHED_STEP * rank(req.route_rank) - overdue
+    let overdue = if overdue { OVERDUE_REFUSAL_STEP } else { 0.0 };
+    REFUSAL_START
+        - RANK_REFUSAL_STEP * rank(req.rank)
+        - ROUTE_RANK_REFUSAL_STEP * rank(req.route_rank)
+        - overdue
 }
 
-/// Delay after which a caller that was rejected with this probability should retry.
+/// Delay after which a caller that was refused with this probability should retry.
 fn retry_delay(req: AdmissionRequest, chance: f64, draw: f64) -> Duration {
     if chance < MAX_EARLY_RETRY_CHANCE {
         let delay = req
--- a/src/relay/budget.rs
+++ b/src/relay/budget.rs
@@ -75,7 +75,7 @@
     }
 
     /// Sets when the host started, so that the budget ramps up from then. Otherwise each host of a fleet that is
-    /// killed while a service rejects requests would spend its share of the extra again within the same window.
+    /// killed while a service refuses requests would spend its share of the extra again within the same window.
     pub fn with_start(self, started: Instant) -> Self {
         Self { started: Some(started), ..self }
     }
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -59,11 +59,12 @@
             candidates.extend(state.cold_candidates(now, &self.cfg.me, &cold, limit));
         }
         let mut placer = Placer::default().with_bound(self.cfg.bound);
-        let recently_evacuated = state.evacuation_ended.is_some_and(|at| at + POST_EVACUATION_PERIOD > now);
-        if eligible.has_exclusions || recently_evacuated {
+        let evacuation_ended_recently =
+            state.evacuation_ended.is_some_and(|at| at + POST_EVACUATION_PERIOD > now);
+        if eligible.has_exclusions || evacuation_ended_recently {
             let (mean_of_all, mean_of_eligible) = (state.mean_load(&req.service), place::mean(&candidates));
             let bound = self.cfg.bound;
-            placer = placer.with_limit(match recently_evacuated {
+            placer = placer.with_limit(match evacuation_ended_recently {
                 true => bound.after_evacuation(mean_of_all, mean_of_eligible),
                 false => bound.with_servers_excluded(mean_of_all, mean_of_eligible),
             });
@@ -71,9 +72,10 @@
         }
         let caches = state.routes.as_ref().is_some_and(|r| r.caches_prompts(&req.service));
         let (backends, health) = (&state.backends, &state.health);
-        let pauses = |key| health.is_backing_off(now, key) || health.requested_pause_end(now, key).is_some();
-        let reaches = |key| caches && backends.get(key).is_some() && !pauses(key);
-        let choice = placer.choose(&candidates, &req.parts, &state.holders, reaches, &mut state.rng);
+        let is_avoided =
+            |key| health.is_backing_off(now, key) || health.requested_pause_end(now, key).is_some();
+        let can_fetch_from = |key| caches && backends.get(key).is_some() && !is_avoided(key);
+        let choice = placer.choose(&candidates, &req.parts, &state.holders, can_fetch_from, &mut state.rng);
         let choice = choice.ok_or_else(|| state.no_server_kind(now, &req.service, &eligible))?;
         if let Some(limit) = limit.filter(|_| cold.contains(&choice.key)) {
             state.record_cold_request(now, choice.key, limit);
@@ -87,8 +89,8 @@
         match kind {
             Kind::Paused => {
                 let now = now();
-                let ends = self.state().first_pause_end(now, &req.service);
-                ends.map_or(RETRY_AFTER, |ends| ends - now)
+                let end = self.state().first_pause_end(now, &req.service);
+                end.map_or(RETRY_AFTER, |end| end - now)
             }
             Kind::Evacuated | Kind::WarmingUp | Kind::Overloaded => {
                 late_retry_delay(req.time_left(now()), self.draw())
@@ -98,12 +100,12 @@
     }
 }
 
-/// Drops servers whose load has reached `most`. If that drops all of them, the service is overloaded. Used while
+/// Drops servers whose load has reached `max_load`. If that drops all of them, the service is overloaded. Used while
 /// some servers are excluded and the load of the others could rise past the fleet's limit.
-fn retain_below(candidates: &mut Vec<Candidate>, most: f64) -> Result<(), Kind> {
-    let any = !candidates.is_empty();
-    candidates.retain(|c| c.load + 1.0 <= most);
-    if any && candidates.is_empty() { Err(Kind::Overloaded) } else { Ok(()) }
+fn retain_below(candidates: &mut Vec<Candidate>, max_load: f64) -> Result<(), Kind> {
+    let had_candidates = !candidates.is_empty();
+    candidates.retain(|c| c.load + 1.0 <= max_load);
+    if had_candidates && candidates.is_empty() { Err(Kind::Overloaded) } else { Ok(()) }
 }
 
 impl State {
@@ -261,7 +263,7 @@
     /// Decides whether a request is admitted to its service.
     ///
     /// # Errors
-    /// If it is rejected; the caller should retry.
+    /// If it is refused; the caller should retry.
     pub(crate) fn admit(&mut self, now: Instant, req: &Request) -> Result<(), Refused> {
         let admission_req = AdmissionRequest {
             route: hash((&req.route.route.name, req.route.route.timeout_ms)),
--- a/src/relay/health.rs
+++ b/src/relay/health.rs
@@ -2,7 +2,7 @@
 //!
 //! Each answer or failure updates the failure ratio of a server. A server is unhealthy while its ratio is well
 //! above that of the other servers of its service, so that all servers stay in use if the whole service fails. A
-//! server that cannot be connected to is avoided for a backoff period that doubles each time. A server that rejects
+//! server that cannot be connected to is avoided for a backoff period that doubles each time. A server that refuses
 //! a request may also ask this host for a pause, during which it gets no requests at all.
 
 use std::time::Duration;
--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -136,7 +136,7 @@
     remote_loads: Map<Tag, u32>,
     /// Number of hosts that avoid a server, kept up to date because each choice looks it up for each server.
     avoiding_counts: Map<Tag, u32>,
-    last_number: u64,
+    beat_number: u64,
     /// Position in the rotation of members that full heartbeats carry.
     next_member: usize,
     duty: Duty,
@@ -362,9 +362,9 @@
 
     /// Hosts that callers may be sent to, other than this one.
     pub fn ready_members(&self, now: Instant) -> impl Iterator<Item = &Member> {
-        let host_timeout = self.summary_timeout();
-        let named = move |p: &Peer| p.named_ready.is_some_and(|named| named + host_timeout >= now);
-        let ready = move |p: &&Peer| if self.is_direct(p) { p.ready } else { named(p) };
+        let summary_timeout = self.summary_timeout();
+        let is_named_ready = move |p: &Peer| p.named_ready.is_some_and(|at| at + summary_timeout >= now);
+        let ready = move |p: &&Peer| if self.is_direct(p) { p.ready } else { is_named_ready(p) };
         self.peers.values().filter(ready).filter_map(|p| p.member.as_ref())
     }
 }
--- a/src/relay/peers/ahead.rs
+++ b/src/relay/peers/ahead.rs
@@ -44,9 +44,9 @@
     fn peers_ahead(&self, now: Instant, own: LocalVersions) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
         let follows = self.pushes_changes();
         let at_once = own.configuration == 0 || !own.backends.is_known() || !follows;
-        let near = if at_once { Duration::ZERO } else { FETCH_DELAY };
-        let far = if follows { near } else { REMOTE_FETCH_DELAY };
-        let delay = move |p: &Peer| if self.is_direct(p) { near } else { far };
+        let direct = if at_once { Duration::ZERO } else { FETCH_DELAY };
+        let remote = if follows { direct } else { REMOTE_FETCH_DELAY };
+        let delay = move |p: &Peer| if self.is_direct(p) { direct } else { remote };
         let is_due = move |p: &Peer| p.ahead_since.is_some_and(|since| since + delay(p) <= now);
         self.peers.iter().filter(move |(_, p)| is_due(p) && is_ahead(p, own))
     }
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -45,8 +45,8 @@
         self.follows = match self.own_addr {
             Some(me) if !self.is_small() => {
                 let me = Neighbour { rank: hash(me), contact };
-                let near = self.neighbours(now);
-                self.duty.decide(now, me, near, followers::wanted(self.data_centre_count()))
+                let direct = self.neighbours(now);
+                self.duty.decide(now, me, direct, followers::wanted(self.data_centre_count()))
             }
             _ => true,
         };
@@ -69,10 +69,10 @@
     /// with heartbeats since about the last confirmation count: a host that hears from nobody must ask by itself.
     pub fn confirmation_turn(&self, now: Instant, contact: Contact) -> Turn {
         let recent = self.period() * RECENT_BEATS;
-        let heard = |at: Instant| at + recent >= now;
-        let near = || {
-            let near = self.peers.iter().filter(|(_, p)| self.is_direct(p) && !p.is_leaving());
-            near.filter(|(_, p)| p.last_beat.is_some_and(heard))
+        let is_recent = |at: Instant| at + recent >= now;
+        let direct = || {
+            let direct = self.peers.iter().filter(|(_, p)| self.is_direct(p) && !p.is_leaving());
+            direct.filter(|(_, p)| p.last_beat.is_some_and(is_recent))
         };
         let me = self.own_addr.map_or(0, hash);
         let is_before = |(addr, p): &(&SocketAddr, &Peer)| {
@@ -82,20 +82,20 @@
         let follows = contact != Contact::Idle;
         let own = hash(&self.data_centre);
         let summaries =
-            self.summaries.iter().filter(|(name, c)| follows && heard(c.received_at) && hash(name) > own);
+            self.summaries.iter().filter(|(name, c)| follows && is_recent(c.received_at) && hash(name) > own);
         Turn {
             follows,
-            before: near().filter(is_before).count() + summaries.count(),
-            others_fail: near().any(|(_, p)| p.contact == Contact::Lost),
+            before: direct().filter(is_before).count() + summaries.count(),
+            others_fail: direct().any(|(_, p)| p.contact == Contact::Lost),
         }
     }
 
     /// Hosts of the data centre that are alive and not leaving.
     fn neighbours(&self, now: Instant) -> Vec<Neighbour> {
-        let limit = self.host_timeout();
-        let alive = |p: &Peer| p.last_beat.is_some_and(|heard| heard + limit >= now) && !p.is_leaving();
-        let near = self.peers.iter().filter(|(_, p)| alive(p) && self.is_direct(p));
-        near.map(|(addr, p)| Neighbour { rank: hash(addr), contact: p.contact }).collect()
+        let host_timeout = self.host_timeout();
+        let alive = |p: &Peer| p.last_beat.is_some_and(|at| at + host_timeout >= now) && !p.is_leaving();
+        let direct = self.peers.iter().filter(|(_, p)| alive(p) && self.is_direct(p));
+        direct.map(|(addr, p)| Neighbour { rank: hash(addr), contact: p.contact }).collect()
     }
 
     fn data_centre_count(&self) -> usize {
@@ -111,25 +111,25 @@
     }
 
     /// Ready hosts of the data centre, those that have been up the longest first.
-    pub fn ready_in_data_centre(&self, most: usize) -> Vec<Member> {
-        let mut near: Vec<_> = self.peers.values().filter(|p| p.ready && self.is_direct(p)).collect();
-        near.sort_unstable_by_key(|p| p.start);
+    pub fn ready_in_data_centre(&self, max: usize) -> Vec<Member> {
+        let mut direct: Vec<_> = self.peers.values().filter(|p| p.ready && self.is_direct(p)).collect();
+        direct.sort_unstable_by_key(|p| p.start);
         let of_centre = |m: &&Member| m.data_centre == self.data_centre;
-        near.into_iter().filter_map(|p| p.member.as_ref()).filter(of_centre).take(most).cloned().collect()
+        direct.into_iter().filter_map(|p| p.member.as_ref()).filter(of_centre).take(max).cloned().collect()
     }
 
-    /// Whether this host is among the first `most` of the fleet for a backend server by rendezvous hashing. Lost
+    /// Whether this host is among the first `n` of the fleet for a backend server by rendezvous hashing. Lost
     /// hosts count for as long as they are remembered: they may be partitioned and still running.
-    pub fn is_top_ranked(&self, tag: Tag, most: usize) -> bool {
+    pub fn is_top_ranked(&self, tag: Tag, n: usize) -> bool {
         let Some(me) = self.own_addr.map(|me| hash((me, tag))) else { return false };
         let counted = self.peers.iter().filter(|(_, p)| p.last_beat.is_some() || p.member.is_some());
-        counted.filter(|(addr, _)| hash((**addr, tag)) > me).take(most).count() < most
+        counted.filter(|(addr, _)| hash((**addr, tag)) > me).take(n).count() < n
     }
 
     /// Whether some other host with recent heartbeats reaches the store.
     pub fn any_follows_store(&self, now: Instant) -> bool {
-        let limit = self.host_timeout();
-        let heard = |p: &&Peer| p.last_beat.is_some_and(|heard| heard + limit >= now);
-        self.peers.values().filter(heard).any(|p| p.contact == Contact::Follows)
+        let host_timeout = self.host_timeout();
+        let is_alive = |p: &&Peer| p.last_beat.is_some_and(|at| at + host_timeout >= now);
+        self.peers.values().filter(is_alive).any(|p| p.contact == Contact::Follows)
     }
 }
--- a/src/relay/peers/summary.rs
+++ b/src/relay/peers/summary.rs
@@ -20,14 +20,15 @@
 }
 
 impl Peers {
-    pub(super) fn apply_summary(&mut self, now: Instant, centre: String, reported: &Centre) {
-        if centre == self.data_centre {
+    pub(super) fn apply_summary(&mut self, now: Instant, data_centre: String, reported: &Centre) {
+        if data_centre == self.data_centre {
             return;
         }
         let loads: Map<_, _> = reported.in_progress.iter().map(|l| (l.backend, l.requests)).collect();
-        let limit = self.summary_timeout();
-        let named = |p: &&Peer| p.named_ready.is_some_and(|named| named + limit >= now) && is_in(p, &centre);
-        let known = self.peers.values().filter(named).count();
+        let summary_timeout = self.summary_timeout();
+        let is_named_ready =
+            |p: &&Peer| p.named_ready.is_some_and(|at| at + summary_timeout >= now) && is_in(p, &data_centre);
+        let known = self.peers.values().filter(is_named_ready).count();
         // A host that has just started knows few others of its data centre, so that hosts missing from a short
         // summary are kept; those missing from a long one are lost.
         let is_complete = reported.ready.len() * 2 > known;
@@ -35,11 +36,11 @@
         for peer in self.peers.values_mut() {
             match &peer.member {
                 Some(member) if ready.contains(&member_tag(member)) => peer.named_ready = Some(now),
-                Some(member) if is_complete && member.data_centre == centre => peer.named_ready = None,
+                Some(member) if is_complete && member.data_centre == data_centre => peer.named_ready = None,
                 _ => {}
             }
         }
-        let summary = self.summaries.entry(centre).or_default();
+        let summary = self.summaries.entry(data_centre).or_default();
         let old = std::mem::replace(summary, Summary { received_at: now, loads: loads.clone() });
         self.update_loads(&old.loads, &loads);
     }
@@ -47,12 +48,12 @@
     /// The summary of this host's data centre, including its own requests in progress.
     pub fn data_centre_summary(&self, own: &[InProgress], me: &Member, ready: bool) -> Centre {
         let mut loads: Map<Tag, u32> = own.iter().map(|l| (l.backend, l.requests)).collect();
-        let near = self
+        let local = self
             .peers
             .values()
             .filter(|p| p.member.as_ref().is_some_and(|m| m.data_centre == me.data_centre));
         let mut tags: Vec<_> = ready.then(|| member_tag(me)).into_iter().collect();
-        for peer in near {
+        for peer in local {
             for (tag, n) in &peer.loads {
                 *loads.entry(*tag).or_default() += n;
             }
--- a/src/relay/peers/targets.rs
+++ b/src/relay/peers/targets.rs
@@ -40,26 +40,26 @@
 impl Peers {
     /// Time between two heartbeats.
     pub fn period(&self) -> Duration {
-        if self.last_number <= STARTUP_BEATS {
+        if self.beat_number <= STARTUP_BEATS {
             return BEAT_PERIOD;
         }
-        let near = self.peers.values().filter(|p| self.is_direct(p)).count();
-        let bytes = near as f64 * TYPICAL_BEAT_BYTES;
+        let direct = self.peers.values().filter(|p| self.is_direct(p)).count();
+        let bytes = direct as f64 * TYPICAL_BEAT_BYTES;
         BEAT_PERIOD.max(Duration::from_secs_f64(bytes / MAX_BEAT_BYTES_PER_SECOND))
     }
 
     /// Targets of the next heartbeat with its scope: all direct peers that are alive, one host of each other data
     /// centre, and once a second those that do not answer.
     pub fn targets(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<(SocketAddr, Scope)> {
-        let limit = self.host_timeout();
-        let heard = |p: &Peer| p.last_beat.is_some_and(|heard| heard + limit >= now);
+        let host_timeout = self.host_timeout();
+        let is_alive = |p: &Peer| p.last_beat.is_some_and(|at| at + host_timeout >= now);
         let mut targets = Vec::new();
         let mut remote: Map<String, Vec<SocketAddr>> = Map::default();
         for (addr, peer) in &self.peers {
-            let near = self.is_direct(peer);
+            let direct = self.is_direct(peer);
             match &peer.member {
-                _ if near && heard(peer) => targets.push((*addr, Scope::Host)),
-                Some(member) if !near => remote.entry(member.data_centre.clone()).or_default().push(*addr),
+                _ if direct && is_alive(peer) => targets.push((*addr, Scope::Host)),
+                Some(member) if !direct => remote.entry(member.data_centre.clone()).or_default().push(*addr),
                 _ if peer.last_sent.is_none_or(|at| at + PROBE_INTERVAL <= now) => {
                     targets.push((*addr, Scope::Host))
                 }
@@ -79,22 +79,22 @@
     /// A few random hosts of the data centre to pass a change on to. A change that each host passes on to a few
     /// others reaches all hosts quickly, although each can serve it to only a few at a time.
     pub fn gossip_targets(&self, now: Instant, rng: &mut impl Rng) -> Vec<SocketAddr> {
-        let limit = self.host_timeout();
-        let heard = |p: &Peer| p.last_beat.is_some_and(|heard| heard + limit >= now);
-        let near = self.peers.iter().filter(|(_, p)| heard(p) && self.is_direct(p));
-        near.map(|(addr, _)| *addr).choose_multiple(rng, GOSSIP_FANOUT)
+        let host_timeout = self.host_timeout();
+        let is_alive = |p: &Peer| p.last_beat.is_some_and(|at| at + host_timeout >= now);
+        let direct = self.peers.iter().filter(|(_, p)| is_alive(p) && self.is_direct(p));
+        direct.map(|(addr, _)| *addr).choose_multiple(rng, GOSSIP_FANOUT)
     }
 
     /// Completes a heartbeat: numbers it, and adds the members if `full` is set or it is the turn of a full one.
     pub fn finish_beat(&mut self, beat: &mut Beat, me: &Member, full: bool) {
-        self.last_number += 1;
-        beat.number = self.last_number;
-        if full || self.last_number % FULL_BEAT_EVERY == 1 {
+        self.beat_number += 1;
+        beat.number = self.beat_number;
+        if full || self.beat_number % FULL_BEAT_EVERY == 1 {
             beat.sender = Some(me.clone());
             beat.members = self.next_members();
         }
         let unknown = self.peers.values().any(|p| p.last_beat.is_some() && p.member.is_none());
-        beat.wants_full = unknown || self.last_number <= STARTUP_BEATS;
+        beat.wants_full = unknown || self.beat_number <= STARTUP_BEATS;
     }
 
     /// The next members in rotation, so that a host that asks several times learns of all of them.
--- a/src/relay/place.rs
+++ b/src/relay/place.rs
@@ -272,9 +272,9 @@
 }
 
 fn cost(c: &Candidate) -> f64 {
-    let penalty = if c.local { 0.0 } else { REMOTE_PENALTY };
+    let remote = if c.local { 0.0 } else { REMOTE_PENALTY };
     let unhealthy = if c.unhealthy { UNHEALTHY_PENALTY } else { 0.0 };
-    c.load + penalty + unhealthy
+    c.load + remote + unhealthy
 }
 
 /// Chooses the least loaded server of the local data centre that is lightly loaded; otherwise one at random,
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -269,7 +269,7 @@
 }
 
 /// Sixty hosts see the same, partly outdated loads. If each chose the least loaded server, all would send to the
-/// same one until the next heartbeats, and it would reject most requests.
+/// same one until the next heartbeats, and it would refuse most requests.
 #[test]
 fn plain_requests_are_spread_over_servers_that_are_not_lightly_loaded() {
     let (_, mut candidates) = fleet(&[3.0, 3.5, 4.0]);
--- a/tests/relay_input.rs
+++ b/tests/relay_input.rs
@@ -199,10 +199,10 @@
     assert_eq!(servers, [1, 0, 1]);
 }
 
-/// A service has ten times the requests that it can run, so that new streams are rejected. A caller whose stream
-/// broke off resumes it: this is never rejected, since the work already done for it would be lost.
+/// A service has ten times the requests that it can run, so that new streams are refused. A caller whose stream
+/// broke off resumes it: this is never refused, since the work already done for it would be lost.
 #[tokio::test]
-async fn a_resumed_stream_is_not_rejected() {
+async fn a_resumed_stream_is_not_refused() {
     let server = Server::start("i-1", [Act::Hang]).await;
     let host = Host::with(&[&server]).await;
     let again = request("/once/x", "").replace("\r\n\r\n", "\r\nLast-Event-Id: 2\r\n\r\n");
--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -57,7 +57,7 @@
 }
 
 /// Callers send three times what the engines can handle. Without admission control the service answers everything
-/// late: requests wait for the whole deadline of those ahead of them. Rejecting a part keeps the rest on time.
+/// late: requests wait for the whole deadline of those ahead of them. Refusing a part keeps the rest on time.
 #[test]
 fn goodput_stays_at_the_capacity_past_it() {
     for seed in SEEDS {
@@ -86,7 +86,7 @@
 
 /// A small service behind many hosts: no host ever has more than one request there, and its knowledge of the others
 /// is outdated. The servers refuse what they cannot queue, and their queue is short enough for the objective. Hosts
-/// that rejected callers based on their view of the slots kept half of them empty; they must leave this to the
+/// that refused callers based on their view of the slots kept half of them empty; they must leave this to the
 /// servers.
 #[test]
 fn a_small_service_behind_many_hosts_is_kept_busy() {
@@ -119,9 +119,9 @@
     }
 }
 
-/// At nine tenths of the capacity no request is rejected, even if the load starts abruptly.
+/// At nine tenths of the capacity no request is refused, even if the load starts abruptly.
 #[test]
-fn no_request_is_rejected_below_the_capacity() {
+fn no_request_is_refused_below_the_capacity() {
     for (load, least) in [(engines(), 0.99), (tiny(), 0.97)] {
         let load = Load { surge: (0.8, 3_000, 13_000), ..load };
 
@@ -149,11 +149,11 @@
     admission.admit(ms(5_000), &service, ask(time_left, own), draws)
 }
 
-/// Rejected callers are asked to retry while their answer could still be on time if they have a chance to be
+/// Refused callers are asked to retry while their answer could still be on time if they have a chance to be
 /// admitted, and otherwise as late as possible: never after more than a third of their remaining time, and spread
 /// out.
 #[test]
-fn rejected_callers_get_a_retry_delay() {
+fn refused_callers_get_a_retry_delay() {
     let retry_after =
         |own, draw| admit_second(ms(9_000), own, ms(9_000), [0.0, draw]).unwrap_err().retry_after;
 
@@ -167,7 +167,7 @@
 /// A caller retries after its objective has passed. While slots are scarce, requests that can still be on time are
 /// preferred.
 #[test]
-fn an_overdue_request_is_rejected_earlier() {
+fn an_overdue_request_is_refused_earlier() {
     let is_admitted = |time_left| admit_second(ms(9_000), 85, time_left, [0.3, 0.5]).is_ok();
 
     assert!(is_admitted(ms(9_000)));
