--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -101,7 +101,7 @@
     pub removed_at: Option<Instant>,
     /// When it was first reported to be leaving, by itself, the store or another host.
     leaving_since: Option<Instant>,
-    /// Until when it is cold according to its entries.
+    /// Until when it counts as cold.
     pub cold_until: Instant,
     /// Whether its latest entry declared it cold.
     reported_cold: bool,
