--- a/src/relay/budget.rs
+++ b/src/relay/budget.rs
@@ -86,7 +86,7 @@
     }
 
     /// Counts a request of a caller.
-    pub fn request(&mut self, now: Instant, service: &Arc<str>) {
+    pub fn record_request(&mut self, now: Instant, service: &Arc<str>) {
         let length = self.cfg.window;
         self.window(service).bucket(now, length).1 += 1;
     }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -95,7 +95,7 @@
     if run.relay.is_quarantined(&run.req) {
         return run.give_up(Kind::Quarantined, None);
     }
-    run.relay.state().budget.request(now(), &run.req.service);
+    run.relay.state().budget.record_request(now(), &run.req.service);
     if let Err(refused) = run.relay.admit(&run.req) {
         return run.turn_away(refused);
     }
--- a/tests/relay_decisions.rs
+++ b/tests/relay_decisions.rs
@@ -315,7 +315,7 @@
         let (mut now, mut log) = (ms(0), Vec::new());
         for (host, step, fails) in events {
             now += ms(step);
-            hosts[host].request(now, &service);
+            hosts[host].record_request(now, &service);
             let retried = fails && hosts[host].spend(now, &service);
             log.push((now, retried));
         }
@@ -346,7 +346,7 @@
             hosts.iter_mut().for_each(|h| h.set_hosts(60));
         }
         for host in hosts.iter_mut().skip((at as usize / 20) % 6).step_by(6) {
-            host.request(ms(at), &service);
+            host.record_request(ms(at), &service);
             requests += 1;
             retries += (0..3).filter(|_| host.spend(ms(at), &service)).count() as u32;
         }
@@ -366,7 +366,7 @@
     for (hosts, expected) in [(1, [true, false]), (6, [true, false]), (75, [false, false])] {
         let mut budget = FleetBudget::new(cfg).with_start(ms(500));
         budget.set_hosts(hosts);
-        budget.request(ms(500), &service);
+        budget.record_request(ms(500), &service);
 
         let spent = [budget.spend(ms(500), &service), budget.spend(ms(501), &service)];
 
