--- a/src/relay.rs
+++ b/src/relay.rs
@@ -312,7 +312,7 @@
 
     /// Number of idle connections to backend servers.
     pub fn idle_connections(&self) -> usize {
-        self.pool.open()
+        self.pool.open_count()
     }
 
     /// Logs an event of a request.
--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -199,7 +199,7 @@
     }
 
     /// Number of idle connections that are still open.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         lock(&self.idle).values().flatten().filter(|idle| !idle.conn.task.is_finished()).count()
     }
 
