--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -185,6 +185,7 @@
         }
     }
 
+    /// Counts a result, and adjusts the limit at the end of a measurement window.
     fn record_result(&mut self, now: Instant, objective: Duration, late: bool) {
         self.results += 1;
         self.late += u32::from(late);
@@ -195,6 +196,7 @@
         }
     }
 
+    /// Lowers or raises the limit according to the fraction of late results.
     fn adapt(&mut self) {
         let late = f64::from(self.late) / f64::from(self.results);
         let moved = match late {
@@ -240,6 +242,7 @@
     }
 }
 
+/// Limit and load of a service.
 #[derive(Clone, Copy, Debug)]
 struct ServiceState {
     limit: Limit,
--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -125,12 +125,12 @@
     /// Updates the cold period from an entry; returns whether the server has turned cold. An entry that no longer
     /// declares the server cold may be older than one that did, so that the period is left to expire.
     fn update_cold(&mut self, now: Instant, cold_ms: u32) -> bool {
-        let before = std::mem::replace(&mut self.reported_cold, cold_ms > 0);
+        let was_cold = std::mem::replace(&mut self.reported_cold, cold_ms > 0);
         let cold = Duration::from_millis(cold_ms.into()).min(MAX_COLD);
         if cold_ms > 0 {
             self.cold_until = self.cold_until.max(now + cold);
         }
-        cold_ms > 0 && !before
+        cold_ms > 0 && !was_cold
     }
 }
 
--- a/src/relay/backends/apply.rs
+++ b/src/relay/backends/apply.rs
@@ -86,6 +86,7 @@
         Some((key, Change::Unreadable))
     }
 
+    /// Adds a server whose identifier is not listed.
     fn add(&mut self, now: Instant, item: &fleet::Backend, written: bool) -> Option<(BackendKey, Change)> {
         let id: Arc<str> = item.id.as_str().into();
         let history = self.ended.history(item, self.revision.epoch);
@@ -139,6 +140,7 @@
         }
     }
 
+    /// Applies the removal of an entry: within `grace` the server counts as missing, otherwise as removed.
     pub(super) fn remove(
         &mut self,
         now: Instant,
@@ -157,6 +159,8 @@
         }
     }
 
+    /// Ends an incarnation: its key stays valid for requests in progress, but its identifier and tag no longer lead
+    /// to it.
     pub(super) fn drop_entry(&mut self, now: Instant, key: BackendKey) -> Option<(BackendKey, Change)> {
         let backend = &mut self.arena[key];
         let changed = backend.accepts_work();
--- a/src/relay/backends/leaving.rs
+++ b/src/relay/backends/leaving.rs
@@ -68,8 +68,8 @@
 
     /// Tags of servers that were recently seen leaving, the latest first.
     pub fn recently_leaving(&self, now: Instant) -> Vec<Tag> {
-        let left = self.arena.values().filter_map(|b| Some((b.leaving_since?, b.tag)));
-        let mut recent: Vec<_> = left.filter(|(at, _)| *at + GOSSIP_PERIOD > now).collect();
+        let leaving = self.arena.values().filter_map(|b| Some((b.leaving_since?, b.tag)));
+        let mut recent: Vec<_> = leaving.filter(|(at, _)| *at + GOSSIP_PERIOD > now).collect();
         recent.sort_unstable_by(|a, b| b.cmp(a));
         recent.into_iter().take(MAX_PER_BEAT).map(|(_, tag)| tag).collect()
     }
--- a/src/relay/choose.rs
+++ b/src/relay/choose.rs
@@ -130,6 +130,7 @@
         self.not_evacuated(service).filter_map(|(key, _)| self.health.requested_pause_end(now, key)).min()
     }
 
+    /// The servers of a service that are eligible for a request, warm and cold ones apart.
     fn eligible(&self, now: Instant, service: &str) -> Eligible {
         let limited = self.cold_limit(service).is_some();
         let mut eligible = Eligible::default();
--- a/src/relay/peers.rs
+++ b/src/relay/peers.rs
@@ -225,8 +225,7 @@
         if (beat.start, beat.number) <= (peer.start, peer.number) {
             return BeatReceipt { stale: true, ..BeatReceipt::default() };
         }
-        let joined =
-            peer.last_beat.is_none_or(|heard| heard + host_timeout < now) || beat.start != peer.start;
+        let joined = peer.last_beat.is_none_or(|at| at + host_timeout < now) || beat.start != peer.start;
         if beat.start != peer.start {
             peer.min_lag_ms = None;
         }
@@ -268,6 +267,7 @@
         BeatReceipt { joined: joined || unknown, wants_full, stale: false, delay }
     }
 
+    /// Replaces one sender's part in the sums of requests in progress.
     fn update_loads(&mut self, old: &Map<Tag, u32>, new: &Map<Tag, u32>) {
         for (tag, n) in old {
             let total = self.remote_loads.entry(*tag).or_default();
@@ -284,6 +284,7 @@
         self.remote_loads.get(&tag).copied().unwrap_or(0)
     }
 
+    /// Replaces one sender's part in the numbers of avoiding hosts.
     fn update_avoiding(&mut self, old: &[Tag], new: &[Tag]) {
         for tag in old {
             let hosts = self.avoiding_counts.entry(*tag).or_default();
@@ -304,8 +305,8 @@
     pub fn expire(&mut self, now: Instant) -> Vec<SocketAddr> {
         let host_timeout = self.host_timeout();
         let mut lost = Vec::new();
-        let silent = |p: &Peer| p.last_beat.is_some_and(|heard| heard + host_timeout < now);
-        for (addr, peer) in self.peers.iter_mut().filter(|(_, p)| silent(p)) {
+        let is_silent = |p: &Peer| p.last_beat.is_some_and(|at| at + host_timeout < now);
+        for (addr, peer) in self.peers.iter_mut().filter(|(_, p)| is_silent(p)) {
             let avoided = std::mem::take(&mut peer.avoided);
             if peer.ready || !peer.loads.is_empty() || !avoided.is_empty() {
                 lost.push((*addr, std::mem::take(&mut peer.loads), avoided));
@@ -317,8 +318,9 @@
             self.update_avoiding(avoided, &[]);
         }
         let summary_timeout = self.summary_timeout();
-        let old: Vec<_> = self.summaries.extract_if(|_, c| c.received_at + summary_timeout < now).collect();
-        for (_, summary) in old {
+        let expired: Vec<_> =
+            self.summaries.extract_if(|_, c| c.received_at + summary_timeout < now).collect();
+        for (_, summary) in expired {
             self.update_loads(&summary.loads, &Map::default());
         }
         let latest = |p: &Peer| p.last_beat.max(p.named_ready).max(p.learned_at);
@@ -351,7 +353,7 @@
     /// Whether no other host has sent a heartbeat within the timeout.
     pub fn is_alone(&self, now: Instant) -> bool {
         let host_timeout = self.host_timeout();
-        !self.peers.values().any(|p| p.last_beat.is_some_and(|heard| heard + host_timeout >= now))
+        !self.peers.values().any(|p| p.last_beat.is_some_and(|at| at + host_timeout >= now))
     }
 
     /// Number of hosts that share budgets, including this one. Hosts known only from reports count at once: too
--- a/src/relay/peers/ahead.rs
+++ b/src/relay/peers/ahead.rs
@@ -41,6 +41,7 @@
         self.peers_ahead(now, own).next().is_some()
     }
 
+    /// Peers that have been ahead for longer than the delay that applies to them.
     fn peers_ahead(&self, now: Instant, own: LocalVersions) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
         let follows = self.pushes_changes();
         let at_once = own.configuration == 0 || !own.backends.is_known() || !follows;
@@ -61,6 +62,7 @@
     }
 }
 
+/// Whether a peer has a newer configuration, or a newer and different list of backend servers.
 pub(super) fn is_ahead(peer: &Peer, own: LocalVersions) -> bool {
     let backends = peer.backends > own.backends && peer.backends_digest != own.digest;
     peer.configuration > own.configuration || backends
--- a/src/relay/peers/summary.rs
+++ b/src/relay/peers/summary.rs
@@ -20,6 +20,7 @@
 }
 
 impl Peers {
+    /// Applies another data centre's summary: the load of its hosts and which of them are ready.
     pub(super) fn apply_summary(&mut self, now: Instant, data_centre: String, reported: &Centre) {
         if data_centre == self.data_centre {
             return;
@@ -28,10 +29,10 @@
         let summary_timeout = self.summary_timeout();
         let is_named_ready =
             |p: &&Peer| p.named_ready.is_some_and(|at| at + summary_timeout >= now) && is_in(p, &data_centre);
-        let known = self.peers.values().filter(is_named_ready).count();
+        let previously_ready = self.peers.values().filter(is_named_ready).count();
         // A host that has just started knows few others of its data centre, so that hosts missing from a short
         // summary are kept; those missing from a long one are lost.
-        let is_complete = reported.ready.len() * 2 > known;
+        let is_complete = reported.ready.len() * 2 > previously_ready;
         let ready: Set<u32> = reported.ready.iter().copied().collect();
         for peer in self.peers.values_mut() {
             match &peer.member {
--- a/src/relay/peers/targets.rs
+++ b/src/relay/peers/targets.rs
@@ -102,8 +102,8 @@
         // Hosts that nobody has heard from directly are not passed on, since hosts that are gone would otherwise be
         // passed on forever.
         let witnessed = self.peers.values().filter(|p| p.was_seen_alive());
-        let known = witnessed.clone().filter_map(|p| p.member.as_ref());
-        let members: Vec<_> = known.cycle().skip(self.next_member).take(MAX_MEMBERS).cloned().collect();
+        let members = witnessed.clone().filter_map(|p| p.member.as_ref());
+        let members: Vec<_> = members.cycle().skip(self.next_member).take(MAX_MEMBERS).cloned().collect();
         let all = witnessed.filter(|p| p.member.is_some()).count();
         self.next_member = (self.next_member + MAX_MEMBERS) % all.max(1);
         if all < MAX_MEMBERS { members.into_iter().take(all).collect() } else { members }
--- a/src/relay/place.rs
+++ b/src/relay/place.rs
@@ -202,6 +202,8 @@
     candidates.iter().map(|c| c.load).sum::<f64>() / candidates.len().max(1) as f64
 }
 
+/// Chooses in this order: a server that has all shared parts cached, the home, one of the few servers that the
+/// parts spill to, the least loaded one.
 fn choose_by_parts(
     candidates: &[Candidate],
     shared: &[Part],
@@ -244,8 +246,8 @@
     };
     let spill = copies.iter().copied().find(has_free_slot).or_else(least_occupied);
     let spill = spill.or_else(|| candidates.iter().filter(has_free_slot).max_by_key(rank));
-    let least = || candidates.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
-    let chosen = spill.or_else(least)?;
+    let least_loaded = || candidates.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
+    let chosen = spill.or_else(least_loaded)?;
     let reason = if chosen.key == home.key { Reason::Home } else { Reason::Spilled };
     Some(choice(chosen, reason))
 }
@@ -271,6 +273,7 @@
     }
 }
 
+/// Load of a server with the penalties that apply to it.
 fn cost(c: &Candidate) -> f64 {
     let remote = if c.local { 0.0 } else { REMOTE_PENALTY };
     let unhealthy = if c.unhealthy { UNHEALTHY_PENALTY } else { 0.0 };
--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -190,11 +190,11 @@
     /// keeps it, if there are fewer than `max_idle`.
     pub fn put(&self, key: BackendKey, mut conn: Conn, server_keeps: Option<Duration>, max_idle: usize) {
         conn.reused = true;
-        let keep = server_keeps.map_or(DEFAULT_IDLE, |period| period.mul_f64(IDLE_FRACTION));
+        let max_idle_time = server_keeps.map_or(DEFAULT_IDLE, |period| period.mul_f64(IDLE_FRACTION));
         let mut idle = lock(&self.idle);
         let conns = idle.entry(key).or_default();
         if conns.len() < max_idle.min(MAX_IDLE_PER_SERVER) {
-            conns.push(Idle { conn, until: now() + keep });
+            conns.push(Idle { conn, until: now() + max_idle_time });
         }
     }
 
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -115,6 +115,7 @@
 }
 
 impl<W: Wire> Events<W> {
+    /// Returns the next events, from another server if this one fails.
     async fn next(&mut self, run: &mut Run<W>) -> Option<Result<Bytes, Truncated>> {
         if self.ended {
             return None;
@@ -166,6 +167,7 @@
         false
     }
 
+    /// Reads until there is at least one complete event, for at most `limit`.
     async fn read(
         &mut self,
         run: &mut Run<W>,
@@ -184,8 +186,8 @@
                 Err(_) => return Err(timeout_failure),
             };
             let Ok(data) = frame.into_data() else { continue };
-            if let Some(whole) = self.splitter.push(data) {
-                return self.accept(whole).map(Next::Events);
+            if let Some(events) = self.splitter.push(data) {
+                return self.accept(events).map(Next::Events);
             }
             if self.splitter.is_too_long() {
                 return Err(Failure::Garbled);
@@ -195,15 +197,18 @@
 
     /// Checks that a server resumes the stream at the right event; otherwise the caller would miss events or get
     /// some twice.
-    fn accept(&mut self, whole: Whole) -> Result<Bytes, Failure> {
-        if std::mem::take(&mut self.resumed) && self.last.is_some() && whole.first != self.last.map(|n| n + 1)
+    fn accept(&mut self, events: Whole) -> Result<Bytes, Failure> {
+        if std::mem::take(&mut self.resumed)
+            && self.last.is_some()
+            && events.first != self.last.map(|n| n + 1)
         {
             return Err(Failure::Garbled);
         }
-        self.last = whole.last.or(self.last);
-        Ok(whole.bytes)
+        self.last = events.last.or(self.last);
+        Ok(events.bytes)
     }
 
+    /// Ends the stream after its last event.
     fn end(&mut self, run: &mut Run<W>) -> Result<Next, Failure> {
         if !self.splitter.is_empty() {
             return Err(Failure::Broken);
