--- a/src/relay/place.rs
+++ b/src/relay/place.rs
@@ -203,7 +203,7 @@
 }
 
 /// Chooses in this order: a server that has all shared parts cached, the home, one of the few servers that the
-/// parts spill to, the least loaded one.
+/// parts spill to, any server with a free slot, the least loaded one.
 fn choose_by_parts(
     candidates: &[Candidate],
     shared: &[Part],
