--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -1,15 +1,15 @@
-//! Admission control: rejects part of the requests to a service whose backend servers are overloaded.
+//! Admission control: refuses part of the requests to a service whose backend servers are overloaded.
 //!
 //! Under overload, such as several times the servers' capacity for some seconds while some servers are lost, a
 //! service that accepts everything answers everything late: requests queue for longer than their callers wait, and
-//! running ones are preempted for lack of memory. Therefore part of the requests is rejected at once, with a
+//! running ones are preempted for lack of memory. Therefore part of the requests is refused at once, with a
 //! guarantee that they did not run, and the rest is answered in time.
 //!
-//! The rejected fraction follows from the occupancy, that is the requests at the servers divided by their slots,
+//! The refused fraction follows from the occupancy, that is the requests at the servers divided by their slots,
 //! and from a learned limit on it. The limit rises while answers begin well within their objectives and falls once
-//! too many do not. Requests queue only at the servers, and only as far as the limit allows. The rejected fraction
+//! too many do not. Requests queue only at the servers, and only as far as the limit allows. The refused fraction
 //! rises gradually with the occupancy because each host learns of the others' load with a delay: with a fixed
-//! threshold all hosts would start and stop rejecting together. Requests of a less urgent rank are rejected
+//! threshold all hosts would start and stop refusing together. Requests of a less urgent rank are refused
 //! earlier, and so are those whose objective has already passed, since the requests they would displace can still
 //! be in time.
 
@@ -17,20 +17,20 @@
 
 use crate::util::{Instant, Map, decay};
 
-/// Occupancy, as a fraction of the limit, above which requests of the most urgent rank are rejected.
-const SHED_START: f64 = 0.95;
+/// Occupancy, as a fraction of the limit, above which requests of the most urgent rank are refused.
+const REFUSAL_START: f64 = 0.95;
 /// Decrease of that fraction for each further rank of the workspace. Smaller than the step of routes, since most
 /// workspaces share a rank and the route's then tells requests apart.
-const RANK_SHED_STEP: f64 = 0.06;
+const RANK_REFUSAL_STEP: f64 = 0.06;
 /// Decrease of that fraction for each further rank of the route.
-const ROUTE_RANK_SHED_STEP: f64 = 0.08;
+const ROUTE_RANK_REFUSAL_STEP: f64 = 0.08;
 /// Higher ranks are treated as this one.
 const MAX_RANK: u32 = 3;
 /// Decrease of that fraction for requests whose objective has passed: the requests they would displace can still be
 /// in time.
-const OVERDUE_SHED_STEP: f64 = 0.15;
-/// Increase of that fraction from the first rejected request of a rank until all of them are rejected.
-const SHED_RANGE: f64 = 0.3;
+const OVERDUE_REFUSAL_STEP: f64 = 0.15;
+/// Increase of that fraction from the first refused request of a rank until all of them are refused.
+const REFUSAL_RANGE: f64 = 0.3;
 
 /// Half-life of current measurements; a host under load sees several requests within it.
 const RECENT_HALF_LIFE: Duration = Duration::from_millis(100);
@@ -44,7 +44,7 @@
 /// Initial limit where servers report their load: all slots taken.
 const INITIAL_LIMIT_REPORTED: f64 = 1.0;
 /// Initial limit where servers report no load. Requests to such services are short: three times as many as there
-/// are slots can queue without being late, and servers reject what they cannot queue.
+/// are slots can queue without being late, and servers refuse what they cannot queue.
 const INITIAL_LIMIT_UNREPORTED: f64 = 4.0;
 /// Range of the limit. Below it slots would stay empty; above it the queue would exceed what servers hold.
 const LIMIT_RANGE: (f64, f64) = (0.4, 4.0);
@@ -63,15 +63,15 @@
 const MIN_UTILIZATION: f64 = 0.7;
 
 /// Maximum retry delay as a fraction of the time until the deadline; callers wait no longer.
-const MAX_RETRY_DELAY: f64 = 1.0 / 3.0;
+const MAX_RETRY_DELAY_FRACTION: f64 = 1.0 / 3.0;
 /// Minimum of a late retry delay as a fraction of its maximum. The delay is drawn from this range so that callers
-/// that were rejected together do not come back together.
-const MIN_LATE_DELAY: f64 = 0.5;
-/// Chance of rejection up to which callers are asked to retry within the objective. Above it the retry would
-/// probably be rejected as well, and a caller has only one, so that it is asked to come back late.
+/// that were refused together do not come back together.
+const MIN_LATE_DELAY_FRACTION: f64 = 0.5;
+/// Chance of refusal up to which callers are asked to retry within the objective. Above it the retry would
+/// probably be refused as well, and a caller has only one, so that it is asked to come back late.
 const MAX_EARLY_RETRY_CHANCE: f64 = 0.6;
 /// Range of early retry delays as fractions of the objective, which leaves the retry time to be answered on time.
-const EARLY_RETRY_DELAYS: (f64, f64) = (0.25, 0.6);
+const EARLY_RETRY_FRACTIONS: (f64, f64) = (0.25, 0.6);
 
 /// Load of a backend server, as reported with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -118,7 +118,7 @@
     }
 }
 
-/// Why a request was rejected, and when its caller should retry.
+/// Why a request was refused, and when its caller should retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
     /// Delay after which the caller should retry.
@@ -127,7 +127,7 @@
     pub occupancy: f64,
     /// Limit on the occupancy.
     pub limit: f64,
-    /// Probability with which the request was rejected.
+    /// Probability with which the request was refused.
     pub chance: f64,
 }
 
@@ -185,6 +185,7 @@
         }
     }
 
+    /// Counts a result, and adjusts the limit at the end of a measurement window.
     fn record_result(&mut self, now: Instant, objective: Duration, late: bool) {
         self.results += 1;
         self.late += u32::from(late);
@@ -195,6 +196,7 @@
         }
     }
 
+    /// Lowers or raises the limit according to the fraction of late results.
     fn adapt(&mut self) {
         let late = f64::from(self.late) / f64::from(self.results);
         let moved = match late {
@@ -213,7 +215,7 @@
 
 /// Estimates the load of all hosts from this host's current load and its recent share of the total. What is known
 /// of the other hosts is up to half a second old. In a surge that is long enough to queue more than the servers can
-/// finish, after which all hosts would reject everything until the queue is empty. Since load reaches all hosts
+/// finish, after which all hosts would refuse everything until the queue is empty. Since load reaches all hosts
 /// alike, this host's own load shows a surge at once.
 #[derive(Clone, Copy, Debug, Default)]
 struct LoadEstimate {
@@ -240,6 +242,7 @@
     }
 }
 
+/// Limit and load of a service.
 #[derive(Clone, Copy, Debug)]
 struct ServiceState {
     limit: Limit,
@@ -279,7 +282,7 @@
         service.reported.add(now, RECENT_HALF_LIFE, load);
     }
 
-    /// Records how long a request waited for the beginning of its answer. Requests that a server rejects at once
+    /// Records how long a request waited for the beginning of its answer. Requests that a server refuses at once
     /// are not recorded: they delay nobody, and the server knows its queue better than any host does.
     pub fn record_wait(&mut self, now: Instant, service: &Arc<str>, objective: Duration, waited: Duration) {
         let late = waited > objective.mul_f64(ON_TIME_FRACTION);
@@ -295,35 +298,35 @@
     /// retry delay.
     ///
     /// # Errors
-    /// If it is rejected; the caller should retry after the given delay.
+    /// If it is refused; the caller should retry after the given delay.
     pub fn admit(
         &mut self,
         now: Instant,
         service: &Arc<str>,
-        ask: AdmissionRequest,
+        req: AdmissionRequest,
         draws: [f64; 2],
     ) -> Result<(), Refused> {
-        let overdue = self.is_overdue(ask);
+        let overdue = self.is_overdue(req);
         let service = self.service(now, service);
-        let occupancy = ask.load.occupancy(service.estimate.update(now, ask.load));
+        let occupancy = req.load.occupancy(service.estimate.update(now, req.load));
         // The reports count requests queued by hosts that have failed; the hosts' own counts include servers that
         // report nothing. The higher one is used.
         let occupancy =
             service.reported.mean(now, RECENT_HALF_LIFE).map_or(occupancy, |report| report.max(occupancy));
         service.limit.peak_occupancy = service.limit.peak_occupancy.max(occupancy);
         let limit = service.limit.value;
-        let chance = (occupancy / limit - shed_start(ask, overdue)) / SHED_RANGE;
+        let chance = (occupancy / limit - refusal_start(req, overdue)) / REFUSAL_RANGE;
         if draws[0] >= chance {
             return Ok(());
         }
-        Err(Refused { retry_after: retry_delay(ask, chance, draws[1]), occupancy, limit, chance })
+        Err(Refused { retry_after: retry_delay(req, chance, draws[1]), occupancy, limit, chance })
     }
 
     /// Whether the objective of a request has already passed, since its caller has waited or retried before.
-    fn is_overdue(&mut self, ask: AdmissionRequest) -> bool {
-        let longest = self.longest.entry(ask.route).or_default();
-        *longest = ask.time_left.max(*longest);
-        ask.time_left + ask.objective < *longest
+    fn is_overdue(&mut self, req: AdmissionRequest) -> bool {
+        let longest = self.longest.entry(req.route).or_default();
+        *longest = req.time_left.max(*longest);
+        req.time_left + req.objective < *longest
     }
 
     fn service(&mut self, now: Instant, service: &Arc<str>) -> &mut ServiceState {
@@ -331,25 +334,30 @@
     }
 }
 
-/// Occupancy, as a fraction of the limit, above which such requests are rejected.
-fn shed_start(ask: AdmissionRequest, overdue: bool) -> f64 {
+/// Occupancy, as a fraction of the limit, above which such requests are refused.
+fn refusal_start(req: AdmissionRequest, overdue: bool) -> f64 {
     let rank = |rank: u32| f64::from(rank.min(MAX_RANK));
-    let overdue = if overdue { OVERDUE_SHED_STEP } else { 0.0 };
-    SHED_START - RANK_SHED_STEP * rank(ask.rank) - ROUTE_RANK_SHED_STEP * rank(ask.route_rank) - overdue
+    let overdue = if overdue { OVERDUE_REFUSAL_STEP } else { 0.0 };
+    REFUSAL_START
+        - RANK_REFUSAL_STEP * rank(req.rank)
+        - ROUTE_RANK_REFUSAL_STEP * rank(req.route_rank)
+        - overdue
 }
 
-/// Delay after which a caller that was rejected with this probability should retry.
-fn retry_delay(ask: AdmissionRequest, chance: f64, draw: f64) -> Duration {
+/// Delay after which a caller that was refused with this probability should retry.
+fn retry_delay(req: AdmissionRequest, chance: f64, draw: f64) -> Duration {
     if chance < MAX_EARLY_RETRY_CHANCE {
-        let soon = ask
+        let delay = req
             .objective
-            .mul_f64(EARLY_RETRY_DELAYS.0 + (EARLY_RETRY_DELAYS.1 - EARLY_RETRY_DELAYS.0) * draw);
-        return soon.min(ask.time_left.mul_f64(MAX_RETRY_DELAY));
+            .mul_f64(EARLY_RETRY_FRACTIONS.0 + (EARLY_RETRY_FRACTIONS.1 - EARLY_RETRY_FRACTIONS.0) * draw);
+        return delay.min(req.time_left.mul_f64(MAX_RETRY_DELAY_FRACTION));
     }
-    late_retry_delay(ask.time_left, draw)
+    late_retry_delay(req.time_left, draw)
 }
 
 /// Delay for callers that should retry as late as their remaining time allows, spread by `draw` in `0..1`.
 pub fn late_retry_delay(time_left: Duration, draw: f64) -> Duration {
-    time_left.mul_f64(MAX_RETRY_DELAY * (MIN_LATE_DELAY + (1.0 - MIN_LATE_DELAY) * draw))
+    time_left.mul_f64(
+        MAX_RETRY_DELAY_FRACTION * (MIN_LATE_DELAY_FRACTION + (1.0 - MIN_LATE_DELAY_FRACTION) * draw),
+    )
 }
--- a/src/relay/backends.rs
+++ b/src/relay/backends.rs
@@ -24,9 +24,9 @@
     util::{Instant, Map, Set, hash},
 };
 
+mod apply;
 mod ended;
 mod entry;
-mod intake;
 mod leaving;
 mod snapshot;
 
@@ -101,7 +101,7 @@
     pub removed_at: Option<Instant>,
     /// When it was first reported to be leaving, by itself, the store or another host.
     leaving_since: Option<Instant>,
-    /// Until when it is cold according to its entries.
+    /// Until when it counts as cold.
     pub cold_until: Instant,
     /// Whether its latest entry declared it cold.
     reported_cold: bool,
@@ -125,12 +125,12 @@
     /// Updates the cold period from an entry; returns whether the server has turned cold. An entry that no longer
     /// declares the server cold may be older than one that did, so that the period is left to expire.
     fn update_cold(&mut self, now: Instant, cold_ms: u32) -> bool {
-        let before = std::mem::replace(&mut self.reported_cold, cold_ms > 0);
+        let was_cold = std::mem::replace(&mut self.reported_cold, cold_ms > 0);
         let cold = Duration::from_millis(cold_ms.into()).min(MAX_COLD);
         if cold_ms > 0 {
             self.cold_until = self.cold_until.max(now + cold);
         }
-        cold_ms > 0 && !before
+        cold_ms > 0 && !was_cold
     }
 }
 
--- a/src/relay/peers/ahead.rs
+++ b/src/relay/peers/ahead.rs
@@ -41,12 +41,13 @@
         self.peers_ahead(now, own).next().is_some()
     }
 
+    /// Peers that have been ahead for longer than the delay that applies to them.
     fn peers_ahead(&self, now: Instant, own: LocalVersions) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
         let follows = self.pushes_changes();
         let at_once = own.configuration == 0 || !own.backends.is_known() || !follows;
-        let near = if at_once { Duration::ZERO } else { FETCH_DELAY };
-        let far = if follows { near } else { REMOTE_FETCH_DELAY };
-        let delay = move |p: &Peer| if self.is_direct(p) { near } else { far };
+        let direct = if at_once { Duration::ZERO } else { FETCH_DELAY };
+        let remote = if follows { direct } else { REMOTE_FETCH_DELAY };
+        let delay = move |p: &Peer| if self.is_direct(p) { direct } else { remote };
         let is_due = move |p: &Peer| p.ahead_since.is_some_and(|since| since + delay(p) <= now);
         self.peers.iter().filter(move |(_, p)| is_due(p) && is_ahead(p, own))
     }
@@ -61,6 +62,7 @@
     }
 }
 
+/// Whether a peer has a newer configuration, or a newer and different list of backend servers.
 pub(super) fn is_ahead(peer: &Peer, own: LocalVersions) -> bool {
     let backends = peer.backends > own.backends && peer.backends_digest != own.digest;
     peer.configuration > own.configuration || backends
