--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -131,7 +131,7 @@
     }
 
     /// Engines to which dispatches could not connect since the last call.
-    pub fn take_unreached(&self) -> Vec<Arc<str>> {
+    pub fn take_unreachable_engines(&self) -> Vec<Arc<str>> {
         std::mem::take(&mut lock(&self.unreached))
     }
 
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -142,7 +142,7 @@
         ticks += 1;
         shared.update_engines(&mut engines_version);
         let version = shared.follow.version();
-        let unreached = shared.gateway.take_unreached();
+        let unreached = shared.gateway.take_unreachable_engines();
         let step = shared.with(|m| {
             if version > 0 {
                 m.set_in_force(now(), version);
