--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -126,7 +126,7 @@
     }
 
     /// From now on refuses new requests, all but the question which routers to use.
-    pub fn refuse_new(&self) {
+    pub fn stop_accepting_requests(&self) {
         self.closed.store(true, Ordering::Release);
     }
 
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -164,7 +164,7 @@
             let mut leaving = serving.leave(now(), self.drain);
             cut = loop {
                 if !leaving.accepts_requests(now()) {
-                    self.gateway.refuse_new();
+                    self.gateway.stop_accepting_requests();
                 }
                 match leaving.stop(now(), self.server.running()) {
                     Ok(stopped) => break stopped.close(),
