--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -121,7 +121,7 @@
     }
 
     /// Sets how long callers may keep an entry answer.
-    pub fn with_entry_keep(self, entry_keep: Duration) -> Self {
+    pub fn with_entry_ttl(self, entry_keep: Duration) -> Self {
         Self { entry_keep, ..self }
     }
 
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -76,7 +76,7 @@
         let metrics = Arc::new(Metrics::new()?);
         let platform = Platform::new(cfg.platform).with_metrics(metrics.clone());
         let gateway = Gateway::new(me.clone(), &cfg.shared_key, &platform, metrics.clone());
-        let gateway = Arc::new(gateway.with_entry_keep(cfg.answer_keep));
+        let gateway = Arc::new(gateway.with_entry_ttl(cfg.answer_keep));
         let limits = Limits::default()
             .with_bytes(cfg.body_bytes)
             .with_time(cfg.body_time)
