--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -270,7 +270,7 @@
     }
 
     /// Tells the owners of engines which reservations have ended, until aborted.
-    pub async fn tell_ended(&self) {
+    pub async fn run_releases(&self) {
         loop {
             tokio::time::sleep(place::RELEASE_PERIOD).await;
             self.placement.expire(&self.catalog());
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -98,7 +98,7 @@
             timeout: cfg.drain_longest,
         };
         let told = gateway.clone();
-        let releases = tokio::spawn(async move { told.tell_ended().await });
+        let releases = tokio::spawn(async move { told.run_releases().await });
         let operate = Operate::new(me, &cfg.shared_key, follow.shared().clone(), gateway.clone());
         let operate = Arc::new(operate);
         let server = Server::start(listener, cfg.http_threads, limits, operate.clone())?;
