--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -136,7 +136,7 @@
     }
 
     /// Notes what the probes know of an engine.
-    pub fn note_engine(&self, view: &EngineView) {
+    pub fn apply_engine_view(&self, view: &EngineView) {
         let id = Id::of(&view.name);
         let (mut placer, now) = (self.placement.placer(), now());
         if view.start != 0 {
--- a/src/gossip/views.rs
+++ b/src/gossip/views.rs
@@ -34,7 +34,7 @@
         }
         self.report_peer_versions();
         for view in engines {
-            self.gateway.note_engine(&view);
+            self.gateway.apply_engine_view(&view);
         }
     }
 
