--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -405,7 +405,7 @@
     }
 
     /// Notes that an engine is leaving, from whatever source; it gets no new work from now on.
-    pub fn note_engine_leaving(&self, engine: &str) {
+    pub fn mark_engine_leaving(&self, engine: &str) {
         self.placement.placer().health.mark_leaving(Id::of(engine));
     }
 
--- a/tests/place_links.rs
+++ b/tests/place_links.rs
@@ -124,7 +124,7 @@
     assert_eq!(status, 200);
     let first = outside.engines.iter().position(|e| e.counts().0 == 1).unwrap();
 
-    routers[0].gateway().note_engine_leaving(&format!("engine-{first}"));
+    routers[0].gateway().mark_engine_leaving(&format!("engine-{first}"));
     let (status, _, _) = ask(&routers[0], "chat", &hint).await;
 
     assert_eq!(status, 200);
