--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -410,7 +410,7 @@
     }
 
     /// Notes an engine's load report, which also says that it lives.
-    pub fn note_engine_load(&self, engine: &str, load: &Load) {
+    pub fn record_engine_load(&self, engine: &str, load: &Load) {
         self.placement.placer().record_load(Id::of(engine), load, now());
     }
 
--- a/src/gossip/probes.rs
+++ b/src/gossip/probes.rs
@@ -20,7 +20,7 @@
         Ok((status, _)) if status >= 500 => ProbeResult::Unreachable,
         Ok((200, body)) => match serde_json::from_value::<Load>(body) {
             Ok(load) => {
-                shared.gateway.note_engine_load(&probe.engine, &load);
+                shared.gateway.record_engine_load(&probe.engine, &load);
                 ProbeResult::Answer { start: load.start, running: load.running, leaving: load.leaving }
             }
             Err(_) => ANSWER_WITHOUT_LOAD,
