--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -420,7 +420,7 @@
     }
 
     /// Notes what a router says of the load of its engines in a pool.
-    pub fn note_digest(&self, source: Id, pool: Id, digest: LoadDigest, at: Instant) {
+    pub fn record_load_digest(&self, source: Id, pool: Id, digest: LoadDigest, at: Instant) {
         self.placement.placer().record_digest(source, pool, digest, at);
     }
 
--- a/src/gossip/notes.rs
+++ b/src/gossip/notes.rs
@@ -37,7 +37,7 @@
                 let loads: Vec<(u64, u64, u32, u64)> = postcard::from_bytes(payload).unwrap_or_default();
                 for (pool, work, running, capacity) in loads {
                     let digest = LoadDigest { work, running, capacity };
-                    self.gateway.note_digest(Id::of(origin), Id(pool), digest, now());
+                    self.gateway.record_load_digest(Id::of(origin), Id(pool), digest, now());
                 }
             }
             Topic::Suspects => {
