--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -253,7 +253,7 @@
     }
 
     /// Takes in what another router knows of crashing requests.
-    pub fn note_suspects(&self, digest: &Digest) {
+    pub fn merge_suspects(&self, digest: &Digest) {
         self.suspects.note(digest);
     }
 
--- a/src/gossip/notes.rs
+++ b/src/gossip/notes.rs
@@ -42,7 +42,7 @@
             }
             Topic::Suspects => {
                 if let Ok(digest) = postcard::from_bytes::<suspect::Digest>(payload) {
-                    self.gateway.note_suspects(&digest);
+                    self.gateway.merge_suspects(&digest);
                 }
             }
             Topic::Engines => {}
