--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -425,7 +425,7 @@
     }
 
     /// Loads of this router's engines by pool, to be told to the other routers about once a second.
-    pub fn digests(&self) -> Vec<(Id, LoadDigest)> {
+    pub fn load_digests(&self) -> Vec<(Id, LoadDigest)> {
         let cat = self.catalog();
         let mut placer = self.placement.placer();
         cat.pools().map(|pool| (pool.id, placer.digest(&cat, pool, now()))).collect()
--- a/tests/place_links.rs
+++ b/tests/place_links.rs
@@ -63,7 +63,7 @@
 
 /// Number of requests that a router counts on the engines it owns.
 fn counted(router: &Running) -> u32 {
-    router.gateway().digests().iter().map(|(_, digest)| digest.running).sum()
+    router.gateway().load_digests().iter().map(|(_, digest)| digest.running).sum()
 }
 
 /// Sends a chat; returns the status, the hint and the next router in the answer once it has ended.
