--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -248,7 +248,7 @@
     }
 
     /// What is known of crashing requests, for gossip, in at most `bytes` of postcard.
-    pub fn suspects(&self, bytes: usize) -> Digest {
+    pub fn suspects_digest(&self, bytes: usize) -> Digest {
         self.suspects.digest(bytes)
     }
 
--- a/src/gossip/notes.rs
+++ b/src/gossip/notes.rs
@@ -17,7 +17,7 @@
             self.publish(Topic::Load, encode_fitting(&loads, Topic::Load.max_payload_bytes()));
         }
         if ticks.is_multiple_of(SUSPECT_NOTE_INTERVAL_TICKS) {
-            let digest = self.gateway.suspects(Topic::Suspects.max_payload_bytes());
+            let digest = self.gateway.suspects_digest(Topic::Suspects.max_payload_bytes());
             if !digest.entries.is_empty() {
                 self.publish(Topic::Suspects, postcard::to_stdvec(&digest).unwrap_or_default());
             }
