--- a/src/entry.rs
+++ b/src/entry.rs
@@ -11,7 +11,7 @@
 pub use query::{BadQuery, Query};
 
 /// Most routers in one answer.
-pub const MOST: usize = 8;
+pub const MAX_ROUTERS: usize = 8;
 /// Last places of an answer that are kept for another data centre, should the nearest one be lost as a whole.
 const ELSEWHERE: usize = 2;
 
