--- a/src/entry.rs
+++ b/src/entry.rs
@@ -7,7 +7,7 @@
 mod directory;
 mod query;
 
-pub use directory::{Candidate, Directory, HOLD};
+pub use directory::{Candidate, Directory, LOST_RETENTION};
 pub use query::{BadQuery, Query};
 
 /// Most routers in one answer.
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -8,7 +8,7 @@
 /// Losses within this time count as one.
 const WINDOW: Duration = Duration::from_secs(60);
 /// How long routers that were lost together are still handed out.
-pub const HOLD: Duration = Duration::from_secs(3600);
+pub const LOST_RETENTION: Duration = Duration::from_secs(3600);
 
 /// A router as the membership sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
         }
         let serving = &self.serving;
         self.lost.retain(|name, l| {
-            let expired = l.at + if l.held { HOLD } else { WINDOW } <= now;
+            let expired = l.at + if l.held { LOST_RETENTION } else { WINDOW } <= now;
             !serving.contains_key(name) && !leaving.contains(name) && !expired
         });
         let recent = self.lost.values().filter(|l| l.held || l.at + WINDOW > now).count();
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -2,7 +2,9 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
-use cranberrytally::entry::{BadQuery, Candidate, Directory, HOLD, MAX_ROUTERS, Query, Router, order};
+use cranberrytally::entry::{
+    BadQuery, Candidate, Directory, LOST_RETENTION, MAX_ROUTERS, Query, Router, order,
+};
 
 const fn s(n: u64) -> Duration {
     Duration::from_secs(n)
@@ -128,7 +130,7 @@
     }
 
     let (held, cut_off) = (dir.routers(), dir.cut_off());
-    dir.update(s(8) + HOLD, next.clone());
+    dir.update(s(8) + LOST_RETENTION, next.clone());
     let later = dir.routers();
 
     assert!(cut_off);
