--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -72,7 +72,7 @@
     }
 
     /// Whether most other routers were lost at once.
-    pub fn cut_off(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         self.lost.values().any(|l| l.held)
     }
 
