--- a/src/entry.rs
+++ b/src/entry.rs
@@ -8,7 +8,7 @@
 mod query;
 
 pub use directory::{Candidate, Directory, LOST_RETENTION};
-pub use query::{BadQuery, Query};
+pub use query::{Query, QueryError};
 
 /// Most routers in one answer.
 pub const MAX_ROUTERS: usize = 8;
--- a/src/entry/query.rs
+++ b/src/entry/query.rs
@@ -25,7 +25,7 @@
 
 /// Why a query can't be answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BadQuery {
+pub enum QueryError {
     /// A field that does not exist.
     Unknown(String),
     /// A field that stands there twice.
@@ -36,30 +36,30 @@
     KeyTooLong,
 }
 
-impl fmt::Display for BadQuery {
+impl fmt::Display for QueryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadQuery::Unknown(name) => {
+            QueryError::Unknown(name) => {
                 write!(
                     f,
                     "there is no field {name:?}; the fields are key, workspace, model, data_centre and region"
                 )
             }
-            BadQuery::Twice(name) => write!(f, "the field {name:?} is given twice"),
-            BadQuery::Empty(name) => write!(f, "the field {name:?} has no value"),
-            BadQuery::KeyTooLong => write!(f, "the key has more than {LONGEST_KEY} bytes"),
+            QueryError::Twice(name) => write!(f, "the field {name:?} is given twice"),
+            QueryError::Empty(name) => write!(f, "the field {name:?} has no value"),
+            QueryError::KeyTooLong => write!(f, "the key has more than {LONGEST_KEY} bytes"),
         }
     }
 }
 
-impl std::error::Error for BadQuery {}
+impl std::error::Error for QueryError {}
 
 impl Query {
     /// Parses a query string; `me` is the answering router.
     ///
     /// # Errors
     /// Says which field is wrong.
-    pub fn parse(text: &str, me: &Router, salt: u64) -> Result<Self, BadQuery> {
+    pub fn parse(text: &str, me: &Router, salt: u64) -> Result<Self, QueryError> {
         let (mut key, mut data_centre, mut region) = (None, None, None);
         let (mut workspace, mut model) = (None, None);
         for (name, value) in form_urlencoded::parse(text.as_bytes()) {
@@ -69,17 +69,17 @@
                 "model" => &mut model,
                 "data_centre" => &mut data_centre,
                 "region" => &mut region,
-                _ => return Err(BadQuery::Unknown(name.into_owned())),
+                _ => return Err(QueryError::Unknown(name.into_owned())),
             };
             if value.is_empty() {
-                return Err(BadQuery::Empty(name.into_owned()));
+                return Err(QueryError::Empty(name.into_owned()));
             }
             if slot.replace(Arc::<str>::from(&*value)).is_some() {
-                return Err(BadQuery::Twice(name.into_owned()));
+                return Err(QueryError::Twice(name.into_owned()));
             }
         }
         if key.as_ref().is_some_and(|k| k.len() > LONGEST_KEY) {
-            return Err(BadQuery::KeyTooLong);
+            return Err(QueryError::KeyTooLong);
         }
         Ok(Self {
             data_centre: data_centre.unwrap_or_else(|| me.data_centre.clone()),
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use cranberrytally::entry::{
-    BadQuery, Candidate, Directory, LOST_RETENTION, MAX_ROUTERS, Query, Router, order,
+    Candidate, Directory, LOST_RETENTION, MAX_ROUTERS, Query, QueryError, Router, order,
 };
 
 const fn s(n: u64) -> Duration {
@@ -80,9 +80,9 @@
     let cases = [
         ("key=a%26b+c&data_centre=dc-3&region=r", Ok((Some("a&b c"), "dc-3", "r"))),
         ("", Ok((None, "dc-0", "region-0"))),
-        ("chat=1", Err(BadQuery::Unknown("chat".into()))),
-        ("key=1&key=2", Err(BadQuery::Twice("key".into()))),
-        ("region=", Err(BadQuery::Empty("region".into()))),
+        ("chat=1", Err(QueryError::Unknown("chat".into()))),
+        ("key=1&key=2", Err(QueryError::Twice("key".into()))),
+        ("region=", Err(QueryError::Empty("region".into()))),
     ];
     for (text, want) in cases {
         let want = want.map(|(key, data_centre, region)| Query {
@@ -95,7 +95,7 @@
 
         assert_eq!(Query::parse(text, &me, 5), want, "{text}");
     }
-    assert_eq!(Query::parse(&format!("key={}", "k".repeat(257)), &me, 5), Err(BadQuery::KeyTooLong));
+    assert_eq!(Query::parse(&format!("key={}", "k".repeat(257)), &me, 5), Err(QueryError::KeyTooLong));
 }
 
 /// A router that leaves, or that has no configuration yet, must not be named from the moment the membership says so.
