--- a/src/entry/query.rs
+++ b/src/entry/query.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryError {
     /// A field that does not exist.
-    Unknown(String),
+    UnknownField(String),
     /// A field that stands there twice.
     Twice(String),
     /// A field without a value.
@@ -39,7 +39,7 @@
 impl fmt::Display for QueryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            QueryError::Unknown(name) => {
+            QueryError::UnknownField(name) => {
                 write!(
                     f,
                     "there is no field {name:?}; the fields are key, workspace, model, data_centre and region"
@@ -69,7 +69,7 @@
                 "model" => &mut model,
                 "data_centre" => &mut data_centre,
                 "region" => &mut region,
-                _ => return Err(QueryError::Unknown(name.into_owned())),
+                _ => return Err(QueryError::UnknownField(name.into_owned())),
             };
             if value.is_empty() {
                 return Err(QueryError::Empty(name.into_owned()));
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -80,7 +80,7 @@
     let cases = [
         ("key=a%26b+c&data_centre=dc-3&region=r", Ok((Some("a&b c"), "dc-3", "r"))),
         ("", Ok((None, "dc-0", "region-0"))),
-        ("chat=1", Err(QueryError::Unknown("chat".into()))),
+        ("chat=1", Err(QueryError::UnknownField("chat".into()))),
         ("key=1&key=2", Err(QueryError::Twice("key".into()))),
         ("region=", Err(QueryError::Empty("region".into()))),
     ];
