--- a/src/entry/query.rs
+++ b/src/entry/query.rs
@@ -29,7 +29,7 @@
     /// A field that does not exist.
     UnknownField(String),
     /// A field that stands there twice.
-    Twice(String),
+    DuplicateField(String),
     /// A field without a value.
     Empty(String),
     /// A key that is too long.
@@ -45,7 +45,7 @@
                     "there is no field {name:?}; the fields are key, workspace, model, data_centre and region"
                 )
             }
-            QueryError::Twice(name) => write!(f, "the field {name:?} is given twice"),
+            QueryError::DuplicateField(name) => write!(f, "the field {name:?} is given twice"),
             QueryError::Empty(name) => write!(f, "the field {name:?} has no value"),
             QueryError::KeyTooLong => write!(f, "the key has more than {LONGEST_KEY} bytes"),
         }
@@ -75,7 +75,7 @@
                 return Err(QueryError::Empty(name.into_owned()));
             }
             if slot.replace(Arc::<str>::from(&*value)).is_some() {
-                return Err(QueryError::Twice(name.into_owned()));
+                return Err(QueryError::DuplicateField(name.into_owned()));
             }
         }
         if key.as_ref().is_some_and(|k| k.len() > LONGEST_KEY) {
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -81,7 +81,7 @@
         ("key=a%26b+c&data_centre=dc-3&region=r", Ok((Some("a&b c"), "dc-3", "r"))),
         ("", Ok((None, "dc-0", "region-0"))),
         ("chat=1", Err(QueryError::UnknownField("chat".into()))),
-        ("key=1&key=2", Err(QueryError::Twice("key".into()))),
+        ("key=1&key=2", Err(QueryError::DuplicateField("key".into()))),
         ("region=", Err(QueryError::Empty("region".into()))),
     ];
     for (text, want) in cases {
