--- a/src/entry/query.rs
+++ b/src/entry/query.rs
@@ -31,7 +31,7 @@
     /// A field that stands there twice.
     DuplicateField(String),
     /// A field without a value.
-    Empty(String),
+    EmptyField(String),
     /// A key that is too long.
     KeyTooLong,
 }
@@ -46,7 +46,7 @@
                 )
             }
             QueryError::DuplicateField(name) => write!(f, "the field {name:?} is given twice"),
-            QueryError::Empty(name) => write!(f, "the field {name:?} has no value"),
+            QueryError::EmptyField(name) => write!(f, "the field {name:?} has no value"),
             QueryError::KeyTooLong => write!(f, "the key has more than {LONGEST_KEY} bytes"),
         }
     }
@@ -72,7 +72,7 @@
                 _ => return Err(QueryError::UnknownField(name.into_owned())),
             };
             if value.is_empty() {
-                return Err(QueryError::Empty(name.into_owned()));
+                return Err(QueryError::EmptyField(name.into_owned()));
             }
             if slot.replace(Arc::<str>::from(&*value)).is_some() {
                 return Err(QueryError::DuplicateField(name.into_owned()));
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -82,7 +82,7 @@
         ("", Ok((None, "dc-0", "region-0"))),
         ("chat=1", Err(QueryError::UnknownField("chat".into()))),
         ("key=1&key=2", Err(QueryError::DuplicateField("key".into()))),
-        ("region=", Err(QueryError::Empty("region".into()))),
+        ("region=", Err(QueryError::EmptyField("region".into()))),
     ];
     for (text, want) in cases {
         let want = want.map(|(key, data_centre, region)| Query {
