--- a/src/gossip/notes.rs
+++ b/src/gossip/notes.rs
@@ -11,8 +11,12 @@
 impl Shared {
     /// Publishes the load of this router's engines and, less often, its suspect content.
     pub(super) fn publish_notes(&self, ticks: u64) {
-        let loads: Vec<_> =
-            self.gateway.digests().into_iter().map(|(p, d)| (p.0, d.work, d.running, d.capacity)).collect();
+        let loads: Vec<_> = self
+            .gateway
+            .load_digests()
+            .into_iter()
+            .map(|(p, d)| (p.0, d.work, d.running, d.capacity))
+            .collect();
         if !loads.is_empty() {
             self.publish(Topic::Load, encode_fitting(&loads, Topic::Load.max_payload_bytes()));
         }
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -129,11 +129,11 @@
         dir.update(s(i), next.clone());
     }
 
-    let (held, cut_off) = (dir.routers(), dir.cut_off());
+    let (held, is_isolated) = (dir.routers(), dir.is_isolated());
     dir.update(s(8) + LOST_RETENTION, next.clone());
     let later = dir.routers();
 
-    assert!(cut_off);
+    assert!(is_isolated);
     assert_eq!(held.len(), 8, "all but the one that leaves: {:?}", names(&held));
     assert_eq!(names(&later), ["router-0", "router-1"]);
 }
@@ -150,7 +150,7 @@
         dir.update(s(1 + i as u64), next.clone());
     }
 
-    assert!(!dir.cut_off());
+    assert!(!dir.is_isolated());
     assert_eq!(dir.routers().len(), 6);
 }
 
@@ -161,11 +161,11 @@
     let mut dir = Directory::default();
     dir.update(s(0), serving(&all));
     dir.update(s(1), serving(&all[..2]));
-    let held = dir.cut_off();
+    let held = dir.is_isolated();
 
     dir.update(s(2), serving(&all));
 
     assert!(held);
-    assert!(!dir.cut_off());
+    assert!(!dir.is_isolated());
     assert_eq!(dir.routers().len(), 9);
 }
