--- a/src/entry.rs
+++ b/src/entry.rs
@@ -13,7 +13,7 @@
 /// Most routers in one answer.
 pub const MAX_ROUTERS: usize = 8;
 /// Last places of an answer that are kept for another data centre, should the nearest one be lost as a whole.
-const ELSEWHERE: usize = 2;
+const MIN_REMOTE_ROUTERS: usize = 2;
 
 /// A router that may be handed out.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,16 +31,16 @@
 /// Orders `routers` for one caller: nearest first, then by rendezvous hashing of the key.
 ///
 /// A router that comes or goes moves only the keys that are its own.
-pub fn order(routers: &[Router], query: &Query, most: usize) -> Vec<Router> {
+pub fn order(routers: &[Router], query: &Query, max_routers: usize) -> Vec<Router> {
     let key = query.key.as_deref().map_or(query.salt, hash);
     let mut list: Vec<_> = routers.to_vec();
     list.sort_by_cached_key(|r| (distance(r, query), hash((&*r.name, key))));
-    let near = list.iter().take_while(|r| r.data_centre == query.data_centre).count();
-    let kept = most.saturating_sub(ELSEWHERE);
-    if near > kept && list.len() > near {
-        list.drain(kept..near);
+    let local = list.iter().take_while(|r| r.data_centre == query.data_centre).count();
+    let max_local = max_routers.saturating_sub(MIN_REMOTE_ROUTERS);
+    if local > max_local && list.len() > local {
+        list.drain(max_local..local);
     }
-    list.truncate(most);
+    list.truncate(max_routers);
     list
 }
 
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -6,7 +6,7 @@
 use crate::util::{Instant, Map};
 
 /// Losses within this time count as one.
-const WINDOW: Duration = Duration::from_secs(60);
+const LOSS_WINDOW: Duration = Duration::from_secs(60);
 /// How long routers that were lost together are still handed out.
 pub const LOST_RETENTION: Duration = Duration::from_secs(3600);
 
@@ -22,10 +22,10 @@
 }
 
 #[derive(Clone, Debug)]
-struct Lost {
+struct LostRouter {
     router: Router,
     at: Instant,
-    held: bool,
+    retained: bool,
 }
 
 /// Routers that may be handed out.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     serving: Map<Arc<str>, Router>,
-    lost: Map<Arc<str>, Lost>,
+    lost: Map<Arc<str>, LostRouter>,
 }
 
 impl Directory {
@@ -55,31 +55,31 @@
         }
         for (name, router) in before {
             if !self.serving.contains_key(&name) {
-                self.lost.insert(name, Lost { router, at: now, held: false });
+                self.lost.insert(name, LostRouter { router, at: now, retained: false });
             }
         }
         let serving = &self.serving;
         self.lost.retain(|name, l| {
-            let expired = l.at + if l.held { LOST_RETENTION } else { WINDOW } <= now;
+            let expired = l.at + if l.retained { LOST_RETENTION } else { LOSS_WINDOW } <= now;
             !serving.contains_key(name) && !leaving.contains(name) && !expired
         });
-        let recent = self.lost.values().filter(|l| l.held || l.at + WINDOW > now).count();
+        let recent = self.lost.values().filter(|l| l.retained || l.at + LOSS_WINDOW > now).count();
         if recent > self.serving.len() {
             for l in self.lost.values_mut() {
-                l.held = true;
+                l.retained = true;
             }
         }
     }
 
     /// Whether most other routers were lost at once.
     pub fn is_isolated(&self) -> bool {
-        self.lost.values().any(|l| l.held)
+        self.lost.values().any(|l| l.retained)
     }
 
     /// Routers that may be handed out now, by name.
     pub fn routers(&self) -> Vec<Router> {
-        let held = self.lost.values().filter(|l| l.held).map(|l| &l.router);
-        let mut list: Vec<_> = self.serving.values().chain(held).cloned().collect();
+        let retained = self.lost.values().filter(|l| l.retained).map(|l| &l.router);
+        let mut list: Vec<_> = self.serving.values().chain(retained).cloned().collect();
         list.sort_by(|a, b| a.name.cmp(&b.name));
         list
     }
--- a/src/entry/query.rs
+++ b/src/entry/query.rs
@@ -4,7 +4,7 @@
 
 use super::Router;
 
-const LONGEST_KEY: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
 /// What a caller asks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -47,7 +47,7 @@
             }
             QueryError::DuplicateField(name) => write!(f, "the field {name:?} is given twice"),
             QueryError::EmptyField(name) => write!(f, "the field {name:?} has no value"),
-            QueryError::KeyTooLong => write!(f, "the key has more than {LONGEST_KEY} bytes"),
+            QueryError::KeyTooLong => write!(f, "the key has more than {MAX_KEY_BYTES} bytes"),
         }
     }
 }
@@ -78,7 +78,7 @@
                 return Err(QueryError::DuplicateField(name.into_owned()));
             }
         }
-        if key.as_ref().is_some_and(|k| k.len() > LONGEST_KEY) {
+        if key.as_ref().is_some_and(|k| k.len() > MAX_KEY_BYTES) {
             return Err(QueryError::KeyTooLong);
         }
         Ok(Self {
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -37,41 +37,41 @@
     util::{lock, now, random_id, read},
 };
 
-use admit::{Admission, Entered};
-use ask::{Ask, header};
+use admit::{Admission, InFlightGuard};
 use claim::Claims;
 use place::Placement;
+use request::{RequestInfo, header};
 use suspects::Suspects;
 
 mod admit;
-mod ask;
 mod attempt;
 mod chat;
 mod claim;
 mod entry;
 mod place;
 mod relay;
+mod request;
 mod resume;
 mod service;
 mod suspects;
 
 /// How long callers keep an entry answer unless the settings say otherwise.
-const ENTRY_KEEP: Duration = Duration::from_secs(30);
+const DEFAULT_ENTRY_TTL: Duration = Duration::from_secs(30);
 /// Paths that take some methods only.
-const PATHS: [&str; 7] =
+const KNOWN_PATHS: [&str; 7] =
     ["/healthz", "/metrics", "/readyz", "/v1/chat/completions", "/v1/entry", "/v1/key-ticket", "/v1/resume"];
 
 /// Longest wait for claims to be written before a planned stop.
-const CLAIMS_CLOSE: Duration = Duration::from_secs(10);
+const CLAIMS_CLOSE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// State that all requests of one router share.
 #[derive(Debug)]
 pub struct Gateway {
     me: Router,
     routers: RwLock<Vec<Router>>,
-    entry_keep: Duration,
+    entry_ttl: Duration,
     /// Whether the router is shutting down and takes no new request.
-    closed: AtomicBool,
+    is_closed: AtomicBool,
     catalog: RwLock<Arc<Catalog>>,
     placement: Arc<Placement>,
     admission: Admission,
@@ -79,12 +79,12 @@
     resume_key: TokenKey,
     suspects: Arc<Suspects>,
     retry_policy: RetryPolicy,
-    budget: Mutex<RetryBudget>,
-    avoid: Mutex<Cooldowns>,
+    retry_budget: Mutex<RetryBudget>,
+    cooldowns: Mutex<Cooldowns>,
     /// Engines to which dispatches could not connect, until the probes are told.
-    unreached: Mutex<Vec<Arc<str>>>,
+    unreachable_engines: Mutex<Vec<Arc<str>>>,
     /// Asks engines that changed owner for their load.
-    asking_loads: Mutex<Option<JoinHandle<()>>>,
+    load_fetch_task: Mutex<Option<JoinHandle<()>>>,
     client: Client,
     metrics: Arc<Metrics>,
 }
@@ -101,8 +101,8 @@
         let suspects = Suspects::new(me.region.clone(), placement.clone(), client.clone());
         Self {
             routers: RwLock::new(vec![me.clone()]),
-            entry_keep: ENTRY_KEEP,
-            closed: AtomicBool::new(false),
+            entry_ttl: DEFAULT_ENTRY_TTL,
+            is_closed: AtomicBool::new(false),
             me,
             catalog: RwLock::default(),
             placement,
@@ -111,28 +111,28 @@
             resume_key: TokenKey::new(shared_key),
             suspects: Arc::new(suspects),
             retry_policy: RetryPolicy::default(),
-            budget: Mutex::default(),
-            avoid: Mutex::default(),
-            unreached: Mutex::default(),
-            asking_loads: Mutex::default(),
+            retry_budget: Mutex::default(),
+            cooldowns: Mutex::default(),
+            unreachable_engines: Mutex::default(),
+            load_fetch_task: Mutex::default(),
             client,
             metrics,
         }
     }
 
     /// Sets how long callers may keep an entry answer.
-    pub fn with_entry_ttl(self, entry_keep: Duration) -> Self {
-        Self { entry_keep, ..self }
+    pub fn with_entry_ttl(self, entry_ttl: Duration) -> Self {
+        Self { entry_ttl, ..self }
     }
 
     /// From now on refuses new requests, all but the question which routers to use.
     pub fn stop_accepting_requests(&self) {
-        self.closed.store(true, Ordering::Release);
+        self.is_closed.store(true, Ordering::Release);
     }
 
     /// Engines to which dispatches could not connect since the last call.
     pub fn take_unreachable_engines(&self) -> Vec<Arc<str>> {
-        std::mem::take(&mut lock(&self.unreached))
+        std::mem::take(&mut lock(&self.unreachable_engines))
     }
 
     /// Notes what the probes know of an engine.
@@ -154,7 +154,7 @@
     pub fn set_catalog(&self, cat: Catalog) {
         let mut current = self.catalog.write().unwrap_or_else(|e| e.into_inner());
         if cat.version >= current.version {
-            lock(&self.avoid).retain(|id| cat.engine_key(id).is_some());
+            lock(&self.cooldowns).retain(|id| cat.engine_key(id).is_some());
             *current = Arc::new(cat);
         }
     }
@@ -169,7 +169,7 @@
         read(&self.catalog).clone()
     }
 
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         self.catalog().version > 0
     }
 
@@ -177,17 +177,17 @@
         let path = req.uri().path().to_owned();
         match (req.method(), path.as_str()) {
             (&Method::GET, "/healthz") => Ok(Reply::full(200, "ok\n")),
-            (&Method::GET, "/readyz") if self.ready() => Ok(Reply::full(200, "ready\n")),
-            (&Method::GET, "/metrics") => self.show_metrics(),
-            _ if !self.ready() => Err(RequestError::new(ErrorKind::NotReady, "no configuration yet")),
+            (&Method::GET, "/readyz") if self.is_ready() => Ok(Reply::full(200, "ready\n")),
+            (&Method::GET, "/metrics") => self.render_metrics(),
+            _ if !self.is_ready() => Err(RequestError::new(ErrorKind::NotReady, "no configuration yet")),
             (&Method::GET, "/v1/entry") => self.entry(req.uri().query().unwrap_or("")),
-            _ if self.closed.load(Ordering::Acquire) => {
+            _ if self.is_closed.load(Ordering::Acquire) => {
                 Err(RequestError::new(ErrorKind::Leaving, ErrorKind::Leaving.answer().about))
             }
             (&Method::GET | &Method::POST, "/v1/resume") => self.resume(req).await,
             (&Method::GET, "/v1/key-ticket") => Ok(self.key_ticket()),
             (&Method::POST, "/v1/chat/completions") => self.chat(req, id).await,
-            (method, path) if PATHS.contains(&path) => {
+            (method, path) if KNOWN_PATHS.contains(&path) => {
                 Err(RequestError::new(ErrorKind::MethodNotAllowed, format!("{method} is not for {path}")))
             }
             (_, p) if p.starts_with("/services/") => self.service(req, id).await,
@@ -196,31 +196,31 @@
     }
 
     /// Counts a refusal, logs it and answers it.
-    fn refuse(&self, fault: &RequestError, origin: &Origin) -> Reply {
-        let code = fault.kind.answer().code;
+    fn refuse(&self, error: &RequestError, origin: &RequestOrigin) -> Reply {
+        let code = error.kind.answer().code;
         self.metrics.request("refused");
         self.metrics.refuse(code);
         // In a surge most refusals are the system at work, and a line for each would add to its load.
-        let level = match fault.kind {
+        let level = match error.kind {
             ErrorKind::Internal => Level::Error,
             ErrorKind::Quarantined | ErrorKind::EngineFailed => Level::Warn,
             _ => Level::Debug,
         };
         let (request, workspace) = (origin.id.as_str(), origin.workspace.as_str());
-        spdlog::log!(level, "refused: {}", fault.message, kv: { request, code, workspace });
-        if origin.repeat { fault.reply_to_repeat() } else { fault.reply() }
+        spdlog::log!(level, "refused: {}", error.message, kv: { request, code, workspace });
+        if origin.may_be_repeat { error.reply_to_repeat() } else { error.reply() }
     }
 
-    fn show_metrics(&self) -> Result<Reply, RequestError> {
+    fn render_metrics(&self) -> Result<Reply, RequestError> {
         let text =
             self.metrics.text().map_err(|e| RequestError::new(ErrorKind::Internal, format!("{e:#}")))?;
         Ok(Reply::full(200, text).with_header("content-type", "text/plain; version=0.0.4"))
     }
 
     /// Counts a request against the limits of its workspace, of which each router keeps its share.
-    fn enter(&self, cat: &Catalog, ask: &Ask) -> Result<Entered, RequestError> {
+    fn acquire_in_flight(&self, cat: &Catalog, info: &RequestInfo) -> Result<InFlightGuard, RequestError> {
         let routers = u32::try_from(read(&self.routers).len()).unwrap_or(u32::MAX);
-        self.admission.enter(cat.concurrency_limits(&ask.workspace), routers, ask)
+        self.admission.acquire_in_flight(cat.concurrency_limits(&info.workspace), routers, info)
     }
 
     /// A ticket under which a caller may make idempotency keys that stay usable while the platform is out.
@@ -232,12 +232,12 @@
 
     /// Sets where other routers reach this one.
     pub fn set_peer_addr(&self, addr: SocketAddr) {
-        let _ = self.claims.peer.set(addr);
+        let _ = self.claims.peer_addr.set(addr);
     }
 
     /// Before a planned stop, once no request is in progress: has what is known of claims written to the platform.
     pub async fn close_claims(&self) {
-        if tokio::time::timeout(CLAIMS_CLOSE, self.claims.close()).await.is_err() {
+        if tokio::time::timeout(CLAIMS_CLOSE_TIMEOUT, self.claims.close()).await.is_err() {
             spdlog::warn!("not all claims were written before the stop; the rest reads as unknown");
         }
     }
@@ -254,7 +254,7 @@
 
     /// Takes in what another router knows of crashing requests.
     pub fn merge_suspects(&self, digest: &Digest) {
-        self.suspects.note(digest);
+        self.suspects.merge(digest);
     }
 
     /// Answers another router's call about placement; `None` for a call that is about something else.
@@ -272,22 +272,22 @@
     /// Tells the owners of engines which reservations have ended, until aborted.
     pub async fn run_releases(&self) {
         loop {
-            tokio::time::sleep(place::RELEASE_PERIOD).await;
+            tokio::time::sleep(place::RELEASE_INTERVAL).await;
             self.placement.expire(&self.catalog());
-            self.placement.tell_ended().await;
+            self.placement.send_releases().await;
         }
     }
 
     /// Answers another router's call about suspects; `None` for a call that is about something else.
     pub fn serve_suspects(&self, body: &Body) -> Option<Body> {
         match body {
-            Body::Permit(wanted) => Some(Body::PermitAnswer(self.suspects.serve_permit(wanted))),
+            Body::Permit(req) => Some(Body::PermitAnswer(self.suspects.serve_permit(req))),
             Body::PermitRelease(msg) => {
                 self.suspects.serve_release(msg);
                 Some(Body::Noted(Noted {}))
             }
             Body::Suspects(digest) => {
-                self.suspects.note(digest);
+                self.suspects.merge(digest);
                 Some(Body::Noted(Noted {}))
             }
             _ => None,
@@ -297,34 +297,34 @@
 
 impl Handler for Gateway {
     async fn handle(&self, req: Request<Bytes>, _peer: SocketAddr) -> Reply {
-        let origin = Origin::of(&req);
+        let origin = RequestOrigin::of(&req);
         let reply = match self.route(req, &origin.id).await {
             Ok(reply) => {
                 self.metrics.request("answered");
                 reply
             }
-            Err(fault) => self.refuse(&fault, &origin),
+            Err(error) => self.refuse(&error, &origin),
         };
         reply.with_header("x-request-id", &origin.id)
     }
 
     fn refuse_body(&self, head: &Request<()>, kind: ErrorKind) -> Reply {
-        let origin = Origin::of(head);
+        let origin = RequestOrigin::of(head);
         self.refuse(&RequestError::new(kind, UNREAD_BODY), &origin).with_header("x-request-id", &origin.id)
     }
 }
 
 /// What the answer to a request and the log need to know of it, whatever becomes of it.
-struct Origin {
+struct RequestOrigin {
     id: String,
     workspace: String,
-    repeat: bool,
+    may_be_repeat: bool,
 }
 
-impl Origin {
+impl RequestOrigin {
     fn of<B>(req: &Request<B>) -> Self {
         let workspace = header(req.headers(), "x-workspace").unwrap_or_default().to_owned();
-        Self { id: random_id(), workspace, repeat: may_be_repeat(req) }
+        Self { id: random_id(), workspace, may_be_repeat: may_be_repeat(req) }
     }
 }
 
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -8,7 +8,7 @@
 
 use tokio::sync::{Notify, oneshot};
 
-use super::{ask::Ask, lock, read};
+use super::{lock, read, request::RequestInfo};
 use crate::{
     admit::{ConcurrencyLimit, EnqueueResult, FairQueue, InFlight, Refusal, Ticket, Work},
     error::RequestError,
@@ -17,16 +17,16 @@
 };
 
 /// How often waiting requests are looked at: bounds how late an expired one learns of it.
-const TICK: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Longest pause between two turns while no engine has room. Each turn may ask several owners of engines, and
 /// routers may spend only a few kilobytes a second on that.
-const MOST_PAUSE: Duration = Duration::from_millis(250);
+const MAX_TURN_DELAY: Duration = Duration::from_millis(250);
 
 /// Queues and limits of one router.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     queues: RwLock<Map<Arc<str>, Arc<Queue>>>,
-    usage: Arc<Mutex<InFlight>>,
+    in_flight: Arc<Mutex<InFlight>>,
 }
 
 impl Admission {
@@ -43,36 +43,36 @@
     ///
     /// # Errors
     /// When a limit is reached.
-    pub(crate) fn enter(
+    pub(crate) fn acquire_in_flight(
         &self,
-        caps: Arc<[ConcurrencyLimit]>,
+        limits: Arc<[ConcurrencyLimit]>,
         routers: u32,
-        ask: &Ask,
-    ) -> Result<Entered, RequestError> {
-        if !caps.is_empty() {
-            let entered = lock(&self.usage).acquire(&caps, routers);
-            entered.map_err(|kind| {
+        info: &RequestInfo,
+    ) -> Result<InFlightGuard, RequestError> {
+        if !limits.is_empty() {
+            let acquired = lock(&self.in_flight).acquire(&limits, routers);
+            acquired.map_err(|kind| {
                 RequestError::new(
                     kind,
-                    format!("workspace {:?} has too many requests in progress", ask.workspace),
+                    format!("workspace {:?} has too many requests in progress", info.workspace),
                 )
             })?;
         }
-        Ok(Entered { caps, usage: self.usage.clone() })
+        Ok(InFlightGuard { limits, in_flight: self.in_flight.clone() })
     }
 }
 
 /// A request that counts against the limits of its workspace until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Entered {
-    caps: Arc<[ConcurrencyLimit]>,
-    usage: Arc<Mutex<InFlight>>,
+pub(crate) struct InFlightGuard {
+    limits: Arc<[ConcurrencyLimit]>,
+    in_flight: Arc<Mutex<InFlight>>,
 }
 
-impl Drop for Entered {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        if !self.caps.is_empty() {
-            lock(&self.usage).release(&self.caps);
+        if !self.limits.is_empty() {
+            lock(&self.in_flight).release(&self.limits);
         }
     }
 }
@@ -81,16 +81,16 @@
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     state: Mutex<State>,
-    freed: Notify,
+    run_ended: Notify,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    lane: FairQueue,
+    queue: FairQueue,
     waiters: Map<Ticket, oneshot::Sender<Turn>>,
-    pumped: bool,
-    pause: Duration,
-    next: Instant,
+    is_running: bool,
+    turn_delay: Duration,
+    next_turn: Instant,
 }
 
 #[derive(Debug)]
@@ -101,11 +101,11 @@
 
 /// What a search for an engine gave, when it gave none.
 #[derive(Debug)]
-pub(crate) enum NoRoom {
+pub(crate) enum NotAdmitted {
     /// Every engine in use stands at its bound; the request may wait.
     Full,
     /// The request can't be served.
-    RequestError(RequestError),
+    Failed(RequestError),
 }
 
 impl Queue {
@@ -115,106 +115,106 @@
     /// When the request may not wait, waited too long, or can't be served.
     pub(crate) async fn admit<T, F>(
         self: &Arc<Self>,
-        ask: &Ask,
+        info: &RequestInfo,
         find: impl Fn() -> F,
     ) -> Result<T, RequestError>
     where
-        F: Future<Output = Result<T, NoRoom>>,
+        F: Future<Output = Result<T, NotAdmitted>>,
     {
-        if lock(&self.state).lane.is_empty() {
+        if lock(&self.state).queue.is_empty() {
             match find().await {
                 Ok(found) => return Ok(found),
-                Err(NoRoom::RequestError(fault)) => return Err(fault),
-                Err(NoRoom::Full) => {}
+                Err(NotAdmitted::Failed(error)) => return Err(error),
+                Err(NotAdmitted::Full) => {}
             }
         }
-        let mut waiter = self.wait(ask)?;
+        let mut waiter = self.enqueue(info)?;
         loop {
             match (&mut waiter.turn).await {
                 Ok(Turn::Try) => {}
-                Ok(Turn::Refused(refusal)) => return Err(fault(refusal)),
+                Ok(Turn::Refused(refusal)) => return Err(refusal_error(refusal)),
                 Err(_) => {
                     return Err(RequestError::new(crate::error::ErrorKind::Internal, "the queue is gone"));
                 }
             }
             match find().await {
                 Ok(found) => {
-                    self.settled(waiter.ticket);
+                    self.end_turn_admitted(waiter.ticket);
                     return Ok(found);
                 }
-                Err(NoRoom::RequestError(fault)) => return Err(fault),
-                Err(NoRoom::Full) => waiter.turn = self.again(waiter.ticket),
+                Err(NotAdmitted::Failed(error)) => return Err(error),
+                Err(NotAdmitted::Full) => waiter.turn = self.end_turn_full(waiter.ticket),
             }
         }
     }
 
     /// Notes a run that has ended, so that its engine may have room.
-    pub(crate) fn note_end(&self, ran: Duration, work: Work) {
-        lock(&self.state).lane.record_run(ran, work);
-        self.freed.notify_one();
+    pub(crate) fn record_run(&self, ran: Duration, work: Work) {
+        lock(&self.state).queue.record_run(ran, work);
+        self.run_ended.notify_one();
     }
 
-    fn wait(self: &Arc<Self>, ask: &Ask) -> Result<Waiter, RequestError> {
+    fn enqueue(self: &Arc<Self>, info: &RequestInfo) -> Result<Waiter, RequestError> {
         let mut state = lock(&self.state);
-        let ticket = match state.lane.enqueue(now(), ask.demand()) {
+        let ticket = match state.queue.enqueue(now(), info.demand()) {
             EnqueueResult::Queued(ticket) => ticket,
             EnqueueResult::Displaced(ticket, victim, refusal) => {
                 state.refuse(victim, refusal);
                 ticket
             }
-            EnqueueResult::Refused(refusal) => return Err(fault(refusal)),
+            EnqueueResult::Refused(refusal) => return Err(refusal_error(refusal)),
         };
         let (tx, turn) = oneshot::channel();
         state.waiters.insert(ticket, tx);
-        if !std::mem::replace(&mut state.pumped, true) {
-            (state.pause, state.next) = (TICK, Duration::ZERO);
-            tokio::spawn(self.clone().pump());
+        if !std::mem::replace(&mut state.is_running, true) {
+            (state.turn_delay, state.next_turn) = (POLL_INTERVAL, Duration::ZERO);
+            tokio::spawn(self.clone().run_turns());
         }
         Ok(Waiter { queue: self.clone(), ticket, turn })
     }
 
-    fn settled(&self, ticket: Ticket) {
+    fn end_turn_admitted(&self, ticket: Ticket) {
         let mut state = lock(&self.state);
         state.waiters.remove(&ticket);
-        state.lane.end_turn(now(), ticket, true);
-        state.pause = TICK;
-        state.grant();
+        state.queue.end_turn(now(), ticket, true);
+        state.turn_delay = POLL_INTERVAL;
+        state.grant_turn();
     }
 
-    fn again(&self, ticket: Ticket) -> oneshot::Receiver<Turn> {
+    fn end_turn_full(&self, ticket: Ticket) -> oneshot::Receiver<Turn> {
         let mut state = lock(&self.state);
         let (tx, turn) = oneshot::channel();
         state.waiters.insert(ticket, tx);
-        state.lane.end_turn(now(), ticket, false);
-        state.pause = (state.pause * 2).min(MOST_PAUSE);
-        state.next = now() + state.pause;
+        state.queue.end_turn(now(), ticket, false);
+        state.turn_delay = (state.turn_delay * 2).min(MAX_TURN_DELAY);
+        state.next_turn = now() + state.turn_delay;
         turn
     }
 
     /// Gives turns while requests wait: when a run ends here, and after a pause, since an engine may have been
     /// freed by another router.
-    async fn pump(self: Arc<Self>) {
+    async fn run_turns(self: Arc<Self>) {
         loop {
-            let freed = tokio::time::timeout(TICK, self.freed.notified()).await.is_ok();
+            let run_ended = tokio::time::timeout(POLL_INTERVAL, self.run_ended.notified()).await.is_ok();
             let mut state = lock(&self.state);
             state.expire();
-            if state.lane.is_empty() {
-                state.pumped = false;
+            if state.queue.is_empty() {
+                state.is_running = false;
                 return;
             }
-            if freed || now() >= state.next {
-                state.grant();
+            if run_ended || now() >= state.next_turn {
+                state.grant_turn();
             }
         }
     }
 }
 
 impl State {
-    fn grant(&mut self) {
-        let Some(ticket) = self.lane.start_turn() else { return };
+    fn grant_turn(&mut self) {
+        let Some(ticket) = self.queue.start_turn() else { return };
         let sent = self.waiters.remove(&ticket).is_some_and(|tx| tx.send(Turn::Try).is_ok());
         if !sent {
-            self.lane.cancel(ticket);
+            self.queue.cancel(ticket);
         }
     }
 
@@ -225,7 +225,7 @@
     }
 
     fn expire(&mut self) {
-        for (ticket, refusal) in self.lane.expire(now()) {
+        for (ticket, refusal) in self.queue.expire(now()) {
             self.refuse(ticket, refusal);
         }
     }
@@ -242,12 +242,12 @@
     fn drop(&mut self) {
         let mut state = lock(&self.queue.state);
         state.waiters.remove(&self.ticket);
-        state.lane.cancel(self.ticket);
+        state.queue.cancel(self.ticket);
     }
 }
 
 /// Refused callers are told different times, so that they don't come back together.
-fn fault(refusal: Refusal) -> RequestError {
+fn refusal_error(refusal: Refusal) -> RequestError {
     let after = refusal.retry_after + jitter(refusal.retry_after, &mut rand::rng());
     RequestError::new(refusal.kind, refusal.kind.answer().about).with_retry_after(after)
 }
--- a/src/gateway/chat.rs
+++ b/src/gateway/chat.rs
@@ -6,11 +6,11 @@
 
 use super::{
     Gateway,
-    ask::Ask,
-    attempt::{Backends, Found, Queued, Unfound},
-    place::Unplaced,
+    attempt::{Backends, ChosenBackend, FindError, MayQueue},
+    place::PlacementError,
     relay::relay_events,
-    resume::RESUME_TOKEN,
+    request::RequestInfo,
+    resume::RESUME_TOKEN_HEADER,
 };
 use crate::{
     catalog::{Catalog, Engine, Id, NoPool, Pool},
@@ -23,54 +23,59 @@
 
 impl Gateway {
     pub(super) async fn chat(&self, req: Request<Bytes>, id: &str) -> Result<Reply, RequestError> {
-        let ask = Ask::chat(id, req.headers(), req.body(), now())?;
+        let info = RequestInfo::chat(id, req.headers(), req.body(), now())?;
         let cat = self.catalog();
-        let pool = cat.pool(&ask.workspace, &ask.model).map_err(|e| no_pool(e, &ask))?;
-        let entered = self.enter(&cat, &ask)?;
+        let pool = cat.pool(&info.workspace, &info.model).map_err(|e| no_pool(e, &info))?;
+        let in_flight = self.acquire_in_flight(&cat, &info)?;
         let queue = self.admission.queue(&pool.name);
-        let engines = Engines { gateway: self, cat: &cat, pool, ask: &ask, body: req.body() };
-        let started = self.attempt(&cat, &ask, &queue, &engines).await?;
-        let hint = started.found.hint.clone().unwrap_or_default();
-        let addr = cat.engine(started.found.engine).addr;
-        let token = self.resume_token(&started.request, addr, &ask.workspace);
+        let backends = PoolBackends { gateway: self, cat: &cat, pool, info: &info, body: req.body() };
+        let started = self.run_attempts(&cat, &info, &queue, &backends).await?;
+        let hint = started.chosen.hint.clone().unwrap_or_default();
+        let addr = cat.engine(started.chosen.engine).addr;
+        let token = self.resume_token(&started.attempt_id, addr, &info.workspace);
         let engine = EngineClient::new(self.client.clone(), addr);
-        let router = started.found.router.map(|addr| addr.to_string()).unwrap_or_default();
-        Ok(relay_events(started, entered, engine, &self.metrics)
-            .with_header("x-chat", &ask.chat)
+        let router = started.chosen.next_router.map(|addr| addr.to_string()).unwrap_or_default();
+        Ok(relay_events(started, in_flight, engine, &self.metrics)
+            .with_header("x-chat", &info.chat)
             .with_header("x-next-router", &router)
             .with_header("x-placement-hint", &hint)
-            .with_header(RESUME_TOKEN, &token))
+            .with_header(RESUME_TOKEN_HEADER, &token))
     }
 }
 
 /// The engines of a pool, for one chat.
-struct Engines<'a> {
+struct PoolBackends<'a> {
     gateway: &'a Gateway,
     cat: &'a Catalog,
     pool: &'a Pool,
-    ask: &'a Ask,
+    info: &'a RequestInfo,
     body: &'a Bytes,
 }
 
-impl Backends for Engines<'_> {
-    async fn find(&self, exclude: &[Id], queue: Queued) -> Result<Found, Unfound> {
-        if queue == Queued::Yes && self.gateway.placement.placer().is_full(self.cat, self.pool, now()) {
-            return Err(Unfound::AtBound);
+impl Backends for PoolBackends<'_> {
+    async fn find(&self, exclude: &[Id], may_queue: MayQueue) -> Result<ChosenBackend, FindError> {
+        if may_queue == MayQueue::Yes && self.gateway.placement.placer().is_full(self.cat, self.pool, now()) {
+            return Err(FindError::AtBound);
         }
-        let placed = self.gateway.place(self.cat, self.pool, self.ask, exclude.iter().copied()).await;
+        let placed = self.gateway.place(self.cat, self.pool, self.info, exclude.iter().copied()).await;
         match placed {
-            Ok(p) => Ok(Found { engine: p.engine, slot: Some(p.slot), hint: Some(p.hint), router: p.router }),
-            Err(Unplaced::AtBound) => Err(Unfound::AtBound),
-            Err(Unplaced::NoneInUse) => Err(Unfound::NoneInUse),
+            Ok(p) => Ok(ChosenBackend {
+                engine: p.engine,
+                guard: Some(p.guard),
+                hint: Some(p.hint),
+                next_router: p.next_router,
+            }),
+            Err(PlacementError::AtBound) => Err(FindError::AtBound),
+            Err(PlacementError::NoneAvailable) => Err(FindError::NoneAvailable),
         }
     }
 
     async fn send(&self, engine: &Engine, request: &str) -> Result<Response<Incoming>, Failure> {
         let call = ChatCall {
             request,
-            chat: &self.ask.chat,
-            workspace: &self.ask.workspace,
-            priority: self.ask.priority as u16,
+            chat: &self.info.chat,
+            workspace: &self.info.workspace,
+            priority: self.info.priority as u16,
             body: self.body.clone(),
         };
         EngineClient::new(self.gateway.client.clone(), engine.addr).chat(&call).await
@@ -83,8 +88,8 @@
     }
 }
 
-fn no_pool(e: NoPool, ask: &Ask) -> RequestError {
-    let (workspace, model) = (&ask.workspace, &ask.model);
+fn no_pool(e: NoPool, info: &RequestInfo) -> RequestError {
+    let (workspace, model) = (&info.workspace, &info.model);
     match e {
         NoPool::UnknownWorkspace => {
             RequestError::new(ErrorKind::UnknownWorkspace, format!("no workspace {workspace:?}"))
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -11,130 +11,130 @@
         attempt::{DispatchedClaim, GrantedClaim, RefusedClaim, RequestedClaim, error_kind},
     },
     error::{ErrorKind, RequestError},
-    gateway::{admit::Entered, ask::header, attempt::Started, relay::STALL},
+    gateway::{admit::InFlightGuard, attempt::StartedResponse, relay::BODY_IDLE_TIMEOUT, request::header},
     http::{Reply, body_channel},
     outcome::{NotRunProof, Undispatched},
 };
 
 /// Chunks that wait for a slow caller before the backend server is held back.
-const STREAM_DEPTH: usize = 8;
+const BODY_CHANNEL_CHUNKS: usize = 8;
 
 /// A claim that is held, with what is needed to tell its end.
-pub(in crate::gateway) struct Claim {
+pub(in crate::gateway) struct HeldClaim {
     claims: Arc<Claims>,
     key: Arc<str>,
-    held: GrantedClaim,
+    granted: GrantedClaim,
 }
 
 /// A claim whose request may have run.
-pub(in crate::gateway) struct Claimed {
+pub(in crate::gateway) struct DispatchedCall {
     claims: Arc<Claims>,
     key: Arc<str>,
-    running: DispatchedClaim,
+    dispatched: DispatchedClaim,
 }
 
 /// What a key's claim comes to.
-pub(in crate::gateway) enum Answer {
+pub(in crate::gateway) enum ClaimOutcome {
     /// The request may run.
-    Run(Claim),
+    Run(HeldClaim),
     /// An earlier attempt ran; this is its answer.
     Replay(Reply),
 }
 
-impl Claim {
+impl HeldClaim {
     /// Asks for the claim of `engine_key`.
     ///
     /// # Errors
     /// When the request may not run.
-    pub(in crate::gateway) async fn ask(
+    pub(in crate::gateway) async fn acquire(
         claims: &Arc<Claims>,
         key: &Arc<str>,
-        ask: ClaimRequest,
-        patience: std::time::Duration,
-    ) -> Result<Answer, RequestError> {
-        let asking = RequestedClaim::new(ask, Undispatched::new());
-        let verdict = tokio::time::timeout(patience, claims.ask(ask, key)).await;
-        match asking.decide(verdict.unwrap_or(Verdict::Unavailable)) {
-            Ok(held) => Ok(Answer::Run(Self { claims: claims.clone(), key: key.clone(), held })),
+        req: ClaimRequest,
+        timeout: std::time::Duration,
+    ) -> Result<ClaimOutcome, RequestError> {
+        let requested = RequestedClaim::new(req, Undispatched::new());
+        let verdict = tokio::time::timeout(timeout, claims.request_claim(req, key)).await;
+        match requested.decide(verdict.unwrap_or(Verdict::Unavailable)) {
+            Ok(granted) => Ok(ClaimOutcome::Run(Self { claims: claims.clone(), key: key.clone(), granted })),
             Err(refused) => refuse(claims, key, *refused),
         }
     }
 
     /// The request is handed to a connection.
-    pub(in crate::gateway) fn dispatch(self) -> Claimed {
-        Claimed { claims: self.claims, key: self.key, running: self.held.dispatch() }
+    pub(in crate::gateway) fn dispatch(self) -> DispatchedCall {
+        DispatchedCall { claims: self.claims, key: self.key, dispatched: self.granted.dispatch() }
     }
 }
 
-fn refuse(claims: &Arc<Claims>, key: &str, refused: RefusedClaim) -> Result<Answer, RequestError> {
+fn refuse(claims: &Arc<Claims>, key: &str, refused: RefusedClaim) -> Result<ClaimOutcome, RequestError> {
     let RefusedClaim { verdict, token, release } = refused;
     if let Some(release) = release {
         claims.release(release, key);
     }
-    if let Verdict::Recorded(answered) = verdict {
-        return replay(answered).map(Answer::Replay);
+    if let Verdict::Recorded(response) = verdict {
+        return replay(response).map(ClaimOutcome::Replay);
     }
     let kind = error_kind(&verdict).unwrap_or(ErrorKind::Internal);
     token.refuse(kind, kind.answer().about).into_result()
 }
 
 /// The recorded answer of the run.
-fn replay(answered: StoredResponse) -> Result<Reply, RequestError> {
-    let Some(body) = answered.body else {
+fn replay(response: StoredResponse) -> Result<Reply, RequestError> {
+    let Some(body) = response.body else {
         return Err(RequestError::new(ErrorKind::KeyAnswered, ErrorKind::KeyAnswered.answer().about));
     };
-    Ok(Reply::full(answered.status, body)
-        .with_header("content-type", &answered.content_type)
+    Ok(Reply::full(response.status, body)
+        .with_header("content-type", &response.content_type)
         .with_header("x-outcome", "ran")
         .with_header("x-replayed", "true"))
 }
 
-impl Claimed {
+impl DispatchedCall {
     /// Ends a call whose attempts all failed: the claim is given back if none of them ran.
-    pub(in crate::gateway) fn fail(self, fault: RequestError) -> RequestError {
-        match NotRunProof::from_attempts(&fault) {
+    pub(in crate::gateway) fn fail(self, error: RequestError) -> RequestError {
+        match NotRunProof::from_attempts(&error) {
             Some(proof) => {
-                let (token, release) = self.running.take_back(proof).release();
+                let (token, release) = self.dispatched.take_back(proof).release();
                 self.claims.release(release, &self.key);
-                let outcome = token.refuse::<()>(fault.kind, fault.message.clone());
-                outcome.into_result().err().map_or(fault.clone(), |f| RequestError { kind: f.kind, ..fault })
+                let outcome = token.refuse::<()>(error.kind, error.message.clone());
+                outcome.into_result().err().map_or(error.clone(), |f| RequestError { kind: f.kind, ..error })
             }
             None => {
-                let (_, finish) = self.running.finish(Record::Unknown);
+                let (_, finish) = self.dispatched.finish(Record::Unknown);
                 self.claims.finish(finish, &self.key);
-                fault
+                error
             }
         }
     }
 
     /// Streams the answer on and records it. The answer is read to its end also when the caller has gone away:
     /// they come again with the key, and shall find what became of the run.
-    pub(in crate::gateway) fn relay(self, started: Started, entered: Entered) -> Reply {
-        let Started { res, found, run, attempts, .. } = started;
-        let (tx, rx) = body_channel(STREAM_DEPTH);
+    pub(in crate::gateway) fn relay(self, started: StartedResponse, in_flight: InFlightGuard) -> Reply {
+        let StartedResponse { res, chosen, run, attempts, .. } = started;
+        let (tx, rx) = body_channel(BODY_CHANNEL_CHUNKS);
         let status = res.status().as_u16();
         let content_type =
             header(res.headers(), "content-type").unwrap_or("application/octet-stream").to_owned();
-        let mut answered =
+        let mut response =
             StoredResponse { status, content_type: content_type.clone(), body: Some(Vec::new()) };
         tokio::spawn(async move {
-            let _held = (found, entered);
+            let _held = (chosen, in_flight);
             let mut body = res.into_body();
             loop {
-                let frame = match tokio::time::timeout(STALL, body.frame()).await {
+                let frame = match tokio::time::timeout(BODY_IDLE_TIMEOUT, body.frame()).await {
                     Ok(None) => break,
                     Ok(Some(Ok(frame))) => frame,
                     Ok(Some(Err(_))) | Err(_) => {
                         drop(tx);
                         self.record(Record::Unknown);
-                        return run.broke().await;
+                        return run.fail().await;
                     }
                 };
                 let data = frame.into_data().unwrap_or_default();
-                keep(&mut answered, &data);
+                append_body(&mut response, &data);
                 let _ = tx.send(data).await;
             }
-            self.record(Record::Completed(answered));
+            self.record(Record::Completed(response));
             run.complete();
             tx.finish().await;
         });
@@ -145,17 +145,17 @@
     }
 
     fn record(self, record: Record) {
-        let (_, finish) = self.running.finish(record);
+        let (_, finish) = self.dispatched.finish(record);
         self.claims.finish(finish, &self.key);
     }
 }
 
 /// Keeps the body as long as it is small enough.
-fn keep(answered: &mut StoredResponse, data: &[u8]) {
-    if let Some(body) = &mut answered.body {
+fn append_body(response: &mut StoredResponse, data: &[u8]) {
+    if let Some(body) = &mut response.body {
         body.extend_from_slice(data);
         if body.len() > MAX_KEPT_BODY_BYTES {
-            answered.body = None;
+            response.body = None;
         }
     }
 }
--- a/src/gateway/claim/closed.rs
+++ b/src/gateway/claim/closed_processes.rs
@@ -14,29 +14,29 @@
 
 const KIND: &str = "ClaimTicket";
 /// How long "not closed" is taken for true, so that a burst of keys costs one read.
-const KEEP: Duration = Duration::from_secs(1);
+const NOT_CLOSED_TTL: Duration = Duration::from_secs(1);
 
 /// What is known of closed starts.
 #[derive(Debug)]
-pub(super) struct Closed {
+pub(super) struct ClosedProcesses {
     platform: Platform,
-    seen: Mutex<Map<String, Seen>>,
+    cache: Mutex<Map<String, CachedState>>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct CachedState {
     closed_ms: Option<u64>,
     at: Instant,
 }
 
-impl Closed {
+impl ClosedProcesses {
     pub(super) fn new(platform: Platform) -> Self {
-        Self { platform, seen: Mutex::default() }
+        Self { platform, cache: Mutex::default() }
     }
 
     /// Tells the fleet that a start has handed its keys over.
-    pub(super) async fn tell(&self, router: &str, start: u64) {
-        let metadata = Meta { name: name(router, start), ..Meta::default() };
+    pub(super) async fn publish(&self, router: &str, start: u64) {
+        let metadata = Meta { name: object_name(router, start), ..Meta::default() };
         let spec = serde_json::to_value(ClaimTicket { closed_ms: wall_ms() }).unwrap_or_default();
         if let Err(e) = self.platform.put(&Object { kind: KIND.to_owned(), metadata, spec }).await {
             spdlog::warn!("keys of tickets stay unknown after this stop: {e:#}");
@@ -45,27 +45,27 @@
 
     /// Whether any router may decide on new keys of a start's tickets, as on callers' own. That ends with the tickets'
     /// use, long before the shards forget the keys that were granted.
-    pub(super) async fn takes_keys(&self, router: &str, start: u64) -> bool {
-        let closed_ms = self.closed_ms(name(router, start)).await;
+    pub(super) async fn is_handed_over(&self, router: &str, start: u64) -> bool {
+        let closed_ms = self.closed_ms(object_name(router, start)).await;
         closed_ms.is_some_and(|ms| wall_ms() < ms + TICKET_LIFETIME.as_millis() as u64)
     }
 
     async fn closed_ms(&self, name: String) -> Option<u64> {
-        if let Some(seen) = lock(&self.seen).get(&name)
-            && (seen.closed_ms.is_some() || now() < seen.at + KEEP)
+        if let Some(cached) = lock(&self.cache).get(&name)
+            && (cached.closed_ms.is_some() || now() < cached.at + NOT_CLOSED_TTL)
         {
-            return seen.closed_ms;
+            return cached.closed_ms;
         }
         let obj = self.platform.get(KIND, &name).await.ok()?;
         let spec = obj.and_then(|o| serde_json::from_value::<ClaimTicket>(o.spec).ok());
-        let seen = Seen { closed_ms: spec.map(|s| s.closed_ms), at: now() };
-        let mut all = lock(&self.seen);
-        all.retain(|_, s| now() < s.at + TICKET_LIFETIME);
-        all.insert(name, seen);
-        seen.closed_ms
+        let cached = CachedState { closed_ms: spec.map(|s| s.closed_ms), at: now() };
+        let mut cache = lock(&self.cache);
+        cache.retain(|_, s| now() < s.at + TICKET_LIFETIME);
+        cache.insert(name, cached);
+        cached.closed_ms
     }
 }
 
-fn name(router: &str, start: u64) -> String {
+fn object_name(router: &str, start: u64) -> String {
     format!("{router}-{start:016x}")
 }
--- a/src/gateway/claim/desk.rs
+++ b/src/gateway/claim/shard_worker.rs
@@ -19,14 +19,14 @@
 };
 
 /// How often a book without anything to do is looked at, to forget what is old.
-const IDLE: Duration = Duration::from_secs(60);
+const MAX_IDLE_WAIT: Duration = Duration::from_secs(60);
 
 /// How often a book that is being settled is looked at.
-const SETTLE_CHECK: Duration = Duration::from_millis(20);
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The book of one shard.
 #[derive(Debug)]
-pub(super) struct Desk {
+pub(super) struct ShardWorker {
     name: String,
     platform: Platform,
     state: Mutex<State>,
@@ -35,63 +35,63 @@
 
 #[derive(Debug)]
 struct State {
-    book: ShardClaims,
+    claims: ShardClaims,
     waiters: Map<WaiterId, oneshot::Sender<Verdict>>,
-    next: WaiterId,
-    driven: bool,
+    last_id: WaiterId,
+    is_running: bool,
 }
 
-impl Desk {
+impl ShardWorker {
     pub(super) fn new(shard: u16, writer: &str, platform: Platform) -> Arc<Self> {
         let name = format!("claims-{shard}");
-        let book = ShardClaims::new(name.clone(), writer, ShardClaimsConfig::default());
-        let state = State { book, waiters: Map::default(), next: 0, driven: false };
+        let claims = ShardClaims::new(name.clone(), writer, ShardClaimsConfig::default());
+        let state = State { claims, waiters: Map::default(), last_id: 0, is_running: false };
         Arc::new(Self { name, platform, state: Mutex::new(state), changed: Notify::new() })
     }
 
     /// Asks for a claim and waits for the verdict.
-    pub(super) async fn ask(self: &Arc<Self>, ask: ClaimRequest) -> Verdict {
+    pub(super) async fn request_claim(self: &Arc<Self>, req: ClaimRequest) -> Verdict {
         let rx = {
             let mut state = lock(&self.state);
-            state.next += 1;
-            let id = state.next;
-            if let Some(verdict) = state.book.request_claim(Clock::read(), ask, id) {
+            state.last_id += 1;
+            let id = state.last_id;
+            if let Some(verdict) = state.claims.request_claim(Clock::read(), req, id) {
                 return verdict;
             }
             let (tx, rx) = oneshot::channel();
             state.waiters.insert(id, tx);
             rx
         };
-        self.drive();
+        self.wake();
         rx.await.unwrap_or(Verdict::Unavailable)
     }
 
-    pub(super) fn finish(self: &Arc<Self>, ask: &ClaimRequest, record: Record, authority: bool) {
-        lock(&self.state).book.finish(Clock::read(), ask, record, authority);
-        self.drive();
+    pub(super) fn finish(self: &Arc<Self>, req: &ClaimRequest, record: Record, authority: bool) {
+        lock(&self.state).claims.finish(Clock::read(), req, record, authority);
+        self.wake();
     }
 
     pub(super) fn release(self: &Arc<Self>, key: KeyDigest, attempt: AttemptId) {
-        lock(&self.state).book.release(Clock::read(), key, attempt);
-        self.drive();
+        lock(&self.state).claims.release(Clock::read(), key, attempt);
+        self.wake();
     }
 
     /// Waits until all is written that is known here.
-    pub(super) async fn settle(self: &Arc<Self>) {
-        if !lock(&self.state).driven {
+    pub(super) async fn flush(self: &Arc<Self>) {
+        if !lock(&self.state).is_running {
             return;
         }
-        lock(&self.state).book.disable_record_delay();
-        self.drive();
-        while !lock(&self.state).book.is_idle() {
-            tokio::time::sleep(SETTLE_CHECK).await;
+        lock(&self.state).claims.disable_record_delay();
+        self.wake();
+        while !lock(&self.state).claims.is_idle() {
+            tokio::time::sleep(FLUSH_POLL_INTERVAL).await;
         }
     }
 
     /// Starts the task that calls the platform, with the first use of the shard.
-    fn drive(self: &Arc<Self>) {
+    fn wake(self: &Arc<Self>) {
         self.changed.notify_one();
-        if !std::mem::replace(&mut lock(&self.state).driven, true) {
+        if !std::mem::replace(&mut lock(&self.state).is_running, true) {
             tokio::spawn(self.clone().run());
         }
     }
@@ -100,16 +100,16 @@
         loop {
             let op = {
                 let mut state = lock(&self.state);
-                let late = state.book.expire(Clock::read());
-                state.tell(late);
-                state.book.next_op(Clock::read())
+                let timed_out = state.claims.expire(Clock::read());
+                state.send_verdicts(timed_out);
+                state.claims.next_op(Clock::read())
             };
             match op {
                 Some(op) => {
-                    let done = self.call(op).await;
+                    let result = self.call(op).await;
                     let mut state = lock(&self.state);
-                    let verdicts = state.book.handle_result(Clock::read(), done);
-                    state.tell(verdicts);
+                    let verdicts = state.claims.handle_result(Clock::read(), result);
+                    state.send_verdicts(verdicts);
                 }
                 None => self.wait().await,
             }
@@ -117,8 +117,8 @@
     }
 
     async fn wait(&self) {
-        let wake = lock(&self.state).book.wake_at();
-        let pause = wake.map_or(IDLE, |at| at.saturating_sub(Clock::read().now));
+        let wake_at = lock(&self.state).claims.wake_at();
+        let pause = wake_at.map_or(MAX_IDLE_WAIT, |at| at.saturating_sub(Clock::read().now));
         // A due wake-up that finds nothing to do must not spin.
         let pause = pause.max(Duration::from_millis(1));
         let _ = tokio::time::timeout(pause, self.changed.notified()).await;
@@ -141,7 +141,7 @@
 }
 
 impl State {
-    fn tell(&mut self, verdicts: Vec<(WaiterId, Verdict)>) {
+    fn send_verdicts(&mut self, verdicts: Vec<(WaiterId, Verdict)>) {
         for (id, verdict) in verdicts {
             if let Some(tx) = self.waiters.remove(&id) {
                 let _ = tx.send(verdict);
--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -22,7 +22,7 @@
             list[..=at].rotate_right(1);
         }
         let addresses: Vec<_> = list.iter().map(|r| r.addr.to_string()).collect();
-        let keep_s = self.entry_keep.as_secs();
+        let keep_s = self.entry_ttl.as_secs();
         Ok(Reply::json(200, &serde_json::json!({ "addresses": addresses, "keep_s": keep_s })))
     }
 
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -10,7 +10,7 @@
 
 use futures_util::{StreamExt, future::join_all};
 
-use super::{Gateway, ask::Ask, lock, read};
+use super::{Gateway, lock, read, request::RequestInfo};
 use crate::{
     catalog::{Catalog, Engine, EngineKey, Id, Pool},
     client::Client,
@@ -37,14 +37,14 @@
 /// An owner that does not answer within this time is passed by.
 const RESERVE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Engines asked for their load at the same time.
-const LOAD_ASKS: usize = 16;
+const MAX_CONCURRENT_LOAD_FETCHES: usize = 16;
 /// Pause before engines whose load is not settled are asked again.
-const LOAD_PERIOD: Duration = Duration::from_secs(1);
+const LOAD_FETCH_INTERVAL: Duration = Duration::from_secs(1);
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long ended reservations wait to be told to their owner together.
-pub(crate) const RELEASE_PERIOD: Duration = Duration::from_millis(250);
+pub(crate) const RELEASE_INTERVAL: Duration = Duration::from_millis(250);
 const REFUSED_AT_BOUND: u32 = 0;
-const REFUSED_NOT_IN_USE: u32 = 1;
+const REFUSED_UNAVAILABLE: u32 = 1;
 const REFUSED_NOT_OWNER: u32 = 2;
 
 /// Placement in a running router.
@@ -55,62 +55,62 @@
     links: Links,
     hints: HintKey,
     metrics: Arc<Metrics>,
-    next: AtomicU64,
+    next_number: AtomicU64,
     /// Reservations of this router, here and at other owners.
-    held: Mutex<Map<u64, Held>>,
+    reservations: Mutex<Map<u64, HeldReservation>>,
     /// Ended reservations by owner, not yet told.
-    ended: Mutex<Map<Id, Vec<u64>>>,
+    pending_releases: Mutex<Map<Id, Vec<u64>>>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HeldReservation {
     owner: Id,
     req: ReservationRequest,
 }
 
 /// Why no engine was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unplaced {
+pub(crate) enum PlacementError {
     /// Every engine in use carries as much as the bound allows.
     AtBound,
     /// No engine of the pool is in use.
-    NoneInUse,
+    NoneAvailable,
 }
 
 /// An engine found for a request, with work held on it until the slot is dropped.
 #[derive(Debug)]
-pub(crate) struct Placed {
+pub(crate) struct PlacedChat {
     pub(crate) engine: EngineKey,
-    pub(crate) slot: Slot,
+    pub(crate) guard: ReservationGuard,
     /// Hint to return with the answer.
     pub(crate) hint: String,
     /// Router that a later request of this chat does best to go to.
-    pub(crate) router: Option<std::net::SocketAddr>,
+    pub(crate) next_router: Option<std::net::SocketAddr>,
 }
 
 /// Work held on an engine; dropping it ends the reservation, also when a caller goes away midway.
 #[derive(Debug)]
-pub(crate) struct Slot {
+pub(crate) struct ReservationGuard {
     placement: Arc<Placement>,
     number: u64,
-    refused: bool,
+    disarmed: bool,
 }
 
-impl Slot {
+impl ReservationGuard {
     /// Ends the work.
     #[allow(dead_code, reason = "the request path drops its slots")]
     pub(crate) fn close(self) {}
 
     /// Gives up a slot whose reservation was refused.
-    fn refuse(mut self) {
-        self.refused = true;
+    fn disarm(mut self) {
+        self.disarmed = true;
     }
 }
 
-impl Drop for Slot {
+impl Drop for ReservationGuard {
     fn drop(&mut self) {
-        if !self.refused {
-            self.placement.end(self.number);
+        if !self.disarmed {
+            self.placement.end_reservation(self.number);
         }
     }
 }
@@ -129,9 +129,9 @@
             links,
             hints,
             metrics,
-            next: AtomicU64::new(ReservationId::first_number(wall_ms())),
-            held: Mutex::default(),
-            ended: Mutex::default(),
+            next_number: AtomicU64::new(ReservationId::first_number(wall_ms())),
+            reservations: Mutex::default(),
+            pending_releases: Mutex::default(),
         }
     }
 
@@ -143,27 +143,27 @@
         lock(&self.placer)
     }
 
-    fn end(&self, number: u64) {
-        let Some(held) = lock(&self.held).remove(&number) else { return };
+    fn end_reservation(&self, number: u64) {
+        let Some(held) = lock(&self.reservations).remove(&number) else { return };
         if held.owner == self.me {
             self.placer().release(self.me, [number], now());
         } else {
-            lock(&self.ended).entry(held.owner).or_default().push(number);
+            lock(&self.pending_releases).entry(held.owner).or_default().push(number);
         }
     }
 
-    fn hold(&self, owner: Id, req: ReservationRequest) {
-        lock(&self.held).insert(req.reservation.number, Held { owner, req });
+    fn insert_reservation(&self, owner: Id, req: ReservationRequest) {
+        lock(&self.reservations).insert(req.reservation.number, HeldReservation { owner, req });
     }
 
     /// Reserves at the owner, which is this router or another.
     async fn reserve(&self, cat: &Catalog, req: ReservationRequest, owner: Option<&Member>) -> Option<Id> {
         let Some(owner) = owner else {
             let grant = self.placer().reserve(cat, &req, now()).ok()?;
-            self.hold(self.me, ReservationRequest { engine: Some(grant.engine), ..req });
+            self.insert_reservation(self.me, ReservationRequest { engine: Some(grant.engine), ..req });
             return Some(grant.engine);
         };
-        let answer = self.ask(req, owner).await;
+        let answer = self.reserve_at(req, owner).await;
         if answer.is_none() {
             self.metrics.retry("owner_unreachable");
             self.placer().mark_unreachable(owner.id, now());
@@ -171,26 +171,26 @@
         answer?.ok()
     }
 
-    async fn ask(&self, req: ReservationRequest, owner: &Member) -> Option<Result<Id, Refusal>> {
+    async fn reserve_at(&self, req: ReservationRequest, owner: &Member) -> Option<Result<Id, Refusal>> {
         let number = req.reservation.number;
-        self.hold(owner.id, req);
+        self.insert_reservation(owner.id, req);
         let body = Body::Reserve(to_wire(&req, false));
         match self.links.call(owner.peer, body, RESERVE_TIMEOUT).await {
             Ok(Body::Reserved(Reserved { engine: 0, refusal })) => {
-                lock(&self.held).remove(&number);
+                lock(&self.reservations).remove(&number);
                 Some(Err(match refusal {
                     REFUSED_AT_BOUND => Refusal::AtBound,
-                    REFUSED_NOT_IN_USE => Refusal::Unavailable,
+                    REFUSED_UNAVAILABLE => Refusal::Unavailable,
                     _ => Refusal::NotOwner,
                 }))
             }
             Ok(Body::Reserved(Reserved { engine, .. })) => {
-                self.hold(owner.id, ReservationRequest { engine: Some(Id(engine)), ..req });
+                self.insert_reservation(owner.id, ReservationRequest { engine: Some(Id(engine)), ..req });
                 Some(Ok(Id(engine)))
             }
             // The reservation may have been made, and its answer lost: it is ended like one that was granted.
             _ => {
-                self.end(number);
+                self.end_reservation(number);
                 None
             }
         }
@@ -210,7 +210,7 @@
                 engine: 0,
                 refusal: match refusal {
                     Refusal::AtBound => REFUSED_AT_BOUND,
-                    Refusal::Unavailable => REFUSED_NOT_IN_USE,
+                    Refusal::Unavailable => REFUSED_UNAVAILABLE,
                     Refusal::NotOwner => REFUSED_NOT_OWNER,
                 },
             },
@@ -223,27 +223,27 @@
     }
 
     /// Tells owners of ended reservations; those that could not be told are told again.
-    pub(crate) async fn tell_ended(&self) {
-        let ended = std::mem::take(&mut *lock(&self.ended));
+    pub(crate) async fn send_releases(&self) {
+        let ended = std::mem::take(&mut *lock(&self.pending_releases));
         for (owner, numbers) in ended {
             let peer = self.placer().members().list().iter().find(|m| m.id == owner).map(|m| m.peer);
             // An owner that has gone has forgotten its reservations.
             let Some(peer) = peer else { continue };
             let body = Body::Release(Release { router: self.me.0, numbers: numbers.clone() });
             if self.links.call(peer, body, RELEASE_TIMEOUT).await.is_err() {
-                lock(&self.ended).entry(owner).or_default().extend(numbers);
+                lock(&self.pending_releases).entry(owner).or_default().extend(numbers);
             }
         }
     }
 
-    async fn ask_loads(&self, client: &Client, engines: impl Iterator<Item = &Engine>) {
-        let asks: Vec<_> = engines
+    async fn fetch_loads(&self, client: &Client, engines: impl Iterator<Item = &Engine>) {
+        let fetches: Vec<_> = engines
             .map(|engine| {
                 let (id, engine) = (engine.id, EngineClient::new(client.clone(), engine.addr));
                 async move { (id, engine.load().await) }
             })
             .collect();
-        let mut answers = futures_util::stream::iter(asks).buffer_unordered(LOAD_ASKS);
+        let mut answers = futures_util::stream::iter(fetches).buffer_unordered(MAX_CONCURRENT_LOAD_FETCHES);
         while let Some((id, load)) = answers.next().await {
             if let Ok(load) = load {
                 self.placer().record_load(id, &load, now());
@@ -254,8 +254,8 @@
     /// Sets the routers, makes work known to the new owners of its engines and ends it at the former ones.
     pub(crate) async fn set_members(&self, cat: &Catalog, list: Vec<Member>) {
         self.placer().set_members(list, now());
-        let moved = self.moved(cat);
-        let told = moved.into_iter().map(|(owner, req)| async move {
+        let moved = self.reassign_reservations(cat);
+        let notifications = moved.into_iter().map(|(owner, req)| async move {
             if owner.id == self.me {
                 self.placer().adopt(&req, now());
                 return;
@@ -265,13 +265,13 @@
                 spdlog::debug!("a new owner could not be told of work that runs");
             }
         });
-        join_all(told).await;
+        join_all(notifications).await;
     }
 
     /// Work whose engine has a new owner. The former owner is told of its end, or it would count it for ever.
-    fn moved(&self, cat: &Catalog) -> Vec<(Member, ReservationRequest)> {
+    fn reassign_reservations(&self, cat: &Catalog) -> Vec<(Member, ReservationRequest)> {
         let mut moved = Vec::new();
-        let mut held = lock(&self.held);
+        let mut held = lock(&self.reservations);
         let mut placer = self.placer();
         for held in held.values_mut() {
             let Some((id, key)) = held.req.engine.and_then(|id| Some((id, cat.engine_key(id)?))) else {
@@ -285,7 +285,7 @@
             if held.owner == self.me {
                 placer.release(self.me, [number], now());
             } else {
-                lock(&self.ended).entry(held.owner).or_default().push(number);
+                lock(&self.pending_releases).entry(held.owner).or_default().push(number);
             }
             held.owner = owner.id;
             moved.push((owner, held.req));
@@ -305,73 +305,73 @@
         &self,
         cat: &Catalog,
         pool: &Pool,
-        ask: &Ask,
+        info: &RequestInfo,
         exclude: impl IntoIterator<Item = Id>,
-    ) -> Result<Placed, Unplaced> {
+    ) -> Result<PlacedChat, PlacementError> {
         let place = &self.placement;
-        let hint = ask.hint.as_deref().and_then(|text| place.hints.verify(ask.chat_id(), text));
+        let hint = info.hint.as_deref().and_then(|text| place.hints.verify(info.chat_id(), text));
         let mut search =
-            Search::new(&place.placer(), cat, pool, ask.chat_id().hash(), hint.as_ref(), exclude);
+            Search::new(&place.placer(), cat, pool, info.chat_id().hash(), hint.as_ref(), exclude);
         loop {
             let step = search.next(&mut place.placer(), cat, pool, now());
             let Some(step) = step else { break };
             // The slot exists before the owner is asked: a caller that goes away midway ends what was granted.
-            let number = place.next.fetch_add(1, Ordering::Relaxed);
-            let slot = Slot { placement: place.clone(), number, refused: false };
+            let number = place.next_number.fetch_add(1, Ordering::Relaxed);
+            let guard = ReservationGuard { placement: place.clone(), number, disarmed: false };
             let req = ReservationRequest {
                 reservation: ReservationId { router: place.me, number },
                 engine: step.engine.map(|c| c.id),
                 pool: pool.id,
-                work: ask.work,
+                work: info.work,
                 above_mean: step.above_mean,
             };
             let Some(granted) = place.reserve(cat, req, step.owner.as_ref()).await else {
                 if step.engine.is_some_and(|c| c.cached > 0) {
                     self.metrics.add(Counter::Placements, "cached_refused", 1);
                 }
-                slot.refuse();
+                guard.disarm();
                 continue;
             };
             // An owner that chooses for itself knows neither which engines have failed this request nor, where its
             // configuration is newer, the pool as it is here. The slot is dropped, which ends the reservation.
             let Some(engine) = pool.member(granted).filter(|_| !search.excludes(granted)) else { continue };
-            self.metrics.add(Counter::Placements, how(step.engine), 1);
-            let placed = self.placed(cat, ask, &search, hint, engine, slot);
-            let source = search.transfer_source(&place.placer(), pool, engine);
-            if let Some((from, tokens)) = source {
-                self.move_context(cat, ask.chat_id(), from, engine, tokens).await;
+            self.metrics.add(Counter::Placements, placement_label(step.engine), 1);
+            let placed = self.placed_chat(cat, info, &search, hint, engine, guard);
+            let transfer_source = search.transfer_source(&place.placer(), pool, engine);
+            if let Some((from, tokens)) = transfer_source {
+                self.transfer_cache(cat, info.chat_id(), from, engine, tokens).await;
             }
             return Ok(placed);
         }
-        if search.any_available() { Err(Unplaced::AtBound) } else { Err(Unplaced::NoneInUse) }
+        if search.any_available() { Err(PlacementError::AtBound) } else { Err(PlacementError::NoneAvailable) }
     }
 
-    fn placed(
+    fn placed_chat(
         &self,
         cat: &Catalog,
-        ask: &Ask,
+        info: &RequestInfo,
         search: &Search,
         hint: Option<Hint>,
         key: EngineKey,
-        slot: Slot,
-    ) -> Placed {
+        guard: ReservationGuard,
+    ) -> PlacedChat {
         let mut placer = self.placement.placer();
         let engine = cat.engine(key);
         placer.cache.mark_cached(engine.id, search.chat());
         let copy = CachedCopy {
             engine: engine.name.clone(),
             start: placer.health.start(engine.id),
-            tokens: u32::try_from(ask.work).unwrap_or(u32::MAX),
+            tokens: u32::try_from(info.work).unwrap_or(u32::MAX),
         };
         let mut hint = hint.unwrap_or_default();
         hint.home = search.home().clone();
-        let hint = self.placement.hints.sign(ask.chat_id(), &hint.with_copy(copy));
-        let router = placer.owner(engine.id, &engine.data_centre).map(|m| m.addr);
-        Placed { engine: key, slot, hint, router }
+        let hint = self.placement.hints.sign(info.chat_id(), &hint.with_copy(copy));
+        let next_router = placer.owner(engine.id, &engine.data_centre).map(|m| m.addr);
+        PlacedChat { engine: key, guard, hint, next_router }
     }
 
     /// Moves a chat's cached context to the engine that answers next, unless computing it again is quicker.
-    async fn move_context(
+    async fn transfer_cache(
         &self,
         cat: &Catalog,
         chat: ChatId<'_>,
@@ -390,17 +390,17 @@
             anyhow::Ok(true)
         };
         // Beyond the time that computing takes, the transfer gains nothing; the request then goes on without.
-        let how = match tokio::time::timeout(costs.recompute_time(tokens), transfer).await {
+        let label = match tokio::time::timeout(costs.recompute_time(tokens), transfer).await {
             Ok(Ok(true)) => "kv_moved",
             Ok(Ok(false)) => "kv_gone",
             Ok(Err(_)) => "kv_failed",
             Err(_) => "kv_late",
         };
-        self.metrics.add(Counter::Placements, how, 1);
+        self.metrics.add(Counter::Placements, label, 1);
     }
 
     /// Notes that an engine can't be reached.
-    pub fn note_engine_down(&self, engine: &str) {
+    pub fn mark_engine_down(&self, engine: &str) {
         self.placement.placer().health.mark_down(Id::of(engine), now());
     }
 
@@ -415,7 +415,7 @@
     }
 
     /// Notes an engine's cache events.
-    pub fn note_cache_events(&self, engine: &str, events: &CacheEvents) {
+    pub fn record_cache_events(&self, engine: &str, events: &CacheEvents) {
         self.placement.placer().record_cache_events(Id::of(engine), events);
     }
 
@@ -435,34 +435,34 @@
     pub async fn set_members(&self, list: Vec<Member>) {
         let cat = read(&self.catalog).clone();
         self.placement.set_members(&cat, list).await;
-        self.ask_loads(&cat);
+        self.start_load_fetch(&cat);
     }
 
     /// Asks the engines that this router has come to own for their load, in the background.
     ///
     /// Until an engine has reported, its new owner takes it to carry the mean already. Probes come only every few
     /// seconds; after a start of the whole fleet, every engine would stand at its bound with one request until then.
-    fn ask_loads(&self, cat: &Arc<Catalog>) {
-        let mut asking = lock(&self.asking_loads);
-        if asking.as_ref().is_some_and(|task| !task.is_finished()) {
+    fn start_load_fetch(&self, cat: &Arc<Catalog>) {
+        let mut task = lock(&self.load_fetch_task);
+        if task.as_ref().is_some_and(|running| !running.is_finished()) {
             return;
         }
         let (placement, client, cat) = (self.placement.clone(), self.client.clone(), cat.clone());
-        *asking = Some(tokio::spawn(async move {
+        *task = Some(tokio::spawn(async move {
             loop {
                 let keys = placement.placer().engines_without_load(&cat, now());
                 if keys.is_empty() {
                     return;
                 }
-                placement.ask_loads(&client, keys.iter().map(|&key| cat.engine(key))).await;
-                tokio::time::sleep(LOAD_PERIOD).await;
+                placement.fetch_loads(&client, keys.iter().map(|&key| cat.engine(key))).await;
+                tokio::time::sleep(LOAD_FETCH_INTERVAL).await;
             }
         }));
     }
 }
 
 /// Label of a placement: on an engine believed to cache the chat, by rank, or on any with room.
-fn how(engine: Option<Candidate>) -> &'static str {
+fn placement_label(engine: Option<Candidate>) -> &'static str {
     match engine {
         Some(candidate) if candidate.cached > 0 => "cached",
         Some(_) => "ranked",
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -4,7 +4,7 @@
 
 use http_body_util::BodyExt;
 
-use super::{admit::Entered, ask::header, attempt::Started};
+use super::{admit::InFlightGuard, attempt::StartedResponse, request::header};
 use crate::{
     engine::EngineClient,
     http::{Reply, body_channel},
@@ -14,22 +14,22 @@
 
 pub(super) mod events;
 
-use events::{Ended, STREAM_DEPTH, Stream};
+use events::{EVENT_CHANNEL_CAPACITY, RelayedStream, StreamEnd};
 
 /// Longest time between two chunks of a body before it is given up.
-pub(super) const STALL: Duration = Duration::from_secs(30);
+pub(super) const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Streams the response's body on, holding the engine and the workspace's count until its end.
-pub(super) fn relay(started: Started, entered: Entered) -> Reply {
-    let Started { res, found, run, attempts, .. } = started;
-    let (tx, rx) = body_channel(STREAM_DEPTH);
+pub(super) fn relay(started: StartedResponse, in_flight: InFlightGuard) -> Reply {
+    let StartedResponse { res, chosen, run, attempts, .. } = started;
+    let (tx, rx) = body_channel(EVENT_CHANNEL_CAPACITY);
     let status = res.status().as_u16();
-    let content = header(res.headers(), "content-type").unwrap_or("application/octet-stream").to_owned();
+    let content_type = header(res.headers(), "content-type").unwrap_or("application/octet-stream").to_owned();
     tokio::spawn(async move {
-        let _held = (found, entered);
+        let _held = (chosen, in_flight);
         let mut body = res.into_body();
         loop {
-            let data = match tokio::time::timeout(STALL, body.frame()).await {
+            let data = match tokio::time::timeout(BODY_IDLE_TIMEOUT, body.frame()).await {
                 Ok(None) => {
                     run.complete();
                     return tx.finish().await;
@@ -37,7 +37,7 @@
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
                 Ok(Some(Err(_))) | Err(_) => {
                     drop(tx);
-                    return run.broke().await;
+                    return run.fail().await;
                 }
             };
             if tx.send(data).await.is_err() {
@@ -46,32 +46,32 @@
         }
     });
     Reply::stream(status, rx)
-        .with_header("content-type", &content)
+        .with_header("content-type", &content_type)
         .with_header("x-outcome", "ran")
         .with_header("x-attempt", &attempts.to_string())
 }
 
 /// Passes an engine's event stream on; any other answer goes by [`relay`].
 pub(super) fn relay_events(
-    started: Started,
-    entered: Entered,
+    started: StartedResponse,
+    in_flight: InFlightGuard,
     engine: EngineClient,
     metrics: &Arc<Metrics>,
 ) -> Reply {
-    let content = header(started.res.headers(), "content-type").unwrap_or("");
-    if started.res.status() != 200 || !content.starts_with("text/event-stream") {
-        return relay(started, entered);
+    let content_type = header(started.res.headers(), "content-type").unwrap_or("");
+    if started.res.status() != 200 || !content_type.starts_with("text/event-stream") {
+        return relay(started, in_flight);
     }
-    let Started { res, found, run, attempts, request } = started;
-    let (tx, rx) = body_channel(STREAM_DEPTH);
-    let request: Arc<str> = request.into();
-    let tracker = StreamTracker::new(request.clone(), 0);
-    let stream = Stream { engine, request, tracker, tx, metrics: metrics.clone() };
+    let StartedResponse { res, chosen, run, attempts, attempt_id } = started;
+    let (tx, rx) = body_channel(EVENT_CHANNEL_CAPACITY);
+    let attempt_id: Arc<str> = attempt_id.into();
+    let tracker = StreamTracker::new(attempt_id.clone(), 0);
+    let stream = RelayedStream { engine, attempt_id, tracker, tx, metrics: metrics.clone() };
     tokio::spawn(async move {
-        let _held = (found, entered);
+        let _held = (chosen, in_flight);
         match stream.run(res).await {
-            Ended::Complete | Ended::Cancelled => run.complete(),
-            Ended::Cut => run.broke().await,
+            StreamEnd::Complete | StreamEnd::Cancelled => run.complete(),
+            StreamEnd::Cut => run.fail().await,
         }
     });
     Reply::stream(200, rx)
--- a/src/gateway/relay/events.rs
+++ b/src/gateway/relay/events.rs
@@ -14,28 +14,28 @@
         EngineClient, REQUEST_ID,
         answer::{Answer, Broken},
     },
-    gateway::ask::header,
+    gateway::request::header,
     http::{BodySender, Gone},
     metrics::{Counter, Metrics},
     stream::{EventAction, StreamTracker},
 };
 
 /// Events that wait for a slow caller before the engine's stream is held back.
-pub(in crate::gateway) const STREAM_DEPTH: usize = 8;
+pub(in crate::gateway) const EVENT_CHANNEL_CAPACITY: usize = 8;
 /// Longest time between two events, the first included, before the connection is given up.
-const STALL: Duration = Duration::from_secs(20);
+const EVENT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// How often a caller who waits gets a comment. A server learns that a caller has gone only when it writes to them,
 /// so that an engine which is slow to answer would go on for nobody.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
-const COMMENT: &[u8] = b": waiting\n\n";
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_COMMENT: &[u8] = b": waiting\n\n";
 /// Connections without any new event before the stream is given up.
-const MOST_FRUITLESS: u32 = 3;
-const PAUSE: Duration = Duration::from_millis(100);
-const CANCEL_TRIES: u32 = 3;
+const MAX_EMPTY_CONNECTIONS: u32 = 3;
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+const CANCEL_ATTEMPTS: u32 = 3;
 
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::gateway) enum Ended {
+pub(in crate::gateway) enum StreamEnd {
     /// With the final marker, all of it passed on.
     Complete,
     /// The caller went away; the engine was told.
@@ -44,61 +44,61 @@
     Cut,
 }
 
-impl Ended {
+impl StreamEnd {
     fn as_str(self) -> &'static str {
         match self {
-            Ended::Complete => "complete",
-            Ended::Cancelled => "cancelled",
-            Ended::Cut => "cut",
+            StreamEnd::Complete => "complete",
+            StreamEnd::Cancelled => "cancelled",
+            StreamEnd::Cut => "cut",
         }
     }
 }
 
 /// One stream between an engine and a caller.
-pub(in crate::gateway) struct Stream {
+pub(in crate::gateway) struct RelayedStream {
     pub(in crate::gateway) engine: EngineClient,
-    pub(in crate::gateway) request: Arc<str>,
+    pub(in crate::gateway) attempt_id: Arc<str>,
     pub(in crate::gateway) tracker: StreamTracker,
     pub(in crate::gateway) tx: BodySender,
     pub(in crate::gateway) metrics: Arc<Metrics>,
 }
 
 /// Why reading a connection stopped.
-enum Stop {
-    Ended(Ended),
+enum ConnectionEnd {
+    Finished(StreamEnd),
     Reconnect,
 }
 
-impl Stream {
+impl RelayedStream {
     /// Passes the stream on to its end. A stream that can't be completed cuts the caller's connection: without
     /// the final marker and without an ordinary end it never looks complete.
-    pub(in crate::gateway) async fn run(mut self, first: Response<Incoming>) -> Ended {
-        let ended = self.pass_all(first).await;
+    pub(in crate::gateway) async fn run(mut self, first: Response<Incoming>) -> StreamEnd {
+        let ended = self.relay_all(first).await;
         self.count(ended.as_str());
         match ended {
-            Ended::Complete => self.tx.finish().await,
-            Ended::Cancelled => self.cancel().await,
-            Ended::Cut => drop(self.tx),
+            StreamEnd::Complete => self.tx.finish().await,
+            StreamEnd::Cancelled => self.cancel().await,
+            StreamEnd::Cut => drop(self.tx),
         }
         ended
     }
 
-    async fn pass_all(&mut self, first: Response<Incoming>) -> Ended {
-        let mut fruitless = 0;
+    async fn relay_all(&mut self, first: Response<Incoming>) -> StreamEnd {
+        let mut empty_connections = 0;
         let mut next = Some(first);
         loop {
             let before = self.tracker.next();
             if let Some(res) = next.take()
-                && let Stop::Ended(ended) = self.pass(res).await
+                && let ConnectionEnd::Finished(ended) = self.relay_connection(res).await
             {
                 return ended;
             }
-            fruitless = if self.tracker.next() > before { 0 } else { fruitless + 1 };
-            if fruitless >= MOST_FRUITLESS {
-                return Ended::Cut;
+            empty_connections = if self.tracker.next() > before { 0 } else { empty_connections + 1 };
+            if empty_connections >= MAX_EMPTY_CONNECTIONS {
+                return StreamEnd::Cut;
             }
-            if fruitless > 0 {
-                tokio::time::sleep(PAUSE * fruitless).await;
+            if empty_connections > 0 {
+                tokio::time::sleep(RETRY_DELAY * empty_connections).await;
             }
             match self.reconnect().await {
                 Ok(res) => next = res,
@@ -108,49 +108,55 @@
     }
 
     /// Opens the stream again at the offset reached; `Ok(None)` when another try makes sense.
-    async fn reconnect(&self) -> Result<Option<Response<Incoming>>, Ended> {
+    async fn reconnect(&self) -> Result<Option<Response<Incoming>>, StreamEnd> {
         if self.tx.is_closed() {
-            return Err(Ended::Cancelled);
+            return Err(StreamEnd::Cancelled);
         }
         self.count("resumed");
-        match self.engine.resume(&self.request, self.tracker.next()).await {
+        match self.engine.resume(&self.attempt_id, self.tracker.next()).await {
             Ok(res) if res.status() == 200 => Ok(Some(res)),
             // The engine has lost the stream, as after a crash.
-            Ok(_) => Err(Ended::Cut),
+            Ok(_) => Err(StreamEnd::Cut),
             Err(Failure::Connect | Failure::Broken) => Ok(None),
         }
     }
 
-    async fn pass(&mut self, res: Response<Incoming>) -> Stop {
-        if header(res.headers(), REQUEST_ID).is_some_and(|id| id != &*self.request) {
+    async fn relay_connection(&mut self, res: Response<Incoming>) -> ConnectionEnd {
+        if header(res.headers(), REQUEST_ID).is_some_and(|id| id != &*self.attempt_id) {
             // The answer to another request came over this connection.
             self.count("crossed");
-            return Stop::Reconnect;
+            return ConnectionEnd::Reconnect;
         }
-        let mut answer = Answer::new(res.into_body(), STALL);
+        let mut answer = Answer::new(res.into_body(), EVENT_IDLE_TIMEOUT);
         loop {
-            let Some(event) = self.next(&mut answer).await else { return Stop::Ended(Ended::Cancelled) };
+            let Some(event) = self.next(&mut answer).await else {
+                return ConnectionEnd::Finished(StreamEnd::Cancelled);
+            };
             let event = match event {
                 Ok(event) => event,
                 Err(broken) => {
-                    self.count(label(broken));
-                    return Stop::Reconnect;
+                    self.count(broken_label(broken));
+                    return ConnectionEnd::Reconnect;
                 }
             };
             match self.tracker.on_event(event.id.as_deref(), event.data.as_deref().unwrap_or("")) {
                 EventAction::Pass => {
                     if self.send(event).await.is_err() {
-                        return Stop::Ended(Ended::Cancelled);
+                        return ConnectionEnd::Finished(StreamEnd::Cancelled);
                     }
                 }
                 EventAction::Complete => {
                     let sent = self.send(event).await;
-                    return Stop::Ended(if sent.is_ok() { Ended::Complete } else { Ended::Cancelled });
+                    return ConnectionEnd::Finished(if sent.is_ok() {
+                        StreamEnd::Complete
+                    } else {
+                        StreamEnd::Cancelled
+                    });
                 }
                 EventAction::Drop(dropped) => self.count(dropped.as_str()),
                 EventAction::Refetch => {
                     self.count("refetch");
-                    return Stop::Reconnect;
+                    return ConnectionEnd::Reconnect;
                 }
             }
         }
@@ -163,9 +169,9 @@
             tokio::select! {
                 event = &mut next => return Some(event),
                 () = self.tx.closed() => return None,
-                () = tokio::time::sleep(KEEP_ALIVE) => {
+                () = tokio::time::sleep(KEEP_ALIVE_INTERVAL) => {
                     // A full channel means that the caller has events to read.
-                    let _ = self.tx.try_send(Bytes::from_static(COMMENT));
+                    let _ = self.tx.try_send(Bytes::from_static(KEEP_ALIVE_COMMENT));
                 }
             }
         }
@@ -178,11 +184,11 @@
     }
 
     async fn cancel(&self) {
-        for _ in 0..CANCEL_TRIES {
-            if self.engine.cancel(&self.request).await.is_ok() {
+        for _ in 0..CANCEL_ATTEMPTS {
+            if self.engine.cancel(&self.attempt_id).await.is_ok() {
                 return;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
@@ -192,7 +198,7 @@
 }
 
 /// Labels apart from those of a stream's end.
-fn label(broken: Broken) -> &'static str {
+fn broken_label(broken: Broken) -> &'static str {
     match broken {
         Broken::Cut => "broken",
         Broken::Stalled => "stalled",
--- a/src/gateway/resume.rs
+++ b/src/gateway/resume.rs
@@ -7,8 +7,8 @@
 
 use super::{
     Gateway,
-    ask::header,
-    relay::events::{STREAM_DEPTH, Stream},
+    relay::events::{EVENT_CHANNEL_CAPACITY, RelayedStream},
+    request::header,
 };
 use crate::{
     client::Failure,
@@ -21,12 +21,12 @@
 };
 
 /// Header with the token.
-pub(super) const RESUME_TOKEN: &str = "x-resume-token";
+pub(super) const RESUME_TOKEN_HEADER: &str = "x-resume-token";
 /// How long a token may be used.
-const TOKEN_MS: u64 = 600_000;
+const TOKEN_LIFETIME_MS: u64 = 600_000;
 
 impl Gateway {
-    /// Token for the stream of `request` at an engine.
+    /// Token for the stream of `attempt_id` at an engine.
     pub(super) fn resume_token(
         &self,
         request: &str,
@@ -37,14 +37,14 @@
             request: request.to_owned(),
             engine: engine.to_string(),
             workspace: workspace.to_owned(),
-            expires_ms: wall_ms() + TOKEN_MS,
+            expires_ms: wall_ms() + TOKEN_LIFETIME_MS,
         })
     }
 
     /// Goes on with a stream after the last event that the caller has.
     pub(super) async fn resume(&self, req: Request<Bytes>) -> Result<Reply, RequestError> {
         let unknown = |message: &str| RequestError::new(ErrorKind::ResumeUnknown, message);
-        let text = header(req.headers(), RESUME_TOKEN).ok_or_else(|| unknown("no resume token"))?;
+        let text = header(req.headers(), RESUME_TOKEN_HEADER).ok_or_else(|| unknown("no resume token"))?;
         let token = self.resume_key.verify(text, wall_ms()).map_err(|e| match e {
             BadToken::Forged => unknown("the resume token was not made by this fleet"),
             BadToken::Expired => RequestError::new(ErrorKind::ResumeGone, "the resume token is too old"),
@@ -52,7 +52,8 @@
         if header(req.headers(), "x-workspace") != Some(&token.workspace) {
             return Err(unknown("the resume token belongs to another workspace"));
         }
-        let from = offset(&req, &token).ok_or_else(|| unknown("the last event is not of this stream"))?;
+        let from =
+            resume_offset(&req, &token).ok_or_else(|| unknown("the last event is not of this stream"))?;
         let gone = |message: &str| RequestError::new(ErrorKind::ResumeGone, message);
         let addr = token.engine.parse().map_err(|_| unknown("the resume token names no engine"))?;
         if !self.catalog().engines().any(|(_, e)| e.addr == addr) {
@@ -64,21 +65,21 @@
             Ok(_) => return Err(gone("the engine no longer has the stream")),
             Err(Failure::Connect | Failure::Broken) => return Err(gone("the engine can't be reached")),
         };
-        let request: Arc<str> = token.request.into();
-        let (tx, rx) = body_channel(STREAM_DEPTH);
-        let tracker = StreamTracker::new(request.clone(), from);
-        let stream = Stream { engine, request, tracker, tx, metrics: self.metrics.clone() };
+        let attempt_id: Arc<str> = token.request.into();
+        let (tx, rx) = body_channel(EVENT_CHANNEL_CAPACITY);
+        let tracker = StreamTracker::new(attempt_id.clone(), from);
+        let stream = RelayedStream { engine, attempt_id, tracker, tx, metrics: self.metrics.clone() };
         tokio::spawn(stream.run(res));
         Ok(Reply::stream(200, rx)
             .with_header("content-type", "text/event-stream")
             .with_header("x-outcome", "ran")
-            .with_header(RESUME_TOKEN, text))
+            .with_header(RESUME_TOKEN_HEADER, text))
     }
 }
 
 /// Offset after the event in `last-event-id`; the start where the caller has none.
-fn offset(req: &Request<Bytes>, token: &ResumeToken) -> Option<Offset> {
-    let Some(last) = header(req.headers(), "last-event-id") else { return Some(0) };
-    let id: EventId = last.parse().ok()?;
+fn resume_offset(req: &Request<Bytes>, token: &ResumeToken) -> Option<Offset> {
+    let Some(last_id) = header(req.headers(), "last-event-id") else { return Some(0) };
+    let id: EventId = last_id.parse().ok()?;
     (*id.request == *token.request).then_some(id.offset + 1)
 }
--- a/src/gateway/service.rs
+++ b/src/gateway/service.rs
@@ -7,10 +7,10 @@
 
 use super::{
     Gateway,
-    ask::Ask,
-    attempt::{Backends, Found, Queued, Unfound},
-    claim::call::{Answer, Claim},
+    attempt::{Backends, ChosenBackend, FindError, MayQueue},
+    claim::call::{ClaimOutcome, HeldClaim},
     relay::relay,
+    request::RequestInfo,
 };
 use crate::{
     catalog::{Catalog, Engine, Id, Service},
@@ -22,7 +22,7 @@
 };
 
 /// Headers of the caller that a backend server gets.
-const FORWARDED: [&str; 4] = ["accept", "content-type", "idempotency-key", "x-workspace"];
+const FORWARDED_HEADERS: [&str; 4] = ["accept", "content-type", "idempotency-key", "x-workspace"];
 
 impl Gateway {
     pub(super) async fn service(&self, req: Request<Bytes>, id: &str) -> Result<Reply, RequestError> {
@@ -37,41 +37,45 @@
             Some(query) => format!("/{tail}?{query}"),
             None => format!("/{tail}"),
         };
-        let ask = Ask::call(id, req.headers(), &path, req.body(), now())?;
-        if !cat.has_workspace(&ask.workspace) {
+        let info = RequestInfo::call(id, req.headers(), &path, req.body(), now())?;
+        if !cat.has_workspace(&info.workspace) {
             return Err(RequestError::new(
                 ErrorKind::UnknownWorkspace,
-                format!("no workspace {:?}", ask.workspace),
+                format!("no workspace {:?}", info.workspace),
             ));
         }
-        let entered = self.enter(&cat, &ask)?;
+        let in_flight = self.acquire_in_flight(&cat, &info)?;
         let queue = self.admission.queue(&format!("service/{name}"));
-        let idempotent = may_repeat(service, req.method(), &format!("/{tail}"));
-        let servers = Servers { gateway: self, cat: &cat, service, req: &req, path: &path, idempotent };
+        let idempotent = is_idempotent(service, req.method(), &format!("/{tail}"));
+        let backends =
+            ServiceBackends { gateway: self, cat: &cat, service, req: &req, path: &path, idempotent };
         if idempotent {
-            let started = self.attempt(&cat, &ask, &queue, &servers).await?;
-            return Ok(relay(started, entered));
+            let started = self.run_attempts(&cat, &info, &queue, &backends).await?;
+            return Ok(relay(started, in_flight));
         }
-        let Some(key) = &ask.key else {
+        let Some(key) = &info.key else {
             if service.require_key {
                 return Err(RequestError::new(ErrorKind::KeyRequired, ErrorKind::KeyRequired.answer().about));
             }
-            let started = self.attempt(&cat, &ask, &queue, &servers).await?;
-            return Ok(relay(started, entered));
+            let started = self.run_attempts(&cat, &info, &queue, &backends).await?;
+            return Ok(relay(started, in_flight));
         };
-        let wanted = claim::ClaimRequest {
-            key: KeyDigest::new(&ask.workspace, name, key),
+        let claim_req = claim::ClaimRequest {
+            key: KeyDigest::new(&info.workspace, name, key),
             content: ContentDigest::new(req.method().as_str(), &path, req.body()),
             attempt: AttemptId(rand::random()),
             lookup_only: false,
         };
-        let claim = match Claim::ask(&self.claims, key, wanted, ask.deadline.saturating_sub(now())).await? {
-            Answer::Replay(reply) => return Ok(reply),
-            Answer::Run(claim) => claim.dispatch(),
-        };
-        match self.attempt(&cat, &ask, &queue, &servers).await {
-            Ok(started) => Ok(claim.relay(started, entered)),
-            Err(fault) => Err(claim.fail(fault)),
+        let claim =
+            match HeldClaim::acquire(&self.claims, key, claim_req, info.deadline.saturating_sub(now()))
+                .await?
+            {
+                ClaimOutcome::Replay(reply) => return Ok(reply),
+                ClaimOutcome::Run(claim) => claim.dispatch(),
+            };
+        match self.run_attempts(&cat, &info, &queue, &backends).await {
+            Ok(started) => Ok(claim.relay(started, in_flight)),
+            Err(error) => Err(claim.fail(error)),
         }
     }
 }
@@ -82,27 +86,29 @@
 /// that is not idempotent by its definition is repeated only where the service's configuration allows it. A path
 /// that a backend server may read differently than it stands here, such as an escaped one, could hide a call that may
 /// not be repeated, and is not repeated either.
-fn may_repeat(service: &Service, method: &Method, path: &str) -> bool {
+fn is_idempotent(service: &Service, method: &Method, path: &str) -> bool {
     if service.non_idempotent.iter().any(|prefix| path.starts_with(&**prefix)) {
         return false;
     }
-    let plain = !path.contains('%') && !path.contains("//") && !path.contains("/.");
+    let unambiguous = !path.contains('%') && !path.contains("//") && !path.contains("/.");
     match *method {
         Method::GET | Method::HEAD | Method::OPTIONS => true,
-        Method::PUT | Method::DELETE => plain,
-        Method::POST | Method::PATCH => plain && service.idempotent.iter().any(|root| lies_under(path, root)),
+        Method::PUT | Method::DELETE => unambiguous,
+        Method::POST | Method::PATCH => {
+            unambiguous && service.idempotent.iter().any(|root| is_under(path, root))
+        }
         _ => false,
     }
 }
 
 /// Whether `path` is `root` or lies under it. A permission for `/cards` is none for `/cardsets`.
-fn lies_under(path: &str, root: &str) -> bool {
+fn is_under(path: &str, root: &str) -> bool {
     let rest = path.strip_prefix(root.trim_end_matches('/'));
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
 /// The backend servers of a service, for one call.
-struct Servers<'a> {
+struct ServiceBackends<'a> {
     gateway: &'a Gateway,
     cat: &'a Catalog,
     service: &'a Service,
@@ -111,18 +117,20 @@
     idempotent: bool,
 }
 
-impl Backends for Servers<'_> {
-    async fn find(&self, exclude: &[Id], _: Queued) -> Result<Found, Unfound> {
-        let top = self.service.ranking.top(rand::random());
-        let engine = top.iter().find(|key| !exclude.contains(&self.cat.engine(*key).id));
-        engine.map(|engine| Found { engine, slot: None, hint: None, router: None }).ok_or(Unfound::NoneInUse)
+impl Backends for ServiceBackends<'_> {
+    async fn find(&self, exclude: &[Id], _: MayQueue) -> Result<ChosenBackend, FindError> {
+        let ranked = self.service.ranking.top(rand::random());
+        let engine = ranked.iter().find(|key| !exclude.contains(&self.cat.engine(*key).id));
+        engine
+            .map(|engine| ChosenBackend { engine, guard: None, hint: None, next_router: None })
+            .ok_or(FindError::NoneAvailable)
     }
 
-    async fn send(&self, engine: &Engine, request: &str) -> Result<Response<Incoming>, Failure> {
+    async fn send(&self, engine: &Engine, attempt_id: &str) -> Result<Response<Incoming>, Failure> {
         let url = format!("http://{}{}", engine.addr, self.path);
         let mut builder =
-            Request::builder().method(self.req.method()).uri(url).header("x-request-id", request);
-        for name in FORWARDED {
+            Request::builder().method(self.req.method()).uri(url).header("x-request-id", attempt_id);
+        for name in FORWARDED_HEADERS {
             if let Some(value) = self.req.headers().get(name) {
                 builder = builder.header(name, value);
             }
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use super::{admit::Queue, ask::Ask, lock, place::Placement};
+use super::{admit::Queue, lock, place::Placement, request::RequestInfo};
 use crate::{
     catalog::{Engine, Id},
     client::Client,
@@ -17,7 +17,7 @@
     place::members::Member,
     schema::{
         link::frame::Body,
-        suspect::{Digest, Permit as Wanted, PermitAnswer, Release},
+        suspect::{Digest, Permit as PermitRequest, PermitAnswer, Release},
     },
     suspect::{self, EngineHash, Fingerprint, Permits, RunningContents, Standing, SuspectTable, Verdict},
     util::{Map, now},
@@ -27,16 +27,16 @@
 mod watch;
 
 pub(crate) use run::{Permit, Run};
-use watch::{Seen, crash_id};
+use watch::{EngineInfo, crash_id};
 
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(250);
-const TELL_TIMEOUT: Duration = Duration::from_secs(2);
+const NOTIFY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Added to a request's deadline: a permit outlives the run it is for, unless its holder has died.
 const PERMIT_MARGIN: Duration = Duration::from_secs(10);
 /// Routers that are asked for a permit, should the first not answer.
-const MOST_ARBITERS: usize = 2;
+const MAX_ARBITERS_TRIED: usize = 2;
 /// Bytes of one message of news: all that one router runs on an engine, at most 200 contents or so.
-const NEWS: usize = 4096;
+const MAX_DIGEST_BYTES: usize = 4096;
 
 /// What one router knows and does about crashing requests.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
     table: Mutex<SuspectTable>,
     running: Mutex<RunningContents>,
     permits: Mutex<Permits>,
-    starts: Mutex<Map<Id, u64>>,
+    engine_starts: Mutex<Map<Id, u64>>,
 }
 
 impl Suspects {
@@ -59,7 +59,7 @@
             table: Mutex::default(),
             running: Mutex::default(),
             permits: Mutex::default(),
-            starts: Mutex::default(),
+            engine_starts: Mutex::default(),
         }
     }
 
@@ -68,39 +68,44 @@
     }
 
     /// The answer for a quarantined content.
-    pub(crate) fn refuse(&self, content: Fingerprint) -> RequestError {
+    pub(crate) fn quarantine_error(&self, content: Fingerprint) -> RequestError {
         let provisional = lock(&self.table).is_provisional(now(), content);
         let kind = if provisional { ErrorKind::SuspectBusy } else { ErrorKind::Quarantined };
         RequestError::new(kind, kind.answer().about)
     }
 
     /// Engines on which a suspect should not run, since they broke lately.
-    pub(crate) fn unsteady(&self, engines: impl IntoIterator<Item = (Id, Arc<str>)>) -> Vec<Id> {
-        let unsteady = lock(&self.table).unstable_engines(now());
-        let listed = |name: &str| unsteady.contains(&EngineHash::new(name));
+    pub(crate) fn unstable_engines(&self, engines: impl IntoIterator<Item = (Id, Arc<str>)>) -> Vec<Id> {
+        let unstable = lock(&self.table).unstable_engines(now());
+        let listed = |name: &str| unstable.contains(&EngineHash::new(name));
         engines.into_iter().filter(|(_, name)| listed(name)).map(|(id, _)| id).collect()
     }
 
     /// Notes a run that starts.
-    pub(crate) fn start(
+    pub(crate) fn start_run(
         self: &Arc<Self>,
         engine: &Engine,
-        ask: &Ask,
+        info: &RequestInfo,
         queue: &Arc<Queue>,
         permit: Option<Permit>,
     ) -> Run {
-        let seen = Seen { id: engine.id, name: engine.name.clone(), addr: engine.addr, reports: ask.is_chat };
-        self.learn_start(&seen);
-        let key = lock(&self.running).start(&engine.name, ask.content);
+        let engine_info = EngineInfo {
+            id: engine.id,
+            name: engine.name.clone(),
+            addr: engine.addr,
+            reports_load: info.is_chat,
+        };
+        self.fetch_start(&engine_info);
+        let key = lock(&self.running).start(&engine.name, info.content);
         Run {
             suspects: self.clone(),
             queue: queue.clone(),
-            engine: seen,
-            content: ask.content,
+            engine: engine_info,
+            content: info.content,
             key,
             permit,
-            began: now(),
-            work: u32::try_from(ask.work).unwrap_or(u32::MAX),
+            started_at: now(),
+            work: u32::try_from(info.work).unwrap_or(u32::MAX),
         }
     }
 
@@ -108,16 +113,20 @@
     ///
     /// A router that can't be reached is passed by once. Two routers may then both give permits until the
     /// member lists agree; that can cost one engine more, while waiting would leave innocents unanswered.
-    pub(crate) async fn permit(self: &Arc<Self>, ask: &Ask, engine: &Engine) -> Result<Permit, Verdict> {
-        let hold = ask.deadline.saturating_sub(now()) + PERMIT_MARGIN;
-        for arbiter in self.arbiters().into_iter().take(MOST_ARBITERS) {
+    pub(crate) async fn acquire_permit(
+        self: &Arc<Self>,
+        info: &RequestInfo,
+        engine: &Engine,
+    ) -> Result<Permit, Verdict> {
+        let hold = info.deadline.saturating_sub(now()) + PERMIT_MARGIN;
+        for arbiter in self.arbiters().into_iter().take(MAX_ARBITERS_TRIED) {
             let peer = arbiter.map(|m| m.peer);
             let verdict = match peer {
-                None => Some(self.decide(ask.content, &engine.name, hold)),
-                Some(peer) => self.ask(peer, ask.content, &engine.name, hold).await,
+                None => Some(self.decide(info.content, &engine.name, hold)),
+                Some(peer) => self.request_permit(peer, info.content, &engine.name, hold).await,
             };
             match verdict {
-                Some(Verdict::Granted) => return Ok(self.hold(ask.content, engine, peer).await),
+                Some(Verdict::Granted) => return Ok(self.granted_permit(info.content, engine, peer).await),
                 Some(verdict) => return Err(verdict),
                 None => {}
             }
@@ -126,7 +135,7 @@
     }
 
     /// Notes the engine's start as well: the verdict on the suspect rests on whether it has changed.
-    async fn hold(
+    async fn granted_permit(
         self: &Arc<Self>,
         content: Fingerprint,
         engine: &Engine,
@@ -158,7 +167,7 @@
         }
     }
 
-    async fn ask(
+    async fn request_permit(
         &self,
         peer: SocketAddr,
         content: Fingerprint,
@@ -166,17 +175,17 @@
         hold: Duration,
     ) -> Option<Verdict> {
         let hold_ms = u32::try_from(hold.as_millis()).unwrap_or(u32::MAX);
-        let wanted = Wanted { fingerprint: content.0, engine: engine.to_owned(), hold_ms };
-        match self.links().call(peer, Body::Permit(wanted), PERMIT_TIMEOUT).await {
+        let req = PermitRequest { fingerprint: content.0, engine: engine.to_owned(), hold_ms };
+        match self.links().call(peer, Body::Permit(req), PERMIT_TIMEOUT).await {
             Ok(Body::PermitAnswer(answer)) => Some(answer.verdict()),
             _ => None,
         }
     }
 
     /// Answers another router's request for a permit.
-    pub(crate) fn serve_permit(&self, wanted: &Wanted) -> PermitAnswer {
-        let hold = Duration::from_millis(wanted.hold_ms.into());
-        let verdict = self.decide(Fingerprint(wanted.fingerprint), &wanted.engine, hold);
+    pub(crate) fn serve_permit(&self, req: &PermitRequest) -> PermitAnswer {
+        let hold = Duration::from_millis(req.hold_ms.into());
+        let verdict = self.decide(Fingerprint(req.fingerprint), &req.engine, hold);
         PermitAnswer { verdict: verdict as i32 }
     }
 
@@ -186,7 +195,7 @@
     }
 
     /// Takes in what another router told.
-    pub(crate) fn note(&self, digest: &Digest) {
+    pub(crate) fn merge(&self, digest: &Digest) {
         lock(&self.table).merge(now(), digest);
     }
 
@@ -201,15 +210,15 @@
 
     /// Tells the other routers of the region at once: the caller of a crashing request may send it to another
     /// router within milliseconds, and gossip takes a second.
-    fn tell(self: &Arc<Self>) {
-        let digest = lock(&self.table).unsent(now(), NEWS);
+    fn broadcast(self: &Arc<Self>) {
+        let digest = lock(&self.table).unsent(now(), MAX_DIGEST_BYTES);
         if digest.entries.is_empty() {
             return;
         }
         for peer in self.arbiters().into_iter().flatten() {
             let (suspects, digest) = (self.clone(), digest.clone());
             tokio::spawn(async move {
-                let _ = suspects.links().call(peer.peer, Body::Suspects(digest), TELL_TIMEOUT).await;
+                let _ = suspects.links().call(peer.peer, Body::Suspects(digest), NOTIFY_TIMEOUT).await;
             });
         }
     }
@@ -218,14 +227,14 @@
     ///
     /// Before the engine has been asked whether it crashed: the retries of what broke start now, and a crash
     /// that shows a second later would find them on other engines.
-    fn accuse(self: &Arc<Self>, engine: &Seen) {
-        let before = self.start_of(engine);
+    fn mark_suspects(self: &Arc<Self>, engine: &EngineInfo) {
+        let before = self.known_start(engine);
         let crash = crash_id(engine, before);
         let contents = lock(&self.running).contents_on(&engine.name);
         if lock(&self.table).mark_suspects(now(), &contents, crash) {
             let (name, n) = (&engine.name, contents.len());
             spdlog::warn!("connection to {name} broke; {n} requests are suspects of a crash");
-            tokio::spawn(self.clone().follow_up(engine.clone(), before, crash));
+            tokio::spawn(self.clone().await_recovery(engine.clone(), before, crash));
         }
     }
 }
--- a/src/gateway/suspects/run.rs
+++ b/src/gateway/suspects/run.rs
@@ -3,8 +3,8 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use super::{
-    Queue, Suspects, TELL_TIMEOUT, lock,
-    watch::{Probe, Seen, crash_id},
+    NOTIFY_TIMEOUT, Queue, Suspects, lock,
+    watch::{EngineInfo, Probe, crash_id},
 };
 use crate::{
     admit::Work,
@@ -30,7 +30,7 @@
         let Some(peer) = self.peer else { return self.suspects.serve_release(&release) };
         let suspects = self.suspects.clone();
         tokio::spawn(async move {
-            let _ = suspects.links().call(peer, Body::PermitRelease(release), TELL_TIMEOUT).await;
+            let _ = suspects.links().call(peer, Body::PermitRelease(release), NOTIFY_TIMEOUT).await;
         });
     }
 }
@@ -40,11 +40,11 @@
 pub(crate) struct Run {
     pub(super) suspects: Arc<Suspects>,
     pub(super) queue: Arc<Queue>,
-    pub(super) engine: Seen,
+    pub(super) engine: EngineInfo,
     pub(super) content: Fingerprint,
     pub(super) key: suspect::RunKey,
     pub(super) permit: Option<Permit>,
-    pub(super) began: Instant,
+    pub(super) started_at: Instant,
     pub(super) work: Work,
 }
 
@@ -55,19 +55,19 @@
     }
 
     /// Ends a run whose connection broke after the request may have been sent.
-    pub(crate) async fn broke(self) {
+    pub(crate) async fn fail(self) {
         if let Some(start) = self.permit.as_ref().map(|p| p.start) {
-            return self.judge(start).await;
+            return self.resolve_isolated(start).await;
         }
-        self.suspects.accuse(&self.engine);
-        self.suspects.tell();
+        self.suspects.mark_suspects(&self.engine);
+        self.suspects.broadcast();
     }
 
     /// Decides on a suspect that ran alone; it keeps its permit until then, so that it runs nowhere else.
-    async fn judge(self, before: u64) {
+    async fn resolve_isolated(self, before: u64) {
         let crash = crash_id(&self.engine, before);
         let probe = self.suspects.probe(&self.engine, before).await;
-        if matches!(probe, Probe::SameStart | Probe::Unknown) {
+        if matches!(probe, Probe::SameProcess | Probe::Unknown) {
             return;
         }
         let contents = lock(&self.suspects.running).contents_on(&self.engine.name);
@@ -76,9 +76,9 @@
         let (engine, Fingerprint(content)) = (&self.engine.name, self.content);
         let standing = standing.as_str_name();
         spdlog::warn!("{engine} crashed while it ran suspect {content:016x} alone: {standing}");
-        self.suspects.tell();
+        self.suspects.broadcast();
         if probe == Probe::Unreachable {
-            tokio::spawn(self.suspects.clone().follow_up(self.engine.clone(), before, crash));
+            tokio::spawn(self.suspects.clone().await_recovery(self.engine.clone(), before, crash));
         }
     }
 }
@@ -86,6 +86,6 @@
 impl Drop for Run {
     fn drop(&mut self) {
         lock(&self.suspects.running).finish(&self.engine.name, self.key);
-        self.queue.note_end(now().saturating_sub(self.began), self.work);
+        self.queue.record_run(now().saturating_sub(self.started_at), self.work);
     }
 }
--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -235,7 +235,7 @@
 #[test]
 fn the_page_names_every_header_that_the_request_path_knows() {
     let page = std::fs::read_to_string("docs/CALLERS.md").unwrap();
-    let sources = ["ask.rs", "chat.rs", "relay.rs", "resume.rs", "claim/call.rs", "../gateway.rs"];
+    let sources = ["request.rs", "chat.rs", "relay.rs", "resume.rs", "claim/call.rs", "../gateway.rs"];
     let quoted =
         |text: &str| text.split('"').filter(|w| w.starts_with("x-")).map(str::to_owned).collect::<Vec<_>>();
 
