--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entry answers: which routers a caller should use, in which order, and for how long.
+//! Entry answers: which routers a caller should use and in which order.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -10,27 +10,27 @@
 pub use directory::{Candidate, Directory, LOST_RETENTION};
 pub use query::{Query, QueryError};
 
-/// Most routers in one answer.
+/// Maximum number of routers in one answer.
 pub const MAX_ROUTERS: usize = 8;
-/// Last places of an answer that are kept for another data centre, should the nearest one be lost as a whole.
+/// Number of routers in an answer that are reserved for other data centres, in case the whole local one fails.
 const MIN_REMOTE_ROUTERS: usize = 2;
 
-/// A router that may be handed out.
+/// Router that entry answers may list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Router {
     /// Name.
     pub name: Arc<str>,
-    /// Where callers reach it.
+    /// Address for callers.
     pub addr: SocketAddr,
-    /// Data centre in which it stands.
+    /// Data centre of the router.
     pub data_centre: Arc<str>,
     /// Region of the data centre.
     pub region: Arc<str>,
 }
 
-/// Orders `routers` for one caller: nearest first, then by rendezvous hashing of the key.
+/// Orders `routers` for one caller: nearest first, and by rendezvous hashing of the key at the same distance.
 ///
-/// A router that comes or goes moves only the keys that are its own.
+/// When a router joins or leaves, only the keys that have it as first choice move.
 pub fn order(routers: &[Router], query: &Query, max_routers: usize) -> Vec<Router> {
     let key = query.key.as_deref().map_or(query.salt, hash);
     let mut list: Vec<_> = routers.to_vec();
@@ -44,6 +44,7 @@
     list
 }
 
+/// Distance of a router from the caller: 0 in the same data centre, 1 in the same region, otherwise 2.
 fn distance(r: &Router, query: &Query) -> u8 {
     if r.data_centre == query.data_centre {
         return 0;
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -1,40 +1,42 @@
-//! The routers that entry answers may name, also while this router is cut off from most others.
+//! Directory of the routers that entry answers may list, which survives the isolation of this router from most others.
 
 use std::{sync::Arc, time::Duration};
 
 use super::Router;
 use crate::util::{Instant, Map};
 
-/// Losses within this time count as one.
+/// Routers that were lost within this time of each other count as lost together.
 const LOSS_WINDOW: Duration = Duration::from_secs(60);
-/// How long routers that were lost together are still handed out.
+/// Time for which routers that were lost together stay in entry answers.
 pub const LOST_RETENTION: Duration = Duration::from_secs(3600);
 
-/// A router as the membership sees it.
+/// State of a router in the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// Router.
     pub router: Router,
-    /// Whether it lives, can be heard and has a configuration in force.
+    /// Whether it is alive and reachable and has a configuration in force.
     pub serves: bool,
-    /// Whether it is shutting down or has stopped by itself.
+    /// Whether it is shutting down or has left the fleet.
     pub leaving: bool,
 }
 
+/// Router that stopped serving without leaving.
 #[derive(Clone, Debug)]
 struct LostRouter {
     router: Router,
     at: Instant,
+    /// Whether the router stays in entry answers.
     retained: bool,
 }
 
-/// Routers that may be handed out.
+/// Routers that entry answers may list.
 ///
-/// Guards against this router's own isolation. Cut off from most others it sees them die within seconds; if it then
-/// named only itself and the few it still hears, every caller that asks it would crowd onto those. More than half of
-/// the fleet lost within a minute is far likelier a broken path of this router than so many dead routers, so they
-/// stay in its answers. If they are dead after all, as with a lost data centre, callers find it out with a refused
-/// connection and go on to the next address. A router that says that it leaves is never held.
+/// Protects callers from this router's own network isolation. An isolated router sees most others fail within seconds.
+/// If it then listed only itself and the few it can still reach, all its callers would be concentrated on those. When
+/// more than half of the fleet is lost within a minute, a network failure at this router is far more likely than that
+/// many failed routers, so the lost routers are retained. If they did fail, as with a lost data centre, callers get a
+/// connection error and try the next address. A router that announces that it is leaving is never retained.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     serving: Map<Arc<str>, Router>,
@@ -42,7 +44,7 @@
 }
 
 impl Directory {
-    /// Takes in the membership's present view.
+    /// Updates the directory from the membership.
     pub fn update(&mut self, now: Instant, candidates: Vec<Candidate>) {
         let before = std::mem::take(&mut self.serving);
         let mut leaving = Vec::new();
@@ -71,12 +73,12 @@
         }
     }
 
-    /// Whether most other routers were lost at once.
+    /// Whether this router seems to be isolated: most other routers were lost at once.
     pub fn is_isolated(&self) -> bool {
         self.lost.values().any(|l| l.retained)
     }
 
-    /// Routers that may be handed out now, by name.
+    /// Routers that entry answers may list now, sorted by name.
     pub fn routers(&self) -> Vec<Router> {
         let retained = self.lost.values().filter(|l| l.retained).map(|l| &l.router);
         let mut list: Vec<_> = self.serving.values().chain(retained).cloned().collect();
--- a/src/entry/query.rs
+++ b/src/entry/query.rs
@@ -1,4 +1,4 @@
-//! What a caller asks of `GET /v1/entry`.
+//! Query of `GET /v1/entry`.
 
 use std::{fmt, sync::Arc};
 
@@ -6,33 +6,33 @@
 
 const MAX_KEY_BYTES: usize = 256;
 
-/// What a caller asks.
+/// Parsed entry query.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Query {
-    /// Caller's data centre; the answering router's if not given.
+    /// Caller's data centre; defaults to the answering router's.
     pub data_centre: Arc<str>,
-    /// Caller's region; the answering router's if not given.
+    /// Caller's region; defaults to the answering router's.
     pub region: Arc<str>,
-    /// Chat or workspace that shall meet the same router again.
+    /// Affinity key, such as a chat or workspace: the same key gets the same router first.
     pub key: Option<Arc<str>>,
-    /// Workspace of the chat that `engine_key` names; with it the owner of the chat's first engine comes first.
+    /// Workspace of the chat that `key` names. If given, the owner of the chat's first-choice engine is listed first.
     pub workspace: Option<Arc<str>>,
-    /// Model that the chat asks for.
+    /// Model that the chat uses.
     pub model: Option<Arc<str>>,
-    /// Spreads callers without a key.
+    /// Random value that takes the place of a missing key, so that callers without one are spread evenly.
     pub salt: u64,
 }
 
-/// Why a query can't be answered.
+/// Error in a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryError {
-    /// A field that does not exist.
+    /// A field is not known.
     UnknownField(String),
-    /// A field that stands there twice.
+    /// A field occurs more than once.
     DuplicateField(String),
-    /// A field without a value.
+    /// A field has no value.
     EmptyField(String),
-    /// A key that is too long.
+    /// The key is too long.
     KeyTooLong,
 }
 
@@ -42,12 +42,12 @@
             QueryError::UnknownField(name) => {
                 write!(
                     f,
-                    "there is no field {name:?}; the fields are key, workspace, model, data_centre and region"
+                    "unknown field {name:?}; the fields are key, workspace, model, data_centre and region"
                 )
             }
-            QueryError::DuplicateField(name) => write!(f, "the field {name:?} is given twice"),
-            QueryError::EmptyField(name) => write!(f, "the field {name:?} has no value"),
-            QueryError::KeyTooLong => write!(f, "the key has more than {MAX_KEY_BYTES} bytes"),
+            QueryError::DuplicateField(name) => write!(f, "field {name:?} is given more than once"),
+            QueryError::EmptyField(name) => write!(f, "field {name:?} has no value"),
+            QueryError::KeyTooLong => write!(f, "the key is longer than {MAX_KEY_BYTES} bytes"),
         }
     }
 }
@@ -58,7 +58,7 @@
     /// Parses a query string; `me` is the answering router.
     ///
     /// # Errors
-    /// Says which field is wrong.
+    /// When a field is unknown, repeated or empty, or the key is too long.
     pub fn parse(text: &str, me: &Router, salt: u64) -> Result<Self, QueryError> {
         let (mut key, mut data_centre, mut region) = (None, None, None);
         let (mut workspace, mut model) = (None, None);
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,4 +1,5 @@
-//! The path of one request: entry, admit, place, dispatch, answer.
+//! Gateway: handles requests of callers from admission over placement and dispatch to the response, and answers entry
+//! queries.
 
 use std::{
     net::SocketAddr,
@@ -55,22 +56,22 @@
 mod service;
 mod suspects;
 
-/// How long callers keep an entry answer unless the settings say otherwise.
+/// Default time for which callers may cache an entry answer.
 const DEFAULT_ENTRY_TTL: Duration = Duration::from_secs(30);
-/// Paths that take some methods only.
+/// Paths that support only certain methods.
 const KNOWN_PATHS: [&str; 7] =
     ["/healthz", "/metrics", "/readyz", "/v1/chat/completions", "/v1/entry", "/v1/key-ticket", "/v1/resume"];
 
-/// Longest wait for claims to be written before a planned stop.
+/// Maximum wait for claims to be written before a planned shutdown.
 const CLAIMS_CLOSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// State that all requests of one router share.
+/// State of one router that all its requests share.
 #[derive(Debug)]
 pub struct Gateway {
     me: Router,
     routers: RwLock<Vec<Router>>,
     entry_ttl: Duration,
-    /// Whether the router is shutting down and takes no new request.
+    /// Whether the router is shutting down and refuses new requests.
     is_closed: AtomicBool,
     catalog: RwLock<Arc<Catalog>>,
     placement: Arc<Placement>,
@@ -81,16 +82,16 @@
     retry_policy: RetryPolicy,
     retry_budget: Mutex<RetryBudget>,
     cooldowns: Mutex<Cooldowns>,
-    /// Engines to which dispatches could not connect, until the probes are told.
+    /// Engines to which no connection could be made, not yet taken by the prober.
     unreachable_engines: Mutex<Vec<Arc<str>>>,
-    /// Asks engines that changed owner for their load.
+    /// Task that fetches the load of newly owned engines.
     load_fetch_task: Mutex<Option<JoinHandle<()>>>,
     client: Client,
     metrics: Arc<Metrics>,
 }
 
 impl Gateway {
-    /// Gateway of the router `me` in the fleet of `shared_key`.
+    /// Creates the gateway of the router `me` in the fleet with this shared key.
     pub fn new(me: Router, shared_key: &str, platform: &Platform, metrics: Arc<Metrics>) -> Self {
         let links = Links::new(LinkKey::new(shared_key));
         let hints = HintKey::new(shared_key);
@@ -120,22 +121,22 @@
         }
     }
 
-    /// Sets how long callers may keep an entry answer.
+    /// Sets the time for which callers may cache an entry answer.
     pub fn with_entry_ttl(self, entry_ttl: Duration) -> Self {
         Self { entry_ttl, ..self }
     }
 
-    /// From now on refuses new requests, all but the question which routers to use.
+    /// Refuses new requests from now on, except entry queries.
     pub fn stop_accepting_requests(&self) {
         self.is_closed.store(true, Ordering::Release);
     }
 
-    /// Engines to which dispatches could not connect since the last call.
+    /// Takes the engines to which no connection could be made since the last call.
     pub fn take_unreachable_engines(&self) -> Vec<Arc<str>> {
         std::mem::take(&mut lock(&self.unreachable_engines))
     }
 
-    /// Notes what the probes know of an engine.
+    /// Applies the merged probe results of an engine to its health.
     pub fn apply_engine_view(&self, view: &EngineView) {
         let id = Id::of(&view.name);
         let (mut placer, now) = (self.placement.placer(), now());
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Puts a catalog in force unless a newer one already is.
+    /// Puts a catalog in force, unless a newer one is in force already.
     pub fn set_catalog(&self, cat: Catalog) {
         let mut current = self.catalog.write().unwrap_or_else(|e| e.into_inner());
         if cat.version >= current.version {
@@ -159,20 +160,22 @@
         }
     }
 
-    /// Sets the routers that may be handed out.
+    /// Sets the routers that entry answers may list.
     pub fn set_routers(&self, routers: Vec<Router>) {
         *self.routers.write().unwrap_or_else(|e| e.into_inner()) = routers;
     }
 
-    /// The catalog in force.
+    /// Catalog in force.
     pub fn catalog(&self) -> Arc<Catalog> {
         read(&self.catalog).clone()
     }
 
+    /// Whether a configuration is in force.
     fn is_ready(&self) -> bool {
         self.catalog().version > 0
     }
 
+    /// Routes a request to its handler.
     async fn route(&self, req: Request<Bytes>, id: &str) -> Result<Reply, RequestError> {
         let path = req.uri().path().to_owned();
         match (req.method(), path.as_str()) {
@@ -187,20 +190,21 @@
             (&Method::GET | &Method::POST, "/v1/resume") => self.resume(req).await,
             (&Method::GET, "/v1/key-ticket") => Ok(self.key_ticket()),
             (&Method::POST, "/v1/chat/completions") => self.chat(req, id).await,
-            (method, path) if KNOWN_PATHS.contains(&path) => {
-                Err(RequestError::new(ErrorKind::MethodNotAllowed, format!("{method} is not for {path}")))
-            }
+            (method, path) if KNOWN_PATHS.contains(&path) => Err(RequestError::new(
+                ErrorKind::MethodNotAllowed,
+                format!("{path} does not support {method}"),
+            )),
             (_, p) if p.starts_with("/services/") => self.service(req, id).await,
-            _ => Err(RequestError::new(ErrorKind::NotFound, format!("there is nothing at {path}"))),
+            _ => Err(RequestError::new(ErrorKind::NotFound, format!("path {path} does not exist"))),
         }
     }
 
-    /// Counts a refusal, logs it and answers it.
+    /// Counts and logs a refusal, and returns the reply.
     fn refuse(&self, error: &RequestError, origin: &RequestOrigin) -> Reply {
         let code = error.kind.answer().code;
         self.metrics.request("refused");
         self.metrics.refuse(code);
-        // In a surge most refusals are the system at work, and a line for each would add to its load.
+        // In a surge most refusals are expected, and logging each of them would add to the load.
         let level = match error.kind {
             ErrorKind::Internal => Level::Error,
             ErrorKind::Quarantined | ErrorKind::EngineFailed => Level::Warn,
@@ -211,53 +215,57 @@
         if origin.may_be_repeat { error.reply_to_repeat() } else { error.reply() }
     }
 
+    /// Answers `GET /metrics`.
     fn render_metrics(&self) -> Result<Reply, RequestError> {
         let text =
             self.metrics.text().map_err(|e| RequestError::new(ErrorKind::Internal, format!("{e:#}")))?;
         Ok(Reply::full(200, text).with_header("content-type", "text/plain; version=0.0.4"))
     }
 
-    /// Counts a request against the limits of its workspace, of which each router keeps its share.
+    /// Counts a request against this router's share of its workspace's limits.
     fn acquire_in_flight(&self, cat: &Catalog, info: &RequestInfo) -> Result<InFlightGuard, RequestError> {
         let routers = u32::try_from(read(&self.routers).len()).unwrap_or(u32::MAX);
         self.admission.acquire_in_flight(cat.concurrency_limits(&info.workspace), routers, info)
     }
 
-    /// A ticket under which a caller may make idempotency keys that stay usable while the platform is out.
+    /// Answers `GET /v1/key-ticket` with a ticket, under which callers can create idempotency keys that stay usable during
+    /// a platform outage.
     fn key_ticket(&self) -> Reply {
         let ticket =
             serde_json::json!({ "ticket": self.claims.ticket(), "keep_s": TICKET_LIFETIME.as_secs() });
         Reply::json(200, &ticket)
     }
 
-    /// Sets where other routers reach this one.
+    /// Sets the address at which other routers reach this one.
     pub fn set_peer_addr(&self, addr: SocketAddr) {
         let _ = self.claims.peer_addr.set(addr);
     }
 
-    /// Before a planned stop, once no request is in progress: has what is known of claims written to the platform.
+    /// Writes all claims to the platform before a planned shutdown, once no request is in progress.
     pub async fn close_claims(&self) {
         if tokio::time::timeout(CLAIMS_CLOSE_TIMEOUT, self.claims.close()).await.is_err() {
-            spdlog::warn!("not all claims were written before the stop; the rest reads as unknown");
+            spdlog::warn!(
+                "not all claims were written before the shutdown; the others will be reported as unknown"
+            );
         }
     }
 
-    /// Answers another router's call about a claim.
+    /// Answers a claim call from another router.
     pub async fn serve_claim(&self, call: ClaimCall) -> ClaimAnswer {
         self.claims.serve(call).await
     }
 
-    /// What is known of crashing requests, for gossip, in at most `bytes` of postcard.
+    /// Digest of suspect contents for gossip, at most `bytes` in postcard encoding.
     pub fn suspects_digest(&self, bytes: usize) -> Digest {
         self.suspects.digest(bytes)
     }
 
-    /// Takes in what another router knows of crashing requests.
+    /// Merges another router's digest of suspect contents.
     pub fn merge_suspects(&self, digest: &Digest) {
         self.suspects.merge(digest);
     }
 
-    /// Answers another router's call about placement; `None` for a call that is about something else.
+    /// Answers a placement call from another router; `None` for other calls.
     pub fn serve_placement(&self, body: &Body) -> Option<Body> {
         match body {
             Body::Reserve(msg) => Some(Body::Reserved(self.placement.serve_reserve(&self.catalog(), msg))),
@@ -269,7 +277,7 @@
         }
     }
 
-    /// Tells the owners of engines which reservations have ended, until aborted.
+    /// Releases ended reservations at their owners periodically, until aborted.
     pub async fn run_releases(&self) {
         loop {
             tokio::time::sleep(place::RELEASE_INTERVAL).await;
@@ -278,7 +286,7 @@
         }
     }
 
-    /// Answers another router's call about suspects; `None` for a call that is about something else.
+    /// Answers a call about suspects from another router; `None` for other calls.
     pub fn serve_suspects(&self, body: &Body) -> Option<Body> {
         match body {
             Body::Permit(req) => Some(Body::PermitAnswer(self.suspects.serve_permit(req))),
@@ -314,7 +322,7 @@
     }
 }
 
-/// What the answer to a request and the log need to know of it, whatever becomes of it.
+/// Properties of a request that its reply and log lines need, whatever its outcome.
 struct RequestOrigin {
     id: String,
     workspace: String,
@@ -330,8 +338,9 @@
 
 /// Whether an earlier attempt with the same idempotency key may have run, as far as this router can tell.
 ///
-/// A refusal of a resent booking would be read as "the booking was not made", though the attempt before may have
-/// made it. Only the caller knows that there was none, or that each was answered "not run", and says so.
+/// A caller would take the refusal of a retried booking for "the booking was not made", although an earlier attempt may
+/// have made it. Only the caller knows that there was no earlier attempt or that each was answered "not run", and states
+/// this in the `x-first-attempt` header.
 fn may_be_repeat<B>(req: &Request<B>) -> bool {
     let first = header(req.headers(), "x-first-attempt") == Some("true");
     req.headers().contains_key("idempotency-key") && !first
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -1,4 +1,4 @@
-//! Runs the queues of admission: lets requests wait, gives turns, refuses.
+//! Admission of requests: enforces the workspace limits, and runs the queues of pools and services.
 
 use std::{
     future::Future,
@@ -16,13 +16,13 @@
     util::{Instant, Map, now},
 };
 
-/// How often waiting requests are looked at: bounds how late an expired one learns of it.
+/// Interval at which expired requests are removed from a queue, and initial delay between two turns.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Longest pause between two turns while no engine has room. Each turn may ask several owners of engines, and
-/// routers may spend only a few kilobytes a second on that.
+/// Maximum delay between two turns while no engine has room. Each turn may send requests to several owners of engines,
+/// and routers may spend only a few kilobytes per second on them.
 const MAX_TURN_DELAY: Duration = Duration::from_millis(250);
 
-/// Queues and limits of one router.
+/// Queues and workspace limits of one router.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     queues: RwLock<Map<Arc<str>, Arc<Queue>>>,
@@ -30,7 +30,7 @@
 }
 
 impl Admission {
-    /// The queue of a pool or service.
+    /// Queue of a pool or service; created on first use.
     pub(crate) fn queue(&self, name: &str) -> Arc<Queue> {
         if let Some(queue) = read(&self.queues).get(name) {
             return queue.clone();
@@ -39,7 +39,7 @@
         queues.entry(name.into()).or_default().clone()
     }
 
-    /// Counts a request against the limits of its workspace.
+    /// Counts a request against the limits of its workspace until the guard is dropped.
     ///
     /// # Errors
     /// When a limit is reached.
@@ -62,7 +62,7 @@
     }
 }
 
-/// A request that counts against the limits of its workspace until it is dropped.
+/// Guard of a request that counts against the limits of its workspace.
 #[derive(Debug)]
 pub(crate) struct InFlightGuard {
     limits: Arc<[ConcurrencyLimit]>,
@@ -77,7 +77,7 @@
     }
 }
 
-/// Requests of one pool or service that wait for an engine.
+/// Queue of the requests of one pool or service that wait for a backend server.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     state: Mutex<State>,
@@ -93,26 +93,29 @@
     next_turn: Instant,
 }
 
+/// Message to a waiting request.
 #[derive(Debug)]
 enum Turn {
+    /// It is the request's turn to search for a backend server.
     Try,
     Refused(Refusal),
 }
 
-/// What a search for an engine gave, when it gave none.
+/// Why a search found no backend server.
 #[derive(Debug)]
 pub(crate) enum NotAdmitted {
-    /// Every engine in use stands at its bound; the request may wait.
+    /// Every available server is at its load bound; the request may wait.
     Full,
     /// The request can't be served.
     Failed(RequestError),
 }
 
 impl Queue {
-    /// Finds an engine by `find`, at once or after waiting for a turn.
+    /// Runs the search `find`, at once if the queue is empty, otherwise or if all servers are full when it is the
+    /// request's turn.
     ///
     /// # Errors
-    /// When the request may not wait, waited too long, or can't be served.
+    /// When the request is refused by the queue, waited too long or can't be served.
     pub(crate) async fn admit<T, F>(
         self: &Arc<Self>,
         info: &RequestInfo,
@@ -134,7 +137,10 @@
                 Ok(Turn::Try) => {}
                 Ok(Turn::Refused(refusal)) => return Err(refusal_error(refusal)),
                 Err(_) => {
-                    return Err(RequestError::new(crate::error::ErrorKind::Internal, "the queue is gone"));
+                    return Err(RequestError::new(
+                        crate::error::ErrorKind::Internal,
+                        "the request was dropped from the queue",
+                    ));
                 }
             }
             match find().await {
@@ -148,12 +154,13 @@
         }
     }
 
-    /// Notes a run that has ended, so that its engine may have room.
+    /// Records the end of a run, after which its server may have room for a waiting request.
     pub(crate) fn record_run(&self, ran: Duration, work: Work) {
         lock(&self.state).queue.record_run(ran, work);
         self.run_ended.notify_one();
     }
 
+    /// Adds a request to the queue, and starts the queue's task if it is not running.
     fn enqueue(self: &Arc<Self>, info: &RequestInfo) -> Result<Waiter, RequestError> {
         let mut state = lock(&self.state);
         let ticket = match state.queue.enqueue(now(), info.demand()) {
@@ -173,6 +180,7 @@
         Ok(Waiter { queue: self.clone(), ticket, turn })
     }
 
+    /// Ends the turn of a request that found a server, and grants the next turn at once.
     fn end_turn_admitted(&self, ticket: Ticket) {
         let mut state = lock(&self.state);
         state.waiters.remove(&ticket);
@@ -181,6 +189,8 @@
         state.grant_turn();
     }
 
+    /// Ends the turn of a request that found all servers full. The request stays in the queue, and the delay before the
+    /// next turn doubles.
     fn end_turn_full(&self, ticket: Ticket) -> oneshot::Receiver<Turn> {
         let mut state = lock(&self.state);
         let (tx, turn) = oneshot::channel();
@@ -191,8 +201,8 @@
         turn
     }
 
-    /// Gives turns while requests wait: when a run ends here, and after a pause, since an engine may have been
-    /// freed by another router.
+    /// Grants turns while requests wait: when a run of this router ends, and after a delay, since runs of other routers
+    /// end too.
     async fn run_turns(self: Arc<Self>) {
         loop {
             let run_ended = tokio::time::timeout(POLL_INTERVAL, self.run_ended.notified()).await.is_ok();
@@ -210,6 +220,7 @@
 }
 
 impl State {
+    /// Grants a turn to the next request, if the maximum number of turns is not in progress.
     fn grant_turn(&mut self) {
         let Some(ticket) = self.queue.start_turn() else { return };
         let sent = self.waiters.remove(&ticket).is_some_and(|tx| tx.send(Turn::Try).is_ok());
@@ -218,12 +229,14 @@
         }
     }
 
+    /// Refuses a waiting request.
     fn refuse(&mut self, ticket: Ticket, refusal: Refusal) {
         if let Some(tx) = self.waiters.remove(&ticket) {
             let _ = tx.send(Turn::Refused(refusal));
         }
     }
 
+    /// Refuses the requests that have expired.
     fn expire(&mut self) {
         for (ticket, refusal) in self.queue.expire(now()) {
             self.refuse(ticket, refusal);
@@ -231,7 +244,7 @@
     }
 }
 
-/// A place in the queue; dropping it, as when the caller goes away, gives it up.
+/// A request in the queue; dropping it, for example when the caller disconnects, removes it from the queue.
 struct Waiter {
     queue: Arc<Queue>,
     ticket: Ticket,
@@ -246,7 +259,7 @@
     }
 }
 
-/// Refused callers are told different times, so that they don't come back together.
+/// Error for a refused request, with jitter on the retry time so that refused callers don't retry at the same time.
 fn refusal_error(refusal: Refusal) -> RequestError {
     let after = refusal.retry_after + jitter(refusal.retry_after, &mut rand::rng());
     RequestError::new(refusal.kind, refusal.kind.answer().about).with_retry_after(after)
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,5 +1,5 @@
-//! The attempts of one request: find an engine, send, and decide what a failure means. One loop for chats and
-//! calls to plain services.
+//! Retry loop of a request: finds a backend server, sends the request, and retries or fails it depending on the
+//! failure. Chats and calls to plain services share this loop.
 
 use std::{future::Future, sync::Arc, time::Duration};
 
@@ -25,74 +25,74 @@
     util::now,
 };
 
-/// Pause before a suspect looks again for an engine without another suspect.
+/// Maximum delay before a suspect searches again for an engine that runs no other suspect.
 const SUSPECT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The backend servers that may serve a request.
+/// Backend servers that may serve a request.
 pub(super) trait Backends: Sync {
-    /// Finds one with room that is not among `exclude`, and holds work on it.
+    /// Finds a server with room that is not in `exclude`, and reserves work on it.
     fn find(
         &self,
         exclude: &[Id],
         may_queue: MayQueue,
     ) -> impl Future<Output = Result<ChosenBackend, FindError>> + Send;
 
-    /// Sends the request; `attempt_id` names this attempt.
+    /// Sends the request; `attempt_id` identifies this attempt.
     fn send(
         &self,
         engine: &Engine,
         attempt_id: &str,
     ) -> impl Future<Output = Result<Response<Incoming>, Failure>> + Send;
 
-    /// Whether the request may run twice.
+    /// Whether the request is idempotent, so that it may run twice.
     fn idempotent(&self) -> bool;
 }
 
-/// Whether a request waits in the queue while its pool is full.
+/// Whether a request may wait in the queue while its pool is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MayQueue {
     Yes,
-    /// A suspect: the queue would pass it by again and again, and few there are.
+    /// For suspects, which are few and would be passed over in the queue again and again.
     No,
 }
 
-/// A backend server found for a request.
+/// Backend server chosen for a request.
 #[derive(Debug)]
 pub(super) struct ChosenBackend {
     pub(super) engine: EngineKey,
-    /// Work held on it, where work is counted; held until dropped.
+    /// Guard of the work reserved on it; `None` for plain services, which have no reservations.
     #[expect(dead_code, reason = "ends the reservation when it is dropped")]
     pub(super) guard: Option<ReservationGuard>,
-    /// Hint to return with the answer.
+    /// Placement hint to return with the answer.
     pub(super) hint: Option<String>,
-    /// Router that a later request of this chat does best to go to.
+    /// Router to which the caller should send the chat's next request.
     pub(super) next_router: Option<std::net::SocketAddr>,
 }
 
 /// Why no backend server was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FindError {
-    /// Those in use stand at their bound.
+    /// Every available server is at its load bound.
     AtBound,
-    /// None is in use.
+    /// No server is available.
     NoneAvailable,
 }
 
-/// A request that a backend server has begun to answer.
+/// Response that a backend server has started to send.
 #[derive(Debug)]
 pub(super) struct StartedResponse {
     pub(super) res: Response<Incoming>,
     pub(super) chosen: ChosenBackend,
-    /// Ends with [`Run::complete`] or [`Run::fail`].
+    /// To be ended with [`Run::complete`] or [`Run::fail`].
     pub(super) run: Run,
-    /// Name of the attempt, under which the engine knows it.
+    /// ID of the attempt, under which the engine knows the request.
     pub(super) attempt_id: String,
     /// Attempts made so far, over all hops.
     pub(super) attempts: u32,
 }
 
 impl Gateway {
-    /// Makes attempts until a backend server answers or a bound is reached.
+    /// Makes attempts until a backend server answers or no further attempt is allowed.
     pub(super) async fn run_attempts(
         &self,
         cat: &Catalog,
@@ -109,8 +109,8 @@
             tried.push(engine.id);
             let run = self.suspects.start_run(engine, info, queue, permit);
             attempts.record_start();
-            // An answer, a line of the log and a run at the engine are joined by this name. It is the attempt's own: a
-            // late event of an earlier attempt must not pass for one of this.
+            // This ID correlates the answer, the log lines and the run on the engine. It is unique to the attempt, so that
+            // a late event of an earlier attempt is not mistaken for one of this attempt.
             let attempt_id = format!("{}-{}", info.id, attempts.made());
             let remaining = info.deadline.saturating_sub(now());
             let reason = match tokio::time::timeout(remaining, to.send(engine, &attempt_id)).await {
@@ -135,6 +135,7 @@
         }
     }
 
+    /// Starts counting attempts; refuses a caller's retry beyond the attempt limit or the retry budget.
     fn begin_attempts(&self, info: &RequestInfo, idempotent: bool) -> Result<Attempts, RequestError> {
         let mut budget = lock(&self.retry_budget);
         let begun =
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Waits before the next attempt, or ends with the final answer at once.
+    /// Waits before the next attempt, or returns the final error at once if no retry is allowed.
     async fn back_off(&self, attempts: &mut Attempts, reason: RetryReason) -> Result<(), RequestError> {
         let decided = attempts.record_failure(
             &self.retry_policy,
@@ -174,7 +175,7 @@
         }
     }
 
-    /// A fault between attempts. After an attempt that may have run, none may say "not run".
+    /// Final error of a request that fails between attempts. It must not state "not run" once an attempt may have run.
     fn final_error(&self, attempts: &Attempts, error: RequestError) -> RequestError {
         let denied = attempts.denied(error.kind);
         if denied.answer == error.kind {
@@ -184,6 +185,7 @@
         denied_error(denied, attempts.made())
     }
 
+    /// Finds a backend server, with a permit if the request's content is a suspect.
     async fn find_backend(
         &self,
         cat: &Catalog,
@@ -199,15 +201,15 @@
                 Standing::Cleared => {}
             }
             let chosen = self.find_queued(info, queue, to, tried).await?;
-            // The wait may have been long, and the content may have become a suspect meanwhile.
+            // The content may have become a suspect while the request waited in the queue.
             if self.suspects.standing(info.content) == Standing::Cleared {
                 return Ok((chosen, None));
             }
         }
     }
 
-    /// Finds an engine, first without those that failed this request or could not be reached lately, then
-    /// without the former, then any.
+    /// Finds a backend server through the queue. The first search excludes servers on which this request failed and
+    /// those in cool-down, the second only the former, the third none.
     async fn find_queued(
         &self,
         info: &RequestInfo,
@@ -227,8 +229,8 @@
         Err(last)
     }
 
-    /// Finds an engine on which no other suspect runs. Suspects don't wait in the queue: one that has the turn
-    /// and gets no permit would hold up all behind it.
+    /// Finds a backend server on which no other suspect runs, and a permit for it. Suspects don't wait in the queue: a
+    /// suspect whose turn it is but that gets no permit would hold up all requests behind it.
     async fn find_for_suspect(
         &self,
         cat: &Catalog,
@@ -242,7 +244,7 @@
             match self.find_with_permit(cat, info, to, &avoid).await? {
                 PermitSearch::Found(chosen, permit) => return Ok((chosen, Some(permit))),
                 PermitSearch::Busy => {}
-                // Better one of the engines to be avoided than no answer.
+                // An engine that should be avoided is better than no answer.
                 PermitSearch::OnlyAvoided if avoid.len() > unstable.len() => avoid.clone_from(&unstable),
                 PermitSearch::OnlyAvoided => avoid.clear(),
             }
@@ -255,7 +257,7 @@
         Err(RequestError::new(ErrorKind::SuspectBusy, ErrorKind::SuspectBusy.answer().about))
     }
 
-    /// One round over the engines: the first with room whose permit is free.
+    /// Searches once for a backend server that has room and for which a permit is granted.
     async fn find_with_permit(
         &self,
         cat: &Catalog,
@@ -284,15 +286,16 @@
     }
 }
 
-/// What a round over the engines gave a suspect.
+/// Result of one search for a backend server for a suspect.
 enum PermitSearch {
     Found(ChosenBackend, Permit),
-    /// Every engine is full or runs another suspect, or the content is running.
+    /// Every engine is full or runs another suspect, or the content is already running.
     Busy,
-    /// No engine is in use but those to be avoided.
+    /// Only engines that should be avoided are available.
     OnlyAvoided,
 }
 
+/// Error for the caller when a retry is denied.
 fn denied_error(denied: RetryDenied, attempts: u32) -> RequestError {
     let (answer, reason) = (denied.answer.answer(), denied.reason.answer());
     let message = match denied.answer == denied.reason {
@@ -302,6 +305,7 @@
     RequestError::new(denied.answer, message).with_attempts(attempts)
 }
 
+/// Result of a failed search as the queue needs it: whether the request may wait.
 fn not_admitted(error: FindError) -> NotAdmitted {
     match error {
         FindError::AtBound => NotAdmitted::Full,
--- a/src/gateway/chat.rs
+++ b/src/gateway/chat.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions`: admits, places and sends a chat, and relays its answer.
+//! `POST /v1/chat/completions`: admits, places and sends a chat, and relays the response.
 
 use bytes::Bytes;
 use http::{Request, Response};
@@ -22,6 +22,7 @@
 };
 
 impl Gateway {
+    /// Handles a chat request.
     pub(super) async fn chat(&self, req: Request<Bytes>, id: &str) -> Result<Reply, RequestError> {
         let info = RequestInfo::chat(id, req.headers(), req.body(), now())?;
         let cat = self.catalog();
@@ -43,7 +44,7 @@
     }
 }
 
-/// The engines of a pool, for one chat.
+/// Engines of a pool, for one chat.
 struct PoolBackends<'a> {
     gateway: &'a Gateway,
     cat: &'a Catalog,
@@ -81,13 +82,14 @@
         EngineClient::new(self.gateway.client.clone(), engine.addr).chat(&call).await
     }
 
-    /// A model engine keeps nothing of a chat but its cache: an answer of which nothing was passed on may be
-    /// made again.
+    /// A model engine keeps no state of a chat except its cache, so a chat may run again as long as no part of its answer
+    /// has been forwarded.
     fn idempotent(&self) -> bool {
         true
     }
 }
 
+/// Error for a request that no pool serves.
 fn no_pool(e: NoPool, info: &RequestInfo) -> RequestError {
     let (workspace, model) = (&info.workspace, &info.model);
     match e {
@@ -96,13 +98,15 @@
         }
         NoPool::NoPolicy => RequestError::new(
             ErrorKind::NoPolicy,
-            format!("no policy routes {workspace:?} with model {model:?}"),
+            format!("no routing policy matches workspace {workspace:?} and model {model:?}"),
+        ),
+        NoPool::UnknownPool => RequestError::new(
+            ErrorKind::NoPolicy,
+            format!("the pool of workspace {workspace:?} is not configured"),
+        ),
+        NoPool::EmptyPool => RequestError::new(
+            ErrorKind::NoEngine,
+            format!("no engine is eligible for workspace {workspace:?}"),
         ),
-        NoPool::UnknownPool => {
-            RequestError::new(ErrorKind::NoPolicy, format!("the pool for {workspace:?} is not configured"))
-        }
-        NoPool::EmptyPool => {
-            RequestError::new(ErrorKind::NoEngine, format!("no engine is eligible for {workspace:?}"))
-        }
     }
 }
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -1,5 +1,5 @@
-//! Claims on idempotency keys in a running router: finds who keeps a claim, asks it, and tells it what became of
-//! the run.
+//! Claims on idempotency keys in a running router: finds the authority for a key, requests the claim there, and
+//! reports the result of the run to it.
 
 use std::{
     net::SocketAddr,
@@ -35,41 +35,45 @@
 mod closed_processes;
 mod shard_worker;
 
-/// Longest wait for another router's verdict; longer than a book lets an ask wait.
+/// Timeout of a call to another router. Longer than the wait of a claim request there, so that its verdict arrives.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1800);
-/// Longest wait for a ticket's claim to be recorded before it is granted from memory.
+/// Maximum wait for a claim under a ticket to be stored in its shard before it is granted from memory.
 const TICKET_STORE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a notification of the result of a run or of a release.
 const NOTIFY_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often a record or release is told again before it is left to read as unknown.
+/// Number of rounds in which a notification is sent; after that the claim reads as unknown.
 const NOTIFY_ATTEMPTS: u32 = 8;
+/// Delay after the first failed round; doubles with each further one.
 const NOTIFY_BASE_DELAY: Duration = Duration::from_millis(200);
-/// How often messages that are still being told are counted before a planned stop.
+/// Interval at which a planned shutdown checks for pending notifications.
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Routers that are asked for one claim, should the first not answer.
+/// Maximum number of shard owners that are tried, in order of preference, until one answers.
 const MAX_OWNERS_TRIED: usize = 2;
 
-/// Claims in one router.
+/// Claims handled by one router process.
 #[derive(Debug)]
 pub(crate) struct Claims {
     name: Arc<str>,
+    /// Random number of this process, which distinguishes its tickets from those of earlier starts of this router.
     start: u64,
     placement: Arc<Placement>,
     shards: Vec<Arc<ShardWorker>>,
+    /// Claims under the tickets of this process.
     ticket_claims: Mutex<TicketClaims>,
     ticket_key: TicketKey,
     closed_processes: ClosedProcesses,
-    /// Where other routers reach this one.
+    /// Address at which other routers reach this one.
     pub(super) peer_addr: OnceLock<SocketAddr>,
-    /// Messages about records and releases that are still being told.
+    /// Number of notifications still to be delivered.
     pending_notifications: AtomicUsize,
     metrics: Arc<Metrics>,
 }
 
-/// Who decides on a key.
+/// Authority that decides on a key.
 enum Authority {
-    /// This start of this router, by its ticket.
+    /// This process, by its ticket.
     ThisProcess(KeyTicket),
-    /// Another router, or another start of this one, by its ticket.
+    /// Another router or an earlier process of this one, by its ticket.
     OtherProcess(KeyTicket),
     /// The owner of the key's shard.
     Shard,
@@ -104,10 +108,10 @@
         }
     }
 
-    /// Before a planned stop: has all records written, and hands the keys of this start's tickets over to their shards.
+    /// Before a planned shutdown: writes all records, and hands the keys of this process's tickets over to their shards.
     pub(crate) async fn close(&self) {
         let all_stored = lock(&self.ticket_claims).close();
-        // What was granted is in the shards already; records may follow.
+        // All granted claims are already stored in the shards; their records may still follow.
         if all_stored {
             self.closed_processes.publish(&self.name, self.start).await;
         }
@@ -119,14 +123,14 @@
         }
     }
 
-    /// A ticket under which a caller may make keys that this router alone runs.
+    /// Signs a ticket, under which callers can create keys that only this process grants.
     pub(crate) fn ticket(&self) -> String {
         let made_ms = now().as_millis() as u64;
         let peer = self.peer_addr.get().map(SocketAddr::to_string).unwrap_or_default();
         self.ticket_key.sign(&KeyTicket { router: self.name.to_string(), start: self.start, made_ms, peer })
     }
 
-    /// Asks for the right to run.
+    /// Requests the claim on a key from its authority.
     pub(crate) async fn request_claim(self: &Arc<Self>, req: ClaimRequest, key: &str) -> Verdict {
         let verdict = match self.authority(key) {
             Authority::ThisProcess(ticket) => self.decide_ticket_claim(req, &ticket).await,
@@ -137,7 +141,7 @@
         verdict
     }
 
-    /// Tells those that keep the claim what became of a run, in the background.
+    /// Reports the result of a run to the shard owner and to the ticket's authority, in the background.
     pub(crate) fn finish(self: &Arc<Self>, finish: Finish, key: &str) {
         let Finish { request, record } = finish;
         let call = Call::Finish(ClaimFinish {
@@ -154,7 +158,8 @@
         }
     }
 
-    /// Tells all that may keep the claim that an attempt has not run and never will, in the background.
+    /// Releases the claim of an attempt that has not run and never will at all routers that may store it, in the
+    /// background.
     pub(crate) fn release(self: &Arc<Self>, release: Release, key: &str) {
         let call = Call::Release(ClaimRelease {
             key: release.key.0.to_vec(),
@@ -169,12 +174,13 @@
         }
     }
 
-    /// Answers another router's call.
+    /// Answers a call from another router.
     pub(crate) async fn serve(self: &Arc<Self>, call: ClaimCall) -> ClaimAnswer {
         // The default answer is "unavailable": nothing was granted.
         self.handle(call).await.unwrap_or_default()
     }
 
+    /// Handles a call from another router.
     async fn handle(self: &Arc<Self>, call: ClaimCall) -> Result<ClaimAnswer, Malformed> {
         let ack = ClaimAnswer { decision: Decision::Noted.into(), record: None };
         match call.call.ok_or(Malformed)? {
@@ -194,7 +200,7 @@
                 if mine {
                     lock(&self.ticket_claims).finish(req.key, req.attempt, record.clone());
                 }
-                // The record of a ticket's key goes to its shard's owner by a message of its own.
+                // The shard owner receives the record of a ticket's key in a separate message.
                 if !mine || self.shard_owners(req.key)[0].is_none() {
                     self.shard(req.key).finish(&req, record, !msg.ticket.is_empty());
                 }
@@ -211,6 +217,7 @@
         }
     }
 
+    /// Authority that decides on a key, by the ticket in the key.
     fn authority(&self, key: &str) -> Authority {
         match self.ticket_key.verified_ticket(key) {
             Some(t) if *t.router == *self.name && t.start == self.start => Authority::ThisProcess(t),
@@ -219,10 +226,10 @@
         }
     }
 
-    /// Decides on a key of this router's own ticket.
+    /// Decides on a key under this process's own ticket.
     ///
-    /// No other router grants such a key, so that the platform need not be there: when the claim can't be recorded
-    /// in time, as in an outage, it is granted from memory.
+    /// No other router grants such a key. If the claim can't be stored in time, as during a platform outage, it is
+    /// therefore granted from memory.
     async fn decide_ticket_claim(&self, req: ClaimRequest, ticket: &KeyTicket) -> Verdict {
         let step = {
             let mut ticket_claims = lock(&self.ticket_claims);
@@ -244,15 +251,16 @@
         }
     }
 
-    /// Asks the router that a ticket names. Nobody else may grant the key; when that router is gone, all that can
-    /// be told is what the key's shard has recorded.
+    /// Requests the claim from the router that the ticket names. No other router may grant the key; if that router is
+    /// unreachable, only a claim stored in the key's shard can be returned.
     async fn request_from_authority(
         self: &Arc<Self>,
         req: ClaimRequest,
         key: &str,
         ticket: &KeyTicket,
     ) -> Verdict {
-        // The members don't list a router that is leaving, but its tickets' keys are still its own.
+        // The address comes from the ticket, because the member list omits leaving routers, which still are the authority
+        // for their tickets.
         if let Ok(peer) = ticket.peer.parse() {
             let call = Call::Ask(req.to_message(key.to_owned()));
             if let Ok(verdict) = self.call_peer(peer, call).await {
@@ -261,13 +269,14 @@
         }
         let verdict = self.decide_without_authority(req, ticket).await;
         if verdict != Verdict::Granted {
-            // The authority's grant may be on its way; this attempt will not use it.
+            // The authority may have granted the claim although its answer was lost; this attempt will not use it.
             self.release(Release { key: req.key, attempt: req.attempt }, key);
         }
         verdict
     }
 
-    /// Decides on a key whose authority can't be asked. One that has handed its keys over is not needed any more.
+    /// Decides on a key whose authority is unreachable. If the authority has shut down as planned, it has handed its keys
+    /// over, and their shards decide.
     async fn decide_without_authority(&self, req: ClaimRequest, ticket: &KeyTicket) -> Verdict {
         if self.closed_processes.is_handed_over(&ticket.router, ticket.start).await {
             return self.request_from_shard(req).await;
@@ -275,7 +284,7 @@
         self.look_up(req).await
     }
 
-    /// Looks a key up whose authority is gone: one that was not recorded may have run.
+    /// Looks up a key whose authority is unreachable. A key without a stored claim may have run.
     async fn look_up(&self, req: ClaimRequest) -> Verdict {
         match self.request_from_shard(ClaimRequest { lookup_only: true, ..req }).await {
             Verdict::Expired | Verdict::Unavailable | Verdict::Granted => Verdict::Unknown,
@@ -283,8 +292,9 @@
         }
     }
 
-    /// Asks the owner of the key's shard, and the next in line when it does not answer. Both may be asked for the
-    /// same attempt: the attempt's number in the shard's object grants it, whoever wrote it there.
+    /// Requests the claim from the owner of the key's shard, or from the next router in order if the owner does not
+    /// answer. It is safe to ask both for the same attempt: the attempt's ID in the shard's object proves the grant,
+    /// whichever router wrote it.
     async fn request_from_shard(&self, req: ClaimRequest) -> Verdict {
         for owner in self.shard_owners(req.key).into_iter().take(MAX_OWNERS_TRIED) {
             let Some(peer) = owner else { return self.shard(req.key).request_claim(req).await };
@@ -296,6 +306,7 @@
         Verdict::Unavailable
     }
 
+    /// Calls another router and returns its verdict.
     async fn call_peer(&self, peer: SocketAddr, call: Call) -> Result<Verdict, Malformed> {
         let body = Body::Claim(ClaimCall { call: Some(call) });
         match self.placement.links().call(peer, body, CLAIM_TIMEOUT).await {
@@ -304,7 +315,7 @@
         }
     }
 
-    /// The router that decides on a ticket's key besides its shard's owner; `None` inside stands for this one.
+    /// Address of the authority named by the key's ticket: `None` if the key has no ticket, `Some(None)` for this router.
     fn authority_peer(&self, key: &str) -> Option<Option<SocketAddr>> {
         match self.authority(key) {
             Authority::Shard => None,
@@ -313,12 +324,12 @@
         }
     }
 
-    /// Text that goes along with a message about a key, so that its receiver knows the ticket.
+    /// `ticket` field of a message about a key: the key if it contains a ticket, otherwise empty.
     fn ticket_field(&self, key: &str) -> String {
         if matches!(self.authority(key), Authority::Shard) { String::new() } else { key.to_owned() }
     }
 
-    /// Tells one of `peers`, the first that can be reached; again after a pause when none can.
+    /// Sends a notification to the first of `peers` that is reachable, with retries and backoff; `None` is this router.
     async fn notify_first_reachable(self: Arc<Self>, peers: Vec<Option<SocketAddr>>, call: Call) {
         let _pending = PendingNotification::start(&self.pending_notifications);
         let call = ClaimCall { call: Some(call) };
@@ -337,14 +348,17 @@
             tokio::time::sleep(delay).await;
             delay *= 2;
         }
-        spdlog::warn!("no router could be told what became of a claim; it will read as unknown");
+        spdlog::warn!(
+            "no router could be notified of the result of a claim; the claim will be reported as unknown"
+        );
     }
 
+    /// Worker of the shard that stores the claim on a key.
     fn shard(&self, key: KeyDigest) -> &Arc<ShardWorker> {
         &self.shards[usize::from(key.shard())]
     }
 
-    /// Routers in the order in which they are asked about a key's shard; `None` stands for this one.
+    /// Routers in their order of preference as owner of a key's shard; `None` is this router.
     fn shard_owners(&self, key: KeyDigest) -> Vec<Option<SocketAddr>> {
         let placer = self.placement.placer();
         let me = placer.me();
@@ -356,7 +370,7 @@
     }
 }
 
-/// Counts a message that is being told; dropping it ends the count.
+/// Guard that counts a pending notification until it is dropped.
 struct PendingNotification<'a>(&'a AtomicUsize);
 
 impl<'a> PendingNotification<'a> {
@@ -372,7 +386,7 @@
     }
 }
 
-/// Label for the counter.
+/// Label value of a verdict in the claim counter.
 fn verdict_label(verdict: &Verdict) -> &'static str {
     match verdict {
         Verdict::Granted => "granted",
--- a/src/gateway/claim/call.rs
+++ b/src/gateway/claim/call.rs
@@ -1,4 +1,4 @@
-//! A call that may not be repeated: claims its key, runs it once, and records its answer.
+//! Non-idempotent calls with an idempotency key: claims the key, runs the call once, and records its response.
 
 use std::sync::Arc;
 
@@ -16,36 +16,36 @@
     outcome::{NotRunProof, Undispatched},
 };
 
-/// Chunks that wait for a slow caller before the backend server is held back.
+/// Number of body chunks buffered for a slow caller before backpressure stops the backend server.
 const BODY_CHANNEL_CHUNKS: usize = 8;
 
-/// A claim that is held, with what is needed to tell its end.
+/// A granted claim whose request has not been dispatched.
 pub(in crate::gateway) struct HeldClaim {
     claims: Arc<Claims>,
     key: Arc<str>,
     granted: GrantedClaim,
 }
 
-/// A claim whose request may have run.
+/// A call whose request was dispatched and may have run.
 pub(in crate::gateway) struct DispatchedCall {
     claims: Arc<Claims>,
     key: Arc<str>,
     dispatched: DispatchedClaim,
 }
 
-/// What a key's claim comes to.
+/// Outcome of a claim request.
 pub(in crate::gateway) enum ClaimOutcome {
-    /// The request may run.
+    /// The claim was granted: the request may run.
     Run(HeldClaim),
-    /// An earlier attempt ran; this is its answer.
+    /// An earlier attempt ran; this is its recorded response.
     Replay(Reply),
 }
 
 impl HeldClaim {
-    /// Asks for the claim of `engine_key`.
+    /// Requests the claim on `key`.
     ///
     /// # Errors
-    /// When the request may not run.
+    /// When the claim is refused or no verdict arrives in time.
     pub(in crate::gateway) async fn acquire(
         claims: &Arc<Claims>,
         key: &Arc<str>,
@@ -60,12 +60,13 @@
         }
     }
 
-    /// The request is handed to a connection.
+    /// Marks the request as handed to a connection.
     pub(in crate::gateway) fn dispatch(self) -> DispatchedCall {
         DispatchedCall { claims: self.claims, key: self.key, dispatched: self.granted.dispatch() }
     }
 }
 
+/// Result for a caller whose attempt was not granted the claim. Releases the claim if it may have been stored.
 fn refuse(claims: &Arc<Claims>, key: &str, refused: RefusedClaim) -> Result<ClaimOutcome, RequestError> {
     let RefusedClaim { verdict, token, release } = refused;
     if let Some(release) = release {
@@ -78,7 +79,7 @@
     token.refuse(kind, kind.answer().about).into_result()
 }
 
-/// The recorded answer of the run.
+/// Reply with the recorded response of an earlier attempt.
 fn replay(response: StoredResponse) -> Result<Reply, RequestError> {
     let Some(body) = response.body else {
         return Err(RequestError::new(ErrorKind::KeyAnswered, ErrorKind::KeyAnswered.answer().about));
@@ -90,7 +91,8 @@
 }
 
 impl DispatchedCall {
-    /// Ends a call whose attempts all failed: the claim is given back if none of them ran.
+    /// Ends a call whose attempts all failed: releases the claim if none of them ran, otherwise records the result as
+    /// unknown.
     pub(in crate::gateway) fn fail(self, error: RequestError) -> RequestError {
         match NotRunProof::from_attempts(&error) {
             Some(proof) => {
@@ -107,8 +109,8 @@
         }
     }
 
-    /// Streams the answer on and records it. The answer is read to its end also when the caller has gone away:
-    /// they come again with the key, and shall find what became of the run.
+    /// Streams the response to the caller and records it. The response is read to its end even if the caller
+    /// disconnects, so that a retry with the same key gets the result of the run.
     pub(in crate::gateway) fn relay(self, started: StartedResponse, in_flight: InFlightGuard) -> Reply {
         let StartedResponse { res, chosen, run, attempts, .. } = started;
         let (tx, rx) = body_channel(BODY_CHANNEL_CHUNKS);
@@ -144,13 +146,14 @@
             .with_header("x-attempt", &attempts.to_string())
     }
 
+    /// Reports the result of the run.
     fn record(self, record: Record) {
         let (_, finish) = self.dispatched.finish(record);
         self.claims.finish(finish, &self.key);
     }
 }
 
-/// Keeps the body as long as it is small enough.
+/// Appends a chunk to the recorded body; discards the body once it exceeds [`MAX_KEPT_BODY_BYTES`].
 fn append_body(response: &mut StoredResponse, data: &[u8]) {
     if let Some(body) = &mut response.body {
         body.extend_from_slice(data);
--- a/src/gateway/claim/closed_processes.rs
+++ b/src/gateway/claim/closed_processes.rs
@@ -1,4 +1,4 @@
-//! Starts of routers that have stopped as planned and handed the keys of their tickets over to the shards.
+//! Router processes that have shut down as planned and handed the keys of their tickets over to the shards.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -12,17 +12,19 @@
     util::{Instant, Map, now, wall_ms},
 };
 
+/// Kind of the platform object that marks a closed process.
 const KIND: &str = "ClaimTicket";
-/// How long "not closed" is taken for true, so that a burst of keys costs one read.
+/// How long the state "not closed" is cached, so that a burst of keys costs one read.
 const NOT_CLOSED_TTL: Duration = Duration::from_secs(1);
 
-/// What is known of closed starts.
+/// Closed processes, read from the platform and cached.
 #[derive(Debug)]
 pub(super) struct ClosedProcesses {
     platform: Platform,
     cache: Mutex<Map<String, CachedState>>,
 }
 
+/// Cached state of one process: when it closed, and when this was read.
 #[derive(Clone, Copy, Debug)]
 struct CachedState {
     closed_ms: Option<u64>,
@@ -34,22 +36,25 @@
         Self { platform, cache: Mutex::default() }
     }
 
-    /// Tells the fleet that a start has handed its keys over.
+    /// Publishes on the platform that a process has handed its keys over.
     pub(super) async fn publish(&self, router: &str, start: u64) {
         let metadata = Meta { name: object_name(router, start), ..Meta::default() };
         let spec = serde_json::to_value(ClaimTicket { closed_ms: wall_ms() }).unwrap_or_default();
         if let Err(e) = self.platform.put(&Object { kind: KIND.to_owned(), metadata, spec }).await {
-            spdlog::warn!("keys of tickets stay unknown after this stop: {e:#}");
+            spdlog::warn!(
+                "could not publish that this process has shut down; unused keys of its tickets will be reported as unknown: {e:#}"
+            );
         }
     }
 
-    /// Whether any router may decide on new keys of a start's tickets, as on callers' own. That ends with the tickets'
-    /// use, long before the shards forget the keys that were granted.
+    /// Whether a process has handed its keys over, so that any router may decide on its tickets' new keys as on keys
+    /// without a ticket. This ends when the tickets expire, long before the shards evict the keys that were granted.
     pub(super) async fn is_handed_over(&self, router: &str, start: u64) -> bool {
         let closed_ms = self.closed_ms(object_name(router, start)).await;
         closed_ms.is_some_and(|ms| wall_ms() < ms + TICKET_LIFETIME.as_millis() as u64)
     }
 
+    /// Time at which a process closed, from the cache or the platform; `None` if it has not or can't be read.
     async fn closed_ms(&self, name: String) -> Option<u64> {
         if let Some(cached) = lock(&self.cache).get(&name)
             && (cached.closed_ms.is_some() || now() < cached.at + NOT_CLOSED_TTL)
@@ -66,6 +71,7 @@
     }
 }
 
+/// Name of a process's object on the platform.
 fn object_name(router: &str, start: u64) -> String {
     format!("{router}-{start:016x}")
 }
--- a/src/gateway/claim/shard_worker.rs
+++ b/src/gateway/claim/shard_worker.rs
@@ -1,4 +1,5 @@
-//! Runs the book of one shard: feeds it asks, calls the platform for it, and hands its verdicts out.
+//! Worker of one claim shard: passes claim requests to [`ShardClaims`], performs its platform calls and delivers its
+//! verdicts.
 
 use std::{
     sync::{Arc, Mutex},
@@ -18,13 +19,13 @@
     util::Map,
 };
 
-/// How often a book without anything to do is looked at, to forget what is old.
+/// Maximum time between two passes of an idle worker, which remove expired state.
 const MAX_IDLE_WAIT: Duration = Duration::from_secs(60);
 
-/// How often a book that is being settled is looked at.
+/// Interval at which a flush checks whether the shard is idle.
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The book of one shard.
+/// Worker of one shard.
 #[derive(Debug)]
 pub(super) struct ShardWorker {
     name: String,
@@ -49,7 +50,7 @@
         Arc::new(Self { name, platform, state: Mutex::new(state), changed: Notify::new() })
     }
 
-    /// Asks for a claim and waits for the verdict.
+    /// Requests a claim and waits for the verdict.
     pub(super) async fn request_claim(self: &Arc<Self>, req: ClaimRequest) -> Verdict {
         let rx = {
             let mut state = lock(&self.state);
@@ -66,17 +67,19 @@
         rx.await.unwrap_or(Verdict::Unavailable)
     }
 
+    /// Stores the result of a granted attempt; see [`ShardClaims::finish`].
     pub(super) fn finish(self: &Arc<Self>, req: &ClaimRequest, record: Record, authority: bool) {
         lock(&self.state).claims.finish(Clock::read(), req, record, authority);
         self.wake();
     }
 
+    /// Releases the claim of an attempt that has not run and never will.
     pub(super) fn release(self: &Arc<Self>, key: KeyDigest, attempt: AttemptId) {
         lock(&self.state).claims.release(Clock::read(), key, attempt);
         self.wake();
     }
 
-    /// Waits until all is written that is known here.
+    /// Waits until all claims and records in memory are written.
     pub(super) async fn flush(self: &Arc<Self>) {
         if !lock(&self.state).is_running {
             return;
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Starts the task that calls the platform, with the first use of the shard.
+    /// Wakes the task that calls the platform; starts it on first use of the shard.
     fn wake(self: &Arc<Self>) {
         self.changed.notify_one();
         if !std::mem::replace(&mut lock(&self.state).is_running, true) {
@@ -96,6 +99,7 @@
         }
     }
 
+    /// Performs platform calls one at a time, and waits while there are none.
     async fn run(self: Arc<Self>) {
         loop {
             let op = {
@@ -116,14 +120,16 @@
         }
     }
 
+    /// Waits until a change or the next scheduled operation.
     async fn wait(&self) {
         let wake_at = lock(&self.state).claims.wake_at();
         let pause = wake_at.map_or(MAX_IDLE_WAIT, |at| at.saturating_sub(Clock::read().now));
-        // A due wake-up that finds nothing to do must not spin.
+        // Avoids a busy loop if the wake-up time has passed without an operation being due.
         let pause = pause.max(Duration::from_millis(1));
         let _ = tokio::time::timeout(pause, self.changed.notified()).await;
     }
 
+    /// Performs one platform call.
     async fn call(&self, op: Op) -> OpResult {
         let read = |kind: &'static str, name: String| async move {
             match self.platform.get(kind, &name).await {
@@ -141,6 +147,7 @@
 }
 
 impl State {
+    /// Delivers verdicts to the waiting requests.
     fn send_verdicts(&mut self, verdicts: Vec<(WaiterId, Verdict)>) {
         for (id, verdict) in verdicts {
             if let Some(tx) = self.waiters.remove(&id) {
--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/entry`: which routers a caller should use.
+//! `GET /v1/entry`: lists the routers that a caller should use.
 
 use std::net::SocketAddr;
 
@@ -13,6 +13,7 @@
 };
 
 impl Gateway {
+    /// Answers an entry query.
     pub(super) fn entry(&self, text: &str) -> Result<Reply, RequestError> {
         let query = Query::parse(text, &self.me, rand::random())
             .map_err(|e| RequestError::new(ErrorKind::BadRequest, e.to_string()))?;
@@ -26,8 +27,8 @@
         Ok(Reply::json(200, &serde_json::json!({ "addresses": addresses, "keep_s": keep_s })))
     }
 
-    /// Where the owner of the engine listens on which a chat of the query starts. A caller that goes there spares its
-    /// first request the reservation at another router.
+    /// Address of the router that owns the first-choice engine of the query's chat. A caller that connects to that router
+    /// saves the reservation at another router for its first request.
     fn first_owner(&self, query: &Query) -> Option<SocketAddr> {
         if query.data_centre != self.me.data_centre {
             return None;
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -1,4 +1,4 @@
-//! Finds an engine for a chat and holds work on it, over the routers that own the engines.
+//! Placement: finds an engine for a chat and reserves work on it with the router that owns the engine.
 
 use std::{
     sync::{
@@ -34,20 +34,20 @@
     util::{Instant, Map, now, wall_ms},
 };
 
-/// An owner that does not answer within this time is passed by.
+/// An owner that does not answer within this time is marked as unreachable, and the search goes on.
 const RESERVE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Engines asked for their load at the same time.
+/// Maximum number of engines whose load is fetched concurrently.
 const MAX_CONCURRENT_LOAD_FETCHES: usize = 16;
-/// Pause before engines whose load is not settled are asked again.
+/// Time between two fetches from engines whose load is not known yet.
 const LOAD_FETCH_INTERVAL: Duration = Duration::from_secs(1);
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long ended reservations wait to be told to their owner together.
+/// Interval at which ended reservations are released at their owners, in one batch per owner.
 pub(crate) const RELEASE_INTERVAL: Duration = Duration::from_millis(250);
 const REFUSED_AT_BOUND: u32 = 0;
 const REFUSED_UNAVAILABLE: u32 = 1;
 const REFUSED_NOT_OWNER: u32 = 2;
 
-/// Placement in a running router.
+/// Placement state of a running router, with the reservations that it holds.
 #[derive(Debug)]
 pub(crate) struct Placement {
     me: Id,
@@ -56,39 +56,40 @@
     hints: HintKey,
     metrics: Arc<Metrics>,
     next_number: AtomicU64,
-    /// Reservations of this router, here and at other owners.
+    /// Reservations that this router holds, by number, at itself and at other owners.
     reservations: Mutex<Map<u64, HeldReservation>>,
-    /// Ended reservations by owner, not yet told.
+    /// Numbers of ended reservations that have not been released at their owners yet, by owner.
     pending_releases: Mutex<Map<Id, Vec<u64>>>,
 }
 
+/// A reservation and the router that granted it.
 #[derive(Clone, Copy, Debug)]
 struct HeldReservation {
     owner: Id,
     req: ReservationRequest,
 }
 
-/// Why no engine was found.
+/// Why a chat could not be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlacementError {
-    /// Every engine in use carries as much as the bound allows.
+    /// Every available engine is at its load bound.
     AtBound,
-    /// No engine of the pool is in use.
+    /// No engine of the pool is available.
     NoneAvailable,
 }
 
-/// An engine found for a request, with work held on it until the slot is dropped.
+/// A chat placed on an engine, with work reserved there until the guard is dropped.
 #[derive(Debug)]
 pub(crate) struct PlacedChat {
     pub(crate) engine: EngineKey,
     pub(crate) guard: ReservationGuard,
-    /// Hint to return with the answer.
+    /// Placement hint to return with the answer.
     pub(crate) hint: String,
-    /// Router that a later request of this chat does best to go to.
+    /// Router to which the caller should send the chat's next request.
     pub(crate) next_router: Option<std::net::SocketAddr>,
 }
 
-/// Work held on an engine; dropping it ends the reservation, also when a caller goes away midway.
+/// Guard of a reservation; dropping it ends the reservation, including when the caller disconnects.
 #[derive(Debug)]
 pub(crate) struct ReservationGuard {
     placement: Arc<Placement>,
@@ -97,11 +98,11 @@
 }
 
 impl ReservationGuard {
-    /// Ends the work.
-    #[allow(dead_code, reason = "the request path drops its slots")]
+    /// Ends the reservation.
+    #[allow(dead_code, reason = "the request path drops its guards")]
     pub(crate) fn close(self) {}
 
-    /// Gives up a slot whose reservation was refused.
+    /// Drops the guard of a reservation that was refused, so that there is nothing to end.
     fn disarm(mut self) {
         self.disarmed = true;
     }
@@ -143,6 +144,7 @@
         lock(&self.placer)
     }
 
+    /// Ends a reservation: at once if this router is the owner, otherwise with the next batch of releases.
     fn end_reservation(&self, number: u64) {
         let Some(held) = lock(&self.reservations).remove(&number) else { return };
         if held.owner == self.me {
@@ -156,14 +158,14 @@
         lock(&self.reservations).insert(req.reservation.number, HeldReservation { owner, req });
     }
 
-    /// Reserves at the owner, which is this router or another.
+    /// Reserves work on an engine; `owner` is `None` for this router. Returns the engine if granted.
     async fn reserve(&self, cat: &Catalog, req: ReservationRequest, owner: Option<&Member>) -> Option<Id> {
         let Some(owner) = owner else {
             let grant = self.placer().reserve(cat, &req, now()).ok()?;
             self.insert_reservation(self.me, ReservationRequest { engine: Some(grant.engine), ..req });
             return Some(grant.engine);
         };
-        let answer = self.reserve_at(req, owner).await;
+        let answer = self.reserve_remotely(req, owner).await;
         if answer.is_none() {
             self.metrics.retry("owner_unreachable");
             self.placer().mark_unreachable(owner.id, now());
@@ -171,7 +173,8 @@
         answer?.ok()
     }
 
-    async fn reserve_at(&self, req: ReservationRequest, owner: &Member) -> Option<Result<Id, Refusal>> {
+    /// Reserves work at another router; `None` if it does not answer.
+    async fn reserve_remotely(&self, req: ReservationRequest, owner: &Member) -> Option<Result<Id, Refusal>> {
         let number = req.reservation.number;
         self.insert_reservation(owner.id, req);
         let body = Body::Reserve(to_wire(&req, false));
@@ -188,7 +191,8 @@
                 self.insert_reservation(owner.id, ReservationRequest { engine: Some(Id(engine)), ..req });
                 Some(Ok(Id(engine)))
             }
-            // The reservation may have been made, and its answer lost: it is ended like one that was granted.
+            // The owner may have granted the reservation although its answer was lost, so it is released like a granted
+            // one.
             _ => {
                 self.end_reservation(number);
                 None
@@ -196,7 +200,7 @@
         }
     }
 
-    /// Answers another router's reservation.
+    /// Answers another router's reservation request.
     pub(crate) fn serve_reserve(&self, cat: &Catalog, msg: &Reserve) -> Reserved {
         let req = from_wire(msg);
         let mut placer = self.placer();
@@ -217,17 +221,17 @@
         }
     }
 
-    /// Ends reservations of another router.
+    /// Releases reservations of another router.
     pub(crate) fn serve_release(&self, msg: &Release) {
         self.placer().release(Id(msg.router), msg.numbers.iter().copied(), now());
     }
 
-    /// Tells owners of ended reservations; those that could not be told are told again.
+    /// Releases ended reservations at their owners; failed releases are retried on the next call.
     pub(crate) async fn send_releases(&self) {
         let ended = std::mem::take(&mut *lock(&self.pending_releases));
         for (owner, numbers) in ended {
             let peer = self.placer().members().list().iter().find(|m| m.id == owner).map(|m| m.peer);
-            // An owner that has gone has forgotten its reservations.
+            // An owner that left the membership has lost its reservations, so there is nothing to release.
             let Some(peer) = peer else { continue };
             let body = Body::Release(Release { router: self.me.0, numbers: numbers.clone() });
             if self.links.call(peer, body, RELEASE_TIMEOUT).await.is_err() {
@@ -236,6 +240,7 @@
         }
     }
 
+    /// Fetches and records the load reports of engines.
     async fn fetch_loads(&self, client: &Client, engines: impl Iterator<Item = &Engine>) {
         let fetches: Vec<_> = engines
             .map(|engine| {
@@ -251,7 +256,7 @@
         }
     }
 
-    /// Sets the routers, makes work known to the new owners of its engines and ends it at the former ones.
+    /// Sets the live routers, and moves this router's reservations to the new owners of their engines.
     pub(crate) async fn set_members(&self, cat: &Catalog, list: Vec<Member>) {
         self.placer().set_members(list, now());
         let moved = self.reassign_reservations(cat);
@@ -262,13 +267,14 @@
             }
             let body = Body::Reserve(to_wire(&req, true));
             if self.links.call(owner.peer, body, RESERVE_TIMEOUT).await.is_err() {
-                spdlog::debug!("a new owner could not be told of work that runs");
+                spdlog::debug!("the new owner of an engine could not be notified of a running request");
             }
         });
         join_all(notifications).await;
     }
 
-    /// Work whose engine has a new owner. The former owner is told of its end, or it would count it for ever.
+    /// Assigns reservations to the new owners of their engines, and returns those that changed owner. They are released
+    /// at the former owner, which would otherwise count them forever.
     fn reassign_reservations(&self, cat: &Catalog) -> Vec<(Member, ReservationRequest)> {
         let mut moved = Vec::new();
         let mut held = lock(&self.reservations);
@@ -293,14 +299,14 @@
         moved
     }
 
-    /// Forgets what is out of date.
+    /// Removes expired placement state.
     pub(crate) fn expire(&self, cat: &Catalog) {
         self.placer().expire(cat, now());
     }
 }
 
 impl Gateway {
-    /// Finds an engine for a chat and holds work on it.
+    /// Finds an engine for a chat and reserves work on it; `exclude` lists engines that must not be used.
     pub(super) async fn place(
         &self,
         cat: &Catalog,
@@ -308,36 +314,38 @@
         info: &RequestInfo,
         exclude: impl IntoIterator<Item = Id>,
     ) -> Result<PlacedChat, PlacementError> {
-        let place = &self.placement;
-        let hint = info.hint.as_deref().and_then(|text| place.hints.verify(info.chat_id(), text));
+        let placement = &self.placement;
+        let hint = info.hint.as_deref().and_then(|text| placement.hints.verify(info.chat_id(), text));
         let mut search =
-            Search::new(&place.placer(), cat, pool, info.chat_id().hash(), hint.as_ref(), exclude);
+            Search::new(&placement.placer(), cat, pool, info.chat_id().hash(), hint.as_ref(), exclude);
         loop {
-            let step = search.next(&mut place.placer(), cat, pool, now());
+            let step = search.next(&mut placement.placer(), cat, pool, now());
             let Some(step) = step else { break };
-            // The slot exists before the owner is asked: a caller that goes away midway ends what was granted.
-            let number = place.next_number.fetch_add(1, Ordering::Relaxed);
-            let guard = ReservationGuard { placement: place.clone(), number, disarmed: false };
+            // The guard is created before the request to the owner: if the caller disconnects meanwhile, a reservation
+            // that was granted is released.
+            let number = placement.next_number.fetch_add(1, Ordering::Relaxed);
+            let guard = ReservationGuard { placement: placement.clone(), number, disarmed: false };
             let req = ReservationRequest {
-                reservation: ReservationId { router: place.me, number },
+                reservation: ReservationId { router: placement.me, number },
                 engine: step.engine.map(|c| c.id),
                 pool: pool.id,
                 work: info.work,
                 above_mean: step.above_mean,
             };
-            let Some(granted) = place.reserve(cat, req, step.owner.as_ref()).await else {
+            let Some(granted) = placement.reserve(cat, req, step.owner.as_ref()).await else {
                 if step.engine.is_some_and(|c| c.cached > 0) {
                     self.metrics.add(Counter::Placements, "cached_refused", 1);
                 }
                 guard.disarm();
                 continue;
             };
-            // An owner that chooses for itself knows neither which engines have failed this request nor, where its
-            // configuration is newer, the pool as it is here. The slot is dropped, which ends the reservation.
+            // An owner that chooses the engine itself does not know on which engines this request has failed, and its
+            // configuration may have a newer version of the pool. In that case the guard is dropped, which ends the
+            // reservation.
             let Some(engine) = pool.member(granted).filter(|_| !search.excludes(granted)) else { continue };
             self.metrics.add(Counter::Placements, placement_label(step.engine), 1);
             let placed = self.placed_chat(cat, info, &search, hint, engine, guard);
-            let transfer_source = search.transfer_source(&place.placer(), pool, engine);
+            let transfer_source = search.transfer_source(&placement.placer(), pool, engine);
             if let Some((from, tokens)) = transfer_source {
                 self.transfer_cache(cat, info.chat_id(), from, engine, tokens).await;
             }
@@ -346,6 +354,7 @@
         if search.any_available() { Err(PlacementError::AtBound) } else { Err(PlacementError::NoneAvailable) }
     }
 
+    /// Records that the chat will be cached on the engine, and signs the new placement hint.
     fn placed_chat(
         &self,
         cat: &Catalog,
@@ -370,7 +379,7 @@
         PlacedChat { engine: key, guard, hint, next_router }
     }
 
-    /// Moves a chat's cached context to the engine that answers next, unless computing it again is quicker.
+    /// Transfers a chat's KV cache to the engine that answers next, unless recomputing it is faster.
     async fn transfer_cache(
         &self,
         cat: &Catalog,
@@ -389,7 +398,7 @@
             client(to).import_kv(chat, kv).await?;
             anyhow::Ok(true)
         };
-        // Beyond the time that computing takes, the transfer gains nothing; the request then goes on without.
+        // A transfer that takes longer than recomputing gains nothing; the request then continues without it.
         let label = match tokio::time::timeout(costs.recompute_time(tokens), transfer).await {
             Ok(Ok(true)) => "kv_moved",
             Ok(Ok(false)) => "kv_gone",
@@ -399,49 +408,49 @@
         self.metrics.add(Counter::Placements, label, 1);
     }
 
-    /// Notes that an engine can't be reached.
+    /// Marks an engine as unreachable.
     pub fn mark_engine_down(&self, engine: &str) {
         self.placement.placer().health.mark_down(Id::of(engine), now());
     }
 
-    /// Notes that an engine is leaving, from whatever source; it gets no new work from now on.
+    /// Marks an engine as leaving; it gets no new work until it restarts.
     pub fn mark_engine_leaving(&self, engine: &str) {
         self.placement.placer().health.mark_leaving(Id::of(engine));
     }
 
-    /// Notes an engine's load report, which also says that it lives.
+    /// Records an engine's load report, which also marks the engine as reachable.
     pub fn record_engine_load(&self, engine: &str, load: &Load) {
         self.placement.placer().record_load(Id::of(engine), load, now());
     }
 
-    /// Notes an engine's cache events.
+    /// Records an engine's cache events.
     pub fn record_cache_events(&self, engine: &str, events: &CacheEvents) {
         self.placement.placer().record_cache_events(Id::of(engine), events);
     }
 
-    /// Notes what a router says of the load of its engines in a pool.
+    /// Records another router's load digest for a pool.
     pub fn record_load_digest(&self, source: Id, pool: Id, digest: LoadDigest, at: Instant) {
         self.placement.placer().record_digest(source, pool, digest, at);
     }
 
-    /// Loads of this router's engines by pool, to be told to the other routers about once a second.
+    /// Load digests of this router's engines by pool, gossiped to the other routers about once a second.
     pub fn load_digests(&self) -> Vec<(Id, LoadDigest)> {
         let cat = self.catalog();
         let mut placer = self.placement.placer();
         cat.pools().map(|pool| (pool.id, placer.digest(&cat, pool, now()))).collect()
     }
 
-    /// Sets the live routers, among which the engines are shared out.
+    /// Sets the live routers, among which the engines are distributed.
     pub async fn set_members(&self, list: Vec<Member>) {
         let cat = read(&self.catalog).clone();
         self.placement.set_members(&cat, list).await;
         self.start_load_fetch(&cat);
     }
 
-    /// Asks the engines that this router has come to own for their load, in the background.
+    /// Starts a background task that fetches the load of engines that this router newly owns.
     ///
-    /// Until an engine has reported, its new owner takes it to carry the mean already. Probes come only every few
-    /// seconds; after a start of the whole fleet, every engine would stand at its bound with one request until then.
+    /// Until an engine has reported its load, its new owner assumes the mean load. Probes run only every few seconds;
+    /// after a start of the whole fleet, one request would fill each engine up to its bound until the first probe.
     fn start_load_fetch(&self, cat: &Arc<Catalog>) {
         let mut task = lock(&self.load_fetch_task);
         if task.as_ref().is_some_and(|running| !running.is_finished()) {
@@ -461,7 +470,7 @@
     }
 }
 
-/// Label of a placement: on an engine believed to cache the chat, by rank, or on any with room.
+/// Metric label of a placement: on an engine that probably has the chat cached, by rank, or on any with room.
 fn placement_label(engine: Option<Candidate>) -> &'static str {
     match engine {
         Some(candidate) if candidate.cached > 0 => "cached",
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Relays an answer from a backend server to the caller.
+//! Relays responses of backend servers to callers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,10 +16,10 @@
 
 use events::{EVENT_CHANNEL_CAPACITY, RelayedStream, StreamEnd};
 
-/// Longest time between two chunks of a body before it is given up.
+/// Maximum time between two chunks of a body; after that the connection is treated as failed.
 pub(super) const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Streams the response's body on, holding the engine and the workspace's count until its end.
+/// Streams a response's body to the caller. The reservation and the workspace's count are held until its end.
 pub(super) fn relay(started: StartedResponse, in_flight: InFlightGuard) -> Reply {
     let StartedResponse { res, chosen, run, attempts, .. } = started;
     let (tx, rx) = body_channel(EVENT_CHANNEL_CAPACITY);
@@ -51,7 +51,7 @@
         .with_header("x-attempt", &attempts.to_string())
 }
 
-/// Passes an engine's event stream on; any other answer goes by [`relay`].
+/// Relays an engine's event stream, with resumption after connection failures; any other response goes to [`relay`].
 pub(super) fn relay_events(
     started: StartedResponse,
     in_flight: InFlightGuard,
--- a/src/gateway/relay/events.rs
+++ b/src/gateway/relay/events.rs
@@ -1,5 +1,5 @@
-//! Relays an event stream of an engine: checks each event's identifier, resumes after a broken connection, and
-//! cancels when the caller goes away.
+//! Relays an event stream of an engine: checks the ID of each event, resumes the stream after a connection failure, and
+//! cancels it when the caller disconnects.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,27 +20,29 @@
     stream::{EventAction, StreamTracker},
 };
 
-/// Events that wait for a slow caller before the engine's stream is held back.
+/// Number of events buffered for a slow caller before backpressure stops the engine's stream.
 pub(in crate::gateway) const EVENT_CHANNEL_CAPACITY: usize = 8;
-/// Longest time between two events, the first included, before the connection is given up.
+/// Maximum time until the first event and between two events; after that the connection is treated as failed.
 const EVENT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often a caller who waits gets a comment. A server learns that a caller has gone only when it writes to them,
-/// so that an engine which is slow to answer would go on for nobody.
+/// Interval at which a waiting caller is sent a comment. A server notices that a caller has disconnected only when it
+/// writes, so without comments a slow engine would continue to work for an absent caller.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEP_ALIVE_COMMENT: &[u8] = b": waiting\n\n";
-/// Connections without any new event before the stream is given up.
+/// Number of consecutive connections without a new event after which the stream is cut.
 const MAX_EMPTY_CONNECTIONS: u32 = 3;
+/// Delay between two cancellations, and before a reconnection for each connection without a new event.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Maximum number of attempts to cancel a stream on the engine.
 const CANCEL_ATTEMPTS: u32 = 3;
 
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::gateway) enum StreamEnd {
-    /// With the final marker, all of it passed on.
+    /// All events were forwarded, including the final marker.
     Complete,
-    /// The caller went away; the engine was told.
+    /// The caller disconnected, and the stream was cancelled on the engine.
     Cancelled,
-    /// It could not be resumed; the caller's connection was cut.
+    /// The stream could not be resumed, and the caller's connection was cut.
     Cut,
 }
 
@@ -54,7 +56,7 @@
     }
 }
 
-/// One stream between an engine and a caller.
+/// Event stream that is relayed from an engine to a caller.
 pub(in crate::gateway) struct RelayedStream {
     pub(in crate::gateway) engine: EngineClient,
     pub(in crate::gateway) attempt_id: Arc<str>,
@@ -63,15 +65,15 @@
     pub(in crate::gateway) metrics: Arc<Metrics>,
 }
 
-/// Why reading a connection stopped.
+/// Why reading from a connection stopped.
 enum ConnectionEnd {
     Finished(StreamEnd),
     Reconnect,
 }
 
 impl RelayedStream {
-    /// Passes the stream on to its end. A stream that can't be completed cuts the caller's connection: without
-    /// the final marker and without an ordinary end it never looks complete.
+    /// Relays the stream to its end. If the stream can't be completed, the caller's connection is cut: without the final
+    /// marker and a regular end of the body, the caller can't mistake the stream for a complete one.
     pub(in crate::gateway) async fn run(mut self, first: Response<Incoming>) -> StreamEnd {
         let ended = self.relay_all(first).await;
         self.count(ended.as_str());
@@ -83,6 +85,7 @@
         ended
     }
 
+    /// Relays the stream over as many connections as needed.
     async fn relay_all(&mut self, first: Response<Incoming>) -> StreamEnd {
         let mut empty_connections = 0;
         let mut next = Some(first);
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Opens the stream again at the offset reached; `Ok(None)` when another try makes sense.
+    /// Resumes the stream at the next expected offset; `Ok(None)` if the engine is unreachable and may be tried again.
     async fn reconnect(&self) -> Result<Option<Response<Incoming>>, StreamEnd> {
         if self.tx.is_closed() {
             return Err(StreamEnd::Cancelled);
@@ -115,15 +118,16 @@
         self.count("resumed");
         match self.engine.resume(&self.attempt_id, self.tracker.next()).await {
             Ok(res) if res.status() == 200 => Ok(Some(res)),
-            // The engine has lost the stream, as after a crash.
+            // The engine no longer has the stream, for example after a crash.
             Ok(_) => Err(StreamEnd::Cut),
             Err(Failure::Connect | Failure::Broken) => Ok(None),
         }
     }
 
+    /// Relays events from one connection.
     async fn relay_connection(&mut self, res: Response<Incoming>) -> ConnectionEnd {
         if header(res.headers(), REQUEST_ID).is_some_and(|id| id != &*self.attempt_id) {
-            // The answer to another request came over this connection.
+            // The connection delivered the response to another request.
             self.count("crossed");
             return ConnectionEnd::Reconnect;
         }
@@ -162,7 +166,7 @@
         }
     }
 
-    /// Next event; `None` when the caller has gone away.
+    /// Waits for the next event while sending keep-alive comments; `None` if the caller has disconnected.
     async fn next(&self, answer: &mut Answer) -> Option<Result<Sse, Broken>> {
         let mut next = std::pin::pin!(answer.next());
         loop {
@@ -170,19 +174,20 @@
                 event = &mut next => return Some(event),
                 () = self.tx.closed() => return None,
                 () = tokio::time::sleep(KEEP_ALIVE_INTERVAL) => {
-                    // A full channel means that the caller has events to read.
+                    // If the channel is full, the caller has events to read and needs no comment.
                     let _ = self.tx.try_send(Bytes::from_static(KEEP_ALIVE_COMMENT));
                 }
             }
         }
     }
 
-    /// Waits for a slow caller, which holds the engine's connection back.
+    /// Forwards an event. Waits while the caller is slow, which applies backpressure to the engine.
     async fn send(&self, event: Sse) -> Result<(), Gone> {
         let bytes: Bytes = event.encode().map_err(|_| Gone)?;
         self.tx.send(bytes).await
     }
 
+    /// Cancels the stream on the engine.
     async fn cancel(&self) {
         for _ in 0..CANCEL_ATTEMPTS {
             if self.engine.cancel(&self.attempt_id).await.is_ok() {
@@ -197,7 +202,7 @@
     }
 }
 
-/// Labels apart from those of a stream's end.
+/// Label value of a broken answer, distinct from those of [`StreamEnd`].
 fn broken_label(broken: Broken) -> &'static str {
     match broken {
         Broken::Cut => "broken",
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! What a request asks, from its head and body.
+//! Parses the head and body of a request into the fields that routing needs.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,41 +13,42 @@
     util::{Instant, random_id},
 };
 
+/// Time for the whole answer if the request has no `x-deadline-ms` header.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 const MAX_DEADLINE_MS: u64 = 600_000;
 const MAX_PRIOR_ATTEMPTS: u64 = 1_000;
-/// Longest identifier that a header may carry, in bytes.
+/// Maximum length of a header value other than the placement hint.
 const MAX_VALUE_BYTES: usize = 256;
 const MAX_HINT_BYTES: usize = 4096;
 
-/// The fields of a request that the request path needs.
+/// Fields of a request that admission, placement and dispatch need.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestInfo {
-    /// Name of the request, random and so its own; the answer carries it.
+    /// Random ID of the request, returned with the answer.
     pub(crate) id: Arc<str>,
     pub(crate) workspace: Arc<str>,
     pub(crate) chat: Arc<str>,
-    /// Model; empty for a call to a plain service.
+    /// Requested model; empty for a call to a plain service.
     pub(crate) model: Arc<str>,
     pub(crate) hint: Option<Arc<str>>,
-    /// Expected tokens, prompt and output.
+    /// Expected tokens, prompt plus output.
     pub(crate) work: Work,
     pub(crate) priority: Priority,
-    /// When the whole answer is due.
+    /// Time by which the whole answer is due.
     pub(crate) deadline: Instant,
-    /// Attempts made before this router got the request.
+    /// Attempts made before the request reached this router.
     pub(crate) prior_attempts: u32,
     pub(crate) key: Option<Arc<str>>,
     pub(crate) content: Fingerprint,
-    /// Whether it goes to a model engine, not to a plain service.
+    /// Whether the request goes to a model engine rather than to a plain service.
     pub(crate) is_chat: bool,
 }
 
 impl RequestInfo {
-    /// Reads the head and the body of a chat request.
+    /// Parses a chat request.
     ///
     /// # Errors
-    /// When a header has no allowed value or the body is no JSON object.
+    /// When a header has an invalid value or the body is not a JSON object.
     pub(crate) fn chat(
         id: &str,
         headers: &HeaderMap,
@@ -56,11 +57,11 @@
     ) -> Result<Self, RequestError> {
         let size = body.len();
         let body: serde_json::Map<String, serde_json::Value> = serde_json::from_slice(body)
-            .map_err(|e| bad_request(format!("the body is no JSON object: {e}")))?;
+            .map_err(|e| bad_request(format!("the body is not a JSON object: {e}")))?;
         let model = match body.get("model") {
             Some(serde_json::Value::String(model)) => model.as_str(),
             None => "",
-            Some(_) => return Err(bad_request("`model` is no text")),
+            Some(_) => return Err(bad_request("`model` is not a string")),
         };
         let max_tokens = body.get("max_tokens").and_then(|n| n.as_u64());
         let max_tokens = max_tokens.map(|n| u32::try_from(n).unwrap_or(u32::MAX));
@@ -71,10 +72,10 @@
         })
     }
 
-    /// Reads the head of a call to a plain service.
+    /// Parses a call to a plain service.
     ///
     /// # Errors
-    /// When a header has no allowed value.
+    /// When a header has an invalid value.
     pub(crate) fn call(
         id: &str,
         headers: &HeaderMap,
@@ -114,12 +115,12 @@
         })
     }
 
-    /// Whose chat it is, and which.
+    /// Identifies the chat across workspaces.
     pub(crate) fn chat_id(&self) -> ChatId<'_> {
         ChatId { workspace: &self.workspace, chat: &self.chat }
     }
 
-    /// What admission needs to know.
+    /// Properties of the request that admission depends on.
     pub(crate) fn demand(&self) -> Demand {
         Demand {
             workspace: self.workspace.clone(),
@@ -130,6 +131,7 @@
     }
 }
 
+/// Value of the `x-priority` header.
 fn priority(headers: &HeaderMap) -> Result<Priority, RequestError> {
     let Some(name) = text_header(headers, "x-priority", MAX_VALUE_BYTES)? else {
         return Ok(Priority::default());
@@ -140,6 +142,7 @@
     })
 }
 
+/// Value of a header that must be a number in `range`.
 fn number_header(
     headers: &HeaderMap,
     name: &str,
@@ -153,7 +156,7 @@
     Ok(Some(number))
 }
 
-/// A header that may stand once, with text of at most `max_bytes` bytes; an empty one counts as absent.
+/// Value of a header that may occur at most once and has at most `max_bytes` bytes; `None` if absent or empty.
 fn text_header<'a>(
     headers: &'a HeaderMap,
     name: &str,
@@ -162,9 +165,9 @@
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        return Err(bad_request(format!("header {name} stands more than once")));
+        return Err(bad_request(format!("header {name} is given more than once")));
     }
-    let value = value.to_str().map_err(|_| bad_request(format!("header {name} is no plain text")))?;
+    let value = value.to_str().map_err(|_| bad_request(format!("header {name} is not plain text")))?;
     if value.len() > max_bytes {
         return Err(bad_request(format!("header {name} is longer than {max_bytes} bytes")));
     }
@@ -175,7 +178,7 @@
     RequestError::new(ErrorKind::BadRequest, message)
 }
 
-/// A header's value, if it is text.
+/// Value of a header, if it is text.
 pub(crate) fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|v| v.to_str().ok())
 }
--- a/src/gateway/resume.rs
+++ b/src/gateway/resume.rs
@@ -1,4 +1,4 @@
-//! `/v1/resume`: goes on with a stream whose router is gone.
+//! `/v1/resume`: resumes a stream after the router that relayed it has failed.
 
 use std::sync::Arc;
 
@@ -20,13 +20,13 @@
     util::wall_ms,
 };
 
-/// Header with the token.
+/// Header that carries the resume token.
 pub(super) const RESUME_TOKEN_HEADER: &str = "x-resume-token";
-/// How long a token may be used.
+/// Time after which a resume token expires.
 const TOKEN_LIFETIME_MS: u64 = 600_000;
 
 impl Gateway {
-    /// Token for the stream of `attempt_id` at an engine.
+    /// Creates a resume token for the stream of an attempt on an engine.
     pub(super) fn resume_token(
         &self,
         request: &str,
@@ -41,21 +41,22 @@
         })
     }
 
-    /// Goes on with a stream after the last event that the caller has.
+    /// Resumes a stream after the last event that the caller has received.
     pub(super) async fn resume(&self, req: Request<Bytes>) -> Result<Reply, RequestError> {
         let unknown = |message: &str| RequestError::new(ErrorKind::ResumeUnknown, message);
         let text = header(req.headers(), RESUME_TOKEN_HEADER).ok_or_else(|| unknown("no resume token"))?;
         let token = self.resume_key.verify(text, wall_ms()).map_err(|e| match e {
-            BadToken::Forged => unknown("the resume token was not made by this fleet"),
-            BadToken::Expired => RequestError::new(ErrorKind::ResumeGone, "the resume token is too old"),
+            BadToken::Forged => unknown("the resume token was not signed by this fleet"),
+            BadToken::Expired => RequestError::new(ErrorKind::ResumeGone, "the resume token has expired"),
         })?;
         if header(req.headers(), "x-workspace") != Some(&token.workspace) {
             return Err(unknown("the resume token belongs to another workspace"));
         }
-        let from =
-            resume_offset(&req, &token).ok_or_else(|| unknown("the last event is not of this stream"))?;
+        let from = resume_offset(&req, &token)
+            .ok_or_else(|| unknown("the last event does not belong to this stream"))?;
         let gone = |message: &str| RequestError::new(ErrorKind::ResumeGone, message);
-        let addr = token.engine.parse().map_err(|_| unknown("the resume token names no engine"))?;
+        let addr =
+            token.engine.parse().map_err(|_| unknown("the resume token contains no valid engine address"))?;
         if !self.catalog().engines().any(|(_, e)| e.addr == addr) {
             return Err(gone("the engine is no longer configured"));
         }
@@ -63,7 +64,7 @@
         let res = match engine.resume(&token.request, from).await {
             Ok(res) if res.status() == 200 => res,
             Ok(_) => return Err(gone("the engine no longer has the stream")),
-            Err(Failure::Connect | Failure::Broken) => return Err(gone("the engine can't be reached")),
+            Err(Failure::Connect | Failure::Broken) => return Err(gone("the engine is unreachable")),
         };
         let attempt_id: Arc<str> = token.request.into();
         let (tx, rx) = body_channel(EVENT_CHANNEL_CAPACITY);
@@ -77,7 +78,7 @@
     }
 }
 
-/// Offset after the event in `last-event-id`; the start where the caller has none.
+/// Offset after the event in the `last-event-id` header; 0 if there is none.
 fn resume_offset(req: &Request<Bytes>, token: &ResumeToken) -> Option<Offset> {
     let Some(last_id) = header(req.headers(), "last-event-id") else { return Some(0) };
     let id: EventId = last_id.parse().ok()?;
--- a/src/gateway/service.rs
+++ b/src/gateway/service.rs
@@ -1,4 +1,4 @@
-//! `/services/<name>/…`: routes a call to a plain service.
+//! `/services/<name>/…`: routes calls to plain services.
 
 use bytes::Bytes;
 use http::{Method, Request, Response};
@@ -21,10 +21,11 @@
     util::now,
 };
 
-/// Headers of the caller that a backend server gets.
+/// Request headers that are forwarded to the backend server.
 const FORWARDED_HEADERS: [&str; 4] = ["accept", "content-type", "idempotency-key", "x-workspace"];
 
 impl Gateway {
+    /// Handles a call to a plain service.
     pub(super) async fn service(&self, req: Request<Bytes>, id: &str) -> Result<Reply, RequestError> {
         let path = req.uri().path();
         let rest = path.strip_prefix("/services/").unwrap_or(path);
@@ -80,12 +81,12 @@
     }
 }
 
-/// Whether a call may run twice.
+/// Whether a call is idempotent, so that it may run twice.
 ///
-/// A booking on a path that nobody has listed would otherwise be made twice when its connection breaks, so a method
-/// that is not idempotent by its definition is repeated only where the service's configuration allows it. A path
-/// that a backend server may read differently than it stands here, such as an escaped one, could hide a call that may
-/// not be repeated, and is not repeated either.
+/// Methods that are not idempotent by definition count as idempotent only on paths that the service's configuration
+/// lists. Otherwise a booking on an unlisted path would be made twice when its connection fails. A path that a backend
+/// server may interpret differently, such as an escaped one, could hide a non-idempotent call and counts as
+/// non-idempotent too.
 fn is_idempotent(service: &Service, method: &Method, path: &str) -> bool {
     if service.non_idempotent.iter().any(|prefix| path.starts_with(&**prefix)) {
         return false;
@@ -101,13 +102,13 @@
     }
 }
 
-/// Whether `path` is `root` or lies under it. A permission for `/cards` is none for `/cardsets`.
+/// Whether `path` equals `root` or is below it: `/cards/find` is below `/cards`, `/cardsets` is not.
 fn is_under(path: &str, root: &str) -> bool {
     let rest = path.strip_prefix(root.trim_end_matches('/'));
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
-/// The backend servers of a service, for one call.
+/// Backend servers of a service, for one call.
 struct ServiceBackends<'a> {
     gateway: &'a Gateway,
     cat: &'a Catalog,
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -1,5 +1,5 @@
-//! Guards engines against requests that crash them: watches runs, judges broken ones, asks for permits and
-//! tells the other routers.
+//! Protects engines from requests that crash them: tracks runs, attributes crashes to contents, acquires permits for
+//! suspects and notifies the other routers.
 
 use std::{
     net::SocketAddr,
@@ -29,16 +29,20 @@
 pub(crate) use run::{Permit, Run};
 use watch::{EngineInfo, crash_id};
 
+/// Timeout of a permit request to another router.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout of a digest or permit release sent to another router.
 const NOTIFY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Added to a request's deadline: a permit outlives the run it is for, unless its holder has died.
+/// Time after a request's deadline at which its permit expires. Longer than any run, so that only the permits of
+/// crashed holders expire.
 const PERMIT_MARGIN: Duration = Duration::from_secs(10);
-/// Routers that are asked for a permit, should the first not answer.
+/// Maximum number of arbiters that are tried, in order of preference, until one answers.
 const MAX_ARBITERS_TRIED: usize = 2;
-/// Bytes of one message of news: all that one router runs on an engine, at most 200 contents or so.
+/// Maximum size of a digest sent after a crash: enough for all contents that one router runs on an engine, at most
+/// about 200.
 const MAX_DIGEST_BYTES: usize = 4096;
 
-/// What one router knows and does about crashing requests.
+/// Suspect contents, runs and permits of one router.
 #[derive(Debug)]
 pub(crate) struct Suspects {
     region: Arc<str>,
@@ -47,6 +51,7 @@
     table: Mutex<SuspectTable>,
     running: Mutex<RunningContents>,
     permits: Mutex<Permits>,
+    /// Start numbers read from engines that no probe has reported on yet; 0 while one is being read.
     engine_starts: Mutex<Map<Id, u64>>,
 }
 
@@ -63,25 +68,26 @@
         }
     }
 
+    /// Standing of a content: cleared, suspect or quarantined.
     pub(crate) fn standing(&self, content: Fingerprint) -> Standing {
         lock(&self.table).standing(now(), content)
     }
 
-    /// The answer for a quarantined content.
+    /// Error for a request with quarantined content.
     pub(crate) fn quarantine_error(&self, content: Fingerprint) -> RequestError {
         let provisional = lock(&self.table).is_provisional(now(), content);
         let kind = if provisional { ErrorKind::SuspectBusy } else { ErrorKind::Quarantined };
         RequestError::new(kind, kind.answer().about)
     }
 
-    /// Engines on which a suspect should not run, since they broke lately.
+    /// Those of `engines` that recently crashed without a known cause, on which suspects should not run.
     pub(crate) fn unstable_engines(&self, engines: impl IntoIterator<Item = (Id, Arc<str>)>) -> Vec<Id> {
         let unstable = lock(&self.table).unstable_engines(now());
         let listed = |name: &str| unstable.contains(&EngineHash::new(name));
         engines.into_iter().filter(|(_, name)| listed(name)).map(|(id, _)| id).collect()
     }
 
-    /// Notes a run that starts.
+    /// Records the start of a run.
     pub(crate) fn start_run(
         self: &Arc<Self>,
         engine: &Engine,
@@ -109,10 +115,10 @@
         }
     }
 
-    /// Asks for the permit to run a suspect on an engine.
+    /// Acquires a permit to run a suspect on an engine.
     ///
-    /// A router that can't be reached is passed by once. Two routers may then both give permits until the
-    /// member lists agree; that can cost one engine more, while waiting would leave innocents unanswered.
+    /// If the first arbiter is unreachable, the next one decides. Two routers may then both grant permits until the
+    /// member lists converge. That can cost one more engine, while waiting would leave harmless requests unanswered.
     pub(crate) async fn acquire_permit(
         self: &Arc<Self>,
         info: &RequestInfo,
@@ -134,7 +140,8 @@
         Err(Verdict::ContentRunning)
     }
 
-    /// Notes the engine's start as well: the verdict on the suspect rests on whether it has changed.
+    /// Creates the permit with the engine's current start number: a changed number after the run shows that the engine
+    /// crashed.
     async fn granted_permit(
         self: &Arc<Self>,
         content: Fingerprint,
@@ -148,7 +155,7 @@
         permit
     }
 
-    /// Routers of the region in the order in which they are asked; `None` stands for this one.
+    /// Routers of the region in their order of preference as arbiter; `None` is this router.
     fn arbiters(&self) -> Vec<Option<Member>> {
         let placer = self.placement.placer();
         let me = placer.me();
@@ -160,6 +167,7 @@
         peers
     }
 
+    /// Decides on a permit request as arbiter.
     fn decide(&self, content: Fingerprint, engine: &str, hold: Duration) -> Verdict {
         match self.standing(content) {
             Standing::Quarantined => Verdict::ContentQuarantined,
@@ -167,6 +175,7 @@
         }
     }
 
+    /// Requests a permit from another router; `None` if it does not answer.
     async fn request_permit(
         &self,
         peer: SocketAddr,
@@ -182,24 +191,24 @@
         }
     }
 
-    /// Answers another router's request for a permit.
+    /// Answers another router's permit request.
     pub(crate) fn serve_permit(&self, req: &PermitRequest) -> PermitAnswer {
         let hold = Duration::from_millis(req.hold_ms.into());
         let verdict = self.decide(Fingerprint(req.fingerprint), &req.engine, hold);
         PermitAnswer { verdict: verdict as i32 }
     }
 
-    /// Takes a permit back that another router held.
+    /// Releases a permit that this router granted.
     pub(crate) fn serve_release(&self, msg: &Release) {
         lock(&self.permits).release(Fingerprint(msg.fingerprint), &msg.engine);
     }
 
-    /// Takes in what another router told.
+    /// Merges another router's digest.
     pub(crate) fn merge(&self, digest: &Digest) {
         lock(&self.table).merge(now(), digest);
     }
 
-    /// Part of the table for gossip, in at most `bytes` of postcard.
+    /// Digest of the table for gossip, at most `bytes` in postcard encoding.
     pub(crate) fn digest(&self, bytes: usize) -> Digest {
         lock(&self.table).digest(now(), bytes)
     }
@@ -208,8 +217,8 @@
         self.placement.links()
     }
 
-    /// Tells the other routers of the region at once: the caller of a crashing request may send it to another
-    /// router within milliseconds, and gossip takes a second.
+    /// Sends changes of the table to all other routers of the region at once. The caller of a crashing request may retry
+    /// it at another router within milliseconds, while gossip takes a second.
     fn broadcast(self: &Arc<Self>) {
         let digest = lock(&self.table).unsent(now(), MAX_DIGEST_BYTES);
         if digest.entries.is_empty() {
@@ -223,17 +232,17 @@
         }
     }
 
-    /// Makes all that this router runs on an engine suspects.
+    /// Marks all contents that this router runs on an engine as suspects.
     ///
-    /// Before the engine has been asked whether it crashed: the retries of what broke start now, and a crash
-    /// that shows a second later would find them on other engines.
+    /// This does not wait until a probe shows whether the engine crashed. The failed requests are retried at once, so
+    /// a second later they would already run on other engines.
     fn mark_suspects(self: &Arc<Self>, engine: &EngineInfo) {
         let before = self.known_start(engine);
         let crash = crash_id(engine, before);
         let contents = lock(&self.running).contents_on(&engine.name);
         if lock(&self.table).mark_suspects(now(), &contents, crash) {
             let (name, n) = (&engine.name, contents.len());
-            spdlog::warn!("connection to {name} broke; {n} requests are suspects of a crash");
+            spdlog::warn!("connection to {name} failed; {n} requests are suspected of crashing it");
             tokio::spawn(self.clone().await_recovery(engine.clone(), before, crash));
         }
     }
--- a/src/gateway/suspects/run.rs
+++ b/src/gateway/suspects/run.rs
@@ -1,4 +1,4 @@
-//! Runs at engines and the permits of suspects; both end when they are dropped.
+//! Guards for runs on engines and for permits of suspects; dropping a guard ends the run or releases the permit.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -13,14 +13,15 @@
     util::{Instant, now},
 };
 
-/// The permit to run a suspect; dropping it gives it back.
+/// Permit to run a suspect; dropping it releases it.
 #[derive(Debug)]
 pub(crate) struct Permit {
     pub(super) suspects: Arc<Suspects>,
     pub(super) content: Fingerprint,
     pub(super) engine: Arc<str>,
+    /// Arbiter that granted the permit; `None` for this router.
     pub(super) peer: Option<SocketAddr>,
-    /// Start in which the engine was when the permit was given.
+    /// Start number of the engine's process when the permit was granted; 0 if unknown.
     pub(super) start: u64,
 }
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// One run at an engine. Dropping it, as when the caller goes away, says nothing of the content.
+/// One run on an engine. Dropping it, for example when the caller disconnects, leaves the content's standing unchanged.
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(super) suspects: Arc<Suspects>,
@@ -49,12 +50,12 @@
 }
 
 impl Run {
-    /// Ends a run whose answer is whole; its content is no suspect any more.
+    /// Ends a run that completed, and clears its content.
     pub(crate) fn complete(self) {
         lock(&self.suspects.table).clear(now(), self.content);
     }
 
-    /// Ends a run whose connection broke after the request may have been sent.
+    /// Ends a run whose connection failed after the request may have been sent.
     pub(crate) async fn fail(self) {
         if let Some(start) = self.permit.as_ref().map(|p| p.start) {
             return self.resolve_isolated(start).await;
@@ -63,7 +64,8 @@
         self.suspects.broadcast();
     }
 
-    /// Decides on a suspect that ran alone; it keeps its permit until then, so that it runs nowhere else.
+    /// Decides whether a suspect that ran under a permit crashed its engine. Keeps the permit meanwhile, so that the
+    /// suspect runs nowhere else.
     async fn resolve_isolated(self, before: u64) {
         let crash = crash_id(&self.engine, before);
         let probe = self.suspects.probe(&self.engine, before).await;
@@ -75,7 +77,9 @@
             lock(&self.suspects.table).record_isolated_crash(now(), self.content, &contents, crash);
         let (engine, Fingerprint(content)) = (&self.engine.name, self.content);
         let standing = standing.as_str_name();
-        spdlog::warn!("{engine} crashed while it ran suspect {content:016x} alone: {standing}");
+        spdlog::warn!(
+            "{engine} crashed while it ran {content:016x} as its only suspect; the content is now {standing}"
+        );
         self.suspects.broadcast();
         if probe == Probe::Unreachable {
             tokio::spawn(self.suspects.clone().await_recovery(self.engine.clone(), before, crash));
--- a/src/gateway/suspects/watch.rs
+++ b/src/gateway/suspects/watch.rs
@@ -1,4 +1,5 @@
-//! Watches broken engines: which start an engine is in tells a crash from a broken connection.
+//! Probes of engines after a failed connection: a changed start number distinguishes a crash from a mere connection
+//! failure.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,15 +13,17 @@
     util::{now, wall_ms},
 };
 
+/// Timeout of a connection that probes a plain service.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// First and last pause between two looks at a broken engine, and how many there are: half a minute in all.
+/// Delay after the first probe of an unreachable engine; doubles up to [`PROBE_MAX_DELAY`].
 const PROBE_BASE_DELAY: Duration = Duration::from_millis(50);
 const PROBE_MAX_DELAY: Duration = Duration::from_secs(2);
+/// Maximum number of probes of an unreachable engine: half a minute in all.
 const MAX_PROBES: u32 = 20;
-/// Breaks of an engine of unknown start within this time count as one crash.
+/// Failures of an engine with an unknown start number within this time count as one crash.
 const UNKNOWN_START_WINDOW_MS: u64 = 5_000;
 
-/// What became of a broken run's engine.
+/// Result of probing an engine after a run failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Probe {
     SameProcess,
@@ -30,6 +33,7 @@
 }
 
 impl Suspects {
+    /// Start number of an engine's process, as last reported; 0 if unknown.
     pub(super) fn known_start(&self, engine: &EngineInfo) -> u64 {
         match self.placement.placer().health.start(engine.id) {
             0 => lock(&self.engine_starts).get(&engine.id).copied().unwrap_or(0),
@@ -37,13 +41,13 @@
         }
     }
 
-    /// Reads the start of an engine of which no report has come yet: without it a broken connection could not be
-    /// told from a crash.
+    /// Fetches the start number of an engine that has not been probed yet, in the background. Without it, a connection
+    /// failure could not be distinguished from a crash.
     pub(super) fn fetch_start(self: &Arc<Self>, engine: &EngineInfo) {
         if !engine.reports_load || self.known_start(engine) != 0 {
             return;
         }
-        // The entry keeps the other runs of this engine from asking as well.
+        // The entry keeps other runs on this engine from fetching it as well.
         if lock(&self.engine_starts).insert(engine.id, 0).is_some() {
             return;
         }
@@ -51,10 +55,10 @@
         tokio::spawn(async move { suspects.probe(&engine, 0).await });
     }
 
-    /// Asks the engine whether it is still in the start that `before` names; 0 stands for an unknown one.
+    /// Probes whether an engine still has the start number `before`; 0 if that is unknown.
     pub(super) async fn probe(&self, engine: &EngineInfo, before: u64) -> Probe {
         if !engine.reports_load {
-            // A plain service has no load report; one that still takes connections has not crashed.
+            // A plain service has no load report. If it still accepts connections, it has not crashed.
             let accepts_connections = self.accepts_connections(engine).await;
             return if accepts_connections { Probe::SameProcess } else { Probe::Unreachable };
         }
@@ -68,8 +72,8 @@
         }
     }
 
-    /// Watches a broken engine until it answers. One that is still in its old start did not crash, and what was
-    /// held against its requests is taken back.
+    /// Probes an engine until it answers again. If its start number is unchanged it did not crash, and the crash is
+    /// retracted.
     pub(super) async fn await_recovery(self: Arc<Self>, engine: EngineInfo, before: u64, crash: CrashId) {
         let mut delay = PROBE_BASE_DELAY;
         for _ in 0..MAX_PROBES {
@@ -85,12 +89,14 @@
         }
     }
 
+    /// Whether an engine accepts TCP connections.
     async fn accepts_connections(&self, engine: &EngineInfo) -> bool {
         let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(engine.addr)).await;
         matches!(connect, Ok(Ok(_)))
     }
 }
 
+/// Identifies the crash of an engine's process; for an unknown start number, by the time.
 pub(super) fn crash_id(engine: &EngineInfo, start: u64) -> CrashId {
     match start {
         0 => CrashId::new(&engine.name, &format!("about {}", wall_ms() / UNKNOWN_START_WINDOW_MS)),
@@ -98,12 +104,12 @@
     }
 }
 
-/// An engine as a run saw it.
+/// Engine of a run, as configured when the run started.
 #[derive(Clone, Debug)]
 pub(super) struct EngineInfo {
     pub(super) id: Id,
     pub(super) name: Arc<str>,
     pub(super) addr: SocketAddr,
-    /// Whether it reports its load, as model engines do.
+    /// Whether the engine reports its load: model engines do, plain services don't.
     pub(super) reports_load: bool,
 }
