--- a/src/entry.rs
+++ b/src/entry.rs
@@ -31,7 +31,7 @@
 /// Orders `routers` for one caller: nearest first, and by rendezvous hashing of the key at the same distance.
 ///
 /// When a router joins or leaves, only the keys that have it as first choice move.
-pub fn order(routers: &[Router], query: &Query, max_routers: usize) -> Vec<Router> {
+pub fn rank_routers(routers: &[Router], query: &Query, max_routers: usize) -> Vec<Router> {
     let key = query.key.as_deref().map_or(query.salt, hash);
     let mut list: Vec<_> = routers.to_vec();
     list.sort_by_cached_key(|r| (distance(r, query), hash((&*r.name, key))));
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -87,8 +87,11 @@
 #[derive(Debug, Default)]
 struct State {
     queue: FairQueue,
+    /// Channels to the waiting requests that have no turn.
     waiters: Map<Ticket, oneshot::Sender<Turn>>,
+    /// Whether the task that grants turns is running.
     is_running: bool,
+    /// Delay before the next turn while no run ends; doubles while servers are full.
     turn_delay: Duration,
     next_turn: Instant,
 }
@@ -111,8 +114,8 @@
 }
 
 impl Queue {
-    /// Runs the search `find`, at once if the queue is empty, otherwise or if all servers are full when it is the
-    /// request's turn.
+    /// Runs the search `find` at once if the queue is empty. Otherwise, or if all servers are full, queues the request
+    /// and runs the search whenever it is the request's turn.
     ///
     /// # Errors
     /// When the request is refused by the queue, waited too long or can't be served.
@@ -155,8 +158,8 @@
     }
 
     /// Records the end of a run, after which its server may have room for a waiting request.
-    pub(crate) fn record_run(&self, ran: Duration, work: Work) {
-        lock(&self.state).queue.record_run(ran, work);
+    pub(crate) fn record_run(&self, run_time: Duration, work: Work) {
+        lock(&self.state).queue.record_run(run_time, work);
         self.run_ended.notify_one();
     }
 
@@ -165,8 +168,8 @@
         let mut state = lock(&self.state);
         let ticket = match state.queue.enqueue(now(), info.demand()) {
             EnqueueResult::Queued(ticket) => ticket,
-            EnqueueResult::Displaced(ticket, victim, refusal) => {
-                state.refuse(victim, refusal);
+            EnqueueResult::Displaced(ticket, displaced, refusal) => {
+                state.refuse(displaced, refusal);
                 ticket
             }
             EnqueueResult::Refused(refusal) => return Err(refusal_error(refusal)),
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -98,12 +98,12 @@
         cat: &Catalog,
         info: &RequestInfo,
         queue: &Arc<Queue>,
-        to: &impl Backends,
+        backends: &impl Backends,
     ) -> Result<StartedResponse, RequestError> {
-        let mut attempts = self.begin_attempts(info, to.idempotent())?;
+        let mut attempts = self.begin_attempts(info, backends.idempotent())?;
         let mut tried = Vec::new();
         loop {
-            let found = self.find_backend(cat, info, queue, to, &tried).await;
+            let found = self.find_backend(cat, info, queue, backends, &tried).await;
             let (chosen, permit) = found.map_err(|f| self.final_error(&attempts, f))?;
             let engine = cat.engine(chosen.engine);
             tried.push(engine.id);
@@ -113,7 +113,7 @@
             // a late event of an earlier attempt is not mistaken for one of this attempt.
             let attempt_id = format!("{}-{}", info.id, attempts.made());
             let remaining = info.deadline.saturating_sub(now());
-            let reason = match tokio::time::timeout(remaining, to.send(engine, &attempt_id)).await {
+            let reason = match tokio::time::timeout(remaining, backends.send(engine, &attempt_id)).await {
                 Ok(Ok(res)) if NotRunProof::from_head(&res).is_some() => RetryReason::EngineRefused,
                 Ok(Ok(res)) => {
                     lock(&self.cooldowns).record_success(engine.id);
@@ -138,9 +138,9 @@
     /// Starts counting attempts; refuses a caller's retry beyond the attempt limit or the retry budget.
     fn begin_attempts(&self, info: &RequestInfo, idempotent: bool) -> Result<Attempts, RequestError> {
         let mut budget = lock(&self.retry_budget);
-        let begun =
+        let result =
             Attempts::begin(&self.retry_policy, &mut budget, info.prior_attempts, idempotent, info.deadline);
-        match begun {
+        match result {
             Ok(attempts) if info.prior_attempts > 0 => {
                 self.metrics.retry(RetryReason::Caller.as_str());
                 Ok(attempts)
@@ -155,17 +155,17 @@
 
     /// Waits before the next attempt, or returns the final error at once if no retry is allowed.
     async fn back_off(&self, attempts: &mut Attempts, reason: RetryReason) -> Result<(), RequestError> {
-        let decided = attempts.record_failure(
+        let decision = attempts.record_failure(
             &self.retry_policy,
             &mut lock(&self.retry_budget),
             now(),
             reason,
             &mut rand::rng(),
         );
-        match decided {
-            Ok(pause) => {
+        match decision {
+            Ok(delay) => {
                 self.metrics.retry(reason.as_str());
-                tokio::time::sleep(pause).await;
+                tokio::time::sleep(delay).await;
                 Ok(())
             }
             Err(denied) => {
@@ -191,16 +191,16 @@
         cat: &Catalog,
         info: &RequestInfo,
         queue: &Arc<Queue>,
-        to: &impl Backends,
+        backends: &impl Backends,
         tried: &[Id],
     ) -> Result<(ChosenBackend, Option<Permit>), RequestError> {
         loop {
             match self.suspects.standing(info.content) {
                 Standing::Quarantined => return Err(self.suspects.quarantine_error(info.content)),
-                Standing::Suspect => return self.find_for_suspect(cat, info, to, tried).await,
+                Standing::Suspect => return self.find_for_suspect(cat, info, backends, tried).await,
                 Standing::Cleared => {}
             }
-            let chosen = self.find_queued(info, queue, to, tried).await?;
+            let chosen = self.find_queued(info, queue, backends, tried).await?;
             // The content may have become a suspect while the request waited in the queue.
             if self.suspects.standing(info.content) == Standing::Cleared {
                 return Ok((chosen, None));
@@ -214,19 +214,19 @@
         &self,
         info: &RequestInfo,
         queue: &Arc<Queue>,
-        to: &impl Backends,
+        backends: &impl Backends,
         tried: &[Id],
     ) -> Result<ChosenBackend, RequestError> {
         let cooling_down = lock(&self.cooldowns).active(now());
-        let mut last = no_engine();
+        let mut last_error = no_engine();
         for exclude in [&[tried, &cooling_down].concat()[..], tried, &[]] {
-            let find = || async { to.find(exclude, MayQueue::Yes).await.map_err(not_admitted) };
+            let find = || async { backends.find(exclude, MayQueue::Yes).await.map_err(not_admitted) };
             match queue.admit(info, find).await {
-                Err(f) if f.kind == ErrorKind::NoEngine => last = f,
+                Err(f) if f.kind == ErrorKind::NoEngine => last_error = f,
                 chosen => return chosen,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     /// Finds a backend server on which no other suspect runs, and a permit for it. Suspects don't wait in the queue: a
@@ -235,21 +235,21 @@
         &self,
         cat: &Catalog,
         info: &RequestInfo,
-        to: &impl Backends,
+        backends: &impl Backends,
         tried: &[Id],
     ) -> Result<(ChosenBackend, Option<Permit>), RequestError> {
         let unstable = self.suspects.unstable_engines(cat.engines().map(|(_, e)| (e.id, e.name.clone())));
         let mut avoid = [tried, &unstable].concat();
         while now() < info.deadline {
-            match self.find_with_permit(cat, info, to, &avoid).await? {
+            match self.find_with_permit(cat, info, backends, &avoid).await? {
                 PermitSearch::Found(chosen, permit) => return Ok((chosen, Some(permit))),
                 PermitSearch::Busy => {}
                 // An engine that should be avoided is better than no answer.
                 PermitSearch::OnlyAvoided if avoid.len() > unstable.len() => avoid.clone_from(&unstable),
                 PermitSearch::OnlyAvoided => avoid.clear(),
             }
-            let pause = jitter(SUSPECT_RETRY_DELAY, &mut rand::rng());
-            tokio::time::sleep(pause).await;
+            let delay = jitter(SUSPECT_RETRY_DELAY, &mut rand::rng());
+            tokio::time::sleep(delay).await;
             if self.suspects.standing(info.content) == Standing::Quarantined {
                 return Err(self.suspects.quarantine_error(info.content));
             }
@@ -262,12 +262,12 @@
         &self,
         cat: &Catalog,
         info: &RequestInfo,
-        to: &impl Backends,
+        backends: &impl Backends,
         avoid: &[Id],
     ) -> Result<PermitSearch, RequestError> {
         let mut exclude = avoid.to_vec();
         loop {
-            let chosen = match to.find(&exclude, MayQueue::No).await {
+            let chosen = match backends.find(&exclude, MayQueue::No).await {
                 Ok(chosen) => chosen,
                 Err(FindError::NoneAvailable) if exclude.is_empty() => return Err(no_engine()),
                 Err(FindError::NoneAvailable) if exclude.len() == avoid.len() => {
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -174,13 +174,13 @@
         }
     }
 
-    /// Answers a call from another router.
+    /// Answers a call from another router; a malformed call is answered with the default, "unavailable".
     pub(crate) async fn serve(self: &Arc<Self>, call: ClaimCall) -> ClaimAnswer {
-        // The default answer is "unavailable": nothing was granted.
+        // "unavailable" means that nothing was granted.
         self.handle(call).await.unwrap_or_default()
     }
 
-    /// Handles a call from another router.
+    /// Decides on a claim request, stores a result or releases a claim, depending on the call.
     async fn handle(self: &Arc<Self>, call: ClaimCall) -> Result<ClaimAnswer, Malformed> {
         let ack = ClaimAnswer { decision: Decision::Noted.into(), record: None };
         match call.call.ok_or(Malformed)? {
@@ -196,12 +196,12 @@
             Call::Finish(msg) => {
                 let req = ClaimRequest::from_bytes(&msg.key, &msg.content, &msg.attempt, false)?;
                 let record: Record = msg.record.ok_or(Malformed)?.try_into()?;
-                let mine = matches!(self.authority(&msg.ticket), Authority::ThisProcess(_));
-                if mine {
+                let is_authority = matches!(self.authority(&msg.ticket), Authority::ThisProcess(_));
+                if is_authority {
                     lock(&self.ticket_claims).finish(req.key, req.attempt, record.clone());
                 }
                 // The shard owner receives the record of a ticket's key in a separate message.
-                if !mine || self.shard_owners(req.key)[0].is_none() {
+                if !is_authority || self.shard_owners(req.key)[0].is_none() {
                     self.shard(req.key).finish(&req, record, !msg.ticket.is_empty());
                 }
                 Ok(ack)
@@ -243,9 +243,9 @@
                 let recorded = tokio::time::timeout(TICKET_STORE_TIMEOUT, self.request_from_shard(req)).await;
                 let recorded = recorded.unwrap_or(Verdict::Unavailable);
                 let mut ticket_claims = lock(&self.ticket_claims);
-                let before = ticket_claims.from_memory();
+                let old_count = ticket_claims.from_memory();
                 let verdict = ticket_claims.apply_shard_verdict(&req, recorded);
-                self.metrics.add(Counter::Claims, "from_memory", ticket_claims.from_memory() - before);
+                self.metrics.add(Counter::Claims, "from_memory", ticket_claims.from_memory() - old_count);
                 verdict
             }
         }
--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -17,7 +17,7 @@
     pub(super) fn entry(&self, text: &str) -> Result<Reply, RequestError> {
         let query = Query::parse(text, &self.me, rand::random())
             .map_err(|e| RequestError::new(ErrorKind::BadRequest, e.to_string()))?;
-        let mut list = entry::order(&read(&self.routers), &query, MAX_ROUTERS);
+        let mut list = entry::rank_routers(&read(&self.routers), &query, MAX_ROUTERS);
         let owner = self.first_owner(&query);
         if let Some(at) = list.iter().position(|r| Some(r.addr) == owner) {
             list[..=at].rotate_right(1);
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -83,8 +83,8 @@
     /// Those of `engines` that recently crashed without a known cause, on which suspects should not run.
     pub(crate) fn unstable_engines(&self, engines: impl IntoIterator<Item = (Id, Arc<str>)>) -> Vec<Id> {
         let unstable = lock(&self.table).unstable_engines(now());
-        let listed = |name: &str| unstable.contains(&EngineHash::new(name));
-        engines.into_iter().filter(|(_, name)| listed(name)).map(|(id, _)| id).collect()
+        let is_unstable = |name: &str| unstable.contains(&EngineHash::new(name));
+        engines.into_iter().filter(|(_, name)| is_unstable(name)).map(|(id, _)| id).collect()
     }
 
     /// Records the start of a run.
@@ -237,13 +237,13 @@
     /// This does not wait until a probe shows whether the engine crashed. The failed requests are retried at once, so
     /// a second later they would already run on other engines.
     fn mark_suspects(self: &Arc<Self>, engine: &EngineInfo) {
-        let before = self.known_start(engine);
-        let crash = crash_id(engine, before);
+        let old_start = self.known_start(engine);
+        let crash = crash_id(engine, old_start);
         let contents = lock(&self.running).contents_on(&engine.name);
         if lock(&self.table).mark_suspects(now(), &contents, crash) {
             let (name, n) = (&engine.name, contents.len());
             spdlog::warn!("connection to {name} failed; {n} requests are suspected of crashing it");
-            tokio::spawn(self.clone().await_recovery(engine.clone(), before, crash));
+            tokio::spawn(self.clone().await_recovery(engine.clone(), old_start, crash));
         }
     }
 }
--- a/src/gateway/suspects/run.rs
+++ b/src/gateway/suspects/run.rs
@@ -66,9 +66,9 @@
 
     /// Decides whether a suspect that ran under a permit crashed its engine. Keeps the permit meanwhile, so that the
     /// suspect runs nowhere else.
-    async fn resolve_isolated(self, before: u64) {
-        let crash = crash_id(&self.engine, before);
-        let probe = self.suspects.probe(&self.engine, before).await;
+    async fn resolve_isolated(self, old_start: u64) {
+        let crash = crash_id(&self.engine, old_start);
+        let probe = self.suspects.probe(&self.engine, old_start).await;
         if matches!(probe, Probe::SameProcess | Probe::Unknown) {
             return;
         }
@@ -82,7 +82,7 @@
         );
         self.suspects.broadcast();
         if probe == Probe::Unreachable {
-            tokio::spawn(self.suspects.clone().await_recovery(self.engine.clone(), before, crash));
+            tokio::spawn(self.suspects.clone().await_recovery(self.engine.clone(), old_start, crash));
         }
     }
 }
--- a/src/gateway/suspects/watch.rs
+++ b/src/gateway/suspects/watch.rs
@@ -55,8 +55,8 @@
         tokio::spawn(async move { suspects.probe(&engine, 0).await });
     }
 
-    /// Probes whether an engine still has the start number `before`; 0 if that is unknown.
-    pub(super) async fn probe(&self, engine: &EngineInfo, before: u64) -> Probe {
+    /// Probes whether an engine still has the start number `old_start`; 0 if that is unknown.
+    pub(super) async fn probe(&self, engine: &EngineInfo, old_start: u64) -> Probe {
         if !engine.reports_load {
             // A plain service has no load report. If it still accepts connections, it has not crashed.
             let accepts_connections = self.accepts_connections(engine).await;
@@ -65,7 +65,7 @@
         let client = EngineClient::new(self.client.clone(), engine.addr);
         let Ok(load) = client.load().await else { return Probe::Unreachable };
         lock(&self.engine_starts).insert(engine.id, load.start);
-        match before {
+        match old_start {
             0 => Probe::Unknown,
             start if start == load.start => Probe::SameProcess,
             _ => Probe::Restarted,
@@ -74,10 +74,10 @@
 
     /// Probes an engine until it answers again. If its start number is unchanged it did not crash, and the crash is
     /// retracted.
-    pub(super) async fn await_recovery(self: Arc<Self>, engine: EngineInfo, before: u64, crash: CrashId) {
+    pub(super) async fn await_recovery(self: Arc<Self>, engine: EngineInfo, old_start: u64, crash: CrashId) {
         let mut delay = PROBE_BASE_DELAY;
         for _ in 0..MAX_PROBES {
-            match self.probe(&engine, before).await {
+            match self.probe(&engine, old_start).await {
                 Probe::SameProcess => {
                     lock(&self.table).retract_crash(now(), crash);
                     return self.broadcast();
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use cranberrytally::entry::{
-    Candidate, Directory, LOST_RETENTION, MAX_ROUTERS, Query, QueryError, Router, order,
+    Candidate, Directory, LOST_RETENTION, MAX_ROUTERS, Query, QueryError, Router, rank_routers,
 };
 
 const fn s(n: u64) -> Duration {
@@ -40,7 +40,7 @@
 fn the_nearest_come_first_and_the_last_places_go_elsewhere() {
     let all = routers(40, 4);
 
-    let list = order(&all, &query(Some("chat"), 0), MAX_ROUTERS);
+    let list = rank_routers(&all, &query(Some("chat"), 0), MAX_ROUTERS);
 
     let centres: Vec<_> = list.iter().map(|r| &*r.data_centre).collect();
     assert_eq!(centres[..6], ["dc-1"; 6]);
@@ -50,7 +50,8 @@
 #[test]
 fn a_key_keeps_its_first_router_when_others_come_and_go() {
     let all = routers(40, 4);
-    let first = |list: &[Router], key: &str| order(list, &query(Some(key), 9), MAX_ROUTERS)[0].name.clone();
+    let first =
+        |list: &[Router], key: &str| rank_routers(list, &query(Some(key), 9), MAX_ROUTERS)[0].name.clone();
     let keys: Vec<_> = (0..200).map(|k| format!("chat-{k}")).collect();
     let gone = all[5].name.clone();
     let fewer: Vec<_> = all.iter().filter(|r| r.name != gone).cloned().collect();
@@ -67,7 +68,7 @@
     let mut counts = BTreeMap::<Arc<str>, u32>::new();
 
     for salt in 0..10_000 {
-        *counts.entry(order(&all, &query(None, salt), MAX_ROUTERS)[0].name.clone()).or_default() += 1;
+        *counts.entry(rank_routers(&all, &query(None, salt), MAX_ROUTERS)[0].name.clone()).or_default() += 1;
     }
 
     assert_eq!(counts.len(), 10, "all routers of the data centre take callers");
