--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -58,7 +58,7 @@
 
 /// Default time for which callers may cache an entry answer.
 const DEFAULT_ENTRY_TTL: Duration = Duration::from_secs(30);
-/// Paths that support only certain methods.
+/// Fixed paths of the HTTP API; a request with an unsupported method is refused as such, not as an unknown path.
 const KNOWN_PATHS: [&str; 7] =
     ["/healthz", "/metrics", "/readyz", "/v1/chat/completions", "/v1/entry", "/v1/key-ticket", "/v1/resume"];
 
@@ -228,8 +228,8 @@
         self.admission.acquire_in_flight(cat.concurrency_limits(&info.workspace), routers, info)
     }
 
-    /// Answers `GET /v1/key-ticket` with a ticket, under which callers can create idempotency keys that stay usable during
-    /// a platform outage.
+    /// Answers `GET /v1/key-ticket` with a ticket, under which callers can create idempotency keys that stay usable
+    /// during a platform outage.
     fn key_ticket(&self) -> Reply {
         let ticket =
             serde_json::json!({ "ticket": self.claims.ticket(), "keep_s": TICKET_LIFETIME.as_secs() });
@@ -338,9 +338,9 @@
 
 /// Whether an earlier attempt with the same idempotency key may have run, as far as this router can tell.
 ///
-/// A caller would take the refusal of a retried booking for "the booking was not made", although an earlier attempt may
-/// have made it. Only the caller knows that there was no earlier attempt or that each was answered "not run", and states
-/// this in the `x-first-attempt` header.
+/// A caller would take the refusal of a retried booking for "the booking was not made", although an earlier attempt
+/// may have made it. Only the caller knows that there was no earlier attempt or that each was answered "not run", and
+/// states this in the `x-first-attempt` header.
 fn may_be_repeat<B>(req: &Request<B>) -> bool {
     let first = header(req.headers(), "x-first-attempt") == Some("true");
     req.headers().contains_key("idempotency-key") && !first
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -109,8 +109,8 @@
             tried.push(engine.id);
             let run = self.suspects.start_run(engine, info, queue, permit);
             attempts.record_start();
-            // This ID correlates the answer, the log lines and the run on the engine. It is unique to the attempt, so that
-            // a late event of an earlier attempt is not mistaken for one of this attempt.
+            // This ID correlates the answer, the log lines and the run on the engine. It is unique to the attempt, so
+            // that a late event of an earlier attempt is not mistaken for one of this attempt.
             let attempt_id = format!("{}-{}", info.id, attempts.made());
             let remaining = info.deadline.saturating_sub(now());
             let reason = match tokio::time::timeout(remaining, backends.send(engine, &attempt_id)).await {
--- a/src/gateway/chat.rs
+++ b/src/gateway/chat.rs
@@ -82,8 +82,8 @@
         EngineClient::new(self.gateway.client.clone(), engine.addr).chat(&call).await
     }
 
-    /// A model engine keeps no state of a chat except its cache, so a chat may run again as long as no part of its answer
-    /// has been forwarded.
+    /// A model engine keeps no state of a chat except its cache, so a chat may run again as long as no part of its
+    /// answer has been forwarded.
     fn idempotent(&self) -> bool {
         true
     }
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Before a planned shutdown: writes all records, and hands the keys of this process's tickets over to their shards.
+    /// Before a planned shutdown: writes all records, and hands the keys of this process's tickets over to their
+    /// shards.
     pub(crate) async fn close(&self) {
         let all_stored = lock(&self.ticket_claims).close();
         // All granted claims are already stored in the shards; their records may still follow.
@@ -259,8 +260,8 @@
         key: &str,
         ticket: &KeyTicket,
     ) -> Verdict {
-        // The address comes from the ticket, because the member list omits leaving routers, which still are the authority
-        // for their tickets.
+        // The address comes from the ticket, because the member list omits leaving routers, which still are the
+        // authority for their tickets.
         if let Ok(peer) = ticket.peer.parse() {
             let call = Call::Ask(req.to_message(key.to_owned()));
             if let Ok(verdict) = self.call_peer(peer, call).await {
@@ -275,8 +276,8 @@
         verdict
     }
 
-    /// Decides on a key whose authority is unreachable. If the authority has shut down as planned, it has handed its keys
-    /// over, and their shards decide.
+    /// Decides on a key whose authority is unreachable. If the authority has shut down as planned, it has handed its
+    /// keys over, and their shards decide.
     async fn decide_without_authority(&self, req: ClaimRequest, ticket: &KeyTicket) -> Verdict {
         if self.closed_processes.is_handed_over(&ticket.router, ticket.start).await {
             return self.request_from_shard(req).await;
@@ -315,7 +316,8 @@
         }
     }
 
-    /// Address of the authority named by the key's ticket: `None` if the key has no ticket, `Some(None)` for this router.
+    /// Address of the authority named by the key's ticket: `None` if the key has no ticket, `Some(None)` for this
+    /// router.
     fn authority_peer(&self, key: &str) -> Option<Option<SocketAddr>> {
         match self.authority(key) {
             Authority::Shard => None,
--- a/src/gateway/claim/closed_processes.rs
+++ b/src/gateway/claim/closed_processes.rs
@@ -42,7 +42,7 @@
         let spec = serde_json::to_value(ClaimTicket { closed_ms: wall_ms() }).unwrap_or_default();
         if let Err(e) = self.platform.put(&Object { kind: KIND.to_owned(), metadata, spec }).await {
             spdlog::warn!(
-                "could not publish that this process has shut down; unused keys of its tickets will be reported as unknown: {e:#}"
+                "could not publish the shutdown; new keys of this process's tickets will be unknown: {e:#}"
             );
         }
     }
--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -27,8 +27,8 @@
         Ok(Reply::json(200, &serde_json::json!({ "addresses": addresses, "keep_s": keep_s })))
     }
 
-    /// Address of the router that owns the first-choice engine of the query's chat. A caller that connects to that router
-    /// saves the reservation at another router for its first request.
+    /// Address of the router that owns the first-choice engine of the query's chat. A caller that connects to that
+    /// router saves the reservation at another router for its first request.
     fn first_owner(&self, query: &Query) -> Option<SocketAddr> {
         if query.data_centre != self.me.data_centre {
             return None;
--- a/src/gateway/relay/events.rs
+++ b/src/gateway/relay/events.rs
@@ -72,8 +72,8 @@
 }
 
 impl RelayedStream {
-    /// Relays the stream to its end. If the stream can't be completed, the caller's connection is cut: without the final
-    /// marker and a regular end of the body, the caller can't mistake the stream for a complete one.
+    /// Relays the stream to its end. If the stream can't be completed, the caller's connection is cut: without the
+    /// final marker and a regular end of the body, the caller can't mistake the stream for a complete one.
     pub(in crate::gateway) async fn run(mut self, first: Response<Incoming>) -> StreamEnd {
         let ended = self.relay_all(first).await;
         self.count(ended.as_str());
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -217,8 +217,8 @@
         self.placement.links()
     }
 
-    /// Sends changes of the table to all other routers of the region at once. The caller of a crashing request may retry
-    /// it at another router within milliseconds, while gossip takes a second.
+    /// Sends changes of the table to all other routers of the region at once. The caller of a crashing request may
+    /// retry it at another router within milliseconds, while gossip takes a second.
     fn broadcast(self: &Arc<Self>) {
         let digest = lock(&self.table).unsent(now(), MAX_DIGEST_BYTES);
         if digest.entries.is_empty() {
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -1,4 +1,4 @@
-//! Entry answers: near, spread evenly, stable by key, and right while the answering router is cut off.
+//! Tests of entry answers: nearest routers first, even spread, key affinity, and isolation of the answering router.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_nearest_come_first_and_the_last_places_go_elsewhere() {
+fn the_nearest_routers_come_first_and_remote_ones_last() {
     let all = routers(40, 4);
 
     let list = rank_routers(&all, &query(Some("chat"), 0), MAX_ROUTERS);
@@ -48,17 +48,17 @@
 }
 
 #[test]
-fn a_key_keeps_its_first_router_when_others_come_and_go() {
+fn a_key_keeps_its_first_router_when_others_join_and_leave() {
     let all = routers(40, 4);
     let first =
         |list: &[Router], key: &str| rank_routers(list, &query(Some(key), 9), MAX_ROUTERS)[0].name.clone();
     let keys: Vec<_> = (0..200).map(|k| format!("chat-{k}")).collect();
-    let gone = all[5].name.clone();
-    let fewer: Vec<_> = all.iter().filter(|r| r.name != gone).cloned().collect();
+    let removed = all[5].name.clone();
+    let fewer: Vec<_> = all.iter().filter(|r| r.name != removed).cloned().collect();
 
     let moved = keys.iter().filter(|k| first(&all, k) != first(&fewer, k));
 
-    assert!(moved.clone().all(|k| first(&all, k) == gone), "only the keys of the lost router may move");
+    assert!(moved.clone().all(|k| first(&all, k) == removed), "only keys of the removed router may move");
     assert!(moved.count() > 0);
 }
 
@@ -71,12 +71,12 @@
         *counts.entry(rank_routers(&all, &query(None, salt), MAX_ROUTERS)[0].name.clone()).or_default() += 1;
     }
 
-    assert_eq!(counts.len(), 10, "all routers of the data centre take callers");
+    assert_eq!(counts.len(), 10, "each router of the data centre gets callers");
     assert!(counts.values().all(|n| (850..1150).contains(n)), "{counts:?}");
 }
 
 #[test]
-fn queries_are_parsed_and_bad_ones_are_named() {
+fn queries_are_parsed_and_invalid_ones_are_refused() {
     let me = router(0, 4);
     let cases = [
         ("key=a%26b+c&data_centre=dc-3&region=r", Ok((Some("a&b c"), "dc-3", "r"))),
@@ -99,9 +99,9 @@
     assert_eq!(Query::parse(&format!("key={}", "k".repeat(257)), &me, 5), Err(QueryError::KeyTooLong));
 }
 
-/// A router that leaves, or that has no configuration yet, must not be named from the moment the membership says so.
+/// Routers that are leaving or have no configuration yet must not be listed once the membership reports this.
 #[test]
-fn leaving_and_unready_routers_are_not_handed_out() {
+fn leaving_and_unready_routers_are_not_listed() {
     let all = routers(6, 2);
     let mut dir = Directory::default();
     dir.update(s(1), serving(&all));
@@ -114,11 +114,11 @@
     assert_eq!(names(&dir.routers()), ["router-0", "router-1", "router-4", "router-5"]);
 }
 
-/// A switch cuts one router off from most of the fleet. Its suspicions time out one after the other, and it would soon
-/// name only itself: every caller that asks it would crowd onto one host. It goes on naming the others, but not one
-/// that had said it leaves, and only for so long.
+/// A network failure isolates one router from most of the fleet, whose members it declares dead one after the other. If
+/// it then listed only itself, all its callers would be concentrated on one host. It keeps listing the others until
+/// the retention time has passed, except one that had announced that it was leaving.
 #[test]
-fn a_router_that_is_cut_off_goes_on_naming_the_others() {
+fn an_isolated_router_keeps_listing_the_others() {
     let all = routers(9, 3);
     let mut dir = Directory::default();
     let mut next = serving(&all);
@@ -130,18 +130,18 @@
         dir.update(s(i), next.clone());
     }
 
-    let (held, is_isolated) = (dir.routers(), dir.is_isolated());
+    let (retained, is_isolated) = (dir.routers(), dir.is_isolated());
     dir.update(s(8) + LOST_RETENTION, next.clone());
     let later = dir.routers();
 
     assert!(is_isolated);
-    assert_eq!(held.len(), 8, "all but the one that leaves: {:?}", names(&held));
+    assert_eq!(retained.len(), 8, "all but the leaving router: {:?}", names(&retained));
     assert_eq!(names(&later), ["router-0", "router-1"]);
 }
 
-/// A few routers die one after the other, as on any day. They must not be held, or callers would be sent to them.
+/// A minority of the routers fails one after the other. They must not be retained, or callers would be sent to them.
 #[test]
-fn a_minority_that_dies_is_not_held() {
+fn a_failed_minority_is_not_retained() {
     let all = routers(9, 3);
     let mut dir = Directory::default();
     let mut next = serving(&all);
@@ -155,18 +155,18 @@
     assert_eq!(dir.routers().len(), 6);
 }
 
-/// Routers that were held come back: the hold ends and what is lost later counts anew.
+/// Retained routers become reachable again: this ends the retention, and later losses are counted afresh.
 #[test]
-fn a_hold_ends_when_the_others_are_heard_again() {
+fn retention_ends_when_the_others_are_reachable_again() {
     let all = routers(9, 3);
     let mut dir = Directory::default();
     dir.update(s(0), serving(&all));
     dir.update(s(1), serving(&all[..2]));
-    let held = dir.is_isolated();
+    let was_isolated = dir.is_isolated();
 
     dir.update(s(2), serving(&all));
 
-    assert!(held);
+    assert!(was_isolated);
     assert!(!dir.is_isolated());
     assert_eq!(dir.routers().len(), 9);
 }
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -1,4 +1,4 @@
-//! The request path over sockets: headers, limits, retries and requests that crash engines.
+//! End-to-end tests of the gateway over sockets: headers, limits, retries and requests that crash engines.
 
 use std::{
     net::SocketAddr,
@@ -27,7 +27,7 @@
 use http_body_util::{BodyExt, Full};
 use tokio::{io::AsyncReadExt, net::TcpListener};
 
-const READY_TIME: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Fleet {
     outside: Outside,
@@ -37,14 +37,14 @@
 }
 
 #[derive(Debug)]
-struct Seen {
+struct Answer {
     status: u16,
     headers: HeaderMap,
-    /// `None` when the answer was cut.
+    /// `None` if the connection was cut.
     body: Option<String>,
 }
 
-impl Seen {
+impl Answer {
     fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("")
     }
@@ -55,7 +55,7 @@
         body["error"]["code"].as_str().unwrap_or("").to_owned()
     }
 
-    fn whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.status == 200 && self.body.as_ref().is_some_and(|b| b.contains("[DONE]"))
     }
 }
@@ -69,7 +69,7 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        tokio::time::timeout(READY_TIME, waiting).await.unwrap();
+        tokio::time::timeout(READY_TIMEOUT, waiting).await.unwrap();
         let members: Vec<_> = routers.iter().enumerate().map(|(i, r)| member(i, r)).collect();
         for r in &routers {
             r.gateway().set_members(members.clone()).await;
@@ -77,7 +77,7 @@
         Self { outside, routers, client: Client::default(), chats: AtomicU32::new(0) }
     }
 
-    async fn chat(&self, router: usize, text: &str, headers: &[(&str, &str)]) -> Seen {
+    async fn chat(&self, router: usize, text: &str, headers: &[(&str, &str)]) -> Answer {
         let n = self.chats.fetch_add(1, Ordering::Relaxed);
         let body = serde_json::json!({
             "model": MODEL, "stream": true, "messages": [{ "role": "user", "content": text }]
@@ -92,11 +92,11 @@
         self.send(req).await
     }
 
-    async fn send(&self, req: Request<Full<Bytes>>) -> Seen {
+    async fn send(&self, req: Request<Full<Bytes>>) -> Answer {
         let res = self.client.send(req).await.unwrap();
         let (head, body) = res.into_parts();
         let body = body.collect().await.ok().map(|b| String::from_utf8_lossy(&b.to_bytes()).into_owned());
-        Seen { status: head.status.as_u16(), headers: head.headers, body }
+        Answer { status: head.status.as_u16(), headers: head.headers, body }
     }
 
     fn total(&self, counter: Counter, value: &str) -> u64 {
@@ -133,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn a_header_without_an_allowed_value_is_a_clear_error() {
+async fn an_invalid_header_value_is_a_clear_error() {
     let fleet = Fleet::start(1, Plan::default().with_engines(2)).await;
     let long = "x".repeat(300);
     let table = [
@@ -141,34 +141,34 @@
         ("x-deadline-ms", "soon", "1 to 600000", "not-run"),
         ("x-deadline-ms", "0", "1 to 600000", "not-run"),
         ("x-attempt", "-1", "0 to 1000", "not-run"),
-        // Whether an earlier attempt under the key ran is not known to a router that refuses this one.
+        // A router that refuses this attempt does not know whether an earlier one with the same key ran.
         ("idempotency-key", &long, "longer than 256", "unknown"),
     ];
-    for (name, value, told, outcome) in table {
-        let seen = fleet.chat(0, "hello", &[(name, value)]).await;
+    for (name, value, expected, outcome) in table {
+        let answer = fleet.chat(0, "hello", &[(name, value)]).await;
 
-        assert_eq!((seen.status, seen.code().as_str()), (400, "bad_request"), "{name}: {value}");
-        assert!(seen.body.as_ref().unwrap().contains(told), "{name}: {value}: {seen:?}");
-        assert_eq!(seen.header("x-outcome"), outcome);
+        assert_eq!((answer.status, answer.code().as_str()), (400, "bad_request"), "{name}: {value}");
+        assert!(answer.body.as_ref().unwrap().contains(expected), "{name}: {value}: {answer:?}");
+        assert_eq!(answer.header("x-outcome"), outcome);
     }
     assert!(fleet.outside.engines.iter().all(|e| e.runs().is_empty()));
     fleet.close();
 }
 
-/// A surge of one workspace reaches its limit; the refused caller learns it at once and when to come back,
-/// and another workspace is served.
+/// A workspace exceeds its limit of requests in progress. The excess request is refused at once with a `retry-after`
+/// header, and another workspace is served.
 #[tokio::test]
 async fn a_workspace_at_its_limit_is_refused_and_others_are_served() {
     let plan = Plan::default().with_engines(2).with_tokens(40, Duration::from_millis(50));
     let fleet = Fleet::start(1, plan).await;
     let limited = object("Workspace", "limited", &[], serde_json::json!({ "maxRunning": 1 }));
     fleet.outside.put(limited).unwrap();
-    let known = async {
+    let configured = async {
         while !fleet.routers[0].gateway().catalog().has_workspace("limited") {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(READY_TIME, known).await.unwrap();
+    tokio::time::timeout(READY_TIMEOUT, configured).await.unwrap();
     let headers = [("x-workspace", "limited")];
 
     let (first, second, other) = tokio::join!(
@@ -177,20 +177,23 @@
         fleet.chat(0, "three", &[])
     );
 
-    let (served, refused) = if first.whole() { (first, second) } else { (second, first) };
-    assert!(served.whole() && other.whole());
+    let (served, refused) = if first.is_complete() { (first, second) } else { (second, first) };
+    assert!(served.is_complete() && other.is_complete());
     assert_eq!((refused.status, refused.code().as_str()), (429, "workspace_limit"));
     assert!(!refused.header("retry-after").is_empty());
-    assert!(fleet.chat(0, "four", &headers).await.whole(), "the count ends with the answer");
+    assert!(
+        fleet.chat(0, "four", &headers).await.is_complete(),
+        "a request stops counting when its response ends"
+    );
     fleet.close();
 }
 
-/// A large workspace sends three times what the engines run at once, then a small one sends its first chat.
-/// The engines get no more than they run well, nobody is refused, and the small workspace's chat does not wait
-/// for all that came before it.
+/// A large workspace sends three times the capacity of the engines, then a small one sends its first chat. The
+/// engines run no more than their capacity, nothing is refused, and the small workspace's chat does not wait for all
+/// earlier ones.
 #[tokio::test]
 async fn a_full_pool_queues_and_a_small_workspace_goes_first() {
-    const PLACES: u32 = 16;
+    const CAPACITY: u32 = 16;
     const SURGE: u32 = 48;
     let plan = Plan::default().with_engines(2).with_tokens(10, Duration::from_millis(100));
     let fleet = Arc::new(Fleet::start(1, plan).await);
@@ -199,93 +202,93 @@
         .map(|i| {
             let (fleet, done) = (fleet.clone(), done.clone());
             tokio::spawn(async move {
-                let seen = fleet.chat(0, &format!("text {i}"), &[]).await;
+                let answer = fleet.chat(0, &format!("text {i}"), &[]).await;
                 done.fetch_add(1, Ordering::SeqCst);
-                seen.whole()
+                answer.is_complete()
             })
         })
         .collect();
-    while fleet.outside.engines.iter().map(|e| e.running()).sum::<u32>() < PLACES {
+    while fleet.outside.engines.iter().map(|e| e.running()).sum::<u32>() < CAPACITY {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let most = tokio::spawn(most_running(fleet.clone(), done.clone(), SURGE));
+    let peak = tokio::spawn(peak_running(fleet.clone(), done.clone(), SURGE));
 
     let small = fleet.chat(0, "mine", &[("x-workspace", WORKSPACES[1])]).await;
     let before = done.load(Ordering::SeqCst);
 
-    assert!(small.whole(), "{small:?}");
-    assert!(before <= 2 * PLACES + 2, "{before} of the surge came first");
+    assert!(small.is_complete(), "{small:?}");
+    assert!(before <= 2 * CAPACITY + 2, "{before} chats of the surge completed first");
     for task in surge {
-        assert!(task.await.unwrap(), "a chat of the surge was not answered");
+        assert!(task.await.unwrap(), "a chat of the surge did not complete");
     }
-    // One more may start while the end of another is still being noted.
-    assert!(most.await.unwrap() <= PLACES + 1);
+    // One more may start before the engine has recorded the end of another.
+    assert!(peak.await.unwrap() <= CAPACITY + 1);
 }
 
-async fn most_running(fleet: Arc<Fleet>, done: Arc<AtomicU32>, all: u32) -> u32 {
-    let mut most = 0;
+async fn peak_running(fleet: Arc<Fleet>, done: Arc<AtomicU32>, all: u32) -> u32 {
+    let mut peak = 0;
     while done.load(Ordering::SeqCst) < all {
-        most = most.max(fleet.outside.engines.iter().map(|e| e.running()).sum());
+        peak = peak.max(fleet.outside.engines.iter().map(|e| e.running()).sum());
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    most
+    peak
 }
 
-/// Every place is taken for a second when a chat comes that must be answered in 300 ms. It is told at once, and
-/// when to come back, while one with time to spare waits and is answered.
+/// The engine is at capacity for a second when a chat with a deadline of 300 ms arrives. It is refused with a
+/// `retry-after` header, while a chat with a later deadline waits and is answered.
 #[tokio::test]
-async fn a_deadline_that_passes_in_the_queue_is_told() {
+async fn a_request_that_misses_its_deadline_in_the_queue_is_refused() {
     let plan = Plan::default().with_engines(1).with_tokens(20, Duration::from_millis(50));
     let fleet = Arc::new(Fleet::start(1, plan).await);
     let running: Vec<_> = (0..8)
         .map(|i| {
             let fleet = fleet.clone();
-            tokio::spawn(async move { fleet.chat(0, &format!("text {i}"), &[]).await.whole() })
+            tokio::spawn(async move { fleet.chat(0, &format!("text {i}"), &[]).await.is_complete() })
         })
         .collect();
     while fleet.outside.engines[0].running() < 8 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 
-    let hasty = fleet.chat(0, "hasty", &[("x-deadline-ms", "300")]).await;
-    let patient = fleet.chat(0, "patient", &[("x-deadline-ms", "30000")]).await;
+    let urgent = fleet.chat(0, "hasty", &[("x-deadline-ms", "300")]).await;
+    let relaxed = fleet.chat(0, "patient", &[("x-deadline-ms", "30000")]).await;
 
-    assert!(["deadline_passed", "deadline_unmeetable"].contains(&hasty.code().as_str()), "{hasty:?}");
-    assert_eq!(hasty.header("x-outcome"), "not-run");
-    assert!(!hasty.header("retry-after").is_empty());
-    assert!(patient.whole(), "{patient:?}");
+    assert!(["deadline_passed", "deadline_unmeetable"].contains(&urgent.code().as_str()), "{urgent:?}");
+    assert_eq!(urgent.header("x-outcome"), "not-run");
+    assert!(!urgent.header("retry-after").is_empty());
+    assert!(relaxed.is_complete(), "{relaxed:?}");
     for task in running {
         assert!(task.await.unwrap());
     }
 }
 
-/// An engine is gone, and every router still believes in it. The chat is answered by another engine, the answer
-/// tells how many attempts were made, and a caller that carries a used-up count is refused.
+/// An engine has failed, but all routers still consider it up. Each chat is answered by another engine, with the
+/// number of attempts in the response. A caller that has used up its attempts is refused.
 #[tokio::test]
 async fn attempts_are_counted_over_all_hops() {
     let fleet = Fleet::start(2, Plan::default().with_engines(2)).await;
     fleet.outside.gates[0].set(Mode::Refuse).await.unwrap();
 
-    let mut most = 0;
+    let mut max_attempts = 0;
     for i in 0..8 {
-        let seen = fleet.chat(0, &format!("text {i}"), &[]).await;
-        assert!(seen.whole(), "{seen:?}");
-        most = most.max(seen.header("x-attempt").parse().unwrap());
+        let answer = fleet.chat(0, &format!("text {i}"), &[]).await;
+        assert!(answer.is_complete(), "{answer:?}");
+        max_attempts = max_attempts.max(answer.header("x-attempt").parse().unwrap());
     }
     let refused = fleet.chat(1, "text", &[("x-attempt", "3")]).await;
 
-    assert_eq!(most, 2);
-    assert_eq!(fleet.total(Counter::Retries, "connect_failed") > 0, most > 1);
+    assert_eq!(max_attempts, 2);
+    assert_eq!(fleet.total(Counter::Retries, "connect_failed") > 0, max_attempts > 1);
     assert_eq!((refused.status, refused.code().as_str()), (503, "attempt_limit"));
     assert_eq!(refused.header("x-attempt"), "3");
     assert_eq!(fleet.total(Counter::RetriesRefused, "attempt_limit"), 1);
     fleet.close();
 }
 
-/// Every engine refuses before it runs anything. Chats may be tried again, but once the budget is used up the
-/// final answer comes at once, says that nothing ran, and every further chat costs one attempt.
+/// Every engine refuses requests without running them. Chats are retried until the retry budget is used up; after
+/// that each chat fails with "not run" after one attempt.
 #[tokio::test]
-async fn retries_end_with_the_budget() {
+async fn retries_stop_when_the_budget_is_used_up() {
     let fleet = Fleet::start(1, Plan::default().with_engines(3)).await;
     for engine in &fleet.outside.engines {
         engine.set_faults(Faults { refuse: true, ..Faults::default() });
@@ -293,9 +296,9 @@
 
     let mut codes = Vec::new();
     for i in 0..30 {
-        let seen = fleet.chat(0, &format!("text {i}"), &[]).await;
-        assert_eq!(seen.header("x-outcome"), "not-run", "{seen:?}");
-        codes.push(seen.code());
+        let answer = fleet.chat(0, &format!("text {i}"), &[]).await;
+        assert_eq!(answer.header("x-outcome"), "not-run", "{answer:?}");
+        codes.push(answer.code());
     }
 
     let retries = fleet.total(Counter::Retries, "engine_refused");
@@ -304,10 +307,10 @@
     fleet.close();
 }
 
-/// One chat crashes every engine that runs it, and its caller sends it again and again, each time to another
-/// router. Unguarded it takes down one engine a try; it may take two in all. Other chats go on meanwhile.
+/// A chat crashes every engine that runs it, and its caller retries it repeatedly, each time at another router.
+/// Without protection each retry would crash one more engine; at most two may crash. Other chats are served meanwhile.
 #[tokio::test]
-async fn a_crashing_chat_costs_two_engines_at_most() {
+async fn a_crashing_chat_crashes_at_most_two_engines() {
     let plan = Plan::default().with_engines(6).with_tokens(4, Duration::from_millis(5));
     let fleet = Fleet::start(3, plan).await;
     for engine in &fleet.outside.engines {
@@ -318,21 +321,21 @@
     for i in 0..12 {
         last = Some(fleet.chat(i % 3, "poison", &[]).await);
         let other = fleet.chat((i + 1) % 3, &format!("text {i}"), &[]).await;
-        assert!(other.whole(), "{other:?}");
+        assert!(other.is_complete(), "{other:?}");
     }
 
     let last = last.unwrap();
-    // Quarantined a moment ago, so the caller may come back; nothing ran for it.
+    // The quarantine is still provisional, so the caller may retry; this attempt did not run.
     assert_eq!((last.status, last.code().as_str()), (503, "suspect_busy"), "{last:?}");
     assert_eq!(last.header("x-outcome"), "not-run");
     assert!(fleet.crashes() <= 2, "{}", fleet.crashes());
     fleet.close();
 }
 
-/// A connection to an engine breaks, and the engine goes on. The chat was sent, so it may have run; but nothing
-/// speaks against it, and it is answered when its caller sends it again.
+/// A connection to an engine fails, but the engine keeps running. The chat did not crash it, so it is not quarantined
+/// and its retry is answered.
 #[tokio::test]
-async fn a_cut_connection_quarantines_no_chat() {
+async fn a_failed_connection_quarantines_no_chat() {
     let fleet = Fleet::start(1, Plan::default().with_engines(3)).await;
     for _ in 0..4 {
         let cut = Faults { cut_after: Some(1), connections: 1, ..Faults::default() };
@@ -340,61 +343,62 @@
         fleet.chat(0, "the same text", &[]).await;
         fleet.outside.engines.iter().for_each(|e| e.set_faults(Faults::default()));
 
-        let seen = fleet.chat(0, "the same text", &[]).await;
+        let answer = fleet.chat(0, "the same text", &[]).await;
 
-        assert!(seen.whole(), "{seen:?}");
+        assert!(answer.is_complete(), "{answer:?}");
     }
     assert_eq!(fleet.total(Counter::Refusals, "quarantined"), 0);
     fleet.close();
 }
 
-/// One engine flaps while chats run, and breaks some of them again and again. Each goes on elsewhere when its
-/// caller sends it again; none may be taken for the cause.
+/// An engine flaps while chats run, and some of them fail repeatedly. Retries are answered by other engines, and no
+/// chat may be quarantined as the cause.
 #[tokio::test]
 async fn a_flapping_engine_quarantines_no_chat() {
     let plan = Plan::default().with_engines(3).with_tokens(10, Duration::from_millis(20));
     let fleet = Arc::new(Fleet::start(1, plan).await);
-    let tasks: Vec<_> = (0..12).map(|i| tokio::spawn(persist(fleet.clone(), format!("text {i}")))).collect();
+    let tasks: Vec<_> =
+        (0..12).map(|i| tokio::spawn(retry_until_complete(fleet.clone(), format!("text {i}")))).collect();
     for mode in [Mode::Refuse, Mode::Open, Mode::Refuse, Mode::Open, Mode::Refuse, Mode::Open] {
         tokio::time::sleep(Duration::from_millis(60)).await;
         fleet.outside.gates[0].set(mode).await.unwrap();
     }
 
     for task in tasks {
-        assert!(task.await.unwrap(), "a chat was not answered");
+        assert!(task.await.unwrap(), "a chat did not complete");
     }
     assert_eq!(fleet.total(Counter::Refusals, "quarantined"), 0);
 }
 
-async fn persist(fleet: Arc<Fleet>, text: String) -> bool {
+async fn retry_until_complete(fleet: Arc<Fleet>, text: String) -> bool {
     for _ in 0..10 {
-        if fleet.chat(0, &text, &[]).await.whole() {
+        if fleet.chat(0, &text, &[]).await.is_complete() {
             return true;
         }
-        // A caller that is told when to come back waits, though here not for whole seconds.
+        // Shorter than a real caller's wait, which would follow `retry-after`.
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     false
 }
 
-/// A save breaks off after it has reached its backend server. A second attempt would save twice, whichever way
-/// the path was spelled, with a key or without; the caller must hear that the outcome is not known. The same holds for
-/// a POST that no list names. A call that may run twice does.
+/// The connection of a save fails after the request has reached its backend server. A second attempt would save twice,
+/// so it must not be made, however the path is escaped and with or without a key, and the outcome must be reported as
+/// unknown. The same holds for a POST to an unlisted path. Idempotent calls are retried.
 #[tokio::test]
-async fn a_call_that_may_not_be_repeated_is_sent_once() {
+async fn a_non_idempotent_call_is_sent_once() {
     const ROUTERS: usize = 4;
     let fleet = Fleet::start(ROUTERS, Plan::default().with_engines(1)).await;
-    let breaking = Breaking::start().await;
-    fleet.outside.put(breaking.engine()).unwrap();
+    let server = ClosingServer::start().await;
+    fleet.outside.put(server.engine()).unwrap();
     let select = serde_json::json!({ "matchLabels": { "role": "breaking" } });
     let spec = serde_json::json!({ "engines": select, "nonIdempotent": ["/progress", "/cards/progress"], "idempotent": ["/cards"] });
     fleet.outside.put(object("Service", "breaking", &[], spec)).unwrap();
-    let known = async {
+    let configured = async {
         while fleet.routers.iter().any(|r| r.gateway().catalog().service("breaking").is_none()) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(READY_TIME, known).await.unwrap();
+    tokio::time::timeout(READY_TIMEOUT, configured).await.unwrap();
     let table = [
         ("POST", "/progress/1", 1),
         ("POST", "/%70rogress/1", 1),
@@ -420,8 +424,8 @@
     let mut repeated = 0;
     for (row, (method, path, sent)) in table.into_iter().enumerate() {
         for key in ["", "idempotency-key"] {
-            breaking.calls.store(0, Ordering::Relaxed);
-            // No router's budget of retries is to run out.
+            server.calls.store(0, Ordering::Relaxed);
+            // Spreads the retries over the routers, so that no retry budget is used up.
             repeated += usize::from(sent > 1);
             let router = &fleet.routers[repeated % ROUTERS];
             let url = format!("http://{}/services/breaking{path}", router.addr());
@@ -429,25 +433,25 @@
             if !key.is_empty() {
                 req = req.header(key, format!("{row}"));
             }
-            // Another body each time: content that breaks its server is soon a suspect.
+            // A different body each time, because content whose connection fails soon becomes a suspect.
             let body = Bytes::from(format!("{row}{key}"));
 
-            let seen = fleet.send(req.body(Full::new(body)).unwrap()).await;
+            let answer = fleet.send(req.body(Full::new(body)).unwrap()).await;
 
-            assert_eq!(breaking.calls.load(Ordering::Relaxed), sent, "{method} {path} {key}: {seen:?}");
-            assert_eq!(seen.header("x-outcome"), "unknown", "{method} {path}: {seen:?}");
+            assert_eq!(server.calls.load(Ordering::Relaxed), sent, "{method} {path} {key}: {answer:?}");
+            assert_eq!(answer.header("x-outcome"), "unknown", "{method} {path}: {answer:?}");
         }
     }
     fleet.close();
 }
 
-/// A backend server that reads each request and breaks the connection.
-struct Breaking {
+/// Backend server that reads each request and then closes the connection.
+struct ClosingServer {
     addr: SocketAddr,
     calls: Arc<AtomicU32>,
 }
 
-impl Breaking {
+impl ClosingServer {
     async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
@@ -456,7 +460,7 @@
         tokio::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 let mut buf = [0; 4096];
-                // The router also connects to see whether the server lives; only calls name a workspace.
+                // The router also connects to probe the server; only calls have a workspace header.
                 let read = stream.read(&mut buf).await.unwrap_or(0);
                 if String::from_utf8_lossy(&buf[..read]).contains("x-workspace") {
                     count.fetch_add(1, Ordering::Relaxed);
