--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 struct LostRouter {
     router: Router,
-    at: Instant,
+    lost_at: Instant,
     /// Whether the router stays in entry answers.
     retained: bool,
 }
@@ -57,15 +57,15 @@
         }
         for (name, router) in before {
             if !self.serving.contains_key(&name) {
-                self.lost.insert(name, LostRouter { router, at: now, retained: false });
+                self.lost.insert(name, LostRouter { router, lost_at: now, retained: false });
             }
         }
         let serving = &self.serving;
         self.lost.retain(|name, l| {
-            let expired = l.at + if l.retained { LOST_RETENTION } else { LOSS_WINDOW } <= now;
+            let expired = l.lost_at + if l.retained { LOST_RETENTION } else { LOSS_WINDOW } <= now;
             !serving.contains_key(name) && !leaving.contains(name) && !expired
         });
-        let recent = self.lost.values().filter(|l| l.retained || l.at + LOSS_WINDOW > now).count();
+        let recent = self.lost.values().filter(|l| l.retained || l.lost_at + LOSS_WINDOW > now).count();
         if recent > self.serving.len() {
             for l in self.lost.values_mut() {
                 l.retained = true;
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -182,7 +182,9 @@
             (&Method::GET, "/healthz") => Ok(Reply::full(200, "ok\n")),
             (&Method::GET, "/readyz") if self.is_ready() => Ok(Reply::full(200, "ready\n")),
             (&Method::GET, "/metrics") => self.render_metrics(),
-            _ if !self.is_ready() => Err(RequestError::new(ErrorKind::NotReady, "no configuration yet")),
+            _ if !self.is_ready() => {
+                Err(RequestError::new(ErrorKind::NotReady, "the router has no configuration yet"))
+            }
             (&Method::GET, "/v1/entry") => self.entry(req.uri().query().unwrap_or("")),
             _ if self.is_closed.load(Ordering::Acquire) => {
                 Err(RequestError::new(ErrorKind::Leaving, ErrorKind::Leaving.answer().about))
@@ -200,7 +202,7 @@
     }
 
     /// Counts and logs a refusal, and returns the reply.
-    fn refuse(&self, error: &RequestError, origin: &RequestOrigin) -> Reply {
+    fn refuse(&self, error: &RequestError, meta: &RequestMeta) -> Reply {
         let code = error.kind.answer().code;
         self.metrics.request("refused");
         self.metrics.refuse(code);
@@ -210,9 +212,9 @@
             ErrorKind::Quarantined | ErrorKind::EngineFailed => Level::Warn,
             _ => Level::Debug,
         };
-        let (request, workspace) = (origin.id.as_str(), origin.workspace.as_str());
+        let (request, workspace) = (meta.id.as_str(), meta.workspace.as_str());
         spdlog::log!(level, "refused: {}", error.message, kv: { request, code, workspace });
-        if origin.may_be_repeat { error.reply_to_repeat() } else { error.reply() }
+        if meta.may_be_repeat { error.reply_to_repeat() } else { error.reply() }
     }
 
     /// Answers `GET /metrics`.
@@ -305,31 +307,31 @@
 
 impl Handler for Gateway {
     async fn handle(&self, req: Request<Bytes>, _peer: SocketAddr) -> Reply {
-        let origin = RequestOrigin::of(&req);
-        let reply = match self.route(req, &origin.id).await {
+        let meta = RequestMeta::of(&req);
+        let reply = match self.route(req, &meta.id).await {
             Ok(reply) => {
                 self.metrics.request("answered");
                 reply
             }
-            Err(error) => self.refuse(&error, &origin),
+            Err(error) => self.refuse(&error, &meta),
         };
-        reply.with_header("x-request-id", &origin.id)
+        reply.with_header("x-request-id", &meta.id)
     }
 
     fn refuse_body(&self, head: &Request<()>, kind: ErrorKind) -> Reply {
-        let origin = RequestOrigin::of(head);
-        self.refuse(&RequestError::new(kind, UNREAD_BODY), &origin).with_header("x-request-id", &origin.id)
+        let meta = RequestMeta::of(head);
+        self.refuse(&RequestError::new(kind, UNREAD_BODY), &meta).with_header("x-request-id", &meta.id)
     }
 }
 
 /// Properties of a request that its reply and log lines need, whatever its outcome.
-struct RequestOrigin {
+struct RequestMeta {
     id: String,
     workspace: String,
     may_be_repeat: bool,
 }
 
-impl RequestOrigin {
+impl RequestMeta {
     fn of<B>(req: &Request<B>) -> Self {
         let workspace = header(req.headers(), "x-workspace").unwrap_or_default().to_owned();
         Self { id: random_id(), workspace, may_be_repeat: may_be_repeat(req) }
--- a/src/gateway/chat.rs
+++ b/src/gateway/chat.rs
@@ -93,9 +93,10 @@
 fn no_pool(e: NoPool, info: &RequestInfo) -> RequestError {
     let (workspace, model) = (&info.workspace, &info.model);
     match e {
-        NoPool::UnknownWorkspace => {
-            RequestError::new(ErrorKind::UnknownWorkspace, format!("no workspace {workspace:?}"))
-        }
+        NoPool::UnknownWorkspace => RequestError::new(
+            ErrorKind::UnknownWorkspace,
+            format!("workspace {workspace:?} is not configured"),
+        ),
         NoPool::NoPolicy => RequestError::new(
             ErrorKind::NoPolicy,
             format!("no routing policy matches workspace {workspace:?} and model {model:?}"),
--- a/src/gateway/claim/closed_processes.rs
+++ b/src/gateway/claim/closed_processes.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug)]
 struct CachedState {
     closed_ms: Option<u64>,
-    at: Instant,
+    read_at: Instant,
 }
 
 impl ClosedProcesses {
@@ -57,15 +57,15 @@
     /// Time at which a process closed, from the cache or the platform; `None` if it has not or can't be read.
     async fn closed_ms(&self, name: String) -> Option<u64> {
         if let Some(cached) = lock(&self.cache).get(&name)
-            && (cached.closed_ms.is_some() || now() < cached.at + NOT_CLOSED_TTL)
+            && (cached.closed_ms.is_some() || now() < cached.read_at + NOT_CLOSED_TTL)
         {
             return cached.closed_ms;
         }
         let obj = self.platform.get(KIND, &name).await.ok()?;
         let spec = obj.and_then(|o| serde_json::from_value::<ClaimTicket>(o.spec).ok());
-        let cached = CachedState { closed_ms: spec.map(|s| s.closed_ms), at: now() };
+        let cached = CachedState { closed_ms: spec.map(|s| s.closed_ms), read_at: now() };
         let mut cache = lock(&self.cache);
-        cache.retain(|_, s| now() < s.at + TICKET_LIFETIME);
+        cache.retain(|_, s| now() < s.read_at + TICKET_LIFETIME);
         cache.insert(name, cached);
         cached.closed_ms
     }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -18,7 +18,7 @@
 const MAX_DEADLINE_MS: u64 = 600_000;
 const MAX_PRIOR_ATTEMPTS: u64 = 1_000;
 /// Maximum length of a header value other than the placement hint.
-const MAX_VALUE_BYTES: usize = 256;
+const MAX_HEADER_VALUE_BYTES: usize = 256;
 const MAX_HINT_BYTES: usize = 4096;
 
 /// Fields of a request that admission, placement and dispatch need.
@@ -99,8 +99,10 @@
         let deadline = deadline.map_or(DEFAULT_DEADLINE, Duration::from_millis);
         Ok(Self {
             id: id.into(),
-            workspace: text_header(headers, "x-workspace", MAX_VALUE_BYTES)?.unwrap_or_default().into(),
-            chat: text_header(headers, "x-chat", MAX_VALUE_BYTES)?
+            workspace: text_header(headers, "x-workspace", MAX_HEADER_VALUE_BYTES)?
+                .unwrap_or_default()
+                .into(),
+            chat: text_header(headers, "x-chat", MAX_HEADER_VALUE_BYTES)?
                 .map_or_else(random_id, str::to_owned)
                 .into(),
             model,
@@ -109,7 +111,7 @@
             priority: priority(headers)?,
             deadline: now + deadline,
             prior_attempts: number_header(headers, "x-attempt", 0..=MAX_PRIOR_ATTEMPTS)?.unwrap_or(0) as u32,
-            key: text_header(headers, "idempotency-key", MAX_VALUE_BYTES)?.map(Into::into),
+            key: text_header(headers, "idempotency-key", MAX_HEADER_VALUE_BYTES)?.map(Into::into),
             content,
             is_chat: false,
         })
@@ -133,7 +135,7 @@
 
 /// Value of the `x-priority` header.
 fn priority(headers: &HeaderMap) -> Result<Priority, RequestError> {
-    let Some(name) = text_header(headers, "x-priority", MAX_VALUE_BYTES)? else {
+    let Some(name) = text_header(headers, "x-priority", MAX_HEADER_VALUE_BYTES)? else {
         return Ok(Priority::default());
     };
     Priority::parse(name).ok_or_else(|| {
@@ -148,11 +150,12 @@
     name: &str,
     range: std::ops::RangeInclusive<u64>,
 ) -> Result<Option<u64>, RequestError> {
-    let Some(value) = text_header(headers, name, MAX_VALUE_BYTES)? else { return Ok(None) };
+    let Some(value) = text_header(headers, name, MAX_HEADER_VALUE_BYTES)? else { return Ok(None) };
     let parsed = value.parse().ok().filter(|n| range.contains(n));
     let (min, max) = (range.start(), range.end());
-    let number = parsed
-        .ok_or_else(|| bad_request(format!("header {name} is {value:?}, but must be {min} to {max}")))?;
+    let number = parsed.ok_or_else(|| {
+        bad_request(format!("header {name} is {value:?}, but must be a number from {min} to {max}"))
+    })?;
     Ok(Some(number))
 }
 
--- a/src/gateway/resume.rs
+++ b/src/gateway/resume.rs
@@ -44,7 +44,8 @@
     /// Resumes a stream after the last event that the caller has received.
     pub(super) async fn resume(&self, req: Request<Bytes>) -> Result<Reply, RequestError> {
         let unknown = |message: &str| RequestError::new(ErrorKind::ResumeUnknown, message);
-        let text = header(req.headers(), RESUME_TOKEN_HEADER).ok_or_else(|| unknown("no resume token"))?;
+        let text = header(req.headers(), RESUME_TOKEN_HEADER)
+            .ok_or_else(|| unknown("the x-resume-token header is missing"))?;
         let token = self.resume_key.verify(text, wall_ms()).map_err(|e| match e {
             BadToken::Forged => unknown("the resume token was not signed by this fleet"),
             BadToken::Expired => RequestError::new(ErrorKind::ResumeGone, "the resume token has expired"),
--- a/src/gateway/service.rs
+++ b/src/gateway/service.rs
@@ -31,9 +31,9 @@
         let rest = path.strip_prefix("/services/").unwrap_or(path);
         let (name, tail) = rest.split_once('/').unwrap_or((rest, ""));
         let cat = self.catalog();
-        let service = cat
-            .service(name)
-            .ok_or_else(|| RequestError::new(ErrorKind::UnknownService, format!("no service {name:?}")))?;
+        let service = cat.service(name).ok_or_else(|| {
+            RequestError::new(ErrorKind::UnknownService, format!("service {name:?} is not configured"))
+        })?;
         let path = match req.uri().query() {
             Some(query) => format!("/{tail}?{query}"),
             None => format!("/{tail}"),
@@ -42,7 +42,7 @@
         if !cat.has_workspace(&info.workspace) {
             return Err(RequestError::new(
                 ErrorKind::UnknownWorkspace,
-                format!("no workspace {:?}", info.workspace),
+                format!("workspace {:?} is not configured", info.workspace),
             ));
         }
         let in_flight = self.acquire_in_flight(&cat, &info)?;
