--- a/src/entry/query.rs
+++ b/src/entry/query.rs
@@ -1,65 +1,65 @@
-//! What a caller asks of `GET /v1/entry`.
+//! Query of `GET /v1/entry`.
 
 use std::{fmt, sync::Arc};
 
 use super::Router;
 
-const LONGEST_KEY: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
-/// What a caller asks.
+/// Parsed entry query.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Query {
-    /// Caller's data centre; the answering router's if not given.
+    /// Caller's data centre; defaults to the answering router's.
     pub data_centre: Arc<str>,
-    /// Caller's region; the answering router's if not given.
+    /// Caller's region; defaults to the answering router's.
     pub region: Arc<str>,
-    /// Chat or workspace that shall meet the same router again.
+    /// Affinity key, such as a chat or workspace: the same key gets the same router first.
     pub key: Option<Arc<str>>,
-    /// Workspace of the chat that `key` names; with it the owner of the chat's first engine comes first.
+    /// Workspace of the chat that `key` names. If given, the owner of the chat's first-choice engine is listed first.
     pub workspace: Option<Arc<str>>,
-    /// Model that the chat asks for.
+    /// Model that the chat uses.
     pub model: Option<Arc<str>>,
-    /// Spreads callers without a key.
+    /// Random value that takes the place of a missing key, so that callers without one are spread evenly.
     pub salt: u64,
 }
 
-/// Why a query can't be answered.
+/// Error in a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BadQuery {
-    /// A field that does not exist.
-    Unknown(String),
-    /// A field that stands there twice.
-    Twice(String),
-    /// A field without a value.
-    Empty(String),
-    /// A key that is too long.
+pub enum QueryError {
+    /// A field is not known.
+    UnknownField(String),
+    /// A field occurs more than once.
+    DuplicateField(String),
+    /// A field has no value.
+    EmptyField(String),
+    /// The key is too long.
     KeyTooLong,
 }
 
-impl fmt::Display for BadQuery {
+impl fmt::Display for QueryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadQuery::Unknown(name) => {
+            QueryError::UnknownField(name) => {
                 write!(
                     f,
-                    "there is no field {name:?}; the fields are key, workspace, model, data_centre and region"
+                    "unknown field {name:?}; the fields are key, workspace, model, data_centre and region"
                 )
             }
-            BadQuery::Twice(name) => write!(f, "the field {name:?} is given twice"),
-            BadQuery::Empty(name) => write!(f, "the field {name:?} has no value"),
-            BadQuery::KeyTooLong => write!(f, "the key has more than {LONGEST_KEY} bytes"),
+            QueryError::DuplicateField(name) => write!(f, "field {name:?} is given more than once"),
+            QueryError::EmptyField(name) => write!(f, "field {name:?} has no value"),
+            QueryError::KeyTooLong => write!(f, "the key is longer than {MAX_KEY_BYTES} bytes"),
         }
     }
 }
 
-impl std::error::Error for BadQuery {}
+impl std::error::Error for QueryError {}
 
 impl Query {
     /// Parses a query string; `me` is the answering router.
     ///
     /// # Errors
-    /// Says which field is wrong.
-    pub fn parse(text: &str, me: &Router, salt: u64) -> Result<Self, BadQuery> {
+    /// When a field is unknown, repeated or empty, or the key is too long.
+    pub fn parse(text: &str, me: &Router, salt: u64) -> Result<Self, QueryError> {
         let (mut key, mut data_centre, mut region) = (None, None, None);
         let (mut workspace, mut model) = (None, None);
         for (name, value) in form_urlencoded::parse(text.as_bytes()) {
@@ -69,17 +69,17 @@
                 "model" => &mut model,
                 "data_centre" => &mut data_centre,
                 "region" => &mut region,
-                _ => return Err(BadQuery::Unknown(name.into_owned())),
+                _ => return Err(QueryError::UnknownField(name.into_owned())),
             };
             if value.is_empty() {
-                return Err(BadQuery::Empty(name.into_owned()));
+                return Err(QueryError::EmptyField(name.into_owned()));
             }
             if slot.replace(Arc::<str>::from(&*value)).is_some() {
-                return Err(BadQuery::Twice(name.into_owned()));
+                return Err(QueryError::DuplicateField(name.into_owned()));
             }
         }
-        if key.as_ref().is_some_and(|k| k.len() > LONGEST_KEY) {
-            return Err(BadQuery::KeyTooLong);
+        if key.as_ref().is_some_and(|k| k.len() > MAX_KEY_BYTES) {
+            return Err(QueryError::KeyTooLong);
         }
         Ok(Self {
             data_centre: data_centre.unwrap_or_else(|| me.data_centre.clone()),
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -1,4 +1,4 @@
-//! Runs the queues of admission: lets requests wait, gives turns, refuses.
+//! Admission of requests: enforces the workspace limits, and runs the queues of pools and services.
 
 use std::{
     future::Future,
@@ -8,7 +8,7 @@
 
 use tokio::sync::{Notify, oneshot};
 
-use super::{ask::Ask, lock, read};
+use super::{lock, read, request::RequestInfo};
 use crate::{
     admit::{ConcurrencyLimit, EnqueueResult, FairQueue, InFlight, Refusal, Ticket, Work},
     error::RequestError,
@@ -16,21 +16,21 @@
     util::{Instant, Map, now},
 };
 
-/// How often waiting requests are looked at: bounds how late an expired one learns of it.
-const TICK: Duration = Duration::from_millis(25);
-/// Longest pause between two turns while no engine has room. Each turn may ask several owners of engines, and
-/// routers may spend only a few kilobytes a second on that.
-const MOST_PAUSE: Duration = Duration::from_millis(250);
+/// Interval at which expired requests are removed from a queue, and initial delay between two turns.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Maximum delay between two turns while no engine has room. Each turn may send requests to several owners of engines,
+/// and routers may spend only a few kilobytes per second on them.
+const MAX_TURN_DELAY: Duration = Duration::from_millis(250);
 
-/// Queues and limits of one router.
+/// Queues and workspace limits of one router.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     queues: RwLock<Map<Arc<str>, Arc<Queue>>>,
-    usage: Arc<Mutex<InFlight>>,
+    in_flight: Arc<Mutex<InFlight>>,
 }
 
 impl Admission {
-    /// The queue of a pool or service.
+    /// Queue of a pool or service; created on first use.
     pub(crate) fn queue(&self, name: &str) -> Arc<Queue> {
         if let Some(queue) = read(&self.queues).get(name) {
             return queue.clone();
@@ -39,199 +39,215 @@
         queues.entry(name.into()).or_default().clone()
     }
 
-    /// Counts a request against the limits of its workspace.
+    /// Counts a request against the limits of its workspace until the guard is dropped.
     ///
     /// # Errors
     /// When a limit is reached.
-    pub(crate) fn enter(
+    pub(crate) fn acquire_in_flight(
         &self,
-        caps: Arc<[ConcurrencyLimit]>,
+        limits: Arc<[ConcurrencyLimit]>,
         routers: u32,
-        ask: &Ask,
-    ) -> Result<Entered, RequestError> {
-        if !caps.is_empty() {
-            let entered = lock(&self.usage).acquire(&caps, routers);
-            entered.map_err(|kind| {
+        info: &RequestInfo,
+    ) -> Result<InFlightGuard, RequestError> {
+        if !limits.is_empty() {
+            let acquired = lock(&self.in_flight).acquire(&limits, routers);
+            acquired.map_err(|kind| {
                 RequestError::new(
                     kind,
-                    format!("workspace {:?} has too many requests in progress", ask.workspace),
+                    format!("workspace {:?} has too many requests in progress", info.workspace),
                 )
             })?;
         }
-        Ok(Entered { caps, usage: self.usage.clone() })
+        Ok(InFlightGuard { limits, in_flight: self.in_flight.clone() })
     }
 }
 
-/// A request that counts against the limits of its workspace until it is dropped.
+/// Guard of a request that counts against the limits of its workspace.
 #[derive(Debug)]
-pub(crate) struct Entered {
-    caps: Arc<[ConcurrencyLimit]>,
-    usage: Arc<Mutex<InFlight>>,
+pub(crate) struct InFlightGuard {
+    limits: Arc<[ConcurrencyLimit]>,
+    in_flight: Arc<Mutex<InFlight>>,
 }
 
-impl Drop for Entered {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        if !self.caps.is_empty() {
-            lock(&self.usage).release(&self.caps);
+        if !self.limits.is_empty() {
+            lock(&self.in_flight).release(&self.limits);
         }
     }
 }
 
-/// Requests of one pool or service that wait for an engine.
+/// Queue of the requests of one pool or service that wait for a backend server.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     state: Mutex<State>,
-    freed: Notify,
+    run_ended: Notify,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    lane: FairQueue,
+    queue: FairQueue,
+    /// Channels to the waiting requests that have no turn.
     waiters: Map<Ticket, oneshot::Sender<Turn>>,
-    pumped: bool,
-    pause: Duration,
-    next: Instant,
+    /// Whether the task that grants turns is running.
+    is_running: bool,
+    /// Delay before the next turn while no run ends; doubles while servers are full.
+    turn_delay: Duration,
+    next_turn: Instant,
 }
 
+/// Message to a waiting request.
 #[derive(Debug)]
 enum Turn {
+    /// It is the request's turn to search for a backend server.
     Try,
     Refused(Refusal),
 }
 
-/// What a search for an engine gave, when it gave none.
+/// Why a search found no backend server.
 #[derive(Debug)]
-pub(crate) enum NoRoom {
-    /// Every engine in use stands at its bound; the request may wait.
+pub(crate) enum NotAdmitted {
+    /// Every available server is at its load bound; the request may wait.
     Full,
     /// The request can't be served.
-    RequestError(RequestError),
+    Failed(RequestError),
 }
 
 impl Queue {
-    /// Finds an engine by `find`, at once or after waiting for a turn.
+    /// Runs the search `find` at once if the queue is empty. Otherwise, or if all servers are full, queues the request
+    /// and runs the search whenever it is the request's turn.
     ///
     /// # Errors
-    /// When the request may not wait, waited too long, or can't be served.
+    /// When the request is refused by the queue, waited too long or can't be served.
     pub(crate) async fn admit<T, F>(
         self: &Arc<Self>,
-        ask: &Ask,
+        info: &RequestInfo,
         find: impl Fn() -> F,
     ) -> Result<T, RequestError>
     where
-        F: Future<Output = Result<T, NoRoom>>,
+        F: Future<Output = Result<T, NotAdmitted>>,
     {
-        if lock(&self.state).lane.is_empty() {
+        if lock(&self.state).queue.is_empty() {
             match find().await {
                 Ok(found) => return Ok(found),
-                Err(NoRoom::RequestError(fault)) => return Err(fault),
-                Err(NoRoom::Full) => {}
+                Err(NotAdmitted::Failed(error)) => return Err(error),
+                Err(NotAdmitted::Full) => {}
             }
         }
-        let mut waiter = self.wait(ask)?;
+        let mut waiter = self.enqueue(info)?;
         loop {
             match (&mut waiter.turn).await {
                 Ok(Turn::Try) => {}
-                Ok(Turn::Refused(refusal)) => return Err(fault(refusal)),
+                Ok(Turn::Refused(refusal)) => return Err(refusal_error(refusal)),
                 Err(_) => {
-                    return Err(RequestError::new(crate::error::ErrorKind::Internal, "the queue is gone"));
+                    return Err(RequestError::new(
+                        crate::error::ErrorKind::Internal,
+                        "the request was dropped from the queue",
+                    ));
                 }
             }
             match find().await {
                 Ok(found) => {
-                    self.settled(waiter.ticket);
+                    self.end_turn_admitted(waiter.ticket);
                     return Ok(found);
                 }
-                Err(NoRoom::RequestError(fault)) => return Err(fault),
-                Err(NoRoom::Full) => waiter.turn = self.again(waiter.ticket),
+                Err(NotAdmitted::Failed(error)) => return Err(error),
+                Err(NotAdmitted::Full) => waiter.turn = self.end_turn_full(waiter.ticket),
             }
         }
     }
 
-    /// Notes a run that has ended, so that its engine may have room.
-    pub(crate) fn note_end(&self, ran: Duration, work: Work) {
-        lock(&self.state).lane.record_run(ran, work);
-        self.freed.notify_one();
+    /// Records the end of a run, after which its server may have room for a waiting request.
+    pub(crate) fn record_run(&self, run_time: Duration, work: Work) {
+        lock(&self.state).queue.record_run(run_time, work);
+        self.run_ended.notify_one();
     }
 
-    fn wait(self: &Arc<Self>, ask: &Ask) -> Result<Waiter, RequestError> {
+    /// Adds a request to the queue, and starts the queue's task if it is not running.
+    fn enqueue(self: &Arc<Self>, info: &RequestInfo) -> Result<Waiter, RequestError> {
         let mut state = lock(&self.state);
-        let ticket = match state.lane.enqueue(now(), ask.demand()) {
+        let ticket = match state.queue.enqueue(now(), info.demand()) {
             EnqueueResult::Queued(ticket) => ticket,
-            EnqueueResult::Displaced(ticket, victim, refusal) => {
-                state.refuse(victim, refusal);
+            EnqueueResult::Displaced(ticket, displaced, refusal) => {
+                state.refuse(displaced, refusal);
                 ticket
             }
-            EnqueueResult::Refused(refusal) => return Err(fault(refusal)),
+            EnqueueResult::Refused(refusal) => return Err(refusal_error(refusal)),
         };
         let (tx, turn) = oneshot::channel();
         state.waiters.insert(ticket, tx);
-        if !std::mem::replace(&mut state.pumped, true) {
-            (state.pause, state.next) = (TICK, Duration::ZERO);
-            tokio::spawn(self.clone().pump());
+        if !std::mem::replace(&mut state.is_running, true) {
+            (state.turn_delay, state.next_turn) = (POLL_INTERVAL, Duration::ZERO);
+            tokio::spawn(self.clone().run_turns());
         }
         Ok(Waiter { queue: self.clone(), ticket, turn })
     }
 
-    fn settled(&self, ticket: Ticket) {
+    /// Ends the turn of a request that found a server, and grants the next turn at once.
+    fn end_turn_admitted(&self, ticket: Ticket) {
         let mut state = lock(&self.state);
         state.waiters.remove(&ticket);
-        state.lane.end_turn(now(), ticket, true);
-        state.pause = TICK;
-        state.grant();
+        state.queue.end_turn(now(), ticket, true);
+        state.turn_delay = POLL_INTERVAL;
+        state.grant_turn();
     }
 
-    fn again(&self, ticket: Ticket) -> oneshot::Receiver<Turn> {
+    /// Ends the turn of a request that found all servers full. The request stays in the queue, and the delay before the
+    /// next turn doubles.
+    fn end_turn_full(&self, ticket: Ticket) -> oneshot::Receiver<Turn> {
         let mut state = lock(&self.state);
         let (tx, turn) = oneshot::channel();
         state.waiters.insert(ticket, tx);
-        state.lane.end_turn(now(), ticket, false);
-        state.pause = (state.pause * 2).min(MOST_PAUSE);
-        state.next = now() + state.pause;
+        state.queue.end_turn(now(), ticket, false);
+        state.turn_delay = (state.turn_delay * 2).min(MAX_TURN_DELAY);
+        state.next_turn = now() + state.turn_delay;
         turn
     }
 
-    /// Gives turns while requests wait: when a run ends here, and after a pause, since an engine may have been
-    /// freed by another router.
-    async fn pump(self: Arc<Self>) {
+    /// Grants turns while requests wait: when a run of this router ends, and after a delay, since runs of other routers
+    /// end too.
+    async fn run_turns(self: Arc<Self>) {
         loop {
-            let freed = tokio::time::timeout(TICK, self.freed.notified()).await.is_ok();
+            let run_ended = tokio::time::timeout(POLL_INTERVAL, self.run_ended.notified()).await.is_ok();
             let mut state = lock(&self.state);
             state.expire();
-            if state.lane.is_empty() {
-                state.pumped = false;
+            if state.queue.is_empty() {
+                state.is_running = false;
                 return;
             }
-            if freed || now() >= state.next {
-                state.grant();
+            if run_ended || now() >= state.next_turn {
+                state.grant_turn();
             }
         }
     }
 }
 
 impl State {
-    fn grant(&mut self) {
-        let Some(ticket) = self.lane.start_turn() else { return };
+    /// Grants a turn to the next request, if the maximum number of turns is not in progress.
+    fn grant_turn(&mut self) {
+        let Some(ticket) = self.queue.start_turn() else { return };
         let sent = self.waiters.remove(&ticket).is_some_and(|tx| tx.send(Turn::Try).is_ok());
         if !sent {
-            self.lane.cancel(ticket);
+            self.queue.cancel(ticket);
         }
     }
 
+    /// Refuses a waiting request.
     fn refuse(&mut self, ticket: Ticket, refusal: Refusal) {
         if let Some(tx) = self.waiters.remove(&ticket) {
             let _ = tx.send(Turn::Refused(refusal));
         }
     }
 
+    /// Refuses the requests that have expired.
     fn expire(&mut self) {
-        for (ticket, refusal) in self.lane.expire(now()) {
+        for (ticket, refusal) in self.queue.expire(now()) {
             self.refuse(ticket, refusal);
         }
     }
 }
 
-/// A place in the queue; dropping it, as when the caller goes away, gives it up.
+/// A request in the queue; dropping it, for example when the caller disconnects, removes it from the queue.
 struct Waiter {
     queue: Arc<Queue>,
     ticket: Ticket,
@@ -242,12 +258,12 @@
     fn drop(&mut self) {
         let mut state = lock(&self.queue.state);
         state.waiters.remove(&self.ticket);
-        state.lane.cancel(self.ticket);
+        state.queue.cancel(self.ticket);
     }
 }
 
-/// Refused callers are told different times, so that they don't come back together.
-fn fault(refusal: Refusal) -> RequestError {
+/// Error for a refused request, with jitter on the retry time so that refused callers don't retry at the same time.
+fn refusal_error(refusal: Refusal) -> RequestError {
     let after = refusal.retry_after + jitter(refusal.retry_after, &mut rand::rng());
     RequestError::new(refusal.kind, refusal.kind.answer().about).with_retry_after(after)
 }
--- a/src/gateway/relay/events.rs
+++ b/src/gateway/relay/events.rs
@@ -1,5 +1,5 @@
-//! Relays an event stream of an engine: checks each event's identifier, resumes after a broken connection, and
-//! cancels when the caller goes away.
+//! Relays an event stream of an engine: checks the ID of each event, resumes the stream after a connection failure, and
+//! cancels it when the caller disconnects.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,91 +14,94 @@
         EngineClient, REQUEST_ID,
         answer::{Answer, Broken},
     },
-    gateway::ask::header,
+    gateway::request::header,
     http::{BodySender, Gone},
     metrics::{Counter, Metrics},
     stream::{EventAction, StreamTracker},
 };
 
-/// Events that wait for a slow caller before the engine's stream is held back.
-pub(in crate::gateway) const STREAM_DEPTH: usize = 8;
-/// Longest time between two events, the first included, before the connection is given up.
-const STALL: Duration = Duration::from_secs(20);
-/// How often a caller who waits gets a comment. A server learns that a caller has gone only when it writes to them,
-/// so that an engine which is slow to answer would go on for nobody.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
-const COMMENT: &[u8] = b": waiting\n\n";
-/// Connections without any new event before the stream is given up.
-const MOST_FRUITLESS: u32 = 3;
-const PAUSE: Duration = Duration::from_millis(100);
-const CANCEL_TRIES: u32 = 3;
+/// Number of events buffered for a slow caller before backpressure stops the engine's stream.
+pub(in crate::gateway) const EVENT_CHANNEL_CAPACITY: usize = 8;
+/// Maximum time until the first event and between two events; after that the connection is treated as failed.
+const EVENT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval at which a waiting caller is sent a comment. A server notices that a caller has disconnected only when it
+/// writes, so without comments a slow engine would continue to work for an absent caller.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_COMMENT: &[u8] = b": waiting\n\n";
+/// Number of consecutive connections without a new event after which the stream is cut.
+const MAX_EMPTY_CONNECTIONS: u32 = 3;
+/// Delay between two cancellations, and before a reconnection for each connection without a new event.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Maximum number of attempts to cancel a stream on the engine.
+const CANCEL_ATTEMPTS: u32 = 3;
 
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::gateway) enum Ended {
-    /// With the final marker, all of it passed on.
+pub(in crate::gateway) enum StreamEnd {
+    /// All events were forwarded, including the final marker.
     Complete,
-    /// The caller went away; the engine was told.
+    /// The caller disconnected, and the stream was cancelled on the engine.
     Cancelled,
-    /// It could not be resumed; the caller's connection was cut.
+    /// The stream could not be resumed, and the caller's connection was cut.
     Cut,
 }
 
-impl Ended {
+impl StreamEnd {
     fn as_str(self) -> &'static str {
         match self {
-            Ended::Complete => "complete",
-            Ended::Cancelled => "cancelled",
-            Ended::Cut => "cut",
+            StreamEnd::Complete => "complete",
+            StreamEnd::Cancelled => "cancelled",
+            StreamEnd::Cut => "cut",
         }
     }
 }
 
-/// One stream between an engine and a caller.
-pub(in crate::gateway) struct Stream {
+/// Event stream that is relayed from an engine to a caller.
+pub(in crate::gateway) struct RelayedStream {
     pub(in crate::gateway) engine: EngineClient,
-    pub(in crate::gateway) request: Arc<str>,
+    pub(in crate::gateway) attempt_id: Arc<str>,
     pub(in crate::gateway) tracker: StreamTracker,
     pub(in crate::gateway) tx: BodySender,
     pub(in crate::gateway) metrics: Arc<Metrics>,
 }
 
-/// Why reading a connection stopped.
-enum Stop {
-    Ended(Ended),
+/// Why reading from a connection stopped.
+enum ConnectionEnd {
+    Finished(StreamEnd),
     Reconnect,
 }
 
-impl Stream {
-    /// Passes the stream on to its end. A stream that can't be completed cuts the caller's connection: without
-    /// the final marker and without an ordinary end it never looks complete.
-    pub(in crate::gateway) async fn run(mut self, first: Response<Incoming>) -> Ended {
-        let ended = self.pass_all(first).await;
+impl RelayedStream {
+    /// Relays the stream to its end. If the stream can't be completed, the caller's connection is cut: without the
+    /// final marker and a regular end of the body, the caller can't mistake the stream for a complete one.
+    pub(in crate::gateway) async fn run(mut self, first: Response<Incoming>) -> StreamEnd {
+        let ended = self.relay_all(first).await;
         self.count(ended.as_str());
         match ended {
-            Ended::Complete => self.tx.finish().await,
-            Ended::Cancelled => self.cancel().await,
-            Ended::Cut => drop(self.tx),
+            StreamEnd::Complete => self.tx.finish().await,
+            StreamEnd::Cancelled => self.cancel().await,
+            StreamEnd::Cut => drop(self.tx),
         }
         ended
     }
 
-    async fn pass_all(&mut self, first: Response<Incoming>) -> Ended {
-        let mut fruitless = 0;
+    /// Relays the stream over as many connections as needed.
+    async fn relay_all(&mut self, first: Response<Incoming>) -> StreamEnd {
+        let mut empty_connections = 0;
         let mut next = Some(first);
         loop {
             let before = self.tracker.next();
             if let Some(res) = next.take()
-                && let Stop::Ended(ended) = self.pass(res).await
+                && let ConnectionEnd::Finished(ended) = self.relay_connection(res).await
             {
                 return ended;
             }
-            fruitless = if self.tracker.next() > before { 0 } else { fruitless + 1 };
-            if fruitless >= MOST_FRUITLESS {
-                return Ended::Cut;
+            empty_connections = if self.tracker.next() > before { 0 } else { empty_connections + 1 };
+            if empty_connections >= MAX_EMPTY_CONNECTIONS {
+                return StreamEnd::Cut;
             }
-            if fruitless > 0 {
-                tokio::time::sleep(PAUSE * fruitless).await;
+            if empty_connections > 0 {
+                tokio::time::sleep(RETRY_DELAY * empty_connections).await;
             }
             match self.reconnect().await {
                 Ok(res) => next = res,
@@ -107,82 +110,90 @@
         }
     }
 
-    /// Opens the stream again at the offset reached; `Ok(None)` when another try makes sense.
-    async fn reconnect(&self) -> Result<Option<Response<Incoming>>, Ended> {
+    /// Resumes the stream at the next expected offset; `Ok(None)` if the engine is unreachable and may be tried again.
+    async fn reconnect(&self) -> Result<Option<Response<Incoming>>, StreamEnd> {
         if self.tx.is_closed() {
-            return Err(Ended::Cancelled);
+            return Err(StreamEnd::Cancelled);
         }
         self.count("resumed");
-        match self.engine.resume(&self.request, self.tracker.next()).await {
+        match self.engine.resume(&self.attempt_id, self.tracker.next()).await {
             Ok(res) if res.status() == 200 => Ok(Some(res)),
-            // The engine has lost the stream, as after a crash.
-            Ok(_) => Err(Ended::Cut),
+            // The engine no longer has the stream, for example after a crash.
+            Ok(_) => Err(StreamEnd::Cut),
             Err(Failure::Connect | Failure::Broken) => Ok(None),
         }
     }
 
-    async fn pass(&mut self, res: Response<Incoming>) -> Stop {
-        if header(res.headers(), REQUEST_ID).is_some_and(|id| id != &*self.request) {
-            // The answer to another request came over this connection.
+    /// Relays events from one connection.
+    async fn relay_connection(&mut self, res: Response<Incoming>) -> ConnectionEnd {
+        if header(res.headers(), REQUEST_ID).is_some_and(|id| id != &*self.attempt_id) {
+            // The connection delivered the response to another request.
             self.count("crossed");
-            return Stop::Reconnect;
+            return ConnectionEnd::Reconnect;
         }
-        let mut answer = Answer::new(res.into_body(), STALL);
+        let mut answer = Answer::new(res.into_body(), EVENT_IDLE_TIMEOUT);
         loop {
-            let Some(event) = self.next(&mut answer).await else { return Stop::Ended(Ended::Cancelled) };
+            let Some(event) = self.next(&mut answer).await else {
+                return ConnectionEnd::Finished(StreamEnd::Cancelled);
+            };
             let event = match event {
                 Ok(event) => event,
                 Err(broken) => {
-                    self.count(label(broken));
-                    return Stop::Reconnect;
+                    self.count(broken_label(broken));
+                    return ConnectionEnd::Reconnect;
                 }
             };
             match self.tracker.on_event(event.id.as_deref(), event.data.as_deref().unwrap_or("")) {
                 EventAction::Pass => {
                     if self.send(event).await.is_err() {
-                        return Stop::Ended(Ended::Cancelled);
+                        return ConnectionEnd::Finished(StreamEnd::Cancelled);
                     }
                 }
                 EventAction::Complete => {
                     let sent = self.send(event).await;
-                    return Stop::Ended(if sent.is_ok() { Ended::Complete } else { Ended::Cancelled });
+                    return ConnectionEnd::Finished(if sent.is_ok() {
+                        StreamEnd::Complete
+                    } else {
+                        StreamEnd::Cancelled
+                    });
                 }
                 EventAction::Drop(dropped) => self.count(dropped.as_str()),
                 EventAction::Refetch => {
                     self.count("refetch");
-                    return Stop::Reconnect;
+                    return ConnectionEnd::Reconnect;
                 }
             }
         }
     }
 
-    /// Next event; `None` when the caller has gone away.
+    /// Waits for the next event while sending keep-alive comments; `None` if the caller has disconnected.
     async fn next(&self, answer: &mut Answer) -> Option<Result<Sse, Broken>> {
         let mut next = std::pin::pin!(answer.next());
         loop {
             tokio::select! {
                 event = &mut next => return Some(event),
                 () = self.tx.closed() => return None,
-                () = tokio::time::sleep(KEEP_ALIVE) => {
-                    // A full channel means that the caller has events to read.
-                    let _ = self.tx.try_send(Bytes::from_static(COMMENT));
+                () = tokio::time::sleep(KEEP_ALIVE_INTERVAL) => {
+                    // If the channel is full, the caller has events to read and needs no comment.
+                    let _ = self.tx.try_send(Bytes::from_static(KEEP_ALIVE_COMMENT));
                 }
             }
         }
     }
 
-    /// Waits for a slow caller, which holds the engine's connection back.
+    /// Forwards an event. Waits while the caller is slow, which applies backpressure to the engine.
     async fn send(&self, event: Sse) -> Result<(), Gone> {
         let bytes: Bytes = event.encode().map_err(|_| Gone)?;
         self.tx.send(bytes).await
     }
 
+    /// Cancels the stream on the engine.
     async fn cancel(&self) {
-        for _ in 0..CANCEL_TRIES {
-            if self.engine.cancel(&self.request).await.is_ok() {
+        for _ in 0..CANCEL_ATTEMPTS {
+            if self.engine.cancel(&self.attempt_id).await.is_ok() {
                 return;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
@@ -191,8 +202,8 @@
     }
 }
 
-/// Labels apart from those of a stream's end.
-fn label(broken: Broken) -> &'static str {
+/// Label value of a broken answer, distinct from those of [`StreamEnd`].
+fn broken_label(broken: Broken) -> &'static str {
     match broken {
         Broken::Cut => "broken",
         Broken::Stalled => "stalled",
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -1,5 +1,5 @@
-//! Guards engines against requests that crash them: watches runs, judges broken ones, asks for permits and
-//! tells the other routers.
+//! Protects engines from requests that crash them: tracks runs, attributes crashes to contents, acquires permits for
+//! suspects and notifies the other routers.
 
 use std::{
     net::SocketAddr,
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use super::{admit::Queue, ask::Ask, lock, place::Placement};
+use super::{admit::Queue, lock, place::Placement, request::RequestInfo};
 use crate::{
     catalog::{Engine, Id},
     client::Client,
@@ -17,7 +17,7 @@
     place::members::Member,
     schema::{
         link::frame::Body,
-        suspect::{Digest, Permit as Wanted, PermitAnswer, Release},
+        suspect::{Digest, Permit as PermitRequest, PermitAnswer, Release},
     },
     suspect::{self, EngineHash, Fingerprint, Permits, RunningContents, Standing, SuspectTable, Verdict},
     util::{Map, now},
@@ -27,18 +27,22 @@
 mod watch;
 
 pub(crate) use run::{Permit, Run};
-use watch::{Seen, crash_id};
+use watch::{EngineInfo, crash_id};
 
+/// Timeout of a permit request to another router.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(250);
-const TELL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Added to a request's deadline: a permit outlives the run it is for, unless its holder has died.
+/// Timeout of a digest or permit release sent to another router.
+const NOTIFY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after a request's deadline at which its permit expires. Longer than any run, so that only the permits of
+/// crashed holders expire.
 const PERMIT_MARGIN: Duration = Duration::from_secs(10);
-/// Routers that are asked for a permit, should the first not answer.
-const MOST_ARBITERS: usize = 2;
-/// Bytes of one message of news: all that one router runs on an engine, at most 200 contents or so.
-const NEWS: usize = 4096;
+/// Maximum number of arbiters that are tried, in order of preference, until one answers.
+const MAX_ARBITERS_TRIED: usize = 2;
+/// Maximum size of a digest sent after a crash: enough for all contents that one router runs on an engine, at most
+/// about 200.
+const MAX_DIGEST_BYTES: usize = 4096;
 
-/// What one router knows and does about crashing requests.
+/// Suspect contents, runs and permits of one router.
 #[derive(Debug)]
 pub(crate) struct Suspects {
     region: Arc<str>,
@@ -47,7 +51,8 @@
     table: Mutex<SuspectTable>,
     running: Mutex<RunningContents>,
     permits: Mutex<Permits>,
-    starts: Mutex<Map<Id, u64>>,
+    /// Start numbers read from engines that no probe has reported on yet; 0 while one is being read.
+    engine_starts: Mutex<Map<Id, u64>>,
 }
 
 impl Suspects {
@@ -59,65 +64,75 @@
             table: Mutex::default(),
             running: Mutex::default(),
             permits: Mutex::default(),
-            starts: Mutex::default(),
+            engine_starts: Mutex::default(),
         }
     }
 
+    /// Standing of a content: cleared, suspect or quarantined.
     pub(crate) fn standing(&self, content: Fingerprint) -> Standing {
         lock(&self.table).standing(now(), content)
     }
 
-    /// The answer for a quarantined content.
-    pub(crate) fn refuse(&self, content: Fingerprint) -> RequestError {
+    /// Error for a request with quarantined content.
+    pub(crate) fn quarantine_error(&self, content: Fingerprint) -> RequestError {
         let provisional = lock(&self.table).is_provisional(now(), content);
         let kind = if provisional { ErrorKind::SuspectBusy } else { ErrorKind::Quarantined };
         RequestError::new(kind, kind.answer().about)
     }
 
-    /// Engines on which a suspect should not run, since they broke lately.
-    pub(crate) fn unsteady(&self, engines: impl IntoIterator<Item = (Id, Arc<str>)>) -> Vec<Id> {
-        let unsteady = lock(&self.table).unstable_engines(now());
-        let listed = |name: &str| unsteady.contains(&EngineHash::new(name));
-        engines.into_iter().filter(|(_, name)| listed(name)).map(|(id, _)| id).collect()
+    /// Those of `engines` that recently crashed without a known cause, on which suspects should not run.
+    pub(crate) fn unstable_engines(&self, engines: impl IntoIterator<Item = (Id, Arc<str>)>) -> Vec<Id> {
+        let unstable = lock(&self.table).unstable_engines(now());
+        let is_unstable = |name: &str| unstable.contains(&EngineHash::new(name));
+        engines.into_iter().filter(|(_, name)| is_unstable(name)).map(|(id, _)| id).collect()
     }
 
-    /// Notes a run that starts.
-    pub(crate) fn start(
+    /// Records the start of a run.
+    pub(crate) fn start_run(
         self: &Arc<Self>,
         engine: &Engine,
-        ask: &Ask,
+        info: &RequestInfo,
         queue: &Arc<Queue>,
         permit: Option<Permit>,
     ) -> Run {
-        let seen = Seen { id: engine.id, name: engine.name.clone(), addr: engine.addr, reports: ask.is_chat };
-        self.learn_start(&seen);
-        let key = lock(&self.running).start(&engine.name, ask.content);
+        let engine_info = EngineInfo {
+            id: engine.id,
+            name: engine.name.clone(),
+            addr: engine.addr,
+            reports_load: info.is_chat,
+        };
+        self.fetch_start(&engine_info);
+        let key = lock(&self.running).start(&engine.name, info.content);
         Run {
             suspects: self.clone(),
             queue: queue.clone(),
-            engine: seen,
-            content: ask.content,
+            engine: engine_info,
+            content: info.content,
             key,
             permit,
-            began: now(),
-            work: u32::try_from(ask.work).unwrap_or(u32::MAX),
+            started_at: now(),
+            work: u32::try_from(info.work).unwrap_or(u32::MAX),
         }
     }
 
-    /// Asks for the permit to run a suspect on an engine.
+    /// Acquires a permit to run a suspect on an engine.
     ///
-    /// A router that can't be reached is passed by once. Two routers may then both give permits until the
-    /// member lists agree; that can cost one engine more, while waiting would leave innocents unanswered.
-    pub(crate) async fn permit(self: &Arc<Self>, ask: &Ask, engine: &Engine) -> Result<Permit, Verdict> {
-        let hold = ask.deadline.saturating_sub(now()) + PERMIT_MARGIN;
-        for arbiter in self.arbiters().into_iter().take(MOST_ARBITERS) {
+    /// If the first arbiter is unreachable, the next one decides. Two routers may then both grant permits until the
+    /// member lists converge. That can cost one more engine, while waiting would leave harmless requests unanswered.
+    pub(crate) async fn acquire_permit(
+        self: &Arc<Self>,
+        info: &RequestInfo,
+        engine: &Engine,
+    ) -> Result<Permit, Verdict> {
+        let hold = info.deadline.saturating_sub(now()) + PERMIT_MARGIN;
+        for arbiter in self.arbiters().into_iter().take(MAX_ARBITERS_TRIED) {
             let peer = arbiter.map(|m| m.peer);
             let verdict = match peer {
-                None => Some(self.decide(ask.content, &engine.name, hold)),
-                Some(peer) => self.ask(peer, ask.content, &engine.name, hold).await,
+                None => Some(self.decide(info.content, &engine.name, hold)),
+                Some(peer) => self.request_permit(peer, info.content, &engine.name, hold).await,
             };
             match verdict {
-                Some(Verdict::Granted) => return Ok(self.hold(ask.content, engine, peer).await),
+                Some(Verdict::Granted) => return Ok(self.granted_permit(info.content, engine, peer).await),
                 Some(verdict) => return Err(verdict),
                 None => {}
             }
@@ -125,8 +140,9 @@
         Err(Verdict::ContentRunning)
     }
 
-    /// Notes the engine's start as well: the verdict on the suspect rests on whether it has changed.
-    async fn hold(
+    /// Creates the permit with the engine's current start number: a changed number after the run shows that the engine
+    /// crashed.
+    async fn granted_permit(
         self: &Arc<Self>,
         content: Fingerprint,
         engine: &Engine,
@@ -139,7 +155,7 @@
         permit
     }
 
-    /// Routers of the region in the order in which they are asked; `None` stands for this one.
+    /// Routers of the region in their order of preference as arbiter; `None` is this router.
     fn arbiters(&self) -> Vec<Option<Member>> {
         let placer = self.placement.placer();
         let me = placer.me();
@@ -151,6 +167,7 @@
         peers
     }
 
+    /// Decides on a permit request as arbiter.
     fn decide(&self, content: Fingerprint, engine: &str, hold: Duration) -> Verdict {
         match self.standing(content) {
             Standing::Quarantined => Verdict::ContentQuarantined,
@@ -158,7 +175,8 @@
         }
     }
 
-    async fn ask(
+    /// Requests a permit from another router; `None` if it does not answer.
+    async fn request_permit(
         &self,
         peer: SocketAddr,
         content: Fingerprint,
@@ -166,31 +184,31 @@
         hold: Duration,
     ) -> Option<Verdict> {
         let hold_ms = u32::try_from(hold.as_millis()).unwrap_or(u32::MAX);
-        let wanted = Wanted { fingerprint: content.0, engine: engine.to_owned(), hold_ms };
-        match self.links().call(peer, Body::Permit(wanted), PERMIT_TIMEOUT).await {
+        let req = PermitRequest { fingerprint: content.0, engine: engine.to_owned(), hold_ms };
+        match self.links().call(peer, Body::Permit(req), PERMIT_TIMEOUT).await {
             Ok(Body::PermitAnswer(answer)) => Some(answer.verdict()),
             _ => None,
         }
     }
 
-    /// Answers another router's request for a permit.
-    pub(crate) fn serve_permit(&self, wanted: &Wanted) -> PermitAnswer {
-        let hold = Duration::from_millis(wanted.hold_ms.into());
-        let verdict = self.decide(Fingerprint(wanted.fingerprint), &wanted.engine, hold);
+    /// Answers another router's permit request.
+    pub(crate) fn serve_permit(&self, req: &PermitRequest) -> PermitAnswer {
+        let hold = Duration::from_millis(req.hold_ms.into());
+        let verdict = self.decide(Fingerprint(req.fingerprint), &req.engine, hold);
         PermitAnswer { verdict: verdict as i32 }
     }
 
-    /// Takes a permit back that another router held.
+    /// Releases a permit that this router granted.
     pub(crate) fn serve_release(&self, msg: &Release) {
         lock(&self.permits).release(Fingerprint(msg.fingerprint), &msg.engine);
     }
 
-    /// Takes in what another router told.
-    pub(crate) fn note(&self, digest: &Digest) {
+    /// Merges another router's digest.
+    pub(crate) fn merge(&self, digest: &Digest) {
         lock(&self.table).merge(now(), digest);
     }
 
-    /// Part of the table for gossip, in at most `bytes` of postcard.
+    /// Digest of the table for gossip, at most `bytes` in postcard encoding.
     pub(crate) fn digest(&self, bytes: usize) -> Digest {
         lock(&self.table).digest(now(), bytes)
     }
@@ -199,33 +217,33 @@
         self.placement.links()
     }
 
-    /// Tells the other routers of the region at once: the caller of a crashing request may send it to another
-    /// router within milliseconds, and gossip takes a second.
-    fn tell(self: &Arc<Self>) {
-        let digest = lock(&self.table).unsent(now(), NEWS);
+    /// Sends changes of the table to all other routers of the region at once. The caller of a crashing request may
+    /// retry it at another router within milliseconds, while gossip takes a second.
+    fn broadcast(self: &Arc<Self>) {
+        let digest = lock(&self.table).unsent(now(), MAX_DIGEST_BYTES);
         if digest.entries.is_empty() {
             return;
         }
         for peer in self.arbiters().into_iter().flatten() {
             let (suspects, digest) = (self.clone(), digest.clone());
             tokio::spawn(async move {
-                let _ = suspects.links().call(peer.peer, Body::Suspects(digest), TELL_TIMEOUT).await;
+                let _ = suspects.links().call(peer.peer, Body::Suspects(digest), NOTIFY_TIMEOUT).await;
             });
         }
     }
 
-    /// Makes all that this router runs on an engine suspects.
+    /// Marks all contents that this router runs on an engine as suspects.
     ///
-    /// Before the engine has been asked whether it crashed: the retries of what broke start now, and a crash
-    /// that shows a second later would find them on other engines.
-    fn accuse(self: &Arc<Self>, engine: &Seen) {
-        let before = self.start_of(engine);
-        let crash = crash_id(engine, before);
+    /// This does not wait until a probe shows whether the engine crashed. The failed requests are retried at once, so
+    /// a second later they would already run on other engines.
+    fn mark_suspects(self: &Arc<Self>, engine: &EngineInfo) {
+        let old_start = self.known_start(engine);
+        let crash = crash_id(engine, old_start);
         let contents = lock(&self.running).contents_on(&engine.name);
         if lock(&self.table).mark_suspects(now(), &contents, crash) {
             let (name, n) = (&engine.name, contents.len());
-            spdlog::warn!("connection to {name} broke; {n} requests are suspects of a crash");
-            tokio::spawn(self.clone().follow_up(engine.clone(), before, crash));
+            spdlog::warn!("connection to {name} failed; {n} requests are suspected of crashing it");
+            tokio::spawn(self.clone().await_recovery(engine.clone(), old_start, crash));
         }
     }
 }
--- a/src/gateway/suspects/run.rs
+++ b/src/gateway/suspects/run.rs
@@ -1,10 +1,10 @@
-//! Runs at engines and the permits of suspects; both end when they are dropped.
+//! Guards for runs on engines and for permits of suspects; dropping a guard ends the run or releases the permit.
 
 use std::{net::SocketAddr, sync::Arc};
 
 use super::{
-    Queue, Suspects, TELL_TIMEOUT, lock,
-    watch::{Probe, Seen, crash_id},
+    NOTIFY_TIMEOUT, Queue, Suspects, lock,
+    watch::{EngineInfo, Probe, crash_id},
 };
 use crate::{
     admit::Work,
@@ -13,14 +13,15 @@
     util::{Instant, now},
 };
 
-/// The permit to run a suspect; dropping it gives it back.
+/// Permit to run a suspect; dropping it releases it.
 #[derive(Debug)]
 pub(crate) struct Permit {
     pub(super) suspects: Arc<Suspects>,
     pub(super) content: Fingerprint,
     pub(super) engine: Arc<str>,
+    /// Arbiter that granted the permit; `None` for this router.
     pub(super) peer: Option<SocketAddr>,
-    /// Start in which the engine was when the permit was given.
+    /// Start number of the engine's process when the permit was granted; 0 if unknown.
     pub(super) start: u64,
 }
 
@@ -30,44 +31,45 @@
         let Some(peer) = self.peer else { return self.suspects.serve_release(&release) };
         let suspects = self.suspects.clone();
         tokio::spawn(async move {
-            let _ = suspects.links().call(peer, Body::PermitRelease(release), TELL_TIMEOUT).await;
+            let _ = suspects.links().call(peer, Body::PermitRelease(release), NOTIFY_TIMEOUT).await;
         });
     }
 }
 
-/// One run at an engine. Dropping it, as when the caller goes away, says nothing of the content.
+/// One run on an engine. Dropping it, for example when the caller disconnects, leaves the content's standing unchanged.
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(super) suspects: Arc<Suspects>,
     pub(super) queue: Arc<Queue>,
-    pub(super) engine: Seen,
+    pub(super) engine: EngineInfo,
     pub(super) content: Fingerprint,
     pub(super) key: suspect::RunKey,
     pub(super) permit: Option<Permit>,
-    pub(super) began: Instant,
+    pub(super) started_at: Instant,
     pub(super) work: Work,
 }
 
 impl Run {
-    /// Ends a run whose answer is whole; its content is no suspect any more.
+    /// Ends a run that completed, and clears its content.
     pub(crate) fn complete(self) {
         lock(&self.suspects.table).clear(now(), self.content);
     }
 
-    /// Ends a run whose connection broke after the request may have been sent.
-    pub(crate) async fn broke(self) {
+    /// Ends a run whose connection failed after the request may have been sent.
+    pub(crate) async fn fail(self) {
         if let Some(start) = self.permit.as_ref().map(|p| p.start) {
-            return self.judge(start).await;
+            return self.resolve_isolated(start).await;
         }
-        self.suspects.accuse(&self.engine);
-        self.suspects.tell();
+        self.suspects.mark_suspects(&self.engine);
+        self.suspects.broadcast();
     }
 
-    /// Decides on a suspect that ran alone; it keeps its permit until then, so that it runs nowhere else.
-    async fn judge(self, before: u64) {
-        let crash = crash_id(&self.engine, before);
-        let probe = self.suspects.probe(&self.engine, before).await;
-        if matches!(probe, Probe::SameStart | Probe::Unknown) {
+    /// Decides whether a suspect that ran under a permit crashed its engine. Keeps the permit meanwhile, so that the
+    /// suspect runs nowhere else.
+    async fn resolve_isolated(self, old_start: u64) {
+        let crash = crash_id(&self.engine, old_start);
+        let probe = self.suspects.probe(&self.engine, old_start).await;
+        if matches!(probe, Probe::SameProcess | Probe::Unknown) {
             return;
         }
         let contents = lock(&self.suspects.running).contents_on(&self.engine.name);
@@ -75,10 +77,12 @@
             lock(&self.suspects.table).record_isolated_crash(now(), self.content, &contents, crash);
         let (engine, Fingerprint(content)) = (&self.engine.name, self.content);
         let standing = standing.as_str_name();
-        spdlog::warn!("{engine} crashed while it ran suspect {content:016x} alone: {standing}");
-        self.suspects.tell();
+        spdlog::warn!(
+            "{engine} crashed while it ran {content:016x} as its only suspect; the content is now {standing}"
+        );
+        self.suspects.broadcast();
         if probe == Probe::Unreachable {
-            tokio::spawn(self.suspects.clone().follow_up(self.engine.clone(), before, crash));
+            tokio::spawn(self.suspects.clone().await_recovery(self.engine.clone(), old_start, crash));
         }
     }
 }
@@ -86,6 +90,6 @@
 impl Drop for Run {
     fn drop(&mut self) {
         lock(&self.suspects.running).finish(&self.engine.name, self.key);
-        self.queue.note_end(now().saturating_sub(self.began), self.work);
+        self.queue.record_run(now().saturating_sub(self.started_at), self.work);
     }
 }
--- a/src/gossip/notes.rs
+++ b/src/gossip/notes.rs
@@ -11,13 +11,17 @@
 impl Shared {
     /// Publishes the load of this router's engines and, less often, its suspect content.
     pub(super) fn publish_notes(&self, ticks: u64) {
-        let loads: Vec<_> =
-            self.gateway.digests().into_iter().map(|(p, d)| (p.0, d.work, d.running, d.capacity)).collect();
+        let loads: Vec<_> = self
+            .gateway
+            .load_digests()
+            .into_iter()
+            .map(|(p, d)| (p.0, d.work, d.running, d.capacity))
+            .collect();
         if !loads.is_empty() {
             self.publish(Topic::Load, encode_fitting(&loads, Topic::Load.max_payload_bytes()));
         }
         if ticks.is_multiple_of(SUSPECT_NOTE_INTERVAL_TICKS) {
-            let digest = self.gateway.suspects(Topic::Suspects.max_payload_bytes());
+            let digest = self.gateway.suspects_digest(Topic::Suspects.max_payload_bytes());
             if !digest.entries.is_empty() {
                 self.publish(Topic::Suspects, postcard::to_stdvec(&digest).unwrap_or_default());
             }
@@ -37,12 +41,12 @@
                 let loads: Vec<(u64, u64, u32, u64)> = postcard::from_bytes(payload).unwrap_or_default();
                 for (pool, work, running, capacity) in loads {
                     let digest = LoadDigest { work, running, capacity };
-                    self.gateway.note_digest(Id::of(origin), Id(pool), digest, now());
+                    self.gateway.record_load_digest(Id::of(origin), Id(pool), digest, now());
                 }
             }
             Topic::Suspects => {
                 if let Ok(digest) = postcard::from_bytes::<suspect::Digest>(payload) {
-                    self.gateway.note_suspects(&digest);
+                    self.gateway.merge_suspects(&digest);
                 }
             }
             Topic::Engines => {}
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -76,7 +76,7 @@
         let metrics = Arc::new(Metrics::new()?);
         let platform = Platform::new(cfg.platform).with_metrics(metrics.clone());
         let gateway = Gateway::new(me.clone(), &cfg.shared_key, &platform, metrics.clone());
-        let gateway = Arc::new(gateway.with_entry_keep(cfg.answer_keep));
+        let gateway = Arc::new(gateway.with_entry_ttl(cfg.answer_keep));
         let limits = Limits::default()
             .with_bytes(cfg.body_bytes)
             .with_time(cfg.body_time)
@@ -98,7 +98,7 @@
             timeout: cfg.drain_longest,
         };
         let told = gateway.clone();
-        let releases = tokio::spawn(async move { told.tell_ended().await });
+        let releases = tokio::spawn(async move { told.run_releases().await });
         let operate = Operate::new(me, &cfg.shared_key, follow.shared().clone(), gateway.clone());
         let operate = Arc::new(operate);
         let server = Server::start(listener, cfg.http_threads, limits, operate.clone())?;
@@ -164,7 +164,7 @@
             let mut leaving = serving.leave(now(), self.drain);
             cut = loop {
                 if !leaving.accepts_requests(now()) {
-                    self.gateway.refuse_new();
+                    self.gateway.stop_accepting_requests();
                 }
                 match leaving.stop(now(), self.server.running()) {
                     Ok(stopped) => break stopped.close(),
