--- a/src/logs/lines.rs
+++ b/src/logs/lines.rs
@@ -14,7 +14,7 @@
 };
 
 use crate::{
-    objects::bucket::Bucket,
+    objects::bucket::TokenBucket,
     util::{lock, now, wall_ms},
 };
 
@@ -108,8 +108,8 @@
 
 struct Output {
     tx: SyncSender<String>,
-    budget: Mutex<Bucket>,
-    reserve: Mutex<Bucket>,
+    budget: Mutex<TokenBucket>,
+    reserve: Mutex<TokenBucket>,
     dropped: Arc<AtomicU64>,
 }
 
@@ -132,7 +132,7 @@
         .spawn(move || write_all(out, &rx, &lost))?;
     let bucket = |part: f64| {
         let rate = f64::from(bytes_per_second) * part;
-        Mutex::new(Bucket::new(rate, rate))
+        Mutex::new(TokenBucket::new(rate, rate))
     };
     let _ = OUTPUT.set(Output { tx, budget: bucket(1.0 - RESERVE), reserve: bucket(RESERVE), dropped });
     Ok(())
--- a/src/objects/bucket.rs
+++ b/src/objects/bucket.rs
@@ -6,7 +6,7 @@
 
 /// Bucket that fills at `rate` tokens a second up to `burst`.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     tokens: f64,
@@ -14,7 +14,7 @@
     closed_until: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Full bucket; `rate` in tokens a second, `burst` in tokens, at least one.
     pub fn new(rate: f64, burst: f64) -> Self {
         let burst = burst.max(1.0);
--- a/src/objects/calls.rs
+++ b/src/objects/calls.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use super::bucket::Bucket;
+use super::bucket::TokenBucket;
 use crate::{
     claim::SHARD_COUNT,
     metrics::{Counter, Metrics},
@@ -131,7 +131,7 @@
 /// Buckets by class.
 #[derive(Debug)]
 pub struct Limiter {
-    buckets: [(Class, Bucket); 4],
+    buckets: [(Class, TokenBucket); 4],
 }
 
 impl Limiter {
@@ -139,7 +139,7 @@
     pub fn new(rates: Rates) -> Self {
         let bucket = |class| {
             let Rate { rate, burst } = rates.of(class);
-            (class, Bucket::new(rate, burst))
+            (class, TokenBucket::new(rate, burst))
         };
         Self { buckets: [Class::Read, Class::Write, Class::Claim, Class::Watch].map(bucket) }
     }
@@ -165,7 +165,7 @@
         }
     }
 
-    fn bucket(&mut self, class: Class) -> &mut Bucket {
+    fn bucket(&mut self, class: Class) -> &mut TokenBucket {
         &mut self.buckets[class as usize].1
     }
 }
--- a/src/order/planner.rs
+++ b/src/order/planner.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use crate::{
-    objects::{backoff::Backoff, bucket::Bucket},
+    objects::{backoff::Backoff, bucket::TokenBucket},
     schema::engine::{Load, Order},
     util::{Instant, Map},
 };
@@ -84,7 +84,7 @@
 pub struct Planner {
     desired: DesiredState,
     engines: Map<Arc<str>, Engine>,
-    load_rate: Bucket,
+    load_rate: TokenBucket,
 }
 
 impl Planner {
@@ -93,7 +93,7 @@
         Self {
             desired: DesiredState::default(),
             engines: Map::default(),
-            load_rate: Bucket::new(loads_per_minute / 60.0, 1.0),
+            load_rate: TokenBucket::new(loads_per_minute / 60.0, 1.0),
         }
     }
 
--- a/src/standin/platform/faults.rs
+++ b/src/standin/platform/faults.rs
@@ -4,7 +4,7 @@
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-use crate::{http::Reply, objects::bucket::Bucket, util::Instant};
+use crate::{http::Reply, objects::bucket::TokenBucket, util::Instant};
 
 /// What the stand-in shall do wrong.
 #[derive(Clone, Debug, Default, serde::Deserialize)]
@@ -44,7 +44,7 @@
 pub(super) struct Trouble {
     faults: Faults,
     rng: StdRng,
-    bucket: Option<Bucket>,
+    bucket: Option<TokenBucket>,
 }
 
 impl Default for Trouble {
@@ -56,7 +56,7 @@
 impl Trouble {
     pub(super) fn new(faults: Faults) -> Self {
         let rate = f64::from(faults.rate_limit);
-        let bucket = (faults.rate_limit > 0).then(|| Bucket::new(rate, rate));
+        let bucket = (faults.rate_limit > 0).then(|| TokenBucket::new(rate, rate));
         Self { rng: StdRng::seed_from_u64(faults.seed), bucket, faults }
     }
 
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -7,7 +7,7 @@
     objects::{
         Step, Write, Writing,
         backoff::Backoff,
-        bucket::Bucket,
+        bucket::TokenBucket,
         calls::{Class, Limiter, Rates},
     },
     schema::object::Meta,
@@ -21,7 +21,7 @@
 }
 
 /// Number of tokens granted within `span` milliseconds with one request per millisecond.
-fn tokens_granted(bucket: &mut Bucket, from: u64, span: u64) -> usize {
+fn tokens_granted(bucket: &mut TokenBucket, from: u64, span: u64) -> usize {
     (from..from + span).filter(|ms| bucket.take(at_ms(*ms)).is_ok()).count()
 }
 
@@ -30,14 +30,14 @@
     let table = [(10.0, 5.0, 1000, 14), (10.0, 5.0, 5000, 54), (0.5, 1.0, 4000, 2), (100.0, 40.0, 1000, 139)];
 
     for (rate, burst, span, want) in table {
-        let got = tokens_granted(&mut Bucket::new(rate, burst), 0, span);
+        let got = tokens_granted(&mut TokenBucket::new(rate, burst), 0, span);
         assert!(got.abs_diff(want) <= 1, "{rate}/s, burst {burst}, {span} ms: got {got}, expected {want}");
     }
 }
 
 #[test]
 fn a_bucket_returns_the_time_to_wait() {
-    let mut bucket = Bucket::new(2.0, 1.0);
+    let mut bucket = TokenBucket::new(2.0, 1.0);
     bucket.take(at_ms(0)).unwrap();
 
     let wait = bucket.take(at_ms(0)).unwrap_err();
@@ -49,7 +49,7 @@
 /// The platform requests a pause. Calls before its end would be refused again and count against the rate limit.
 #[test]
 fn a_paused_bucket_grants_nothing() {
-    let mut bucket = Bucket::new(100.0, 100.0);
+    let mut bucket = TokenBucket::new(100.0, 100.0);
     bucket.pause(at_ms(0), SECOND * 3);
 
     assert_eq!(tokens_granted(&mut bucket, 0, 2999), 0);
@@ -59,7 +59,7 @@
 /// A clock that is set back must neither fill the bucket nor block it permanently.
 #[test]
 fn a_bucket_tolerates_a_clock_that_is_set_back() {
-    let mut bucket = Bucket::new(1.0, 1.0);
+    let mut bucket = TokenBucket::new(1.0, 1.0);
     bucket.take(at_ms(60_000)).unwrap();
 
     assert!(bucket.take(at_ms(0)).is_err());
