--- a/src/objects.rs
+++ b/src/objects.rs
@@ -39,7 +39,7 @@
 /// Path under which the API is served.
 pub(crate) const PREFIX: &str = "/apis/cranberrytally/v1";
 /// Largest object that the platform takes, in bytes.
-pub const MAX_VALUE: usize = 1 << 20;
+pub const MAX_OBJECT_BYTES: usize = 1 << 20;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 const LIST_TIMEOUT: Duration = Duration::from_secs(10);
@@ -194,7 +194,11 @@
     pub async fn put(&self, obj: &AnyObject) -> Result<Write> {
         let url = self.object_url(&obj.kind, &obj.metadata.name);
         let body = serde_json::to_vec(obj).context("could not encode the object")?;
-        ensure!(body.len() <= MAX_VALUE, "an object of {} bytes exceeds {MAX_VALUE}", body.len());
+        ensure!(
+            body.len() <= MAX_OBJECT_BYTES,
+            "an object of {} bytes exceeds {MAX_OBJECT_BYTES}",
+            body.len()
+        );
         self.write(Method::PUT, &url, body.into(), obj).await
     }
 
--- a/src/revision/check.rs
+++ b/src/revision/check.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     catalog::{AnyObject, MIN_LOAD_BOUND_MILLI},
-    objects::{CONFIGURATION_KINDS, MAX_VALUE},
+    objects::{CONFIGURATION_KINDS, MAX_OBJECT_BYTES},
     schema::object::{
         Engine, EnginePool, Meta, Requirement, RoutingPolicy, Selector, Service, Workspace, WorkspaceGroup,
     },
@@ -47,8 +47,11 @@
         kind => found.add("kind", format!("`{kind}` is not one of {}", CONFIGURATION_KINDS.join(", "))),
     }
     let bytes = serde_json::to_vec(obj).map_or(0, |b| b.len());
-    if bytes > MAX_VALUE {
-        found.add("", format!("the object has {bytes} bytes; the platform accepts at most {MAX_VALUE}"));
+    if bytes > MAX_OBJECT_BYTES {
+        found.add(
+            "",
+            format!("the object has {bytes} bytes; the platform accepts at most {MAX_OBJECT_BYTES}"),
+        );
     }
     found.0
 }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -15,7 +15,7 @@
 use crate::{
     catalog::AnyObject,
     http::{Handler, Reply, body_channel},
-    objects::{Collection, Event, MAX_VALUE, PREFIX, Version},
+    objects::{Collection, Event, MAX_OBJECT_BYTES, PREFIX, Version},
     util::{lock, now},
 };
 
@@ -162,7 +162,7 @@
     }
 
     fn answer_put(&self, kind: &str, name: &str, body: &[u8]) -> Reply {
-        if body.len() > MAX_VALUE {
+        if body.len() > MAX_OBJECT_BYTES {
             return Reply::full(413, "the value is too long");
         }
         let obj: AnyObject = match serde_json::from_slice(body) {
