--- a/src/order/planner.rs
+++ b/src/order/planner.rs
@@ -183,7 +183,7 @@
         for engine in self.engines.values_mut() {
             if engine.pending.as_ref().is_some_and(|(_, until)| now >= *until) {
                 engine.pending = None;
-                engine.next_order_at = now + engine.backoff.wait(rng);
+                engine.next_order_at = now + engine.backoff.next_delay(rng);
             }
         }
     }
@@ -192,7 +192,7 @@
     pub fn note_failure(&mut self, now: Instant, name: &str, rng: &mut impl Rng) {
         if let Some(engine) = self.engines.get_mut(name) {
             engine.pending = None;
-            engine.next_order_at = now + engine.backoff.wait(rng);
+            engine.next_order_at = now + engine.backoff.next_delay(rng);
         }
     }
 }
--- a/src/relay/contact.rs
+++ b/src/relay/contact.rs
@@ -78,6 +78,6 @@
         }
         let first = self.failing_since.is_none();
         self.failing_since.get_or_insert(now);
-        FailedCall { first, wait: self.backoff.wait(rng) }
+        FailedCall { first, wait: self.backoff.next_delay(rng) }
     }
 }
--- a/src/revision/follower/peers.rs
+++ b/src/revision/follower/peers.rs
@@ -94,7 +94,7 @@
             Err(e @ (Rejected::Old | Rejected::Gap | Rejected::Malformed)) => {
                 self.rejected_old += u64::from(e == Rejected::Old);
                 self.avoided_until.insert(peer.clone(), now + PEER_AVOID_TIME);
-                self.next_fetch_at = now + self.fetch_backoff.wait(rng);
+                self.next_fetch_at = now + self.fetch_backoff.next_delay(rng);
             }
         }
         if self.version() == before {
@@ -108,7 +108,7 @@
     fn fetch_failed(&mut self, now: Instant, rng: &mut impl Rng) {
         let Some(fetching) = self.fetching.take() else { return };
         self.avoided_until.insert(fetching.peer, now + PEER_AVOID_TIME);
-        self.next_fetch_at = now + self.fetch_backoff.wait(rng);
+        self.next_fetch_at = now + self.fetch_backoff.next_delay(rng);
     }
 }
 
--- a/src/revision/follower/platform.rs
+++ b/src/revision/follower/platform.rs
@@ -116,7 +116,7 @@
     }
 
     fn back_off_platform(&mut self, now: Instant, rng: &mut impl Rng) {
-        self.next_watch_at = now + self.watch_backoff.wait(rng);
+        self.next_watch_at = now + self.watch_backoff.next_delay(rng);
         self.list_at = Some(self.next_watch_at);
     }
 
@@ -142,7 +142,7 @@
                 self.watch_backoff.reset();
             }
             self.watch = Watch::Closed;
-            self.next_watch_at = now + self.watch_backoff.wait(rng);
+            self.next_watch_at = now + self.watch_backoff.next_delay(rng);
         }
     }
 
