--- a/src/objects.rs
+++ b/src/objects.rs
@@ -231,7 +231,7 @@
                         Ok(answer) => answer,
                     };
                     if answer == Write::Unknown {
-                        tokio::time::sleep(backoff.wait(rng)).await;
+                        tokio::time::sleep(backoff.next_delay(rng)).await;
                     }
                     step = writing.answered(answer);
                 }
