--- a/src/objects/calls.rs
+++ b/src/objects/calls.rs
@@ -178,16 +178,16 @@
         (_, Outcome::Conflict) => "write_conflict",
         (Class::Read, Outcome::Failed) => "read_failed",
         (Class::Read, Outcome::Limited) => "read_limited",
-        (Class::Read, Outcome::Held) => "read_held",
+        (Class::Read, Outcome::LimitedByClient) => "read_held",
         (Class::Write, Outcome::Failed) => "write_failed",
         (Class::Write, Outcome::Limited) => "write_limited",
-        (Class::Write, Outcome::Held) => "write_held",
+        (Class::Write, Outcome::LimitedByClient) => "write_held",
         (Class::Claim, Outcome::Failed) => "claim_failed",
         (Class::Claim, Outcome::Limited) => "claim_limited",
-        (Class::Claim, Outcome::Held) => "claim_held",
+        (Class::Claim, Outcome::LimitedByClient) => "claim_held",
         (Class::Watch, Outcome::Failed) => "watch_failed",
         (Class::Watch, Outcome::Limited) => "watch_limited",
-        (Class::Watch, Outcome::Held) => "watch_held",
+        (Class::Watch, Outcome::LimitedByClient) => "watch_held",
     }
 }
 
@@ -219,7 +219,11 @@
 
     /// Calls of a class that left this process.
     pub fn sent(&self, class: Class) -> u64 {
-        self.lock().iter().filter(|((c, o), _)| *c == class && *o != Outcome::Held).map(|(_, n)| n).sum()
+        self.lock()
+            .iter()
+            .filter(|((c, o), _)| *c == class && *o != Outcome::LimitedByClient)
+            .map(|(_, n)| n)
+            .sum()
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<(Class, Outcome), u64>> {
--- a/src/objects/transport.rs
+++ b/src/objects/transport.rs
@@ -98,7 +98,7 @@
         loop {
             let Err(wait) = self.limiter().take(now(), class) else { return Ok(()) };
             if now() + wait > start + PATIENCE {
-                self.counts.add(class, Outcome::Held);
+                self.counts.add(class, Outcome::LimitedByClient);
                 return Err(anyhow::Error::new(NotSent).context("our own rate limit held the call back"));
             }
             tokio::time::sleep(wait).await;
--- a/tests/platform_contract.rs
+++ b/tests/platform_contract.rs
@@ -117,7 +117,7 @@
             "deaf watch" => self.deaf_watch(step).await,
             "dropped watch" => self.dropped_watch().await,
             "count limited" => self.count(step, Outcome::Limited),
-            "count held" => self.count(step, Outcome::Held),
+            "count held" => self.count(step, Outcome::LimitedByClient),
             other => panic!("no such call: {other}"),
         }
     }
