--- a/src/objects/transport.rs
+++ b/src/objects/transport.rs
@@ -108,12 +108,12 @@
     fn note(&self, class: Class, res: &Response<Incoming>) {
         let outcome = match res.status().as_u16() {
             409 => Outcome::Conflict,
-            429 => Outcome::Limited,
+            429 => Outcome::LimitedByServer,
             500.. => Outcome::Failed,
             _ => Outcome::Answered,
         };
         self.counts.add(class, outcome);
-        if outcome == Outcome::Limited {
+        if outcome == Outcome::LimitedByServer {
             let asked = res.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
             let wait = asked.map_or(DEFAULT_RETRY_AFTER, Duration::from_secs);
             self.limiter().pause(now(), class, wait);
--- a/tests/platform_contract.rs
+++ b/tests/platform_contract.rs
@@ -116,7 +116,7 @@
             "watch" => self.watch(step).await,
             "deaf watch" => self.deaf_watch(step).await,
             "dropped watch" => self.dropped_watch().await,
-            "count limited" => self.count(step, Outcome::Limited),
+            "count limited" => self.count(step, Outcome::LimitedByServer),
             "count held" => self.count(step, Outcome::LimitedByClient),
             other => panic!("no such call: {other}"),
         }
