--- a/src/follow/tasks.rs
+++ b/src/follow/tasks.rs
@@ -5,7 +5,7 @@
 use super::Shared;
 use crate::{
     link::Links,
-    objects::{Next, Version, Watched},
+    objects::{Next, OpenedWatch, Version},
     schema::{
         configuration::{Delta, Fetch},
         link::frame::Body,
@@ -32,8 +32,8 @@
 
 pub(super) async fn watch(shared: Arc<Shared>, from: Version) {
     let mut open = match shared.platform.watch(from).await {
-        Ok(Watched::Open(open)) => open,
-        Ok(Watched::TooOld) => return shared.note(|f, now, _| f.watch_expired(now)),
+        Ok(OpenedWatch::Open(open)) => open,
+        Ok(OpenedWatch::TooOld) => return shared.note(|f, now, _| f.watch_expired(now)),
         Err(e) => {
             spdlog::warn!("could not watch the configuration: {e:#}");
             return shared.note(|f, now, rng| f.watch_ended(now, rng));
--- a/src/objects.rs
+++ b/src/objects.rs
@@ -30,7 +30,7 @@
 
 use calls::{Class, Counts, Limiter, Rates};
 use transport::NotSent;
-pub use watch::{Next, Watch, Watched};
+pub use watch::{Next, OpenedWatch, Watch};
 pub use write::{Step, Writing};
 
 /// Version of an object or of a collection.
@@ -246,12 +246,12 @@
     ///
     /// # Errors
     /// When no watch could be opened.
-    pub async fn watch(&self, version: Version) -> Result<Watched> {
+    pub async fn watch(&self, version: Version) -> Result<OpenedWatch> {
         let url = format!("{}/watch/{}?from={version}", self.base, Collection::Configuration.as_str());
         let res = self.send(Class::Watch, Method::GET, &url, Bytes::new(), CALL_TIMEOUT).await?;
         match res.status().as_u16() {
-            200 => Ok(Watched::Open(Watch::new(res.into_body()))),
-            410 => Ok(Watched::TooOld),
+            200 => Ok(OpenedWatch::Open(Watch::new(res.into_body()))),
+            410 => Ok(OpenedWatch::TooOld),
             status => bail!("the platform answered {status}"),
         }
     }
--- a/src/objects/watch.rs
+++ b/src/objects/watch.rs
@@ -20,7 +20,7 @@
 
 /// What opening a watch gave.
 #[derive(Debug)]
-pub enum Watched {
+pub enum OpenedWatch {
     /// Changes follow.
     Open(Watch),
     /// The platform no longer has the changes since that version; list again.
--- a/tests/platform_contract.rs
+++ b/tests/platform_contract.rs
@@ -6,7 +6,7 @@
     catalog::{AnyObject, Object},
     http::{Limits, Server},
     objects::{
-        Event, Next, Platform, Version, Watched, Write,
+        Event, Next, OpenedWatch, Platform, Version, Write,
         calls::{Class, Outcome, Rate, Rates},
     },
     schema::object::Meta,
@@ -80,7 +80,7 @@
 }
 
 async fn events(step: &Step, platform: &Platform) -> Option<Vec<Event>> {
-    let Watched::Open(mut watch) = platform.watch(step.from).await.unwrap() else { return None };
+    let OpenedWatch::Open(mut watch) = platform.watch(step.from).await.unwrap() else { return None };
     let want = step.expect_names.as_ref().map_or(0, Vec::len);
     let mut events = Vec::new();
     while events.len() < want {
@@ -161,7 +161,9 @@
 
     async fn dropped_watch(&self) {
         let from = self.platform.list().await.unwrap().version;
-        let Watched::Open(mut watch) = self.platform.watch(from).await.unwrap() else { panic!("too old") };
+        let OpenedWatch::Open(mut watch) = self.platform.watch(from).await.unwrap() else {
+            panic!("too old")
+        };
         self.standin.drop_watches();
         assert_eq!(watch.next_within(EVENT_WAIT).await.unwrap(), Next::Ended);
     }
@@ -169,7 +171,9 @@
     /// A watch that is open while a change is made that it is not told; another one is told on opening.
     async fn deaf_watch(&self, step: &Step) {
         let from = self.platform.list().await.unwrap().version;
-        let Watched::Open(mut watch) = self.platform.watch(from).await.unwrap() else { panic!("too old") };
+        let OpenedWatch::Open(mut watch) = self.platform.watch(from).await.unwrap() else {
+            panic!("too old")
+        };
         self.standin.set_faults(Faults { deaf: true, ..Faults::default() });
         check_write(step, self.platform.put(&object(step)).await);
         assert_eq!(watch.next_within(SILENT).await.unwrap(), Next::Silent);
