--- a/src/follow/tasks.rs
+++ b/src/follow/tasks.rs
@@ -33,7 +33,7 @@
 pub(super) async fn watch(shared: Arc<Shared>, from: Version) {
     let mut open = match shared.platform.watch(from).await {
         Ok(OpenedWatch::Open(open)) => open,
-        Ok(OpenedWatch::TooOld) => return shared.note(|f, now, _| f.watch_expired(now)),
+        Ok(OpenedWatch::Expired) => return shared.note(|f, now, _| f.watch_expired(now)),
         Err(e) => {
             spdlog::warn!("could not watch the configuration: {e:#}");
             return shared.note(|f, now, rng| f.watch_ended(now, rng));
--- a/src/objects.rs
+++ b/src/objects.rs
@@ -251,7 +251,7 @@
         let res = self.send(Class::Watch, Method::GET, &url, Bytes::new(), CALL_TIMEOUT).await?;
         match res.status().as_u16() {
             200 => Ok(OpenedWatch::Open(Watch::new(res.into_body()))),
-            410 => Ok(OpenedWatch::TooOld),
+            410 => Ok(OpenedWatch::Expired),
             status => bail!("the platform answered {status}"),
         }
     }
