--- a/src/follow/tasks.rs
+++ b/src/follow/tasks.rs
@@ -5,7 +5,7 @@
 use super::Shared;
 use crate::{
     link::Links,
-    objects::{Next, OpenedWatch, Version},
+    objects::{NextEvent, OpenedWatch, Version},
     schema::{
         configuration::{Delta, Fetch},
         link::frame::Body,
@@ -42,9 +42,9 @@
     shared.note(|f, now, _| f.watch_opened(now));
     loop {
         match open.next_within(WATCH_IDLE).await {
-            Ok(Next::Changed(event)) => shared.with(|f, now, _| f.watch_event(now, event)),
-            Ok(Next::Ended) => break,
-            Ok(Next::Silent) => {
+            Ok(NextEvent::Changed(event)) => shared.with(|f, now, _| f.watch_event(now, event)),
+            Ok(NextEvent::Ended) => break,
+            Ok(NextEvent::Silent) => {
                 open.close();
                 return shared.note(|f, now, _| f.watch_idle(now));
             }
--- a/src/objects.rs
+++ b/src/objects.rs
@@ -30,7 +30,7 @@
 
 use calls::{Class, Counts, Limiter, Rates};
 use transport::NotSent;
-pub use watch::{Next, OpenedWatch, Watch};
+pub use watch::{NextEvent, OpenedWatch, Watch};
 pub use write::{Step, Writing};
 
 /// Version of an object or of a collection.
--- a/src/objects/watch.rs
+++ b/src/objects/watch.rs
@@ -69,11 +69,11 @@
     ///
     /// # Errors
     /// When a line can't be parsed.
-    pub async fn next_within(&mut self, idle: Duration) -> Result<Next> {
+    pub async fn next_within(&mut self, idle: Duration) -> Result<NextEvent> {
         let next = tokio::time::timeout(idle, self.next()).await;
         Ok(match next {
-            Ok(next) => next?.map_or(Next::Ended, Next::Changed),
-            Err(_) => Next::Silent,
+            Ok(next) => next?.map_or(NextEvent::Ended, NextEvent::Changed),
+            Err(_) => NextEvent::Silent,
         })
     }
 
--- a/tests/platform_contract.rs
+++ b/tests/platform_contract.rs
@@ -6,7 +6,7 @@
     catalog::{AnyObject, Object},
     http::{Limits, Server},
     objects::{
-        Event, Next, OpenedWatch, Platform, Version, Write,
+        Event, NextEvent, OpenedWatch, Platform, Version, Write,
         calls::{Class, Outcome, Rate, Rates},
     },
     schema::object::Meta,
@@ -85,7 +85,7 @@
     let mut events = Vec::new();
     while events.len() < want {
         match watch.next_within(EVENT_WAIT).await.unwrap() {
-            Next::Changed(event) => events.push(event),
+            NextEvent::Changed(event) => events.push(event),
             other => panic!("no event within the time: {other:?}"),
         }
     }
@@ -165,7 +165,7 @@
             panic!("too old")
         };
         self.standin.drop_watches();
-        assert_eq!(watch.next_within(EVENT_WAIT).await.unwrap(), Next::Ended);
+        assert_eq!(watch.next_within(EVENT_WAIT).await.unwrap(), NextEvent::Ended);
     }
 
     /// A watch that is open while a change is made that it is not told; another one is told on opening.
@@ -176,7 +176,7 @@
         };
         self.standin.set_faults(Faults { deaf: true, ..Faults::default() });
         check_write(step, self.platform.put(&object(step)).await);
-        assert_eq!(watch.next_within(SILENT).await.unwrap(), Next::Silent);
+        assert_eq!(watch.next_within(SILENT).await.unwrap(), NextEvent::Silent);
         watch.close();
     }
 
