--- a/src/follow/tasks.rs
+++ b/src/follow/tasks.rs
@@ -44,7 +44,7 @@
         match open.next_within(WATCH_IDLE).await {
             Ok(NextEvent::Changed(event)) => shared.with(|f, now, _| f.watch_event(now, event)),
             Ok(NextEvent::Ended) => break,
-            Ok(NextEvent::Silent) => {
+            Ok(NextEvent::Idle) => {
                 open.close();
                 return shared.note(|f, now, _| f.watch_idle(now));
             }
--- a/src/objects/watch.rs
+++ b/src/objects/watch.rs
@@ -73,7 +73,7 @@
         let next = tokio::time::timeout(idle, self.next()).await;
         Ok(match next {
             Ok(next) => next?.map_or(NextEvent::Ended, NextEvent::Changed),
-            Err(_) => NextEvent::Silent,
+            Err(_) => NextEvent::Idle,
         })
     }
 
--- a/tests/platform_contract.rs
+++ b/tests/platform_contract.rs
@@ -176,7 +176,7 @@
         };
         self.standin.set_faults(Faults { deaf: true, ..Faults::default() });
         check_write(step, self.platform.put(&object(step)).await);
-        assert_eq!(watch.next_within(SILENT).await.unwrap(), NextEvent::Silent);
+        assert_eq!(watch.next_within(SILENT).await.unwrap(), NextEvent::Idle);
         watch.close();
     }
 
