--- a/src/objects.rs
+++ b/src/objects.rs
@@ -31,7 +31,7 @@
 use calls::{Class, Counts, Limiter, Rates};
 use transport::NotSent;
 pub use watch::{NextEvent, OpenedWatch, Watch};
-pub use write::{Step, Writing};
+pub use write::{PendingWrite, Step};
 
 /// Version of an object or of a collection.
 pub type Version = u64;
@@ -218,7 +218,7 @@
     /// As for [`Platform::put`].
     pub async fn put_resolved(&self, obj: AnyObject, rng: &mut (impl Rng + Send)) -> Result<Write> {
         let nonce = format!("{:016x}", rng.random::<u64>());
-        let mut writing = Writing::new(obj, nonce, WRITE_TRIES);
+        let mut writing = PendingWrite::new(obj, nonce, WRITE_TRIES);
         let mut backoff = backoff::Backoff::new(WRITE_BACKOFF, WRITE_BACKOFF_MAX);
         let mut step = writing.start();
         loop {
--- a/src/objects/write.rs
+++ b/src/objects/write.rs
@@ -23,13 +23,13 @@
 /// conditional write can be sent again without harm, since it takes effect at most once, and the object that a
 /// conflict returns shows by its nonce whose write it was.
 #[derive(Clone, Debug)]
-pub struct Writing {
+pub struct PendingWrite {
     obj: AnyObject,
     tries: u32,
     unanswered: bool,
 }
 
-impl Writing {
+impl PendingWrite {
     /// Write of `obj` under `nonce`, tried at most `tries` times.
     pub fn new(mut obj: AnyObject, nonce: impl Into<String>, tries: u32) -> Self {
         obj.metadata.writer_nonce = nonce.into();
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     catalog::{AnyObject, Object},
     objects::{
-        Step, Write, Writing,
+        PendingWrite, Step, Write,
         backoff::Backoff,
         bucket::TokenBucket,
         calls::{Class, Limiter, Rates},
@@ -139,7 +139,7 @@
     ];
 
     for (answers, want) in table {
-        let mut writing = Writing::new(object("", "1"), "mine", 3);
+        let mut writing = PendingWrite::new(object("", "1"), "mine", 3);
         let mut step = writing.start();
         for answer in answers.clone() {
             assert!(matches!(step, Step::Send(_)), "{answers:?}");
