--- a/src/follow.rs
+++ b/src/follow.rs
@@ -44,13 +44,13 @@
 /// The configuration of a running router.
 #[derive(Debug)]
 pub struct Follow {
-    shared: Arc<Shared>,
+    shared: Arc<FollowHandle>,
     task: JoinHandle<()>,
 }
 
 /// What the tasks of one follower share; the handle for other modules.
 #[derive(Debug)]
-pub struct Shared {
+pub struct FollowHandle {
     me: Member,
     state: Mutex<Decisions>,
     watch: Mutex<Option<JoinHandle<()>>>,
@@ -92,7 +92,7 @@
             enforced: 0,
             behind_before: false,
         };
-        let shared = Arc::new(Shared {
+        let shared = Arc::new(FollowHandle {
             me,
             state: Mutex::new(state),
             watch: Mutex::default(),
@@ -109,7 +109,7 @@
     }
 
     /// Handle for other modules.
-    pub fn shared(&self) -> &Arc<Shared> {
+    pub fn shared(&self) -> &Arc<FollowHandle> {
         &self.shared
     }
 
@@ -120,7 +120,7 @@
     }
 }
 
-async fn run(shared: Arc<Shared>) {
+async fn run(shared: Arc<FollowHandle>) {
     loop {
         let actions = {
             let mut state = shared.state();
@@ -133,7 +133,7 @@
     }
 }
 
-impl Shared {
+impl FollowHandle {
     /// Sets the other live routers, as the membership sees them.
     pub fn set_peers(&self, peers: Vec<Peer>) {
         let mut state = self.state();
--- a/src/follow/seeds.rs
+++ b/src/follow/seeds.rs
@@ -4,7 +4,7 @@
 
 use futures_util::future::join_all;
 
-use super::{Peer, Shared, tasks::call};
+use super::{FollowHandle, Peer, tasks::call};
 use crate::schema::{
     configuration::Fetch,
     link::{Ping, frame::Body},
@@ -14,12 +14,12 @@
 /// A fetch from here on gives a version without any object.
 const NOTHING: u64 = u64::MAX;
 
-/// Asks all seeds, again and again, until [`Shared::set_peers`] is called.
+/// Asks all seeds, again and again, until [`FollowHandle::set_peers`] is called.
 ///
 /// Guards against a restart while the platform is down: gossip takes a while to tell who is there, and an answer of one
 /// seed tells the fleet's version at once. A seed that answered once stays listed: were one that is late this time left
 /// out, `apply --wait` would for a moment not wait for it and still report success.
-pub(super) async fn ask(shared: Arc<Shared>, seeds: Vec<SocketAddr>) {
+pub(super) async fn ask(shared: Arc<FollowHandle>, seeds: Vec<SocketAddr>) {
     let mut known = BTreeMap::new();
     while !seeds.is_empty() && !shared.state().has_members {
         let answers = join_all(seeds.iter().map(|seed| version_of(&shared, *seed))).await;
@@ -41,7 +41,7 @@
 }
 
 /// Who answers at a seed's address, and the version that it serves.
-async fn version_of(shared: &Shared, seed: SocketAddr) -> Option<(Peer, u64)> {
+async fn version_of(shared: &FollowHandle, seed: SocketAddr) -> Option<(Peer, u64)> {
     let Ok(Body::Pong(pong)) = shared.links.call(seed, Body::Ping(Ping {}), PERIOD).await else {
         return None;
     };
--- a/src/follow/tasks.rs
+++ b/src/follow/tasks.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use super::Shared;
+use super::FollowHandle;
 use crate::{
     link::Links,
     objects::{NextEvent, OpenedWatch, Version},
@@ -17,7 +17,7 @@
 /// within which a change is in force everywhere.
 const WATCH_IDLE: Duration = Duration::from_secs(6);
 
-pub(super) async fn list(shared: Arc<Shared>) {
+pub(super) async fn list(shared: Arc<FollowHandle>) {
     let list = match shared.platform.list().await {
         Ok(list) => Some(list),
         Err(e) => {
@@ -30,7 +30,7 @@
     let _ = tokio::task::spawn_blocking(take).await;
 }
 
-pub(super) async fn watch(shared: Arc<Shared>, from: Version) {
+pub(super) async fn watch(shared: Arc<FollowHandle>, from: Version) {
     let mut open = match shared.platform.watch(from).await {
         Ok(OpenedWatch::Open(open)) => open,
         Ok(OpenedWatch::Expired) => return shared.note(|f, now, _| f.watch_expired(now)),
@@ -58,7 +58,7 @@
     shared.note(|f, now, rng| f.watch_ended(now, rng));
 }
 
-pub(super) async fn fetch_from(shared: Arc<Shared>, peer: Arc<str>, fetch: Fetch) {
+pub(super) async fn fetch_from(shared: Arc<FollowHandle>, peer: Arc<str>, fetch: Fetch) {
     let addr = shared.state().peers.get(&peer).map(|p| p.peer_addr);
     let delta = match addr {
         Some(addr) => call(&shared.links, addr, fetch).await,
