--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -50,7 +50,7 @@
     socket: UdpSocket,
     client: Client,
     period: Duration,
-    follow: Arc<follow::Shared>,
+    follow: Arc<follow::FollowHandle>,
     gateway: Arc<Gateway>,
     metrics: Arc<Metrics>,
 }
@@ -65,7 +65,7 @@
         me: &Router,
         peer_addr: SocketAddr,
         socket: StdSocket,
-        follow: Arc<follow::Shared>,
+        follow: Arc<follow::FollowHandle>,
         gateway: Arc<Gateway>,
         metrics: Arc<Metrics>,
     ) -> Result<Self> {
--- a/src/operate.rs
+++ b/src/operate.rs
@@ -36,7 +36,7 @@
 pub struct Operate {
     me: Router,
     token: blake3::Hash,
-    follow: Arc<follow::Shared>,
+    follow: Arc<follow::FollowHandle>,
     gateway: Arc<Gateway>,
     leaving: AtomicBool,
     drained: Notify,
@@ -44,7 +44,12 @@
 
 impl Operate {
     /// Endpoints of the router `me`.
-    pub fn new(me: Router, shared_key: &str, follow: Arc<follow::Shared>, gateway: Arc<Gateway>) -> Self {
+    pub fn new(
+        me: Router,
+        shared_key: &str,
+        follow: Arc<follow::FollowHandle>,
+        gateway: Arc<Gateway>,
+    ) -> Self {
         let token = blake3::Hash::from(blake3::derive_key(TOKEN_CONTEXT, shared_key.as_bytes()));
         Self { me, token, follow, gateway, leaving: AtomicBool::new(false), drained: Notify::new() }
     }
--- a/src/operate/status.rs
+++ b/src/operate/status.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     entry::Router,
-    follow::{Peer, Shared},
+    follow::{FollowHandle, Peer},
     revision::{Bad, State},
 };
 
@@ -37,7 +37,7 @@
 }
 
 impl Status {
-    pub(super) fn of(me: &Router, leaving: bool, follow: &Shared) -> Self {
+    pub(super) fn of(me: &Router, leaving: bool, follow: &FollowHandle) -> Self {
         let (configuration, bad) = follow.status();
         let router = RouterStatus {
             name: me.name.to_string(),
--- a/src/order/run.rs
+++ b/src/order/run.rs
@@ -50,7 +50,7 @@
     /// Starts the task; `loads_per_minute` is the load rate of the weight store for the whole fleet.
     pub(crate) fn start(
         me: &Arc<str>,
-        follow: Arc<follow::Shared>,
+        follow: Arc<follow::FollowHandle>,
         platform: Platform,
         metrics: Arc<Metrics>,
         loads_per_minute: f64,
@@ -76,7 +76,7 @@
 async fn reconcile_tasks(
     cx: Arc<Context>,
     me: Arc<str>,
-    follow: Arc<follow::Shared>,
+    follow: Arc<follow::FollowHandle>,
     mut stopped: watch::Receiver<bool>,
 ) {
     let mut tasks = Tasks::new();
--- a/src/serve/calls.rs
+++ b/src/serve/calls.rs
@@ -13,7 +13,7 @@
 /// What answers calls of other routers.
 pub(super) struct Calls {
     pub(super) me: Router,
-    pub(super) follow: Arc<follow::Shared>,
+    pub(super) follow: Arc<follow::FollowHandle>,
     pub(super) gateway: Arc<Gateway>,
 }
 
