--- a/src/follow.rs
+++ b/src/follow.rs
@@ -151,7 +151,7 @@
     }
 
     /// Notes the version that a peer has in force.
-    pub fn note_version(&self, peer: &Arc<str>, version: Version) {
+    pub fn record_peer_version(&self, peer: &Arc<str>, version: Version) {
         self.state().follower.record_peer_version(now(), peer, version);
         self.wake.notify_one();
     }
--- a/src/follow/seeds.rs
+++ b/src/follow/seeds.rs
@@ -34,7 +34,7 @@
             shared.take_peers(&mut state, peers);
         }
         for (peer, version) in answered {
-            shared.note_version(&peer.name, version);
+            shared.record_peer_version(&peer.name, version);
         }
         tokio::time::sleep(PERIOD).await;
     }
--- a/src/gossip/views.rs
+++ b/src/gossip/views.rs
@@ -46,7 +46,7 @@
             others.map(|member| (member.record.name.clone(), member.in_force)).collect::<Vec<_>>()
         });
         for (name, version) in versions.unwrap_or_default() {
-            self.follow.note_version(&name, version);
+            self.follow.record_peer_version(&name, version);
         }
     }
 
