--- a/src/follow.rs
+++ b/src/follow.rs
@@ -157,7 +157,7 @@
     }
 
     /// Notes a version that some router is known to have, as told by a third one.
-    pub fn note_newest(&self, version: Version) {
+    pub fn record_newest_version(&self, version: Version) {
         self.state().follower.record_newest_version(now(), version);
     }
 
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -189,7 +189,7 @@
                 Event::RoutersChanged => routers = true,
                 Event::NewerVersion(version) => {
                     self.report_peer_versions();
-                    self.follow.note_newest(version);
+                    self.follow.record_newest_version(version);
                 }
                 Event::Note { topic, origin, payload } => self.handle_note(topic, &origin, &payload),
                 Event::Paused(gap) => {
