--- a/src/objects/backoff.rs
+++ b/src/objects/backoff.rs
@@ -21,7 +21,7 @@
     /// Wait before the next try.
     ///
     /// Drawn from the whole range, so that routers that failed together don't come back together.
-    pub fn wait(&mut self, rng: &mut impl Rng) -> Duration {
+    pub fn next_delay(&mut self, rng: &mut impl Rng) -> Duration {
         let limit = self.base.saturating_mul(1 << self.tries.min(20)).min(self.max);
         self.tries = self.tries.saturating_add(1);
         let least = limit / 4;
--- a/src/objects/calls.rs
+++ b/src/objects/calls.rs
@@ -53,9 +53,9 @@
     /// No answer, or a server error.
     Failed,
     /// The platform refused it for its rate.
-    Limited,
+    LimitedByServer,
     /// Not sent, because our own limit would have been exceeded.
-    Held,
+    LimitedByClient,
 }
 
 /// Limits of one class.
--- a/src/objects/watch.rs
+++ b/src/objects/watch.rs
@@ -24,18 +24,18 @@
     /// Changes follow.
     Open(Watch),
     /// The platform no longer has the changes since that version; list again.
-    TooOld,
+    Expired,
 }
 
 /// What an open watch gave.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
+pub enum NextEvent {
     /// A change.
     Changed(Event),
     /// It has ended.
     Ended,
     /// Nothing came in the time given.
-    Silent,
+    Idle,
 }
 
 impl Watch {
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -98,7 +98,7 @@
 fn backoff_grows_to_its_limit_and_differs_between_routers() {
     let waits = |seed| -> Vec<_> {
         let (mut rng, mut backoff) = (StdRng::seed_from_u64(seed), Backoff::new(SECOND, SECOND * 10));
-        (0..8).map(|_| backoff.wait(&mut rng)).collect()
+        (0..8).map(|_| backoff.next_delay(&mut rng)).collect()
     };
 
     let (one, other) = (waits(1), waits(2));
