--- a/benches/claims/store.rs
+++ b/benches/claims/store.rs
@@ -7,7 +7,7 @@
         let (least, most) = self.faults.platform_ms;
         let ms = self.rng.random_range(least..=most) / 2;
         let unanswered = |op: &Op| match op {
-            Op::Write(_) | Op::Delete(_) => OpResult::Write(Write::Unknown),
+            Op::Write(_) | Op::Delete(_) => OpResult::Write(WriteOutcome::Unknown),
             _ => OpResult::Failed,
         };
         if self.outage || self.chance(self.faults.lose_call) {
@@ -33,20 +33,20 @@
             Op::Delete(obj) => {
                 self.stats.writes += 1;
                 self.objects.remove(&(obj.kind, obj.metadata.name));
-                OpResult::Write(Write::Conflict(None))
+                OpResult::Write(WriteOutcome::Conflict(None))
             }
         };
         if !tell {
             return;
         }
         if written && self.chance(self.faults.lose_answer) {
-            done = OpResult::Write(Write::Unknown);
+            done = OpResult::Write(WriteOutcome::Unknown);
         }
         if self.weak == Weak::LostIsDone
-            && done == OpResult::Write(Write::Unknown)
+            && done == OpResult::Write(WriteOutcome::Unknown)
             && let Op::Write(obj) = shown
         {
-            done = OpResult::Write(Write::Done(obj));
+            done = OpResult::Write(WriteOutcome::Done(obj));
         }
         let (least, most) = self.faults.platform_ms;
         let ms = self.rng.random_range(least..=most) / 2;
@@ -76,11 +76,11 @@
         let current = self.objects.get(&key);
         let version = current.map_or("", |o| o.metadata.resource_version.as_str());
         if version != obj.metadata.resource_version && self.weak != Weak::Unconditional {
-            return OpResult::Write(Write::Conflict(current.cloned()));
+            return OpResult::Write(WriteOutcome::Conflict(current.cloned()));
         }
         self.version += 1;
         obj.metadata.resource_version = self.version.to_string();
         self.objects.insert(key, obj.clone());
-        OpResult::Write(Write::Done(obj))
+        OpResult::Write(WriteOutcome::Done(obj))
     }
 }
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -17,7 +17,7 @@
         ticket_claims::{Step, TicketClaims},
     },
     client::Failure,
-    objects::Write,
+    objects::WriteOutcome,
     outcome::{DispatchFailure, NotRunProof, Undispatched},
 };
 use rand::{Rng, SeedableRng, seq::IndexedRandom};
--- a/src/claim/shard_claims.rs
+++ b/src/claim/shard_claims.rs
@@ -10,7 +10,9 @@
     AttemptId, ClaimRequest, Clock, Entry, KeyDigest, Record, Verdict, WallMs,
     shard::{self, Shard},
 };
-use crate::{catalog::AnyObject, objects::Write, schema::claim::ClaimArchiveRef, util::Instant, util::Map};
+use crate::{
+    catalog::AnyObject, objects::WriteOutcome, schema::claim::ClaimArchiveRef, util::Instant, util::Map,
+};
 
 mod merge;
 mod plan;
@@ -70,7 +72,7 @@
     /// The object that was read, if it exists.
     Read(Option<AnyObject>),
     /// Answer to a write or delete, or the fact that the answer was lost.
-    Write(Write),
+    Write(WriteOutcome),
     /// The call failed without effect.
     Failed,
 }
--- a/src/claim/shard_claims/merge.rs
+++ b/src/claim/shard_claims/merge.rs
@@ -15,32 +15,37 @@
             }
             // The archive no longer exists: another router has since removed it from the shard's object.
             (Some(InFlight::ReadArchive(_)), OpResult::Read(None)) => self.read_needed = true,
-            (Some(InFlight::Write { sent, removed, archives }), OpResult::Write(Write::Done(obj))) => {
+            (Some(InFlight::Write { sent, removed, archives }), OpResult::Write(WriteOutcome::Done(obj))) => {
                 self.write_committed(clock, &obj, &sent, &removed, archives);
             }
             // Another router wrote first. The answer contains its version of the object.
-            (Some(InFlight::Write { .. }), OpResult::Write(Write::Conflict(Some(obj)))) => {
+            (Some(InFlight::Write { .. }), OpResult::Write(WriteOutcome::Conflict(Some(obj)))) => {
                 // Retry at once: with two writers, waiting for the interval would starve the slower one.
                 self.last_write = None;
                 self.merge(clock, Some(&obj));
             }
-            (Some(InFlight::Write { .. }), OpResult::Write(Write::Conflict(None))) => self.read_needed = true,
+            (Some(InFlight::Write { .. }), OpResult::Write(WriteOutcome::Conflict(None))) => {
+                self.read_needed = true
+            }
             // The write may have taken effect or may do so later. Reading the object resolves it, see `merge`.
-            (Some(InFlight::Write { .. }), OpResult::Write(Write::Unknown)) => {
+            (Some(InFlight::Write { .. }), OpResult::Write(WriteOutcome::Unknown)) => {
                 self.read_needed = true;
                 self.note_failure(clock);
             }
-            (Some(InFlight::Archive { name, newest_ms, sent, .. }), OpResult::Write(Write::Done(obj))) => {
+            (
+                Some(InFlight::Archive { name, newest_ms, sent, .. }),
+                OpResult::Write(WriteOutcome::Done(obj)),
+            ) => {
                 self.archive_written(clock, name, newest_ms, sent, &obj);
             }
             // This router's own archive, written by an earlier attempt whose answer was lost.
             (
                 Some(InFlight::Archive { name, obj, newest_ms, sent }),
-                OpResult::Write(Write::Conflict(Some(now))),
+                OpResult::Write(WriteOutcome::Conflict(Some(now))),
             ) if now.spec == obj.spec => {
                 self.archive_written(clock, name, newest_ms, sent, &now);
             }
-            (Some(InFlight::Archive { .. }), OpResult::Write(Write::Conflict(_))) => {
+            (Some(InFlight::Archive { .. }), OpResult::Write(WriteOutcome::Conflict(_))) => {
                 self.next_archive_number += 1
             }
             (Some(InFlight::Delete), _) | (None, _) => {}
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -19,7 +19,7 @@
 use crate::{
     catalog::AnyObject,
     client::Client,
-    objects::{Platform, Version, Write},
+    objects::{Platform, Version, WriteOutcome},
     revision::check,
 };
 
@@ -125,25 +125,25 @@
 }
 
 /// Tells what became of a write.
-pub(super) fn report(name: &str, write: Write, version: &mut Version) -> Exit {
+pub(super) fn report(name: &str, write: WriteOutcome, version: &mut Version) -> Exit {
     match write {
-        Write::Done(obj) => {
+        WriteOutcome::Done(obj) => {
             println!("{name} written, version {}", obj.metadata.resource_version);
             *version = (*version).max(version_of(&obj));
             Exit::Done
         }
-        Write::Conflict(Some(now)) => {
+        WriteOutcome::Conflict(Some(now)) => {
             eprintln!(
                 "{name}: conflict; version {} won, yours is not in force",
                 now.metadata.resource_version
             );
             Exit::Conflict
         }
-        Write::Conflict(None) => {
+        WriteOutcome::Conflict(None) => {
             eprintln!("{name}: conflict; it was deleted meanwhile, yours is not in force");
             Exit::Conflict
         }
-        Write::Unknown => {
+        WriteOutcome::Unknown => {
             eprintln!("{name}: the platform did not answer; it may be written or not");
             Exit::Unknown
         }
--- a/src/lease/acquiring.rs
+++ b/src/lease/acquiring.rs
@@ -1,7 +1,7 @@
 //! Acquires a lease by one conditional write whose response may be lost.
 
 use super::{Candidate, Held, LeaseConfig, version_of};
-use crate::{catalog::AnyObject, objects::Write, util::Instant};
+use crate::{catalog::AnyObject, objects::WriteOutcome, util::Instant};
 
 /// An attempt to acquire a lease; the write may be in flight.
 #[derive(Clone, Debug)]
@@ -44,15 +44,17 @@
     /// If a response is lost after the write took effect, the retry of the same conditional write conflicts with its
     /// own object, which the nonce identifies. The TTL is measured from the first send, as any of the sends may have
     /// taken effect; if it has expired in the meantime, the attempt is abandoned.
-    pub fn answered(self, now: Instant, write: Write) -> Acquired {
+    pub fn answered(self, now: Instant, write: WriteOutcome) -> Acquired {
         let sent = self.first_sent.unwrap_or(now);
         match write {
-            Write::Done(obj) => Acquired::Held(Held::new(self.config, &obj, version_of(&obj), sent, now)),
-            Write::Conflict(Some(obj)) if obj.metadata.writer_nonce == self.nonce => {
+            WriteOutcome::Done(obj) => {
                 Acquired::Held(Held::new(self.config, &obj, version_of(&obj), sent, now))
             }
-            Write::Unknown if now < sent + self.config.ttl => Acquired::Retry(self),
-            Write::Conflict(_) | Write::Unknown => Acquired::Lost(Candidate::new(self.config)),
+            WriteOutcome::Conflict(Some(obj)) if obj.metadata.writer_nonce == self.nonce => {
+                Acquired::Held(Held::new(self.config, &obj, version_of(&obj), sent, now))
+            }
+            WriteOutcome::Unknown if now < sent + self.config.ttl => Acquired::Retry(self),
+            WriteOutcome::Conflict(_) | WriteOutcome::Unknown => Acquired::Lost(Candidate::new(self.config)),
         }
     }
 }
--- a/src/lease/driver.rs
+++ b/src/lease/driver.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use super::{Acquired, Acquiring, Candidate, Fencing, Held, LeaseConfig, Observed, Renewed};
-use crate::{catalog::AnyObject, objects::Write, util::Instant};
+use crate::{catalog::AnyObject, objects::WriteOutcome, util::Instant};
 
 /// An I/O operation that the caller must perform; at most one is in flight at a time.
 #[derive(Clone, Debug, PartialEq)]
@@ -78,10 +78,10 @@
     }
 
     /// Handles the response to a write.
-    pub fn written(&mut self, now: Instant, write: Write, rng: &mut impl Rng) {
+    pub fn written(&mut self, now: Instant, write: WriteOutcome, rng: &mut impl Rng) {
         self.in_flight = false;
         // After an unknown outcome, retries soon but not at once, as the platform may be overloaded.
-        let delay = if write == Write::Unknown { self.period / 4 } else { Duration::ZERO };
+        let delay = if write == WriteOutcome::Unknown { self.period / 4 } else { Duration::ZERO };
         self.next_at = now + delay.mul_f64(0.5 + rng.random::<f64>());
         match &self.state {
             State::Candidate(_) => {}
--- a/src/lease/held.rs
+++ b/src/lease/held.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Candidate, Fencing, LeaseConfig};
-use crate::{catalog::AnyObject, objects::Write, util::Instant};
+use crate::{catalog::AnyObject, objects::WriteOutcome, util::Instant};
 
 /// An acquired lease, valid as long as [`Held::check`] returns its fencing token.
 #[derive(Clone, Debug)]
@@ -83,16 +83,16 @@
     }
 
     /// Handles the response to a renewal.
-    pub fn renewed(mut self, now: Instant, write: Write) -> Renewed {
+    pub fn renewed(mut self, now: Instant, write: WriteOutcome) -> Renewed {
         let _ = self.check(now, Duration::ZERO);
         let Some(pending) = self.pending.take() else { return Renewed::Held(self) };
         match write {
-            Write::Done(obj) => self.extend(&obj, &pending),
-            Write::Conflict(Some(obj)) if obj.metadata.writer_nonce == pending.nonce => {
+            WriteOutcome::Done(obj) => self.extend(&obj, &pending),
+            WriteOutcome::Conflict(Some(obj)) if obj.metadata.writer_nonce == pending.nonce => {
                 self.extend(&obj, &pending);
             }
-            Write::Conflict(_) => return Renewed::Lost(Candidate::new(self.config)),
-            Write::Unknown => self.pending = Some(pending),
+            WriteOutcome::Conflict(_) => return Renewed::Lost(Candidate::new(self.config)),
+            WriteOutcome::Unknown => self.pending = Some(pending),
         }
         Renewed::Held(self)
     }
--- a/src/objects.rs
+++ b/src/objects.rs
@@ -81,7 +81,7 @@
 
 /// What became of a conditional write.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Write {
+pub enum WriteOutcome {
     /// In force as this object.
     Done(AnyObject),
     /// Another write came first; the object as it is now, if it exists.
@@ -191,7 +191,7 @@
     /// # Errors
     /// When the write certainly did not and will not take effect: the platform refused the object or could not be
     /// reached, or a rate limit held the call back.
-    pub async fn put(&self, obj: &AnyObject) -> Result<Write> {
+    pub async fn put(&self, obj: &AnyObject) -> Result<WriteOutcome> {
         let url = self.object_url(&obj.kind, &obj.metadata.name);
         let body = serde_json::to_vec(obj).context("could not encode the object")?;
         ensure!(
@@ -206,7 +206,7 @@
     ///
     /// # Errors
     /// As for [`Platform::put`].
-    pub async fn delete(&self, obj: &AnyObject) -> Result<Write> {
+    pub async fn delete(&self, obj: &AnyObject) -> Result<WriteOutcome> {
         let url = self.object_url(&obj.kind, &obj.metadata.name);
         let url = format!("{url}?version={}", obj.metadata.resource_version);
         self.write(Method::DELETE, &url, Bytes::new(), obj).await
@@ -216,7 +216,7 @@
     ///
     /// # Errors
     /// As for [`Platform::put`].
-    pub async fn put_resolved(&self, obj: AnyObject, rng: &mut (impl Rng + Send)) -> Result<Write> {
+    pub async fn put_resolved(&self, obj: AnyObject, rng: &mut (impl Rng + Send)) -> Result<WriteOutcome> {
         let nonce = format!("{:016x}", rng.random::<u64>());
         let mut writing = PendingWrite::new(obj, nonce, WRITE_TRIES);
         let mut backoff = backoff::Backoff::new(WRITE_BACKOFF, WRITE_BACKOFF_MAX);
@@ -227,17 +227,17 @@
                     let answer = match self.put(&obj).await {
                         Err(e) if !writing.was_unanswered() => return Err(e),
                         // An earlier try may be in force, so a refusal of this one proves nothing.
-                        Err(_) => Write::Unknown,
+                        Err(_) => WriteOutcome::Unknown,
                         Ok(answer) => answer,
                     };
-                    if answer == Write::Unknown {
+                    if answer == WriteOutcome::Unknown {
                         tokio::time::sleep(backoff.next_delay(rng)).await;
                     }
                     step = writing.answered(answer);
                 }
-                Step::Done(obj) => return Ok(Write::Done(obj)),
-                Step::Conflict(obj) => return Ok(Write::Conflict(obj)),
-                Step::Unknown => return Ok(Write::Unknown),
+                Step::Done(obj) => return Ok(WriteOutcome::Done(obj)),
+                Step::Conflict(obj) => return Ok(WriteOutcome::Conflict(obj)),
+                Step::Unknown => return Ok(WriteOutcome::Unknown),
             }
         }
     }
@@ -260,20 +260,20 @@
         format!("{}/{}/{kind}/{name}", self.base, Collection::of(kind).as_str())
     }
 
-    async fn write(&self, method: Method, url: &str, body: Bytes, obj: &AnyObject) -> Result<Write> {
+    async fn write(&self, method: Method, url: &str, body: Bytes, obj: &AnyObject) -> Result<WriteOutcome> {
         let reply = match self.call(Class::of_write(&obj.kind), method, url, body, CALL_TIMEOUT).await {
             Ok(reply) => reply,
             Err(e) if e.downcast_ref::<NotSent>().is_some() => return Err(e),
-            Err(_) => return Ok(Write::Unknown),
+            Err(_) => return Ok(WriteOutcome::Unknown),
         };
         match reply.status {
             200 | 201 => match serde_json::from_slice(&reply.body) {
-                Ok(obj) => Ok(Write::Done(obj)),
-                Err(_) => Ok(Write::Unknown),
+                Ok(obj) => Ok(WriteOutcome::Done(obj)),
+                Err(_) => Ok(WriteOutcome::Unknown),
             },
-            404 => Ok(Write::Conflict(None)),
-            409 => Ok(Write::Conflict(serde_json::from_slice(&reply.body).unwrap_or_default())),
-            500.. => Ok(Write::Unknown),
+            404 => Ok(WriteOutcome::Conflict(None)),
+            409 => Ok(WriteOutcome::Conflict(serde_json::from_slice(&reply.body).unwrap_or_default())),
+            500.. => Ok(WriteOutcome::Unknown),
             429 => bail!("the platform's rate limit refused the write"),
             _ => {
                 let name = &obj.metadata.name;
--- a/src/objects/write.rs
+++ b/src/objects/write.rs
@@ -1,6 +1,6 @@
 //! A conditional write whose answer may be lost: sent again or read back until its outcome is known.
 
-use super::Write;
+use super::WriteOutcome;
 use crate::catalog::AnyObject;
 
 /// What to do next about a write.
@@ -46,12 +46,12 @@
     }
 
     /// Step after an answer or its absence.
-    pub fn answered(&mut self, write: Write) -> Step {
+    pub fn answered(&mut self, write: WriteOutcome) -> Step {
         match write {
-            Write::Done(obj) => Step::Done(obj),
-            Write::Conflict(Some(obj)) if self.is_mine(&obj) => Step::Done(obj),
-            Write::Conflict(obj) => Step::Conflict(obj),
-            Write::Unknown => {
+            WriteOutcome::Done(obj) => Step::Done(obj),
+            WriteOutcome::Conflict(Some(obj)) if self.is_mine(&obj) => Step::Done(obj),
+            WriteOutcome::Conflict(obj) => Step::Conflict(obj),
+            WriteOutcome::Unknown => {
                 self.unanswered = true;
                 self.start()
             }
--- a/src/order/run.rs
+++ b/src/order/run.rs
@@ -15,7 +15,7 @@
     follow,
     lease::{Action, LeaseConfig, LeaseDriver},
     metrics::{Counter, Metrics},
-    objects::{Platform, Write},
+    objects::{Platform, WriteOutcome},
     util::{Instant, now},
 };
 
@@ -174,7 +174,7 @@
                 self.keeper.read(now(), answer, &mut self.rng);
             }
             Action::Write(obj) => {
-                let write = self.cx.platform.put(&obj).await.unwrap_or(Write::Unknown);
+                let write = self.cx.platform.put(&obj).await.unwrap_or(WriteOutcome::Unknown);
                 self.keeper.written(now(), write, &mut self.rng);
             }
         }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -4,7 +4,7 @@
 
 use cranberrytally::{
     lease::{Acquired, Acquiring, Candidate, Held, LeaseConfig, Observed, Renewed},
-    objects::Write,
+    objects::WriteOutcome,
     util::Instant,
 };
 use rand::Rng;
@@ -67,7 +67,7 @@
     let mut acquiring = acquiring(&shelf, "a", at(0.0));
     let _lost = shelf.put(acquiring.attempt(at(0.0)));
 
-    let Acquired::Retry(mut acquiring) = acquiring.answered(at(1.0), Write::Unknown) else { panic!() };
+    let Acquired::Retry(mut acquiring) = acquiring.answered(at(1.0), WriteOutcome::Unknown) else { panic!() };
     let write = shelf.put(acquiring.attempt(at(1.0)));
     let Acquired::Held(mut held) = acquiring.answered(at(2.0), write) else { panic!() };
 
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     catalog::{AnyObject, Object},
     objects::{
-        PendingWrite, Step, Write,
+        PendingWrite, Step, WriteOutcome,
         backoff::Backoff,
         bucket::TokenBucket,
         calls::{Class, Limiter, Rates},
@@ -125,15 +125,18 @@
 #[test]
 fn lost_responses_of_a_write_are_resolved_by_its_nonce() {
     let (own_write, other_write) = (object("mine", "2"), object("theirs", "2"));
-    let conflict = |obj: &AnyObject| Write::Conflict(Some(obj.clone()));
+    let conflict = |obj: &AnyObject| WriteOutcome::Conflict(Some(obj.clone()));
     let table = [
-        (vec![Write::Done(own_write.clone())], Step::Done(own_write.clone())),
+        (vec![WriteOutcome::Done(own_write.clone())], Step::Done(own_write.clone())),
         (vec![conflict(&other_write)], Step::Conflict(Some(other_write.clone()))),
-        (vec![Write::Unknown, conflict(&own_write)], Step::Done(own_write.clone())),
-        (vec![Write::Unknown, conflict(&other_write)], Step::Conflict(Some(other_write.clone()))),
-        (vec![Write::Unknown, Write::Unknown, Write::Done(own_write.clone())], Step::Done(own_write.clone())),
-        (vec![Write::Unknown, Write::Conflict(None)], Step::Conflict(None)),
-        (vec![Write::Unknown, Write::Unknown, Write::Unknown], Step::Unknown),
+        (vec![WriteOutcome::Unknown, conflict(&own_write)], Step::Done(own_write.clone())),
+        (vec![WriteOutcome::Unknown, conflict(&other_write)], Step::Conflict(Some(other_write.clone()))),
+        (
+            vec![WriteOutcome::Unknown, WriteOutcome::Unknown, WriteOutcome::Done(own_write.clone())],
+            Step::Done(own_write.clone()),
+        ),
+        (vec![WriteOutcome::Unknown, WriteOutcome::Conflict(None)], Step::Conflict(None)),
+        (vec![WriteOutcome::Unknown, WriteOutcome::Unknown, WriteOutcome::Unknown], Step::Unknown),
         // If no response was lost before, an object with this writer's nonce can't be the result of this write.
         (vec![conflict(&own_write)], Step::Conflict(Some(own_write.clone()))),
     ];
--- a/tests/platform_contract.rs
+++ b/tests/platform_contract.rs
@@ -6,7 +6,7 @@
     catalog::{AnyObject, Object},
     http::{Limits, Server},
     objects::{
-        Event, NextEvent, OpenedWatch, Platform, Version, Write,
+        Event, NextEvent, OpenedWatch, Platform, Version, WriteOutcome,
         calls::{Class, Outcome, Rate, Rates},
     },
     schema::object::Meta,
@@ -65,16 +65,16 @@
     }
 }
 
-fn check_write(step: &Step, write: anyhow::Result<Write>) {
+fn check_write(step: &Step, write: anyhow::Result<WriteOutcome>) {
     let got = match &write {
-        Ok(Write::Done(_)) => "done",
-        Ok(Write::Conflict(Some(_))) => "conflict",
-        Ok(Write::Conflict(None)) => "conflict with nothing",
-        Ok(Write::Unknown) => "unknown",
+        Ok(WriteOutcome::Done(_)) => "done",
+        Ok(WriteOutcome::Conflict(Some(_))) => "conflict",
+        Ok(WriteOutcome::Conflict(None)) => "conflict with nothing",
+        Ok(WriteOutcome::Unknown) => "unknown",
         Err(_) => "not written",
     };
     assert_eq!(got, step.expect, "{write:?}");
-    if let Ok(Write::Done(obj) | Write::Conflict(Some(obj))) = &write {
+    if let Ok(WriteOutcome::Done(obj) | WriteOutcome::Conflict(Some(obj))) = &write {
         check_object(step, obj);
     }
 }
--- a/tests/shard_claims.rs
+++ b/tests/shard_claims.rs
@@ -10,7 +10,7 @@
         shard_claims::{Op, OpResult, ShardClaims, ShardClaimsConfig},
         ticket_claims::{Step, TicketClaims},
     },
-    objects::Write,
+    objects::WriteOutcome,
 };
 
 const HOUR: Duration = Duration::from_secs(3600);
@@ -35,19 +35,19 @@
                 if self.objects.get(&key).is_some_and(same) {
                     self.objects.remove(&key);
                 }
-                OpResult::Write(Write::Conflict(None))
+                OpResult::Write(WriteOutcome::Conflict(None))
             }
             Op::Write(mut obj) => {
                 let key = key(&obj.kind, &obj.metadata.name);
                 let current = self.objects.get(&key);
                 if current.map_or("", |o| &o.metadata.resource_version) != obj.metadata.resource_version {
-                    return OpResult::Write(Write::Conflict(current.cloned()));
+                    return OpResult::Write(WriteOutcome::Conflict(current.cloned()));
                 }
                 self.version += 1;
                 obj.metadata.resource_version = self.version.to_string();
                 self.largest = self.largest.max(serde_json::to_vec(&obj).unwrap().len());
                 self.objects.insert(key, obj.clone());
-                OpResult::Write(Write::Done(obj))
+                OpResult::Write(WriteOutcome::Done(obj))
             }
         }
     }
--- a/tests/support/leases.rs
+++ b/tests/support/leases.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     catalog::AnyObject,
     lease::{Action, Fencing, LeaseConfig, LeaseDriver},
-    objects::Write,
+    objects::WriteOutcome,
     util::Instant,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -26,16 +26,16 @@
         self.object.clone()
     }
 
-    pub fn put(&mut self, mut obj: AnyObject) -> Write {
+    pub fn put(&mut self, mut obj: AnyObject) -> WriteOutcome {
         self.calls.1 += 1;
         let have = self.object.as_ref().map_or("", |o| o.metadata.resource_version.as_str());
         if have != obj.metadata.resource_version {
-            return Write::Conflict(self.object.clone());
+            return WriteOutcome::Conflict(self.object.clone());
         }
         self.version += 1;
         obj.metadata.resource_version = self.version.to_string();
         self.object = Some(obj.clone());
-        Write::Done(obj)
+        WriteOutcome::Done(obj)
     }
 }
 
@@ -43,7 +43,7 @@
 enum Call {
     Out(Instant, Action),
     Read(Instant, Option<Option<AnyObject>>),
-    Written(Instant, Write),
+    Written(Instant, WriteOutcome),
 }
 
 /// One process with its own clock.
@@ -108,7 +108,7 @@
             }
             Action::Write(obj) => {
                 let write = shelf.put(obj);
-                Call::Written(back, if lost { Write::Unknown } else { write })
+                Call::Written(back, if lost { WriteOutcome::Unknown } else { write })
             }
         });
     }
