--- a/src/objects.rs
+++ b/src/objects.rs
@@ -1,7 +1,8 @@
 //! Client of the platform's object API: get, list, create, conditional update, delete and watch.
 //!
-//! Objects live in two collections with a version each: configuration, which routers list and watch, and records
-//! (leases, claim shards), whose frequent writes must not reach every watch.
+//! Objects belong to one of two collections, each with its own version: the configuration, which routers list and
+//! watch, and the records (leases, claim shards). They are separate so that the frequent writes of records are not sent
+//! to every watch.
 
 use std::{
     net::SocketAddr,
@@ -38,26 +39,26 @@
 
 /// Path under which the API is served.
 pub(crate) const PREFIX: &str = "/apis/cranberrytally/v1";
-/// Largest object that the platform takes, in bytes.
+/// Maximum size of an object that the platform accepts.
 pub const MAX_OBJECT_BYTES: usize = 1 << 20;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 const LIST_TIMEOUT: Duration = Duration::from_secs(10);
 
-const WRITE_TRIES: u32 = 5;
-const WRITE_BACKOFF: Duration = Duration::from_millis(100);
+const WRITE_ATTEMPTS: u32 = 5;
+const WRITE_BACKOFF_BASE: Duration = Duration::from_millis(100);
 const WRITE_BACKOFF_MAX: Duration = Duration::from_secs(2);
 
-/// Kinds that operators write; all others are records of the routers themselves.
+/// Kinds that operators write. All other kinds are records, written by the routers.
 pub const CONFIGURATION_KINDS: [&str; 6] =
     ["Engine", "EnginePool", "RoutingPolicy", "Service", "Workspace", "WorkspaceGroup"];
 
-/// Objects that share a version.
+/// Set of objects under a common version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Collection {
-    /// What operators state.
+    /// Objects that operators write.
     Configuration,
-    /// Leases, claim shards and other records of the routers.
+    /// Leases, claim shards and other objects that routers write.
     Records,
 }
 
@@ -65,12 +66,12 @@
     /// Both collections.
     pub const ALL: [Collection; 2] = [Collection::Configuration, Collection::Records];
 
-    /// Collection in which objects of this kind live.
+    /// Returns the collection that contains the objects of a kind.
     pub fn of(kind: &str) -> Self {
         if CONFIGURATION_KINDS.contains(&kind) { Collection::Configuration } else { Collection::Records }
     }
 
-    /// Name in the API's paths.
+    /// Name in URL paths of the API.
     pub fn as_str(self) -> &'static str {
         match self {
             Collection::Configuration => "configuration",
@@ -79,27 +80,27 @@
     }
 }
 
-/// What became of a conditional write.
+/// Outcome of a conditional write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteOutcome {
-    /// In force as this object.
+    /// The write took effect and stored this object.
     Done(AnyObject),
-    /// Another write came first; the object as it is now, if it exists.
+    /// Another write came first. Contains the current object, if it exists.
     Conflict(Option<AnyObject>),
-    /// No answer came; the write may have taken effect, or may still.
+    /// No response was received; the write may have taken effect or may still do so.
     Unknown,
 }
 
-/// A list of objects with the collection's version.
+/// Objects with the version of their collection.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct List {
     /// Version of the collection.
     pub version: Version,
-    /// Objects of all kinds, or of the kind asked for.
+    /// Objects of all kinds, or of the requested kind.
     pub items: Vec<AnyObject>,
 }
 
-/// One change seen by a watch.
+/// Change reported by a watch.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Event {
     /// Version of the collection after the change.
@@ -110,7 +111,7 @@
     pub object: AnyObject,
 }
 
-/// Client of the platform; clones share the limits and the counts.
+/// Client of the platform's object API; clones share the rate limits and the counters.
 #[derive(Clone, Debug)]
 pub struct Platform {
     client: Client,
@@ -120,12 +121,12 @@
 }
 
 impl Platform {
-    /// Client of the platform at `addr`.
+    /// Creates a client of the platform at `addr` with the default rate limits.
     pub fn new(addr: SocketAddr) -> Self {
         Self::with_rates(addr, Rates::default())
     }
 
-    /// Client that keeps to `rates`.
+    /// Creates a client with the rate limits `rates`.
     pub fn with_rates(addr: SocketAddr, rates: Rates) -> Self {
         Self {
             client: Client::default(),
@@ -135,17 +136,17 @@
         }
     }
 
-    /// Shows the calls among a router's metrics.
+    /// Also counts the calls in `metrics`.
     pub fn with_metrics(self, metrics: Arc<Metrics>) -> Self {
         Self { counts: Arc::new(Counts::new(metrics)), ..self }
     }
 
-    /// Changes the limits, as when the fleet has grown.
+    /// Changes the rate limits, for example when the size of the fleet changes.
     pub fn set_rates(&self, rates: Rates) {
         self.limiter().set_rates(now(), rates);
     }
 
-    /// Calls so far.
+    /// Counters of the calls made so far.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
@@ -153,7 +154,7 @@
     /// Lists the objects of all configuration kinds.
     ///
     /// # Errors
-    /// When no answer came.
+    /// If the call fails or the platform returns no list.
     pub async fn list(&self) -> Result<List> {
         self.list_at(&format!("{}/{}", self.base, Collection::Configuration.as_str())).await
     }
@@ -161,42 +162,42 @@
     /// Lists the objects of one kind.
     ///
     /// # Errors
-    /// When no answer came.
+    /// If the call fails or the platform returns no list.
     pub async fn list_kind(&self, kind: &str) -> Result<List> {
         self.list_at(&format!("{}/{}/{kind}", self.base, Collection::of(kind).as_str())).await
     }
 
     async fn list_at(&self, url: &str) -> Result<List> {
         let reply = self.call(Class::Read, Method::GET, url, Bytes::new(), LIST_TIMEOUT).await?;
-        ensure!(reply.status == 200, "the platform answered {}", reply.status);
+        ensure!(reply.status == 200, "the platform responded with status {}", reply.status);
         serde_json::from_slice(&reply.body).context("could not parse the list")
     }
 
-    /// Reads one object.
+    /// Reads one object; `None` if it does not exist.
     ///
     /// # Errors
-    /// When no answer came.
+    /// If the call fails or the response is invalid.
     pub async fn get(&self, kind: &str, name: &str) -> Result<Option<AnyObject>> {
         let url = self.object_url(kind, name);
         let reply = self.call(Class::Read, Method::GET, &url, Bytes::new(), CALL_TIMEOUT).await?;
         match reply.status {
             200 => Ok(Some(serde_json::from_slice(&reply.body).context("could not parse the object")?)),
             404 => Ok(None),
-            status => bail!("the platform answered {status}"),
+            status => bail!("the platform responded with status {status}"),
         }
     }
 
-    /// Writes an object if its version is still `obj.metadata.resource_version`; empty creates it.
+    /// Writes an object if its version is still `obj.metadata.resource_version`; an empty version creates it.
     ///
     /// # Errors
-    /// When the write certainly did not and will not take effect: the platform refused the object or could not be
-    /// reached, or a rate limit held the call back.
+    /// If the write certainly has not taken effect and never will: the platform rejected the object or could not be
+    /// reached, or a rate limit prevented the call.
     pub async fn put(&self, obj: &AnyObject) -> Result<WriteOutcome> {
         let url = self.object_url(&obj.kind, &obj.metadata.name);
         let body = serde_json::to_vec(obj).context("could not encode the object")?;
         ensure!(
             body.len() <= MAX_OBJECT_BYTES,
-            "an object of {} bytes exceeds {MAX_OBJECT_BYTES}",
+            "object too large: {} of at most {MAX_OBJECT_BYTES} bytes",
             body.len()
         );
         self.write(Method::PUT, &url, body.into(), obj).await
@@ -205,35 +206,35 @@
     /// Deletes an object if its version is still `obj.metadata.resource_version`.
     ///
     /// # Errors
-    /// As for [`Platform::put`].
+    /// Same as [`Platform::put`].
     pub async fn delete(&self, obj: &AnyObject) -> Result<WriteOutcome> {
         let url = self.object_url(&obj.kind, &obj.metadata.name);
         let url = format!("{url}?version={}", obj.metadata.resource_version);
         self.write(Method::DELETE, &url, Bytes::new(), obj).await
     }
 
-    /// Writes an object and finds out what became of it even when answers are lost.
+    /// Writes an object and retries until the outcome is known, also when responses are lost.
     ///
     /// # Errors
-    /// As for [`Platform::put`].
+    /// Same as [`Platform::put`].
     pub async fn put_resolved(&self, obj: AnyObject, rng: &mut (impl Rng + Send)) -> Result<WriteOutcome> {
         let nonce = format!("{:016x}", rng.random::<u64>());
-        let mut writing = PendingWrite::new(obj, nonce, WRITE_TRIES);
-        let mut backoff = backoff::Backoff::new(WRITE_BACKOFF, WRITE_BACKOFF_MAX);
-        let mut step = writing.start();
+        let mut write = PendingWrite::new(obj, nonce, WRITE_ATTEMPTS);
+        let mut backoff = backoff::Backoff::new(WRITE_BACKOFF_BASE, WRITE_BACKOFF_MAX);
+        let mut step = write.next_attempt();
         loop {
             match step {
                 Step::Send(obj) => {
-                    let answer = match self.put(&obj).await {
-                        Err(e) if !writing.was_unanswered() => return Err(e),
-                        // An earlier try may be in force, so a refusal of this one proves nothing.
+                    let outcome = match self.put(&obj).await {
+                        Err(e) if !write.was_unanswered() => return Err(e),
+                        // An earlier attempt may have taken effect, so an error of this one decides nothing.
                         Err(_) => WriteOutcome::Unknown,
-                        Ok(answer) => answer,
+                        Ok(outcome) => outcome,
                     };
-                    if answer == WriteOutcome::Unknown {
+                    if outcome == WriteOutcome::Unknown {
                         tokio::time::sleep(backoff.next_delay(rng)).await;
                     }
-                    step = writing.answered(answer);
+                    step = write.handle_outcome(outcome);
                 }
                 Step::Done(obj) => return Ok(WriteOutcome::Done(obj)),
                 Step::Conflict(obj) => return Ok(WriteOutcome::Conflict(obj)),
@@ -242,17 +243,17 @@
         }
     }
 
-    /// Watches all changes of the configuration after `version`.
+    /// Opens a watch on the changes of the configuration after `version`.
     ///
     /// # Errors
-    /// When no watch could be opened.
+    /// If the watch could not be opened.
     pub async fn watch(&self, version: Version) -> Result<OpenedWatch> {
         let url = format!("{}/watch/{}?from={version}", self.base, Collection::Configuration.as_str());
         let res = self.send(Class::Watch, Method::GET, &url, Bytes::new(), CALL_TIMEOUT).await?;
         match res.status().as_u16() {
             200 => Ok(OpenedWatch::Open(Watch::new(res.into_body()))),
             410 => Ok(OpenedWatch::Expired),
-            status => bail!("the platform answered {status}"),
+            status => bail!("the platform responded with status {status}"),
         }
     }
 
@@ -274,10 +275,10 @@
             404 => Ok(WriteOutcome::Conflict(None)),
             409 => Ok(WriteOutcome::Conflict(serde_json::from_slice(&reply.body).unwrap_or_default())),
             500.. => Ok(WriteOutcome::Unknown),
-            429 => bail!("the platform's rate limit refused the write"),
+            429 => bail!("the platform rejected the write: its rate limit was exceeded"),
             _ => {
                 let name = &obj.metadata.name;
-                bail!("the platform refused {name}: {}", String::from_utf8_lossy(&reply.body))
+                bail!("the platform rejected {name}: {}", String::from_utf8_lossy(&reply.body))
             }
         }
     }
--- a/src/objects/backoff.rs
+++ b/src/objects/backoff.rs
@@ -1,40 +1,41 @@
-//! Back-off between tries: doubles up to a limit, with full jitter.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// Waits between tries of the same thing.
+/// Delays between the attempts of one operation. They double up to a maximum.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     base: Duration,
     max: Duration,
-    tries: u32,
+    attempts: u32,
 }
 
 impl Backoff {
-    /// First wait at most `base`, no wait longer than `max`.
+    /// Creates a backoff whose first delay is at most `base` and whose later delays are at most `max`.
     pub fn new(base: Duration, max: Duration) -> Self {
-        Self { base, max, tries: 0 }
+        Self { base, max, attempts: 0 }
     }
 
-    /// Wait before the next try.
+    /// Returns the delay before the next attempt.
     ///
-    /// Drawn from the whole range, so that routers that failed together don't come back together.
+    /// It is drawn between a quarter and all of the current limit, so that routers that failed at the same time do not
+    /// retry at the same time.
     pub fn next_delay(&mut self, rng: &mut impl Rng) -> Duration {
-        let limit = self.base.saturating_mul(1 << self.tries.min(20)).min(self.max);
-        self.tries = self.tries.saturating_add(1);
-        let least = limit / 4;
-        least + (limit - least).mul_f64(rng.random::<f64>())
+        let max_delay = self.base.saturating_mul(1 << self.attempts.min(20)).min(self.max);
+        self.attempts = self.attempts.saturating_add(1);
+        let min_delay = max_delay / 4;
+        min_delay + (max_delay - min_delay).mul_f64(rng.random::<f64>())
     }
 
-    /// Starts again after a success.
+    /// Restarts from the first delay after a success.
     pub fn reset(&mut self) {
-        self.tries = 0;
+        self.attempts = 0;
     }
 
-    /// Tries since the last success.
-    pub fn tries(&self) -> u32 {
-        self.tries
+    /// Attempts since the last success.
+    pub fn attempts(&self) -> u32 {
+        self.attempts
     }
 }
--- a/src/objects/calls.rs
+++ b/src/objects/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform: counted by class and outcome, limited by class.
+//! Rate limits and counters of calls to the platform, by class of call.
 
 use std::{
     collections::BTreeMap,
@@ -13,26 +13,26 @@
     util::{Instant, lock},
 };
 
-/// Classes of call that the platform limits separately.
+/// Class of call; the platform limits the rate of each separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
     /// Get and list.
     Read,
-    /// Create, conditional update and delete, but for claims.
+    /// Create, conditional update and delete, except for claims.
     Write,
-    /// Writes of claim shards, whose owners are few and need more than an equal share.
+    /// Writes of claim shards. Few routers own shards, and these need more than an equal share of the fleet's rate.
     Claim,
-    /// Opening a watch; while it waits it is one call.
+    /// Opening a watch; an open watch counts as one call.
     Watch,
 }
 
 impl Class {
-    /// Class of a write of an object of this kind.
+    /// Returns the class for writing an object of this kind.
     pub fn of_write(kind: &str) -> Self {
         if kind.starts_with("Claim") { Class::Claim } else { Class::Write }
     }
 
-    /// Label in metrics.
+    /// Label value in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Class::Read => "read",
@@ -43,31 +43,31 @@
     }
 }
 
-/// What became of a call.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// Answered, refusals of the content included.
+    /// A response was received, possibly one that rejects the content.
     Answered,
     /// Another write came first.
     Conflict,
-    /// No answer, or a server error.
+    /// No response, or a server error.
     Failed,
-    /// The platform refused it for its rate.
+    /// The platform rejected it because its rate limit was exceeded.
     LimitedByServer,
-    /// Not sent, because our own limit would have been exceeded.
+    /// Not sent, because it would have exceeded this client's rate limit.
     LimitedByClient,
 }
 
-/// Limits of one class.
+/// Rate limit of one class.
 #[derive(Clone, Copy, Debug)]
 pub struct Rate {
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
-    /// Calls at once after a quiet time.
+    /// Maximum number of calls at once after an idle period.
     pub burst: f64,
 }
 
-/// Limits of one process, by class.
+/// Rate limits of one process, by class.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
     read: Rate,
@@ -76,31 +76,41 @@
     watch: Rate,
 }
 
-/// What the whole fleet may spend, in calls a second; under the platform's own limits of 2,000 and some hundreds.
-const FLEET_READS: f64 = 1_200.0;
-const FLEET_WRITES: f64 = 80.0;
-/// Claims: a few writes a second for each shard, however large the fleet.
-const SHARD_WRITES: f64 = 10.0;
-const FLEET_WATCHES: f64 = 60.0;
-const DEFAULT_MEMBERS: usize = 8;
-const MAX_BURST: f64 = 40.0;
+/// Rate limit of the entire fleet, below the platform's own limits of 2,000 reads and some hundreds of writes per
+/// second.
+const FLEET_READS_PER_SECOND: f64 = 1_200.0;
+const FLEET_WRITES_PER_SECOND: f64 = 80.0;
+/// Rate limit of claim writes for each shard, independent of the size of the fleet.
+const SHARD_CLAIM_WRITES_PER_SECOND: f64 = 10.0;
+const FLEET_WATCH_OPENS_PER_SECOND: f64 = 60.0;
+const DEFAULT_FLEET_SIZE: usize = 8;
+const MAX_BURST_CALLS: f64 = 40.0;
 
 impl Default for Rates {
     fn default() -> Self {
-        Self::share(DEFAULT_MEMBERS)
+        Self::share(DEFAULT_FLEET_SIZE)
     }
 }
 
 impl Rates {
-    /// One router's share in a fleet of `members`; bursts of all at once stay within one second's rate.
+    /// Returns the limits of each router in a fleet of `routers`; simultaneous bursts of all routers together stay
+    /// within the fleet's calls of one second.
     ///
-    /// Claims are limited by the shards that a router may own, one more than its share.
-    pub fn share(members: usize) -> Self {
-        let n = members.max(1) as f64;
-        let rate = |total: f64| Rate { rate: total / n, burst: (total / n).clamp(1.0, MAX_BURST) };
+    /// The limit of claim writes depends on the number of shards that a router may own, one more than its equal share.
+    pub fn share(routers: usize) -> Self {
+        let n = routers.max(1) as f64;
+        let rate = |total: f64| Rate { rate: total / n, burst: (total / n).clamp(1.0, MAX_BURST_CALLS) };
         let shards = (f64::from(SHARD_COUNT) / n).ceil() + 1.0;
-        let claim = Rate { rate: SHARD_WRITES * shards, burst: SHARD_WRITES * shards };
-        Self { read: rate(FLEET_READS), write: rate(FLEET_WRITES), claim, watch: rate(FLEET_WATCHES) }
+        let claim = Rate {
+            rate: SHARD_CLAIM_WRITES_PER_SECOND * shards,
+            burst: SHARD_CLAIM_WRITES_PER_SECOND * shards,
+        };
+        Self {
+            read: rate(FLEET_READS_PER_SECOND),
+            write: rate(FLEET_WRITES_PER_SECOND),
+            claim,
+            watch: rate(FLEET_WATCH_OPENS_PER_SECOND),
+        }
     }
 
     /// Sets the limit of reads.
@@ -113,7 +123,7 @@
         Self { write, ..self }
     }
 
-    /// Sets the limit of opened watches.
+    /// Sets the limit of watch openings.
     pub fn with_watches(self, watch: Rate) -> Self {
         Self { watch, ..self }
     }
@@ -128,14 +138,14 @@
     }
 }
 
-/// Buckets by class.
+/// Rate limiter with a token bucket for each class.
 #[derive(Debug)]
 pub struct Limiter {
     buckets: [(Class, TokenBucket); 4],
 }
 
 impl Limiter {
-    /// Full buckets.
+    /// Creates a limiter with full buckets.
     pub fn new(rates: Rates) -> Self {
         let bucket = |class| {
             let Rate { rate, burst } = rates.of(class);
@@ -144,20 +154,20 @@
         Self { buckets: [Class::Read, Class::Write, Class::Claim, Class::Watch].map(bucket) }
     }
 
-    /// Takes leave for one call.
+    /// Takes a token for one call.
     ///
     /// # Errors
-    /// How long to wait first.
+    /// The time until a token is available.
     pub fn take(&mut self, now: Instant, class: Class) -> Result<(), Duration> {
         self.bucket(class).take(now)
     }
 
-    /// Holds a class back after the platform refused a call for its rate.
+    /// Blocks a class for the time `wait` after the platform rejected a call with status 429.
     pub fn pause(&mut self, now: Instant, class: Class, wait: Duration) {
         self.bucket(class).pause(now, wait);
     }
 
-    /// Changes the limits, as when the fleet has grown.
+    /// Changes the rate limits, for example when the size of the fleet changes.
     pub fn set_rates(&mut self, now: Instant, rates: Rates) {
         for (class, bucket) in &mut self.buckets {
             let Rate { rate, burst } = rates.of(*class);
@@ -170,7 +180,7 @@
     }
 }
 
-/// Label of a call in metrics.
+/// Label value of a call in metrics.
 fn label(class: Class, outcome: Outcome) -> &'static str {
     match (class, outcome) {
         (_, Outcome::Answered) => class.as_str(),
@@ -191,7 +201,7 @@
     }
 }
 
-/// Calls by class and outcome.
+/// Number of calls by class and outcome.
 #[derive(Debug, Default)]
 pub struct Counts {
     calls: Mutex<BTreeMap<(Class, Outcome), u64>>,
@@ -199,7 +209,7 @@
 }
 
 impl Counts {
-    /// Counts that are shown among a router's metrics too.
+    /// Creates counters that also update `metrics`.
     pub fn new(metrics: Arc<Metrics>) -> Self {
         Self { calls: Mutex::default(), metrics: Some(metrics) }
     }
@@ -212,12 +222,12 @@
         }
     }
 
-    /// All counts.
+    /// Returns all counts.
     pub fn all(&self) -> BTreeMap<(Class, Outcome), u64> {
         self.lock().clone()
     }
 
-    /// Calls of a class that left this process.
+    /// Number of calls of a class that were sent.
     pub fn sent(&self, class: Class) -> u64 {
         self.lock()
             .iter()
--- a/src/objects/transport.rs
+++ b/src/objects/transport.rs
@@ -1,4 +1,4 @@
-//! Sends one call within the rate of its class and counts what became of it.
+//! Sends calls to the platform within the rate limit of their class and counts their outcomes.
 
 use std::time::Duration;
 
@@ -14,17 +14,17 @@
 };
 use crate::{client::Failure, util::now};
 
-/// Longest wait for our own rate limit before a call fails.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Maximum time that a call waits for this client's rate limit before it fails.
+const MAX_RATE_LIMIT_WAIT: Duration = Duration::from_secs(2);
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-const MAX_LIST: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-pub(super) struct Answer {
+pub(super) struct BufferedResponse {
     pub(super) status: u16,
     pub(super) body: Bytes,
 }
 
-/// No byte of the call can have reached the platform.
+/// Error context of a call of which no byte can have reached the platform.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NotSent;
 
@@ -44,17 +44,17 @@
         url: &str,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<Answer> {
+    ) -> Result<BufferedResponse> {
         let work = async {
             let res = self.send(class, method, url, body, timeout).await?;
             let status = res.status().as_u16();
-            let body = Limited::new(res.into_body(), MAX_LIST).collect().await;
-            let body = body.map_err(|e| anyhow::anyhow!("could not read the answer: {e}"))?.to_bytes();
-            Ok(Answer { status, body })
+            let body = Limited::new(res.into_body(), MAX_RESPONSE_BYTES).collect().await;
+            let body = body.map_err(|e| anyhow::anyhow!("could not read the response: {e}"))?.to_bytes();
+            Ok(BufferedResponse { status, body })
         };
-        match tokio::time::timeout(timeout + PATIENCE, work).await {
+        match tokio::time::timeout(timeout + MAX_RATE_LIMIT_WAIT, work).await {
             Ok(answer) => answer,
-            Err(_) => bail!("no answer from the platform in time"),
+            Err(_) => bail!("the platform did not respond before the timeout"),
         }
     }
 
@@ -66,7 +66,7 @@
         body: Bytes,
         timeout: Duration,
     ) -> Result<Response<Incoming>> {
-        self.admit(class).await?;
+        self.wait_for_rate_limit(class).await?;
         let req = Request::builder()
             .method(method)
             .uri(url)
@@ -81,31 +81,31 @@
             }
             Ok(Err(Failure::Broken)) => {
                 self.counts.add(class, Outcome::Failed);
-                bail!("the platform broke the connection");
+                bail!("the connection to the platform broke");
             }
             Err(_) => {
                 self.counts.add(class, Outcome::Failed);
-                bail!("no answer from the platform in time");
+                bail!("the platform did not respond before the timeout");
             }
         };
-        self.note(class, &res);
+        self.record_outcome(class, &res);
         Ok(res)
     }
 
-    /// Waits until the class may make one call.
-    async fn admit(&self, class: Class) -> Result<()> {
+    /// Waits until the rate limit of the class permits a call.
+    async fn wait_for_rate_limit(&self, class: Class) -> Result<()> {
         let start = now();
         loop {
             let Err(wait) = self.limiter().take(now(), class) else { return Ok(()) };
-            if now() + wait > start + PATIENCE {
+            if now() + wait > start + MAX_RATE_LIMIT_WAIT {
                 self.counts.add(class, Outcome::LimitedByClient);
-                return Err(anyhow::Error::new(NotSent).context("our own rate limit held the call back"));
+                return Err(anyhow::Error::new(NotSent).context("the client's rate limit prevented the call"));
             }
             tokio::time::sleep(wait).await;
         }
     }
 
-    fn note(&self, class: Class, res: &Response<Incoming>) {
+    fn record_outcome(&self, class: Class, res: &Response<Incoming>) {
         let outcome = match res.status().as_u16() {
             409 => Outcome::Conflict,
             429 => Outcome::LimitedByServer,
@@ -114,8 +114,8 @@
         };
         self.counts.add(class, outcome);
         if outcome == Outcome::LimitedByServer {
-            let asked = res.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
-            let wait = asked.map_or(DEFAULT_RETRY_AFTER, Duration::from_secs);
+            let requested = res.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
+            let wait = requested.map_or(DEFAULT_RETRY_AFTER, Duration::from_secs);
             self.limiter().pause(now(), class, wait);
         }
     }
--- a/src/objects/watch.rs
+++ b/src/objects/watch.rs
@@ -1,4 +1,4 @@
-//! An open watch on a collection: one JSON event a line.
+//! Watch on a collection: a response stream with one JSON event per line.
 
 use std::time::Duration;
 
@@ -9,32 +9,32 @@
 
 use super::Event;
 
-const MAX_LINE: usize = 4 << 20;
+const MAX_EVENT_BYTES: usize = 4 << 20;
 
-/// An open watch.
+/// Open watch.
 #[derive(Debug)]
 pub struct Watch {
     body: Incoming,
     buf: BytesMut,
 }
 
-/// What opening a watch gave.
+/// Result of opening a watch.
 #[derive(Debug)]
 pub enum OpenedWatch {
-    /// Changes follow.
+    /// The watch is open and reports changes.
     Open(Watch),
-    /// The platform no longer has the changes since that version; list again.
+    /// The platform no longer has the changes since that version; the collection must be listed again.
     Expired,
 }
 
-/// What an open watch gave.
+/// Result of waiting for an event of a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NextEvent {
     /// A change.
     Changed(Event),
-    /// It has ended.
+    /// The platform or the connection ended the watch.
     Ended,
-    /// Nothing came in the time given.
+    /// No event was received before the timeout.
     Idle,
 }
 
@@ -43,18 +43,18 @@
         Self { body, buf: BytesMut::new() }
     }
 
-    /// Next change; `None` when the watch has ended.
+    /// Returns the next event; `None` if the watch has ended.
     ///
     /// # Errors
-    /// When a line can't be parsed.
+    /// If an event is invalid or too long.
     pub async fn next(&mut self) -> Result<Option<Event>> {
         loop {
             if let Some(at) = self.buf.iter().position(|&b| b == b'\n') {
                 let line = self.buf.split_to(at + 1);
                 return Ok(Some(serde_json::from_slice(&line).context("could not parse an event")?));
             }
-            if self.buf.len() > MAX_LINE {
-                bail!("an event is longer than {MAX_LINE} bytes");
+            if self.buf.len() > MAX_EVENT_BYTES {
+                bail!("an event is longer than {MAX_EVENT_BYTES} bytes");
             }
             let Some(Ok(frame)) = self.body.frame().await else { return Ok(None) };
             if let Ok(data) = frame.into_data() {
@@ -63,12 +63,13 @@
         }
     }
 
-    /// Next change within `idle`.
+    /// Waits at most `idle` for the next event.
     ///
-    /// A watch whose connection died without a packet, or which the platform has forgotten, would otherwise wait for ever.
+    /// Without this timeout, a watch would wait forever if its connection died without a packet or the platform lost
+    /// it.
     ///
     /// # Errors
-    /// When a line can't be parsed.
+    /// If an event is invalid or too long.
     pub async fn next_within(&mut self, idle: Duration) -> Result<NextEvent> {
         let next = tokio::time::timeout(idle, self.next()).await;
         Ok(match next {
@@ -77,6 +78,6 @@
         })
     }
 
-    /// Ends the watch.
+    /// Closes the watch.
     pub fn close(self) {}
 }
--- a/src/objects/write.rs
+++ b/src/objects/write.rs
@@ -1,69 +1,70 @@
-//! A conditional write whose answer may be lost: sent again or read back until its outcome is known.
+//! Conditional writes whose response may be lost: retried until the outcome is known.
 
 use super::WriteOutcome;
 use crate::catalog::AnyObject;
 
-/// What to do next about a write.
+/// Next step of a pending write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Send this conditional write.
     Send(AnyObject),
-    /// It is in force as this object.
+    /// The write took effect and stored this object.
     Done(AnyObject),
-    /// Another write came first; the object as it is now, if it exists.
+    /// Another write came first. Contains the current object, if it exists.
     Conflict(Option<AnyObject>),
-    /// Every try went unanswered; it may still take effect.
+    /// No attempt got a response; the write may still take effect.
     Unknown,
 }
 
-/// One conditional write on its way.
+/// Conditional write whose outcome is not yet known.
 ///
-/// Guards against an answer that is lost after the write took effect. Without it, the writer would send again, meet
-/// its own write and tell the operator of a conflict with somebody else. Each write carries a nonce: the same
-/// conditional write can be sent again without harm, since it takes effect at most once, and the object that a
-/// conflict returns shows by its nonce whose write it was.
+/// Handles a response that is lost after the write took effect. A plain retry would then conflict with the first
+/// attempt, and the operator would see a conflict with another writer that does not exist. Retries are safe because a
+/// conditional write takes effect at most once. Each write contains a nonce, and the nonce of the object that a
+/// conflict returns shows which writer wrote it.
 #[derive(Clone, Debug)]
 pub struct PendingWrite {
     obj: AnyObject,
-    tries: u32,
+    attempts_left: u32,
     unanswered: bool,
 }
 
 impl PendingWrite {
-    /// Write of `obj` under `nonce`, tried at most `tries` times.
-    pub fn new(mut obj: AnyObject, nonce: impl Into<String>, tries: u32) -> Self {
+    /// Creates a write of `obj` with `nonce` and at most `attempts_left` attempts.
+    pub fn new(mut obj: AnyObject, nonce: impl Into<String>, attempts: u32) -> Self {
         obj.metadata.writer_nonce = nonce.into();
-        Self { obj, tries, unanswered: false }
+        Self { obj, attempts_left: attempts, unanswered: false }
     }
 
-    /// First step.
-    pub fn start(&mut self) -> Step {
-        if self.tries == 0 {
+    /// Returns the step that sends the next attempt, or [`Step::Unknown`] if no attempts are left.
+    pub fn next_attempt(&mut self) -> Step {
+        if self.attempts_left == 0 {
             return Step::Unknown;
         }
-        self.tries -= 1;
+        self.attempts_left -= 1;
         Step::Send(self.obj.clone())
     }
 
-    /// Step after an answer or its absence.
-    pub fn answered(&mut self, write: WriteOutcome) -> Step {
-        match write {
+    /// Handles the outcome of an attempt and returns the next step.
+    pub fn handle_outcome(&mut self, outcome: WriteOutcome) -> Step {
+        match outcome {
             WriteOutcome::Done(obj) => Step::Done(obj),
-            WriteOutcome::Conflict(Some(obj)) if self.is_mine(&obj) => Step::Done(obj),
+            WriteOutcome::Conflict(Some(obj)) if self.is_own_write(&obj) => Step::Done(obj),
             WriteOutcome::Conflict(obj) => Step::Conflict(obj),
             WriteOutcome::Unknown => {
                 self.unanswered = true;
-                self.start()
+                self.next_attempt()
             }
         }
     }
 
-    /// Whether an earlier try went unanswered, so that a conflict may hide that it had been in force for a while.
+    /// Whether an earlier attempt got no response. A conflict may then follow a write of ours that took effect and was
+    /// overwritten since.
     pub fn was_unanswered(&self) -> bool {
         self.unanswered
     }
 
-    fn is_mine(&self, obj: &AnyObject) -> bool {
+    fn is_own_write(&self, obj: &AnyObject) -> bool {
         self.unanswered && obj.metadata.writer_nonce == self.obj.metadata.writer_nonce
     }
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -143,10 +143,10 @@
 
     for (answers, want) in table {
         let mut writing = PendingWrite::new(object("", "1"), "mine", 3);
-        let mut step = writing.start();
+        let mut step = writing.next_attempt();
         for answer in answers.clone() {
             assert!(matches!(step, Step::Send(_)), "{answers:?}");
-            step = writing.answered(answer);
+            step = writing.handle_outcome(answer);
         }
         assert_eq!(step, want, "{answers:?}");
     }
