--- a/src/follow.rs
+++ b/src/follow.rs
@@ -1,4 +1,5 @@
-//! Carries out what the configuration's follower decides: calls to the platform and to peers, and the catalog.
+//! Keeps the configuration of a running router current: performs the actions of [`Follower`], which are calls to the
+//! platform and to peers, and compiles the catalog.
 
 use std::{
     net::SocketAddr,
@@ -23,36 +24,36 @@
 mod seeds;
 mod tasks;
 
-const TICK: Duration = Duration::from_millis(100);
-const PAGE: usize = 1 << 20;
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_PAGE_BYTES: usize = 1 << 20;
 
-/// Another router.
+/// Another router of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Name.
     pub name: Arc<str>,
-    /// Data centre in which it stands.
+    /// Data centre in which it runs.
     pub data_centre: Arc<str>,
-    /// Where callers and operators reach it, if that is known.
+    /// Address for callers and operators, if it is known.
     pub addr: Option<SocketAddr>,
-    /// Where routers reach it.
+    /// Address for other routers.
     pub peer_addr: SocketAddr,
     /// Whether it is shutting down.
     pub leaving: bool,
 }
 
-/// The configuration of a running router.
+/// Task that keeps the configuration of a running router current.
 #[derive(Debug)]
-pub struct Follow {
+pub struct FollowTask {
     shared: Arc<FollowHandle>,
     task: JoinHandle<()>,
 }
 
-/// What the tasks of one follower share; the handle for other modules.
+/// State shared by the tasks of [`FollowTask`], and the handle to it for other modules.
 #[derive(Debug)]
 pub struct FollowHandle {
     me: Member,
-    state: Mutex<Decisions>,
+    state: Mutex<FollowState>,
     watch: Mutex<Option<JoinHandle<()>>>,
     platform: Platform,
     links: Arc<Links>,
@@ -61,18 +62,18 @@
 }
 
 #[derive(Debug)]
-struct Decisions {
+struct FollowState {
     follower: Follower,
     rng: StdRng,
     peers: Map<Arc<str>, Peer>,
-    /// Whether the peers come from the membership rather than from the seeds.
+    /// Whether `peers` comes from the membership rather than from the seeds.
     has_members: bool,
-    enforced: Version,
-    behind_before: bool,
+    applied_version: Version,
+    platform_was_behind: bool,
 }
 
-impl Follow {
-    /// Starts to follow; `own_peer_addr` is left out of the seeds.
+impl FollowTask {
+    /// Starts the task; `own_peer_addr` is left out of the seeds.
     pub fn start(
         cfg: &Settings,
         own_peer_addr: SocketAddr,
@@ -84,13 +85,13 @@
         let seeds: Vec<_> = cfg.seeds.iter().copied().filter(|s| *s != own_peer_addr).collect();
         let mut rng = StdRng::from_os_rng();
         let follower = Follower::new(me.clone(), !seeds.is_empty(), now(), &mut rng);
-        let state = Decisions {
+        let state = FollowState {
             follower,
             rng,
             peers: Map::default(),
             has_members: false,
-            enforced: 0,
-            behind_before: false,
+            applied_version: 0,
+            platform_was_behind: false,
         };
         let shared = Arc::new(FollowHandle {
             me,
@@ -101,19 +102,19 @@
             gateway,
             wake: Notify::new(),
         });
-        let (seeking, running) = (shared.clone(), shared.clone());
+        let (handle, running) = (shared.clone(), shared.clone());
         let task = tokio::spawn(async move {
-            tokio::join!(seeds::ask(seeking, seeds), run(running));
+            tokio::join!(seeds::poll(handle, seeds), run(running));
         });
         Self { shared, task }
     }
 
     /// Handle for other modules.
-    pub fn shared(&self) -> &Arc<FollowHandle> {
+    pub fn handle(&self) -> &Arc<FollowHandle> {
         &self.shared
     }
 
-    /// Stops following.
+    /// Stops the task and closes the watch.
     pub fn close(self) {
         self.task.abort();
         self.shared.stop_watch();
@@ -124,24 +125,24 @@
     loop {
         let actions = {
             let mut state = shared.state();
-            let Decisions { follower, rng, .. } = &mut *state;
+            let FollowState { follower, rng, .. } = &mut *state;
             follower.tick(now(), rng)
         };
         shared.perform(actions);
-        shared.enforce().await;
-        let _ = tokio::time::timeout(TICK, shared.wake.notified()).await;
+        shared.apply_latest().await;
+        let _ = tokio::time::timeout(TICK_INTERVAL, shared.wake.notified()).await;
     }
 }
 
 impl FollowHandle {
-    /// Sets the other live routers, as the membership sees them.
+    /// Replaces the list of the other live routers with the one from the membership.
     pub fn set_peers(&self, peers: Vec<Peer>) {
         let mut state = self.state();
         state.has_members = true;
-        self.take_peers(&mut state, peers);
+        self.replace_peers(&mut state, peers);
     }
 
-    fn take_peers(&self, state: &mut Decisions, peers: Vec<Peer>) {
+    fn replace_peers(&self, state: &mut FollowState, peers: Vec<Peer>) {
         let member = |p: &Peer| Member { name: p.name.clone(), data_centre: p.data_centre.clone() };
         let staying = peers.iter().filter(|p| !p.leaving).map(member);
         let members: Vec<_> = std::iter::once(self.me.clone()).chain(staying).collect();
@@ -150,73 +151,76 @@
         state.peers = peers.into_iter().map(|p| (p.name.clone(), p)).collect();
     }
 
-    /// Notes the version that a peer has in force.
+    /// Records the version that a peer has in force.
     pub fn record_peer_version(&self, peer: &Arc<str>, version: Version) {
         self.state().follower.record_peer_version(now(), peer, version);
         self.wake.notify_one();
     }
 
-    /// Notes a version that some router is known to have, as told by a third one.
+    /// Records the version of some router as reported by another one.
     pub fn record_newest_version(&self, version: Version) {
         self.state().follower.record_newest_version(now(), version);
     }
 
-    /// Version that serves, for gossip; 0 before the router may serve.
+    /// Returns the version in force to advertise in gossip; 0 until the router is ready.
     pub fn version(&self) -> Version {
         self.state().follower.advertised_version()
     }
 
-    /// What `status` shows.
+    /// Returns the state and the invalid objects for the `status` command.
     pub fn status(&self) -> (State, Vec<Bad>) {
         let state = self.state();
         (state.follower.state(), state.follower.store().bad())
     }
 
-    /// The other routers.
+    /// Returns the other routers, sorted by name.
     pub fn peers(&self) -> Vec<Peer> {
         let mut peers: Vec<_> = self.state().peers.values().cloned().collect();
         peers.sort_by(|a, b| a.name.cmp(&b.name));
         peers
     }
 
-    /// The compiled configuration.
+    /// Returns the compiled configuration.
     pub fn catalog(&self) -> Arc<Catalog> {
         self.gateway.catalog()
     }
 
-    /// Objects in force.
+    /// Returns the objects in force.
     pub fn objects(&self) -> Vec<Arc<AnyObject>> {
         self.state().follower.store().in_force()
     }
 
-    /// Answers a peer's fetch; version 0 as long as this router may not serve itself.
+    /// Returns one page of the objects that a peer fetches; an empty page of version 0 until this router is ready.
     pub async fn serve_fetch(self: &Arc<Self>, fetch: Fetch) -> Delta {
         let shared = self.clone();
-        // A page of a megabyte takes milliseconds to encode.
+        // Encoding a page of 1 MiB takes milliseconds, which would block an async worker thread.
         let answer = move || {
             let state = shared.state();
             if state.follower.advertised_version() == 0 {
                 return Delta::default();
             }
-            state.follower.store().delta(fetch.since, fetch.cursor, fetch.whole, PAGE)
+            state.follower.store().delta(fetch.since, fetch.cursor, fetch.whole, MAX_PAGE_BYTES)
         };
         tokio::task::spawn_blocking(answer).await.unwrap_or_default()
     }
 
-    /// Lets the follower take an input and carries out what it decides.
-    fn with(self: &Arc<Self>, input: impl FnOnce(&mut Follower, Instant, &mut StdRng) -> Vec<Action>) {
+    /// Passes an input to the follower and performs the actions that it returns.
+    fn process_input(
+        self: &Arc<Self>,
+        input: impl FnOnce(&mut Follower, Instant, &mut StdRng) -> Vec<Action>,
+    ) {
         let actions = {
             let mut state = self.state();
-            let Decisions { follower, rng, .. } = &mut *state;
+            let FollowState { follower, rng, .. } = &mut *state;
             input(follower, now(), rng)
         };
         self.perform(actions);
         self.wake.notify_one();
     }
 
-    /// Lets the follower take an input that decides nothing at once.
-    fn note(self: &Arc<Self>, input: impl FnOnce(&mut Follower, Instant, &mut StdRng)) {
-        self.with(|f, now, rng| {
+    /// Passes the follower an input that returns no actions.
+    fn process_update(self: &Arc<Self>, input: impl FnOnce(&mut Follower, Instant, &mut StdRng)) {
+        self.process_input(|f, now, rng| {
             input(f, now, rng);
             Vec::new()
         });
@@ -234,40 +238,40 @@
                 Action::Fetch { peer, fetch } => {
                     drop(tokio::spawn(tasks::fetch_from(self.clone(), peer, fetch)))
                 }
-                // Changes that come close together are compiled together, by `enforce`.
+                // `run` installs changes on its next iteration, so that changes in quick succession are compiled once.
                 Action::Install { .. } => {}
             }
         }
     }
 
-    /// Puts the objects in force once the router has at least the fleet's version.
-    async fn enforce(&self) {
+    /// Compiles the objects and puts them in force if they are newer, once the router has caught up with the fleet.
+    async fn apply_latest(&self) {
         let (version, objects) = {
             let mut state = self.state();
-            self.report(&mut state);
+            self.warn_if_platform_behind(&mut state);
             let version = state.follower.version();
-            if !state.follower.is_ready() || version <= state.enforced {
+            if !state.follower.is_ready() || version <= state.applied_version {
                 return;
             }
-            state.enforced = version;
+            state.applied_version = version;
             (version, state.follower.store().in_force())
         };
-        // Compiling takes tens of milliseconds in a large fleet, in which no answer may stand still.
+        // Compiling takes tens of milliseconds in a large fleet; on an async worker thread it would delay responses.
         let compile = tokio::task::spawn_blocking(move || Catalog::compile(version, &objects));
-        let Ok((cat, faults)) = compile.await else { return };
-        for fault in faults {
-            spdlog::error!("configuration object left out: {fault}");
+        let Ok((cat, errors)) = compile.await else { return };
+        for error in errors {
+            spdlog::error!("skipped an invalid configuration object: {error}");
         }
         self.gateway.set_catalog(cat);
         spdlog::info!("configuration version {version} is in force");
     }
 
-    fn report(&self, state: &mut Decisions) {
+    fn warn_if_platform_behind(&self, state: &mut FollowState) {
         let behind = state.follower.state().platform_behind;
-        if behind && !state.behind_before {
-            spdlog::warn!("the platform answers with data older than what is in force");
+        if behind && !state.platform_was_behind {
+            spdlog::warn!("the platform returns an older configuration than the one in force");
         }
-        state.behind_before = behind;
+        state.platform_was_behind = behind;
     }
 
     fn stop_watch(&self) {
@@ -280,7 +284,7 @@
         lock(&self.watch)
     }
 
-    fn state(&self) -> MutexGuard<'_, Decisions> {
+    fn state(&self) -> MutexGuard<'_, FollowState> {
         lock(&self.state)
     }
 }
--- a/src/follow/tasks.rs
+++ b/src/follow/tasks.rs
@@ -1,4 +1,4 @@
-//! One task for each call that the follower asks for.
+//! Tasks that perform the follower's calls to the platform and to peers.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,8 +13,8 @@
 };
 
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// A watch on which nothing came for so long is opened anew, as its connection may have died without a packet: half of the time
-/// within which a change is in force everywhere.
+/// A watch without events for this long is reopened, since its connection may have died without a packet. It is half
+/// the time within which a change must be in force on all routers.
 const WATCH_IDLE: Duration = Duration::from_secs(6);
 
 pub(super) async fn list(shared: Arc<FollowHandle>) {
@@ -25,50 +25,51 @@
             None
         }
     };
-    // Taking a whole list takes tens of milliseconds in a large fleet, as may the changes of a peer.
-    let take = move || shared.with(|f, now, rng| f.listed(now, list, rng));
-    let _ = tokio::task::spawn_blocking(take).await;
+    // Processing the list takes tens of milliseconds in a large fleet, which would block an async worker thread.
+    let process = move || shared.process_input(|f, now, rng| f.listed(now, list, rng));
+    let _ = tokio::task::spawn_blocking(process).await;
 }
 
 pub(super) async fn watch(shared: Arc<FollowHandle>, from: Version) {
-    let mut open = match shared.platform.watch(from).await {
-        Ok(OpenedWatch::Open(open)) => open,
-        Ok(OpenedWatch::Expired) => return shared.note(|f, now, _| f.watch_expired(now)),
+    let mut watch = match shared.platform.watch(from).await {
+        Ok(OpenedWatch::Open(watch)) => watch,
+        Ok(OpenedWatch::Expired) => return shared.process_update(|f, now, _| f.watch_expired(now)),
         Err(e) => {
             spdlog::warn!("could not watch the configuration: {e:#}");
-            return shared.note(|f, now, rng| f.watch_ended(now, rng));
+            return shared.process_update(|f, now, rng| f.watch_ended(now, rng));
         }
     };
-    shared.note(|f, now, _| f.watch_opened(now));
+    shared.process_update(|f, now, _| f.watch_opened(now));
     loop {
-        match open.next_within(WATCH_IDLE).await {
-            Ok(NextEvent::Changed(event)) => shared.with(|f, now, _| f.watch_event(now, event)),
+        match watch.next_within(WATCH_IDLE).await {
+            Ok(NextEvent::Changed(event)) => shared.process_input(|f, now, _| f.watch_event(now, event)),
             Ok(NextEvent::Ended) => break,
             Ok(NextEvent::Idle) => {
-                open.close();
-                return shared.note(|f, now, _| f.watch_idle(now));
+                watch.close();
+                return shared.process_update(|f, now, _| f.watch_idle(now));
             }
             Err(e) => {
-                spdlog::warn!("the configuration watch broke: {e:#}");
+                spdlog::warn!("the configuration watch failed: {e:#}");
                 break;
             }
         }
     }
-    open.close();
-    shared.note(|f, now, rng| f.watch_ended(now, rng));
+    watch.close();
+    shared.process_update(|f, now, rng| f.watch_ended(now, rng));
 }
 
 pub(super) async fn fetch_from(shared: Arc<FollowHandle>, peer: Arc<str>, fetch: Fetch) {
     let addr = shared.state().peers.get(&peer).map(|p| p.peer_addr);
     let delta = match addr {
-        Some(addr) => call(&shared.links, addr, fetch).await,
+        Some(addr) => fetch_delta(&shared.links, addr, fetch).await,
         None => None,
     };
-    let take = move || shared.with(|f, now, rng| f.fetched(now, &peer, delta, rng));
-    let _ = tokio::task::spawn_blocking(take).await;
+    // Merging the changes may take as long as processing a list.
+    let process = move || shared.process_input(|f, now, rng| f.fetched(now, &peer, delta, rng));
+    let _ = tokio::task::spawn_blocking(process).await;
 }
 
-pub(super) async fn call(links: &Links, addr: SocketAddr, fetch: Fetch) -> Option<Delta> {
+pub(super) async fn fetch_delta(links: &Links, addr: SocketAddr, fetch: Fetch) -> Option<Delta> {
     match links.call(addr, Body::Fetch(fetch), FETCH_TIMEOUT).await {
         Ok(Body::Delta(delta)) => Some(delta),
         Ok(_) => None,
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -12,7 +12,7 @@
 use crate::{
     config::Settings,
     entry::Router,
-    follow::Follow,
+    follow::FollowTask,
     gateway::Gateway,
     gossip::Gossip,
     http::{Limits, Server},
@@ -40,7 +40,7 @@
 pub struct Running {
     peer_addr: SocketAddr,
     server: Server,
-    follow: Follow,
+    follow: FollowTask,
     gossip: Gossip,
     drain: DrainConfig,
     orders: Option<OrderTask>,
@@ -85,12 +85,12 @@
         gateway.set_peer_addr(peer_addr);
         let key = LinkKey::new(&cfg.shared_key);
         let links = Arc::new(Links::new(key.clone()));
-        let follow = Follow::start(cfg, peer_addr, platform.clone(), links, gateway.clone());
+        let follow = FollowTask::start(cfg, peer_addr, platform.clone(), links, gateway.clone());
         let rate = cfg.loads_per_minute as f64;
-        let orders = OrderTask::start(&cfg.name, follow.shared().clone(), platform, metrics.clone(), rate);
-        let calls = Calls { me: me.clone(), follow: follow.shared().clone(), gateway: gateway.clone() };
+        let orders = OrderTask::start(&cfg.name, follow.handle().clone(), platform, metrics.clone(), rate);
+        let calls = Calls { me: me.clone(), follow: follow.handle().clone(), gateway: gateway.clone() };
         let link_server = LinkServer::start(peer_listener, key, Arc::new(calls));
-        let (following, answering) = (follow.shared().clone(), gateway.clone());
+        let (following, answering) = (follow.handle().clone(), gateway.clone());
         let gossip = Gossip::start(cfg, &me, peer_addr, socket, following, answering, metrics.clone())?;
         let drain = DrainConfig {
             answer_keep: cfg.answer_keep,
@@ -99,7 +99,7 @@
         };
         let told = gateway.clone();
         let releases = tokio::spawn(async move { told.tell_ended().await });
-        let operate = Operate::new(me, &cfg.shared_key, follow.shared().clone(), gateway.clone());
+        let operate = Operate::new(me, &cfg.shared_key, follow.handle().clone(), gateway.clone());
         let operate = Arc::new(operate);
         let server = Server::start(listener, cfg.http_threads, limits, operate.clone())?;
         Ok(Self {
@@ -143,7 +143,7 @@
     }
 
     /// The configuration.
-    pub fn follow(&self) -> &Follow {
+    pub fn follow(&self) -> &FollowTask {
         &self.follow
     }
 
