--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -98,7 +98,7 @@
             println!("{name} unchanged");
             continue;
         };
-        let written = platform.put_resolved(obj, &mut rng).await;
+        let written = platform.put_with_retries(obj, &mut rng).await;
         let exit = report(&name, written.with_context(|| format!("could not write {name}"))?, &mut version);
         worst = worst.max(exit);
     }
--- a/src/cmd/label.rs
+++ b/src/cmd/label.rs
@@ -42,7 +42,7 @@
                 problems.iter().for_each(|p| eprintln!("{kind}/{name}: {p}"));
                 return Ok(Exit::Invalid.into());
             }
-            let write = platform.put_resolved(obj, &mut StdRng::from_os_rng()).await?;
+            let write = platform.put_with_retries(obj, &mut StdRng::from_os_rng()).await?;
             Ok(apply::report(&format!("{kind}/{name}"), write, &mut 0).into())
         })
     }
--- a/src/objects.rs
+++ b/src/objects.rs
@@ -217,7 +217,11 @@
     ///
     /// # Errors
     /// Same as [`Platform::put`].
-    pub async fn put_resolved(&self, obj: AnyObject, rng: &mut (impl Rng + Send)) -> Result<WriteOutcome> {
+    pub async fn put_with_retries(
+        &self,
+        obj: AnyObject,
+        rng: &mut (impl Rng + Send),
+    ) -> Result<WriteOutcome> {
         let nonce = format!("{:016x}", rng.random::<u64>());
         let mut write = PendingWrite::new(obj, nonce, WRITE_ATTEMPTS);
         let mut backoff = backoff::Backoff::new(WRITE_BACKOFF_BASE, WRITE_BACKOFF_MAX);
--- a/tests/platform_contract.rs
+++ b/tests/platform_contract.rs
@@ -108,7 +108,7 @@
             "forget history" => self.standin.forget_history(),
             "put" => check_write(step, self.platform.put(&object(step)).await),
             "put resolved" => {
-                check_write(step, self.platform.put_resolved(object(step), &mut self.rng).await);
+                check_write(step, self.platform.put_with_retries(object(step), &mut self.rng).await);
             }
             "delete" => check_write(step, self.platform.delete(&object(step)).await),
             "get" => self.get(step).await,
