--- a/src/engine/answer.rs
+++ b/src/engine/answer.rs
@@ -1,4 +1,4 @@
-//! Reads the events of an answer, bounded in size and in time between events.
+//! Reads the events of an answer stream, with limits on the size of an event and the time between two.
 
 use std::{
     pin::Pin,
@@ -15,21 +15,21 @@
 use hyper::body::Incoming;
 use sse_stream::{Sse, SseByteStream};
 
-const MAX_EVENT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Why no event came.
+/// Failure of an answer stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Broken {
     /// The connection ended or broke.
     Cut,
-    /// Nothing came for the time limit.
+    /// No event was received before the timeout.
     Stalled,
-    /// The engine sent what is no event, or an event that is too long.
+    /// The engine sent an invalid or oversized event.
     Garbled,
 }
 
 impl Broken {
-    /// Label for counters.
+    /// Label value in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Broken::Cut => "cut",
@@ -41,57 +41,60 @@
 
 type Decoder = SseByteStream<Pin<Box<dyn Stream<Item = Result<Bytes, std::io::Error>> + Send>>>;
 
-/// Events of one connection to an engine.
+/// Answer stream of one connection to an engine.
 pub struct Answer {
     events: Decoder,
-    unread: Arc<AtomicUsize>,
-    stall: Duration,
+    unparsed_bytes: Arc<AtomicUsize>,
+    stall_timeout: Duration,
 }
 
 impl std::fmt::Debug for Answer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Answer").field("stall", &self.stall).finish_non_exhaustive()
+        f.debug_struct("Answer").field("stall", &self.stall_timeout).finish_non_exhaustive()
     }
 }
 
 impl Answer {
-    /// Reads `body`; an event must come at least every `stall`.
-    pub fn new(body: Incoming, stall: Duration) -> Self {
-        let unread = Arc::new(AtomicUsize::new(0));
-        let bytes = chunks(body, unread.clone());
-        Self { events: SseByteStream::new(bytes), unread, stall }
+    /// Reads events from `body`; `stall_timeout` is the maximum time between two events.
+    pub fn new(body: Incoming, stall_timeout: Duration) -> Self {
+        let unparsed_bytes = Arc::new(AtomicUsize::new(0));
+        let bytes = limited_chunks(body, unparsed_bytes.clone());
+        Self { events: SseByteStream::new(bytes), unparsed_bytes, stall_timeout }
     }
 
-    /// Next event with its identifier and data.
+    /// Returns the next event with its identifier and data.
     ///
     /// # Errors
-    /// When the connection ended; an end without the final marker is never an ordinary end.
+    /// If the stream fails. The end of the connection is always an error, since a complete answer ends with a marker.
     pub async fn next(&mut self) -> Result<Sse, Broken> {
-        match tokio::time::timeout(self.stall, self.events.next()).await {
+        match tokio::time::timeout(self.stall_timeout, self.events.next()).await {
             Err(_) => Err(Broken::Stalled),
             Ok(None) => Err(Broken::Cut),
-            Ok(Some(Err(sse_stream::Error::Body(_)))) if self.unread.load(Ordering::Relaxed) <= MAX_EVENT => {
+            Ok(Some(Err(sse_stream::Error::Body(_))))
+                if self.unparsed_bytes.load(Ordering::Relaxed) <= MAX_EVENT_BYTES =>
+            {
                 Err(Broken::Cut)
             }
             Ok(Some(Err(_))) => Err(Broken::Garbled),
             Ok(Some(Ok(event))) => {
-                self.unread.store(0, Ordering::Relaxed);
+                self.unparsed_bytes.store(0, Ordering::Relaxed);
                 Ok(event)
             }
         }
     }
 }
 
-/// Chunks of the body. An engine that never ends an event would fill the decoder's buffer; the count of bytes
-/// since the last whole event ends the connection before that.
-fn chunks(
+/// Returns the chunks of the body, and an error once an event exceeds the size limit. `unparsed_bytes` counts the bytes
+/// since the last complete event; without this limit an event that never ends would grow the decoder's buffer without
+/// bound.
+fn limited_chunks(
     body: Incoming,
-    unread: Arc<AtomicUsize>,
+    unparsed_bytes: Arc<AtomicUsize>,
 ) -> Pin<Box<dyn Stream<Item = Result<Bytes, std::io::Error>> + Send>> {
     let stream = body.into_data_stream().map(move |chunk| {
         let chunk = chunk.map_err(std::io::Error::other)?;
-        if unread.fetch_add(chunk.len(), Ordering::Relaxed) + chunk.len() > MAX_EVENT {
-            return Err(std::io::Error::other("an event is too long"));
+        if unparsed_bytes.fetch_add(chunk.len(), Ordering::Relaxed) + chunk.len() > MAX_EVENT_BYTES {
+            return Err(std::io::Error::other("event exceeds the size limit"));
         }
         Ok(chunk)
     });
