--- a/src/engine.rs
+++ b/src/engine.rs
@@ -70,9 +70,9 @@
 
 /// Result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ordered {
+pub enum OrderOutcome {
     /// The engine accepted it.
-    Taken,
+    Accepted,
     /// The engine rejected it because it has seen a higher fencing token.
     Stale,
 }
@@ -182,7 +182,7 @@
     ///
     /// # Errors
     /// If the engine does not respond, in which case the order may have taken effect, or responds with another status.
-    pub async fn order(&self, order: &Order, fencing: Fencing, timeout: Duration) -> Result<Ordered> {
+    pub async fn order(&self, order: &Order, fencing: Fencing, timeout: Duration) -> Result<OrderOutcome> {
         let req = Request::post(format!("{}/orders", self.base))
             .header("content-type", "application/json")
             .header(FENCING, fencing)
@@ -191,8 +191,8 @@
         let res = answer.context("the engine did not respond to an order before the timeout")?;
         let res = res.map_err(|e| anyhow::anyhow!("could not send an order: {e:?}"))?;
         match res.status().as_u16() {
-            200 | 202 => Ok(Ordered::Taken),
-            409 => Ok(Ordered::Stale),
+            200 | 202 => Ok(OrderOutcome::Accepted),
+            409 => Ok(OrderOutcome::Stale),
             status => bail!("the engine responded to an order with status {status}"),
         }
     }
--- a/src/order/run.rs
+++ b/src/order/run.rs
@@ -11,7 +11,7 @@
 };
 use crate::{
     client::Client,
-    engine::{EngineClient, Ordered},
+    engine::{EngineClient, OrderOutcome},
     follow,
     lease::{Action, LeaseConfig, LeaseDriver},
     metrics::{Counter, Metrics},
@@ -224,8 +224,8 @@
         for (order, result) in fenced.iter().zip(results) {
             let EngineOrder { engine, .. } = order.engine_order();
             match result {
-                Some(Ordered::Taken) => self.cx.metrics.add(Counter::Orders, "taken", 1),
-                Some(Ordered::Stale) => self.order_failed(engine, "stale"),
+                Some(OrderOutcome::Accepted) => self.cx.metrics.add(Counter::Orders, "taken", 1),
+                Some(OrderOutcome::Stale) => self.order_failed(engine, "stale"),
                 // The order may have been accepted; the engine's next report shows it.
                 None => self.order_failed(engine, "unanswered"),
             }
@@ -233,7 +233,7 @@
     }
 
     /// Sends one order; `None` if there was no answer in time.
-    async fn send(&self, order: &FencedOrder) -> Option<Ordered> {
+    async fn send(&self, order: &FencedOrder) -> Option<OrderOutcome> {
         let EngineOrder { engine, order: wanted } = order.engine_order();
         let client = EngineClient::new(self.cx.client.clone(), *self.pool.engines.get(engine)?);
         match client.order(wanted, order.fencing(), ORDER_TIMEOUT).await {
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use cranberrytally::{
     client::{Client, Failure},
-    engine::{ChatCall, ChatId, EngineClient, Ordered, answer::Answer},
+    engine::{ChatCall, ChatId, EngineClient, OrderOutcome, answer::Answer},
     http::{Limits, Server},
     schema::engine::Order,
     standin::{
@@ -220,7 +220,7 @@
                 let order = Order { models: vec!["phrase-2".into()], ..Order::default() };
                 let ordered = fixture.client.order(&order, *fencing, STALL).await.unwrap();
                 let newest = fixture.engine.orders().last().map(|o| o.0);
-                assert!(ordered == Ordered::Stale || newest == Some(*fencing), "{}", case.name);
+                assert!(ordered == OrderOutcome::Stale || newest == Some(*fencing), "{}", case.name);
             }
 
             let taken: Vec<_> = fixture.engine.orders().into_iter().map(|o| o.0).collect();
