--- a/src/engine/answer.rs
+++ b/src/engine/answer.rs
@@ -19,22 +19,22 @@
 
 /// Failure of an answer stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum AnswerError {
     /// The connection ended or broke.
-    Cut,
+    Disconnected,
     /// No event was received before the timeout.
     Stalled,
     /// The engine sent an invalid or oversized event.
     Garbled,
 }
 
-impl Broken {
+impl AnswerError {
     /// Label value in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Broken::Cut => "cut",
-            Broken::Stalled => "stalled",
-            Broken::Garbled => "garbled",
+            AnswerError::Disconnected => "cut",
+            AnswerError::Stalled => "stalled",
+            AnswerError::Garbled => "garbled",
         }
     }
 }
@@ -42,19 +42,19 @@
 type Decoder = SseByteStream<Pin<Box<dyn Stream<Item = Result<Bytes, std::io::Error>> + Send>>>;
 
 /// Answer stream of one connection to an engine.
-pub struct Answer {
+pub struct AnswerStream {
     events: Decoder,
     unparsed_bytes: Arc<AtomicUsize>,
     stall_timeout: Duration,
 }
 
-impl std::fmt::Debug for Answer {
+impl std::fmt::Debug for AnswerStream {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Answer").field("stall", &self.stall_timeout).finish_non_exhaustive()
     }
 }
 
-impl Answer {
+impl AnswerStream {
     /// Reads events from `body`; `stall_timeout` is the maximum time between two events.
     pub fn new(body: Incoming, stall_timeout: Duration) -> Self {
         let unparsed_bytes = Arc::new(AtomicUsize::new(0));
@@ -66,16 +66,16 @@
     ///
     /// # Errors
     /// If the stream fails. The end of the connection is always an error, since a complete answer ends with a marker.
-    pub async fn next(&mut self) -> Result<Sse, Broken> {
+    pub async fn next(&mut self) -> Result<Sse, AnswerError> {
         match tokio::time::timeout(self.stall_timeout, self.events.next()).await {
-            Err(_) => Err(Broken::Stalled),
-            Ok(None) => Err(Broken::Cut),
+            Err(_) => Err(AnswerError::Stalled),
+            Ok(None) => Err(AnswerError::Disconnected),
             Ok(Some(Err(sse_stream::Error::Body(_))))
                 if self.unparsed_bytes.load(Ordering::Relaxed) <= MAX_EVENT_BYTES =>
             {
-                Err(Broken::Cut)
+                Err(AnswerError::Disconnected)
             }
-            Ok(Some(Err(_))) => Err(Broken::Garbled),
+            Ok(Some(Err(_))) => Err(AnswerError::Garbled),
             Ok(Some(Ok(event))) => {
                 self.unparsed_bytes.store(0, Ordering::Relaxed);
                 Ok(event)
--- a/src/gateway/relay/events.rs
+++ b/src/gateway/relay/events.rs
@@ -12,7 +12,7 @@
     client::Failure,
     engine::{
         EngineClient, REQUEST_ID,
-        answer::{Answer, Broken},
+        answer::{AnswerError, AnswerStream},
     },
     gateway::ask::header,
     http::{BodySender, Gone},
@@ -127,7 +127,7 @@
             self.count("crossed");
             return Stop::Reconnect;
         }
-        let mut answer = Answer::new(res.into_body(), STALL);
+        let mut answer = AnswerStream::new(res.into_body(), STALL);
         loop {
             let Some(event) = self.next(&mut answer).await else { return Stop::Ended(Ended::Cancelled) };
             let event = match event {
@@ -157,7 +157,7 @@
     }
 
     /// Next event; `None` when the caller has gone away.
-    async fn next(&self, answer: &mut Answer) -> Option<Result<Sse, Broken>> {
+    async fn next(&self, answer: &mut AnswerStream) -> Option<Result<Sse, AnswerError>> {
         let mut next = std::pin::pin!(answer.next());
         loop {
             tokio::select! {
@@ -192,10 +192,10 @@
 }
 
 /// Labels apart from those of a stream's end.
-fn label(broken: Broken) -> &'static str {
+fn label(broken: AnswerError) -> &'static str {
     match broken {
-        Broken::Cut => "broken",
-        Broken::Stalled => "stalled",
-        Broken::Garbled => "garbled",
+        AnswerError::Disconnected => "broken",
+        AnswerError::Stalled => "stalled",
+        AnswerError::Garbled => "garbled",
     }
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use cranberrytally::{
     client::{Client, Failure},
-    engine::{ChatCall, ChatId, EngineClient, OrderOutcome, answer::Answer},
+    engine::{ChatCall, ChatId, EngineClient, OrderOutcome, answer::AnswerStream},
     http::{Limits, Server},
     schema::engine::Order,
     standin::{
@@ -80,7 +80,7 @@
 }
 
 async fn read(res: http::Response<hyper::body::Incoming>, tracker: &mut StreamTracker) -> Reading {
-    let mut answer = Answer::new(res.into_body(), STALL);
+    let mut answer = AnswerStream::new(res.into_body(), STALL);
     let mut reading = Reading::default();
     loop {
         let event = match answer.next().await {
