--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP out, by hyper-util.
+//! HTTP client based on hyper-util.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
 };
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-const MAX_BODY: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Pooled HTTP client.
+/// HTTP client with a connection pool.
 #[derive(Clone, Debug)]
 pub struct Client(Pool<HttpConnector, Full<Bytes>>);
 
-/// Why no response came.
+/// Failure of a request without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection could be made, so no byte of the request was sent.
+    /// No connection could be established, so no byte of the request was sent.
     Connect,
     /// The connection broke after the request may have been sent.
     Broken,
@@ -33,25 +33,25 @@
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
-        // A pooled connection that the server closes at the same moment would make the library send the
-        // request again by itself; a request must never be sent twice without a decision of ours.
+        // If the server closes a pooled connection while a request is being sent, the library would retry by itself.
+        // Only the retry policy may decide that a request is sent twice.
         Self(Pool::builder(TokioExecutor::new()).retry_canceled_requests(false).build(connector))
     }
 }
 
 impl Client {
-    /// Sends a request and waits for the response's head.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
-    /// [`Failure::Connect`] only where no byte can have been sent.
+    /// [`Failure::Connect`] only if no byte can have been sent.
     pub async fn send(&self, req: Request<Full<Bytes>>) -> Result<Response<Incoming>, Failure> {
         self.0.request(req).await.map_err(|e| if e.is_connect() { Failure::Connect } else { Failure::Broken })
     }
 
-    /// Sends `body` as JSON and reads the whole response.
+    /// Sends `body` as JSON; returns the status and the JSON body of the response.
     ///
     /// # Errors
-    /// When no response came in `timeout`, or a body that is too long or no JSON.
+    /// If the response is not complete within `timeout`, or its body is too long or not JSON.
     pub async fn json(
         &self,
         method: Method,
@@ -71,7 +71,7 @@
                 Err(e) => bail!("could not reach {url}: {e:?}"),
             };
             let status = res.status().as_u16();
-            let body = Limited::new(res.into_body(), MAX_BODY).collect().await;
+            let body = Limited::new(res.into_body(), MAX_RESPONSE_BYTES).collect().await;
             let body = body.map_err(|e| anyhow::anyhow!("could not read the response: {e}"))?.to_bytes();
             let value = if body.is_empty() {
                 serde_json::Value::Null
@@ -80,6 +80,6 @@
             };
             Ok((status, value))
         };
-        tokio::time::timeout(timeout, work).await.with_context(|| format!("no answer from {url} in time"))?
+        tokio::time::timeout(timeout, work).await.with_context(|| format!("request to {url} timed out"))?
     }
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP in, by xitca-web: one handler for all paths, bounded request bodies, streamed replies.
+//! HTTP server based on xitca-web: one handler for all paths, bounded request bodies, streamed replies.
 
 use std::{
     convert::Infallible,
@@ -30,14 +30,14 @@
 
 mod body;
 
-pub use body::{BodyReceiver, BodySender, Cut, Gone, body_channel};
+pub use body::{BodyReceiver, BodySender, Gone, TruncatedBody, body_channel};
 
 /// Body of a reply.
 #[derive(Debug)]
 pub enum ReplyBody {
-    /// Whole body.
+    /// Complete body.
     Full(Bytes),
-    /// Chunks as they come; the sender sees a closed channel when the caller goes away.
+    /// Chunks sent as they become available; the sender's channel is closed if the caller disconnects.
     Stream(BodyReceiver),
 }
 
@@ -51,27 +51,27 @@
 }
 
 impl Reply {
-    /// Reply with a whole body.
+    /// Creates a reply with a complete body.
     pub fn full(status: u16, body: impl Into<Bytes>) -> Self {
         let mut head = Response::new(());
         *head.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         Self { head, body: ReplyBody::Full(body.into()) }
     }
 
-    /// Reply with a JSON body.
+    /// Creates a reply with a JSON body.
     pub fn json(status: u16, body: &impl serde::Serialize) -> Self {
         let bytes = serde_json::to_vec(body).unwrap_or_default();
         Self::full(status, bytes).with_header("content-type", "application/json")
     }
 
-    /// Reply with a streamed body.
+    /// Creates a reply with a streamed body.
     pub fn stream(status: u16, rx: BodyReceiver) -> Self {
         let mut reply = Self::full(status, Bytes::new());
         reply.body = ReplyBody::Stream(rx);
         reply
     }
 
-    /// Adds a header; a value that is no header value is left out.
+    /// Adds a header, unless its value is not a valid header value.
     pub fn with_header(mut self, name: &'static str, value: &str) -> Self {
         if let Ok(value) = HeaderValue::from_str(value) {
             self.head.headers_mut().insert(HeaderName::from_static(name), value);
@@ -80,49 +80,53 @@
     }
 }
 
-/// Message for a request whose body was not taken.
+/// Message for a request whose body was rejected or could not be read.
 pub(crate) const UNREAD_BODY: &str = "the request body could not be read";
 
-/// What answers requests.
+/// Request handler.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request whose body has been read.
+    /// Handles a request whose body has been read.
     fn handle(&self, req: Request<Bytes>, peer: SocketAddr) -> impl Future<Output = Reply> + Send;
 
-    /// Answers a request with this head whose body was not taken.
+    /// Returns the reply to a request whose body was rejected or could not be read.
     fn refuse_body(&self, head: &Request<()>, kind: ErrorKind) -> Reply {
         let _ = head;
         kind.reply(UNREAD_BODY)
     }
 }
 
-/// Limits on what a caller may send.
+/// Limits on the size and the transfer time of requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    bytes: usize,
-    time: Duration,
-    head_time: Duration,
+    body_bytes: usize,
+    body_timeout: Duration,
+    head_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { bytes: 1 << 20, time: Duration::from_secs(10), head_time: Duration::from_secs(5) }
+        Self {
+            body_bytes: 1 << 20,
+            body_timeout: Duration::from_secs(10),
+            head_timeout: Duration::from_secs(5),
+        }
     }
 }
 
 impl Limits {
-    /// Sets the largest body, in bytes.
-    pub fn with_bytes(self, bytes: usize) -> Self {
-        Self { bytes, ..self }
+    /// Sets the maximum size of a body in bytes.
+    pub fn with_bytes(self, body_bytes: usize) -> Self {
+        Self { body_bytes, ..self }
     }
 
-    /// Sets the longest time for a body to arrive.
-    pub fn with_time(self, time: Duration) -> Self {
-        Self { time, ..self }
+    /// Sets the timeout for receiving a body.
+    pub fn with_time(self, body_timeout: Duration) -> Self {
+        Self { body_timeout, ..self }
     }
 
-    /// Sets the longest time for a request's head to arrive.
-    pub fn with_head_time(self, head_time: Duration) -> Self {
-        Self { head_time, ..self }
+    /// Sets the timeout for receiving the head of a request.
+    pub fn with_head_time(self, head_timeout: Duration) -> Self {
+        Self { head_timeout, ..self }
     }
 }
 
@@ -130,12 +134,12 @@
 #[derive(Debug)]
 pub struct Server {
     addr: SocketAddr,
-    running: Arc<AtomicUsize>,
+    in_progress: Arc<AtomicUsize>,
     stop: xitca_server_handle::Stop,
 }
 
 mod xitca_server_handle {
-    //! Keeps the library's handle type out of signatures.
+    //! Wrapper that keeps the library's handle type out of signatures.
 
     /// Stops the server when called.
     pub(super) struct Stop(pub(super) Box<dyn Fn() + Send + Sync>);
@@ -148,10 +152,10 @@
 }
 
 impl Server {
-    /// Serves `listener` with `threads` workers; handlers run on the current runtime.
+    /// Starts a server on `listener` with `threads` worker threads; handlers run on the current runtime.
     ///
     /// # Errors
-    /// When the listener can't be served.
+    /// If the server can't be started.
     pub fn start(
         listener: TcpListener,
         threads: usize,
@@ -159,20 +163,20 @@
         handler: Arc<impl Handler>,
     ) -> Result<Self> {
         let addr = listener.local_addr().context("could not read the address")?;
-        // Accepted connections inherit this. Without it each token waits for the acknowledgement of the one before,
+        // Accepted connections inherit TCP_NODELAY. Without it, each token would wait for the ACK of the previous one,
         // which the caller's host delays by 40 ms.
-        set_tcp_nodelay(&listener, true).context("could not set the socket up")?;
+        set_tcp_nodelay(&listener, true).context("could not set up the socket")?;
         let rt = Handle::current();
-        let running = Arc::new(AtomicUsize::new(0));
-        let counter = running.clone();
+        let in_progress = Arc::new(AtomicUsize::new(0));
+        let counter = in_progress.clone();
         let service = fn_service(async move |req: Request<RequestExt<RequestBody>>| {
-            let count = Count::new(&counter);
-            Ok::<_, Infallible>(answer(req, limits, handler.clone(), &rt, count).await)
+            let guard = InProgressGuard::new(&counter);
+            Ok::<_, Infallible>(handle_request(req, limits, handler.clone(), &rt, guard).await)
         });
         let mut server = HttpServer::serve(service)
             .disable_signal()
             .worker_threads(threads)
-            .request_head_timeout(limits.head_time)
+            .request_head_timeout(limits.head_timeout)
             .listen(listener)
             .context("could not listen")?
             .run();
@@ -181,81 +185,82 @@
             .name("http".into())
             .spawn(move || server.wait())
             .context("could not start a thread")?;
-        Ok(Self { addr, running, stop: xitca_server_handle::Stop(Box::new(move || handle.stop(true))) })
+        Ok(Self { addr, in_progress, stop: xitca_server_handle::Stop(Box::new(move || handle.stop(true))) })
     }
 
-    /// Address on which it listens.
+    /// Returns the address on which the server listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Requests whose answer has not been handed to the connection whole.
+    /// Number of requests whose reply has not been passed to the connection completely.
     pub fn running(&self) -> usize {
-        self.running.load(Ordering::Acquire)
+        self.in_progress.load(Ordering::Acquire)
     }
 
-    /// Stops accepting connections. Streams still open go on for the library's limit of 30 s.
+    /// Stops accepting connections. Open streams continue for up to 30 s, the library's limit.
     pub fn close(self) {
         (self.stop.0)();
     }
 }
 
-/// One request in progress, until its answer has been handed to the connection or the connection is gone.
-struct Count(Arc<AtomicUsize>);
+/// Guard that counts a request as in progress until its reply has been passed to the connection or the connection has
+/// closed.
+struct InProgressGuard(Arc<AtomicUsize>);
 
-impl Count {
+impl InProgressGuard {
     fn new(counter: &Arc<AtomicUsize>) -> Self {
         counter.fetch_add(1, Ordering::AcqRel);
         Self(counter.clone())
     }
 }
 
-impl Drop for Count {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-async fn answer(
+async fn handle_request(
     req: Request<RequestExt<RequestBody>>,
     limits: Limits,
     handler: Arc<impl Handler>,
     rt: &Handle,
-    count: Count,
+    guard: InProgressGuard,
 ) -> Response<BoxBody> {
     let (head, ext) = req.into_parts();
     let peer = *ext.socket_addr();
     let (_, body) = ext.replace_body(());
-    let body = match read(body, limits).await {
+    let body = match read_body(body, limits).await {
         Ok(body) => body,
-        Err(kind) => return respond(handler.refuse_body(&Request::from_parts(head, ()), kind), count),
+        Err(kind) => return into_response(handler.refuse_body(&Request::from_parts(head, ()), kind), guard),
     };
     let req = Request::from_parts(head, body);
     let task = rt.spawn(async move { handler.handle(req, peer).await });
     match task.await {
-        Ok(reply) => respond(reply, count),
-        Err(_) => respond(ErrorKind::Internal.reply("the request failed inside the router"), count),
+        Ok(reply) => into_response(reply, guard),
+        Err(_) => into_response(ErrorKind::Internal.reply("the request failed inside the router"), guard),
     }
 }
 
-async fn read(body: RequestBody, limits: Limits) -> Result<Bytes, ErrorKind> {
-    match tokio::time::timeout(limits.time, collect(body, limits.bytes)).await {
+async fn read_body(body: RequestBody, limits: Limits) -> Result<Bytes, ErrorKind> {
+    match tokio::time::timeout(limits.body_timeout, collect_body(body, limits.body_bytes)).await {
         Ok(result) => result,
         Err(_) => Err(ErrorKind::BodyTimeout),
     }
 }
 
-/// Collects a body of stated length.
+/// Reads a body with a `Content-Length`.
 ///
-/// When a connection closes early, the library ends the body as if it were complete, so that half a save would
-/// run. The stated length tells the two apart; a chunked body states none and is refused.
-async fn collect(body: RequestBody, max: usize) -> Result<Bytes, ErrorKind> {
-    let stated = match body.size_hint() {
+/// If a connection closes early, the library ends the body as if it were complete, so that an incomplete request would
+/// be executed. Only the declared length reveals the missing part; a chunked body declares none and is rejected.
+async fn collect_body(body: RequestBody, max_bytes: usize) -> Result<Bytes, ErrorKind> {
+    let declared_len = match body.size_hint() {
         SizeHint::Exact(len) => len,
         SizeHint::None => 0,
         SizeHint::Unknown => return Err(ErrorKind::LengthRequired),
     };
-    if stated > max as u64 {
+    if declared_len > max_bytes as u64 {
         return Err(ErrorKind::BodyTooLarge);
     }
     let mut body = std::pin::pin!(body);
@@ -264,28 +269,31 @@
         let Ok(Frame::Data(data)) = frame else { return Err(ErrorKind::BadRequest) };
         buf.extend_from_slice(&data);
     }
-    if buf.len() as u64 != stated { Err(ErrorKind::BadRequest) } else { Ok(buf.freeze()) }
+    if buf.len() as u64 != declared_len { Err(ErrorKind::BadRequest) } else { Ok(buf.freeze()) }
 }
 
-fn respond(reply: Reply, count: Count) -> Response<BoxBody> {
+fn into_response(reply: Reply, guard: InProgressGuard) -> Response<BoxBody> {
     let (parts, ()) = reply.head.into_parts();
     let body = match reply.body {
         ReplyBody::Full(bytes) => BoxBody::new(xitca_web::body::Full::new(bytes)),
-        ReplyBody::Stream(rx) => BoxBody::new(CountedBody { body: rx, _count: count }),
+        ReplyBody::Stream(rx) => BoxBody::new(CountedBody { body: rx, _guard: guard }),
     };
     Response::from_parts(parts, body)
 }
 
 struct CountedBody {
     body: BodyReceiver,
-    _count: Count,
+    _guard: InProgressGuard,
 }
 
 impl Body for CountedBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = TruncatedBody;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         Pin::new(&mut self.body).poll_frame(cx)
     }
 }
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Streamed bodies of replies: the end is said, not inferred.
+//! Streamed reply bodies that must be ended explicitly.
 
 use std::{
     fmt,
@@ -10,19 +10,19 @@
 use tokio::sync::mpsc::{self, error::TrySendError};
 use xitca_web::body::{Body, Frame};
 
-/// The body ended before its end.
+/// Error: the sender was dropped before the end of the body.
 #[derive(Clone, Copy, Debug)]
-pub struct Cut;
+pub struct TruncatedBody;
 
-impl fmt::Display for Cut {
+impl fmt::Display for TruncatedBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("body was cut")
+        f.write_str("the body was truncated")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for TruncatedBody {}
 
-/// The caller has gone away.
+/// Error: the caller has disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gone;
 
@@ -32,22 +32,22 @@
     End,
 }
 
-/// Sends the body of a reply.
+/// Sender of a streamed reply body.
 ///
-/// The task that holds it may be dropped or panic, as when a router is stopped a second time. A chunked body that
-/// then ended in the ordinary way would make a part look like the whole, so only [`BodySender::finish`] ends the
-/// body; a sender that is dropped cuts the caller's connection.
+/// The task that owns it may be dropped or panic, for example when a router is stopped a second time. If the chunked
+/// body then ended normally, the caller would take an incomplete body for a complete one. Therefore only
+/// [`BodySender::finish`] ends the body; dropping the sender aborts the caller's connection.
 #[derive(Debug)]
 pub struct BodySender(mpsc::Sender<Part>);
 
-/// What the connection reads of a [`BodySender`]'s body.
+/// Receiver of a streamed reply body, read by the connection.
 #[derive(Debug)]
 pub struct BodyReceiver {
     rx: mpsc::Receiver<Part>,
     ended: bool,
 }
 
-/// Channel for a body, in which at most `depth` chunks wait for a slow caller.
+/// Creates a channel for a streamed body that buffers at most `depth` chunks for a slow caller.
 pub fn body_channel(depth: usize) -> (BodySender, BodyReceiver) {
     let (tx, rx) = mpsc::channel(depth);
     (BodySender(tx), BodyReceiver { rx, ended: false })
@@ -57,15 +57,15 @@
     /// Sends a chunk; waits while the channel is full.
     ///
     /// # Errors
-    /// When the caller has gone away.
+    /// If the caller has disconnected.
     pub async fn send(&self, bytes: Bytes) -> Result<(), Gone> {
         self.0.send(Part::Data(bytes)).await.map_err(|_| Gone)
     }
 
-    /// Sends a chunk unless the channel is full; tells whether it was sent.
+    /// Sends a chunk unless the channel is full; returns whether it was sent.
     ///
     /// # Errors
-    /// When the caller has gone away.
+    /// If the caller has disconnected.
     pub fn try_send(&self, bytes: Bytes) -> Result<bool, Gone> {
         match self.0.try_send(Part::Data(bytes)) {
             Ok(()) => Ok(true),
@@ -74,17 +74,17 @@
         }
     }
 
-    /// Waits until the caller has gone away.
+    /// Waits until the caller has disconnected.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
 
-    /// Whether the caller has gone away.
+    /// Whether the caller has disconnected.
     pub fn is_closed(&self) -> bool {
         self.0.is_closed()
     }
 
-    /// Ends the body: what was sent is the whole of it.
+    /// Ends the body, which marks it as complete.
     pub async fn finish(self) {
         let _ = self.0.send(Part::End).await;
     }
@@ -92,9 +92,12 @@
 
 impl Body for BodyReceiver {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = TruncatedBody;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         if self.ended {
             return Poll::Ready(None);
         }
@@ -106,7 +109,7 @@
             }
             None => {
                 self.ended = true;
-                Some(Err(Cut))
+                Some(Err(TruncatedBody))
             }
         })
     }
--- a/src/operate.rs
+++ b/src/operate.rs
@@ -1,4 +1,4 @@
-//! Operators' endpoints of a router, before those of callers: `GET /v1/status` and `POST /v1/drain`.
+//! Endpoints for operators: `GET /v1/status` and `POST /v1/drain`. They take precedence over those for callers.
 
 use std::{
     net::SocketAddr,
@@ -26,14 +26,14 @@
 
 const TOKEN_CONTEXT: &str = "cranberrytally operator 1";
 
-/// Token that operators send, derived from the fleet's shared key.
+/// Returns the operators' bearer token in hex, derived from the fleet's shared key.
 pub fn token(shared_key: &str) -> String {
     blake3::Hash::from(blake3::derive_key(TOKEN_CONTEXT, shared_key.as_bytes())).to_hex().to_string()
 }
 
-/// Answers operators and hands all else on.
+/// Request handler that serves the operators' endpoints and passes other requests to the gateway.
 #[derive(Debug)]
-pub struct Operate {
+pub struct OperatorHandler {
     me: Router,
     token: blake3::Hash,
     follow: Arc<follow::FollowHandle>,
@@ -42,8 +42,8 @@
     drained: Notify,
 }
 
-impl Operate {
-    /// Endpoints of the router `me`.
+impl OperatorHandler {
+    /// Creates the handler of the router `me`.
     pub fn new(
         me: Router,
         shared_key: &str,
@@ -54,14 +54,14 @@
         Self { me, token, follow, gateway, leaving: AtomicBool::new(false), drained: Notify::new() }
     }
 
-    /// Waits until an operator drains this router.
+    /// Waits until an operator requests that this router drain.
     pub async fn drained(&self) {
         while !self.leaving.load(Ordering::Acquire) {
             self.drained.notified().await;
         }
     }
 
-    /// Notes that the router is shutting down.
+    /// Marks the router as leaving and wakes the task that waits in `drained`.
     pub fn set_leaving(&self) {
         self.leaving.store(true, Ordering::Release);
         self.drained.notify_one();
@@ -69,23 +69,24 @@
 
     fn status(&self) -> Reply {
         let leaving = self.leaving.load(Ordering::Acquire);
-        Reply::json(200, &Status::of(&self.me, leaving, &self.follow))
+        Reply::json(200, &Status::new(&self.me, leaving, &self.follow))
     }
 
     fn drain(&self, req: &Request<Bytes>) -> Reply {
-        let given = req.headers().get("authorization").and_then(|v| v.to_str().ok()?.strip_prefix("Bearer "));
-        // `blake3::Hash` compares in constant time; a plain comparison would leak the token byte by byte.
-        if given.and_then(|hex| blake3::Hash::from_hex(hex).ok()) != Some(self.token) {
+        let presented =
+            req.headers().get("authorization").and_then(|v| v.to_str().ok()?.strip_prefix("Bearer "));
+        // `blake3::Hash` compares in constant time; an ordinary comparison would leak the token through its timing.
+        if presented.and_then(|hex| blake3::Hash::from_hex(hex).ok()) != Some(self.token) {
             return RequestError::new(ErrorKind::Forbidden, "the operator's token is missing or wrong")
                 .reply();
         }
         self.set_leaving();
-        spdlog::info!("an operator drains this router");
+        spdlog::info!("draining at an operator's request");
         Reply::json(202, &serde_json::json!({ "leaving": true }))
     }
 }
 
-impl Handler for Operate {
+impl Handler for OperatorHandler {
     async fn handle(&self, req: Request<Bytes>, peer: SocketAddr) -> Reply {
         match (req.method(), req.uri().path()) {
             (&Method::GET, "/v1/status") => self.status(),
--- a/src/operate/status.rs
+++ b/src/operate/status.rs
@@ -1,4 +1,4 @@
-//! What a router tells operators of itself and of the others.
+//! Status report of a router for operators.
 
 use std::net::SocketAddr;
 
@@ -8,36 +8,36 @@
     revision::{Bad, State},
 };
 
-/// A router as another sees it.
+/// State of a router as reported by itself or by another router.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct RouterStatus {
     /// Name.
     pub name: String,
-    /// Data centre in which it stands.
+    /// Data centre in which it runs.
     pub data_centre: String,
-    /// Where callers and operators reach it, if that is known.
+    /// Address for callers and operators, if it is known.
     pub address: Option<SocketAddr>,
     /// Whether it is shutting down.
     pub leaving: bool,
 }
 
-/// Answer to `GET /v1/status`.
+/// Response body of `GET /v1/status`.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Status {
     /// This router.
     pub router: RouterStatus,
-    /// Its configuration.
+    /// State of its configuration.
     pub configuration: State,
     /// Objects that are not valid.
     pub bad: Vec<Bad>,
-    /// The other live routers that it knows.
+    /// The other live routers known to it.
     pub routers: Vec<RouterStatus>,
 }
 
 impl Status {
-    pub(super) fn of(me: &Router, leaving: bool, follow: &FollowHandle) -> Self {
+    pub(super) fn new(me: &Router, leaving: bool, follow: &FollowHandle) -> Self {
         let (configuration, bad) = follow.status();
         let router = RouterStatus {
             name: me.name.to_string(),
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -1,4 +1,4 @@
-//! A running router: sockets, the configuration watch and the gateway.
+//! A running router: starts its servers and tasks, drains it and shuts it down.
 
 use std::{
     net::{SocketAddr, TcpListener, UdpSocket},
@@ -20,22 +20,23 @@
     link::{LinkKey, LinkServer, Links},
     metrics::Metrics,
     objects::Platform,
-    operate::Operate,
+    operate::OperatorHandler,
     order::OrderTask,
     util::now,
 };
 
 mod calls;
 
-use calls::Calls;
+use calls::CallHandler;
 
-/// How long other routers may hand out one that leaves until they have heard of it; see docs/design/membership.md.
-const LEAVE_SPREAD: Duration = Duration::from_secs(5);
-const DRAIN_CHECK: Duration = Duration::from_millis(50);
-/// Tries to find a port that is free for TCP and for UDP, where the settings leave the choice to the system.
-const PORT_TRIES: usize = 16;
+/// Maximum time until all other routers know that a router is leaving and stop naming it to callers; see
+/// docs/design/membership.md.
+const LEAVE_PROPAGATION_TIME: Duration = Duration::from_secs(5);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum attempts to bind a port chosen by the system for both TCP and UDP.
+const MAX_PORT_ATTEMPTS: usize = 16;
 
-/// A router in this process.
+/// A router that runs in this process.
 #[derive(Debug)]
 pub struct Running {
     peer_addr: SocketAddr,
@@ -45,27 +46,27 @@
     drain: DrainConfig,
     orders: Option<OrderTask>,
     link_server: LinkServer,
-    releases: JoinHandle<()>,
-    operate: Arc<Operate>,
+    release_task: JoinHandle<()>,
+    operator_handler: Arc<OperatorHandler>,
     gateway: Arc<Gateway>,
     metrics: Arc<Metrics>,
 }
 
 impl Running {
-    /// Starts a router on the address of its settings.
+    /// Starts a router on the address from its settings.
     ///
     /// # Errors
-    /// When an address can't be bound.
+    /// If an address can't be bound or a server can't be started.
     pub fn start(cfg: &Settings) -> Result<Self> {
         let listener =
             TcpListener::bind(cfg.listen).with_context(|| format!("could not listen on {}", cfg.listen))?;
         Self::start_on(cfg, listener)
     }
 
-    /// Starts a router on a listener.
+    /// Starts a router on a bound listener.
     ///
     /// # Errors
-    /// When the server can't be started.
+    /// If the address for peers can't be bound or a server can't be started.
     pub fn start_on(cfg: &Settings, listener: TcpListener) -> Result<Self> {
         let me = Router {
             name: cfg.name.clone(),
@@ -88,20 +89,22 @@
         let follow = FollowTask::start(cfg, peer_addr, platform.clone(), links, gateway.clone());
         let rate = cfg.loads_per_minute as f64;
         let orders = OrderTask::start(&cfg.name, follow.handle().clone(), platform, metrics.clone(), rate);
-        let calls = Calls { me: me.clone(), follow: follow.handle().clone(), gateway: gateway.clone() };
-        let link_server = LinkServer::start(peer_listener, key, Arc::new(calls));
+        let call_handler =
+            CallHandler { me: me.clone(), follow: follow.handle().clone(), gateway: gateway.clone() };
+        let link_server = LinkServer::start(peer_listener, key, Arc::new(call_handler));
         let (following, answering) = (follow.handle().clone(), gateway.clone());
         let gossip = Gossip::start(cfg, &me, peer_addr, socket, following, answering, metrics.clone())?;
         let drain = DrainConfig {
             answer_keep: cfg.answer_keep,
-            propagation_time: LEAVE_SPREAD,
+            propagation_time: LEAVE_PROPAGATION_TIME,
             timeout: cfg.drain_longest,
         };
-        let told = gateway.clone();
-        let releases = tokio::spawn(async move { told.tell_ended().await });
-        let operate = Operate::new(me, &cfg.shared_key, follow.handle().clone(), gateway.clone());
-        let operate = Arc::new(operate);
-        let server = Server::start(listener, cfg.http_threads, limits, operate.clone())?;
+        let notifier = gateway.clone();
+        let release_task = tokio::spawn(async move { notifier.tell_ended().await });
+        let operator_handler =
+            OperatorHandler::new(me, &cfg.shared_key, follow.handle().clone(), gateway.clone());
+        let operator_handler = Arc::new(operator_handler);
+        let server = Server::start(listener, cfg.http_threads, limits, operator_handler.clone())?;
         Ok(Self {
             peer_addr,
             server,
@@ -110,8 +113,8 @@
             drain,
             orders: Some(orders),
             link_server,
-            releases,
-            operate,
+            release_task,
+            operator_handler,
             gateway,
             metrics,
         })
@@ -137,27 +140,28 @@
         self.peer_addr
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn running(&self) -> usize {
         self.server.running()
     }
 
-    /// The configuration.
+    /// The task that keeps the configuration current.
     pub fn follow(&self) -> &FollowTask {
         &self.follow
     }
 
-    /// Waits until an operator drains this router.
+    /// Waits until an operator requests that this router drain.
     pub async fn drained(&self) {
-        self.operate.drained().await;
+        self.operator_handler.drained().await;
     }
 
-    /// Shuts down gracefully: no answer names this router any more, and it goes on until the answers that do have
-    /// expired and no request is in progress, or until the drain's time limit. Returns the number of requests cut.
+    /// Shuts down gracefully. From now on no entry answer names this router. It keeps serving until the entry answers
+    /// that do have expired and no request is in progress, or until the drain timeout. Returns the number of requests
+    /// that were cut off.
     ///
-    /// The HTTP library ends open streams some time after it is told to stop, so it is told only then.
+    /// The HTTP server stops last, because the library ends open streams some time after it is stopped.
     pub async fn shut_down(self) -> usize {
-        self.operate.set_leaving();
+        self.operator_handler.set_leaving();
         self.gossip.leave();
         let mut cut = 0;
         if let Ok(serving) = lifecycle::Router::default().serve(self.gateway.catalog().version) {
@@ -168,16 +172,16 @@
                 }
                 match leaving.stop(now(), self.server.running()) {
                     Ok(stopped) => break stopped.close(),
-                    Err(on) => leaving = on,
+                    Err(next) => leaving = next,
                 }
-                tokio::time::sleep(DRAIN_CHECK).await;
+                tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             };
         }
         self.stop().await;
         cut
     }
 
-    /// Gives the leases back and stops the router.
+    /// Releases the leases and stops the router.
     pub async fn stop(mut self) {
         self.gateway.close_claims().await;
         if let Some(orders) = self.orders.take() {
@@ -186,31 +190,31 @@
         self.close();
     }
 
-    /// Stops the router at once; its leases lapse.
+    /// Stops the router immediately; its leases are not released and expire.
     pub fn close(self) {
         self.gossip.close();
         self.follow.close();
-        self.releases.abort();
+        self.release_task.abort();
         self.link_server.close();
         self.server.close();
     }
 }
 
-/// Binds the address between routers for TCP and for UDP.
+/// Binds the address for other routers for both TCP and UDP.
 fn listen_for_peers(cfg: &Settings) -> Result<(tokio::net::TcpListener, UdpSocket, SocketAddr)> {
     let at = cfg.peer_listen;
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         let listener = TcpListener::bind(at).with_context(|| format!("could not listen on {at}"))?;
         let addr = listener.local_addr().context("could not read the address")?;
         let socket = match UdpSocket::bind(addr) {
             Ok(socket) => socket,
-            // The system chose a port that is free for TCP only.
-            Err(_) if at.port() == 0 && tries < PORT_TRIES => continue,
-            Err(e) => return Err(e).with_context(|| format!("could not use {addr} for datagrams")),
+            // The system chose a port that is free only for TCP.
+            Err(_) if at.port() == 0 && attempts < MAX_PORT_ATTEMPTS => continue,
+            Err(e) => return Err(e).with_context(|| format!("could not bind UDP socket {addr}")),
         };
-        listener.set_nonblocking(true).context("could not set the socket up")?;
+        listener.set_nonblocking(true).context("could not set up the socket")?;
         let listener = tokio::net::TcpListener::from_std(listener).context("could not listen")?;
         return Ok((listener, socket, addr));
     }
--- a/src/serve/calls.rs
+++ b/src/serve/calls.rs
@@ -1,4 +1,4 @@
-//! Answers calls of other routers.
+//! Handler for calls from other routers.
 
 use std::sync::Arc;
 
@@ -10,14 +10,14 @@
     schema::link::{Pong, Refused, frame::Body},
 };
 
-/// What answers calls of other routers.
-pub(super) struct Calls {
+/// Handles calls from other routers.
+pub(super) struct CallHandler {
     pub(super) me: Router,
     pub(super) follow: Arc<follow::FollowHandle>,
     pub(super) gateway: Arc<Gateway>,
 }
 
-impl Serve for Calls {
+impl Serve for CallHandler {
     async fn serve(&self, body: Body) -> Body {
         match body {
             Body::Ping(_) => Body::Pong(self.pong()),
@@ -27,16 +27,16 @@
                 .gateway
                 .serve_placement(&body)
                 .or_else(|| self.gateway.serve_suspects(&body))
-                .unwrap_or_else(no_such_call),
+                .unwrap_or_else(unknown_call),
         }
     }
 }
 
-fn no_such_call() -> Body {
+fn unknown_call() -> Body {
     Body::Refused(Refused { reason: "no such call".into() })
 }
 
-impl Calls {
+impl CallHandler {
     fn pong(&self) -> Pong {
         Pong {
             name: self.me.name.to_string(),
