--- a/src/gateway/relay/events.rs
+++ b/src/gateway/relay/events.rs
@@ -15,7 +15,7 @@
         answer::{AnswerError, AnswerStream},
     },
     gateway::ask::header,
-    http::{BodySender, Gone},
+    http::{BodySender, CallerDisconnected},
     metrics::{Counter, Metrics},
     stream::{EventAction, StreamTracker},
 };
@@ -172,8 +172,8 @@
     }
 
     /// Waits for a slow caller, which holds the engine's connection back.
-    async fn send(&self, event: Sse) -> Result<(), Gone> {
-        let bytes: Bytes = event.encode().map_err(|_| Gone)?;
+    async fn send(&self, event: Sse) -> Result<(), CallerDisconnected> {
+        let bytes: Bytes = event.encode().map_err(|_| CallerDisconnected)?;
         self.tx.send(bytes).await
     }
 
--- a/src/http.rs
+++ b/src/http.rs
@@ -30,7 +30,7 @@
 
 mod body;
 
-pub use body::{BodyReceiver, BodySender, Gone, TruncatedBody, body_channel};
+pub use body::{BodyReceiver, BodySender, CallerDisconnected, TruncatedBody, body_channel};
 
 /// Body of a reply.
 #[derive(Debug)]
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -24,7 +24,7 @@
 
 /// Error: the caller has disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gone;
+pub struct CallerDisconnected;
 
 #[derive(Debug)]
 enum Part {
@@ -58,19 +58,19 @@
     ///
     /// # Errors
     /// If the caller has disconnected.
-    pub async fn send(&self, bytes: Bytes) -> Result<(), Gone> {
-        self.0.send(Part::Data(bytes)).await.map_err(|_| Gone)
+    pub async fn send(&self, bytes: Bytes) -> Result<(), CallerDisconnected> {
+        self.0.send(Part::Data(bytes)).await.map_err(|_| CallerDisconnected)
     }
 
     /// Sends a chunk unless the channel is full; returns whether it was sent.
     ///
     /// # Errors
     /// If the caller has disconnected.
-    pub fn try_send(&self, bytes: Bytes) -> Result<bool, Gone> {
+    pub fn try_send(&self, bytes: Bytes) -> Result<bool, CallerDisconnected> {
         match self.0.try_send(Part::Data(bytes)) {
             Ok(()) => Ok(true),
             Err(TrySendError::Full(_)) => Ok(false),
-            Err(TrySendError::Closed(_)) => Err(Gone),
+            Err(TrySendError::Closed(_)) => Err(CallerDisconnected),
         }
     }
 
