--- a/src/http.rs
+++ b/src/http.rs
@@ -115,7 +115,7 @@
 
 impl Limits {
     /// Sets the maximum size of a body in bytes.
-    pub fn with_bytes(self, body_bytes: usize) -> Self {
+    pub fn with_max_body_bytes(self, body_bytes: usize) -> Self {
         Self { body_bytes, ..self }
     }
 
--- a/tests/platform_contract.rs
+++ b/tests/platform_contract.rs
@@ -192,7 +192,8 @@
     tokio::runtime::Runtime::new()?.block_on(async {
         let standin = Arc::new(PlatformStandin::default());
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let server = Server::start(listener, 1, Limits::default().with_bytes(4 << 20), standin.clone())?;
+        let server =
+            Server::start(listener, 1, Limits::default().with_max_body_bytes(4 << 20), standin.clone())?;
         let mut rates = Rates::default();
         if let Some(rate) = case.reads_per_second {
             rates = rates.with_reads(Rate { rate, burst: 1.0 });
