--- a/src/http.rs
+++ b/src/http.rs
@@ -120,7 +120,7 @@
     }
 
     /// Sets the timeout for receiving a body.
-    pub fn with_time(self, body_timeout: Duration) -> Self {
+    pub fn with_body_timeout(self, body_timeout: Duration) -> Self {
         Self { body_timeout, ..self }
     }
 
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -80,7 +80,7 @@
         let gateway = Arc::new(gateway.with_entry_keep(cfg.answer_keep));
         let limits = Limits::default()
             .with_max_body_bytes(cfg.body_bytes)
-            .with_time(cfg.body_time)
+            .with_body_timeout(cfg.body_time)
             .with_head_time(cfg.head_time);
         let (peer_listener, socket, peer_addr) = listen_for_peers(cfg)?;
         gateway.set_peer_addr(peer_addr);
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -56,8 +56,10 @@
     let _guard = rt.enter();
     let echo = Arc::new(Echo::default());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let limits =
-        Limits::default().with_max_body_bytes(BODY_LIMIT).with_time(BODY_TIME).with_head_time(BODY_TIME);
+    let limits = Limits::default()
+        .with_max_body_bytes(BODY_LIMIT)
+        .with_body_timeout(BODY_TIME)
+        .with_head_time(BODY_TIME);
     let server = Server::start(listener, 1, limits, echo.clone()).unwrap();
     drop(_guard);
     Fixture { echo, server, _rt: rt }
