--- a/src/http.rs
+++ b/src/http.rs
@@ -125,7 +125,7 @@
     }
 
     /// Sets the timeout for receiving the head of a request.
-    pub fn with_head_time(self, head_timeout: Duration) -> Self {
+    pub fn with_head_timeout(self, head_timeout: Duration) -> Self {
         Self { head_timeout, ..self }
     }
 }
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -81,7 +81,7 @@
         let limits = Limits::default()
             .with_max_body_bytes(cfg.body_bytes)
             .with_body_timeout(cfg.body_time)
-            .with_head_time(cfg.head_time);
+            .with_head_timeout(cfg.head_time);
         let (peer_listener, socket, peer_addr) = listen_for_peers(cfg)?;
         gateway.set_peer_addr(peer_addr);
         let key = LinkKey::new(&cfg.shared_key);
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -59,7 +59,7 @@
     let limits = Limits::default()
         .with_max_body_bytes(BODY_LIMIT)
         .with_body_timeout(BODY_TIME)
-        .with_head_time(BODY_TIME);
+        .with_head_timeout(BODY_TIME);
     let server = Server::start(listener, 1, limits, echo.clone()).unwrap();
     drop(_guard);
     Fixture { echo, server, _rt: rt }
