--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -18,7 +18,7 @@
     config::Settings,
     logs,
     metrics::Counter,
-    serve::Running,
+    serve::RunningRouter,
     standin::{
         caller::Caller,
         gate::Mode,
@@ -90,7 +90,7 @@
         "playing {chats} chats of {TURNS} turns, a save after each; engines join, leave and flap\n"
     ));
     let started = Instant::now();
-    let addresses: Vec<_> = routers.iter().map(Running::addr).collect();
+    let addresses: Vec<_> = routers.iter().map(RunningRouter::addr).collect();
     let tokens = outside.tokens();
     let tasks: Vec<_> = (0..chats).map(|i| tokio::spawn(converse(i, addresses.clone(), tokens))).collect();
     churn(&mut outside).await?;
@@ -102,13 +102,13 @@
     }
     let doubled = outside.doubled().len();
     say(&report(&outside, &routers, seen, doubled, started.elapsed()));
-    routers.into_iter().for_each(Running::close);
+    routers.into_iter().for_each(RunningRouter::close);
     outside.close();
     let kept = seen.failed == 0 && seen.wrong == 0 && seen.false_not_run == 0 && doubled == 0;
     Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn start_routers(outside: &Outside) -> Result<Vec<Running>> {
+fn start_routers(outside: &Outside) -> Result<Vec<RunningRouter>> {
     let listeners = (0..ROUTERS).map(|_| Ok((loopback()?, loopback()?))).collect::<Result<Vec<_>>>()?;
     let seeds = listeners.iter().map(|(_, peer)| Ok(peer.local_addr()?)).collect::<Result<Vec<_>>>()?;
     let mut routers = Vec::new();
@@ -117,12 +117,12 @@
         let peer_addr = peer.local_addr()?;
         drop(peer);
         let text = settings(&name, listener.local_addr()?, peer_addr, outside.platform_addr(), &seeds);
-        routers.push(Running::start_on(&Settings::parse(&text)?, listener)?);
+        routers.push(RunningRouter::start_on(&Settings::parse(&text)?, listener)?);
     }
     Ok(routers)
 }
 
-async fn ready(routers: &[Running]) -> Result<()> {
+async fn ready(routers: &[RunningRouter]) -> Result<()> {
     let waiting = async {
         while routers.iter().any(|r| r.gateway().catalog().version == 0) {
             tokio::time::sleep(READY_POLL).await;
@@ -181,7 +181,13 @@
     }
 }
 
-fn report(outside: &Outside, routers: &[Running], seen: Seen, doubled: usize, took: Duration) -> String {
+fn report(
+    outside: &Outside,
+    routers: &[RunningRouter],
+    seen: Seen,
+    doubled: usize,
+    took: Duration,
+) -> String {
     let (reuse, skew) = outside.reuse_and_skew();
     let mut text = String::new();
     let mut row = |name: &str, value: String| {
@@ -215,7 +221,7 @@
     text
 }
 
-fn sum(routers: &[Running], counter: Counter) -> BTreeMap<String, u64> {
+fn sum(routers: &[RunningRouter], counter: Counter) -> BTreeMap<String, u64> {
     let mut totals = BTreeMap::new();
     for (value, n) in routers.iter().flat_map(|r| r.metrics().totals(counter)) {
         *totals.entry(value).or_default() += n;
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -7,7 +7,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use super::Run;
-use crate::{config::Settings, logs, serve::Running};
+use crate::{config::Settings, logs, serve::RunningRouter};
 
 /// Runs one router until it is drained or interrupted.
 #[derive(Debug, Options)]
@@ -24,7 +24,7 @@
         logs::start(&cfg.log_level, &cfg.log_format)?;
         let rt = tokio::runtime::Runtime::new().context("could not start the runtime")?;
         rt.block_on(async {
-            let running = Running::start(&cfg)?;
+            let running = RunningRouter::start(&cfg)?;
             // A script or a test that lets the system choose the ports reads them here.
             println!("callers {} peers {}", running.addr(), running.peer_addr());
             spdlog::info!("router {} serves on {}", cfg.name, running.addr());
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -38,7 +38,7 @@
 
 /// A router that runs in this process.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningRouter {
     peer_addr: SocketAddr,
     server: Server,
     follow: FollowTask,
@@ -52,7 +52,7 @@
     metrics: Arc<Metrics>,
 }
 
-impl Running {
+impl RunningRouter {
     /// Starts a router on the address from its settings.
     ///
     /// # Errors
--- a/tests/bookings.rs
+++ b/tests/bookings.rs
@@ -9,7 +9,7 @@
 use cranberrytally::{
     client::{Client, Failure},
     http::{Limits, Server},
-    serve::Running,
+    serve::RunningRouter,
     standin::{
         gate::{Gate, Mode},
         platform::{Faults as PlatformFaults, PlatformStandin},
@@ -26,7 +26,7 @@
     platform: Arc<PlatformStandin>,
     service: Arc<ServiceStandin>,
     gate: Gate,
-    routers: Vec<Running>,
+    routers: Vec<RunningRouter>,
     addrs: Vec<std::net::SocketAddr>,
     servers: Vec<Server>,
     client: Client,
@@ -55,7 +55,7 @@
             object("Service", "payments", "", calls(true)),
         ]);
         let routers = fixture::routers(ROUTERS, &store, 4).await;
-        let addrs = routers.iter().map(Running::addr).collect();
+        let addrs = routers.iter().map(RunningRouter::addr).collect();
         let servers = vec![backend, store];
         Self { platform, service, gate, routers, addrs, servers, client: Client::default() }
     }
@@ -157,7 +157,7 @@
     }
 
     fn close(self) {
-        self.routers.into_iter().for_each(Running::close);
+        self.routers.into_iter().for_each(RunningRouter::close);
         self.gate.close();
         self.servers.into_iter().for_each(Server::close);
     }
--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -10,7 +10,7 @@
 use cranberrytally::{
     client::Client,
     config::Settings,
-    serve::Running,
+    serve::RunningRouter,
     standin::outside::{Outside, Plan, WORKSPACES, loopback, settings},
 };
 use http::{HeaderMap, Request};
@@ -194,14 +194,14 @@
     }
 }
 
-fn router(outside: &Outside) -> Running {
+fn router(outside: &Outside) -> RunningRouter {
     let listener = loopback().unwrap();
     let peer: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let text = settings("router-0", listener.local_addr().unwrap(), peer, outside.platform_addr(), &[]);
-    Running::start_on(&Settings::parse(&text).unwrap(), listener).unwrap()
+    RunningRouter::start_on(&Settings::parse(&text).unwrap(), listener).unwrap()
 }
 
-async fn ready(router: &Running) {
+async fn ready(router: &RunningRouter) {
     let waiting = async {
         while !router.gateway().catalog().has_workspace(WORKSPACES[2]) {
             tokio::time::sleep(Duration::from_millis(10)).await;
--- a/tests/orders_given.rs
+++ b/tests/orders_given.rs
@@ -6,7 +6,7 @@
     catalog::AnyObject,
     config::Settings,
     objects::Platform,
-    serve::Running,
+    serve::RunningRouter,
     standin::{
         engine::{EngineStandin, Faults},
         outside::{Outside, Plan, loopback, settings},
@@ -16,12 +16,12 @@
 const TIMEOUT: Duration = Duration::from_secs(40);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-fn router(outside: &Outside, name: &str) -> Running {
+fn router(outside: &Outside, name: &str) -> RunningRouter {
     let listener = loopback().unwrap();
     let any = "127.0.0.1:0".parse().unwrap();
     let addr = listener.local_addr().unwrap();
     let text = settings(name, addr, any, outside.platform_addr(), &[]) + "orders: {loads_per_minute: 6000}\n";
-    Running::start_on(&Settings::parse(&text).unwrap(), listener).unwrap()
+    RunningRouter::start_on(&Settings::parse(&text).unwrap(), listener).unwrap()
 }
 
 /// Sets the desired models of the pool.
--- a/tests/place_links.rs
+++ b/tests/place_links.rs
@@ -10,7 +10,7 @@
     config::Settings,
     metrics::Counter,
     place::members::Member,
-    serve::Running,
+    serve::RunningRouter,
     standin::outside::{MODEL, Outside, Plan, WORKSPACES, loopback, settings},
 };
 use http::Request;
@@ -30,16 +30,16 @@
     tokio::time::timeout(READY_TIME, waiting).await.expect("not met in time");
 }
 
-fn router(i: usize, outside: &Outside) -> Running {
+fn router(i: usize, outside: &Outside) -> RunningRouter {
     let listener = loopback().unwrap();
     let addr = listener.local_addr().unwrap();
     let peer = "127.0.0.1:0".parse().unwrap();
     let text = settings(&format!("router-{i}"), addr, peer, outside.platform_addr(), &[]);
-    Running::start_on(&Settings::parse(&text).unwrap(), listener).unwrap()
+    RunningRouter::start_on(&Settings::parse(&text).unwrap(), listener).unwrap()
 }
 
-fn members(routers: &[Running]) -> Vec<Member> {
-    let member = |(i, r): (usize, &Running)| Member {
+fn members(routers: &[RunningRouter]) -> Vec<Member> {
+    let member = |(i, r): (usize, &RunningRouter)| Member {
         id: Id::of(&format!("router-{i}")),
         data_centre: "poa-a".into(),
         region: "poa".into(),
@@ -49,25 +49,29 @@
     routers.iter().enumerate().map(member).collect()
 }
 
-async fn start(count: usize, plan: Plan) -> (Outside, Vec<Running>) {
+async fn start(count: usize, plan: Plan) -> (Outside, Vec<RunningRouter>) {
     let outside = Outside::start(plan).await.unwrap();
     let routers: Vec<_> = (0..count).map(|i| router(i, &outside)).collect();
     until(|| routers.iter().all(|r| r.gateway().catalog().has_workspace(WORKSPACES[2]))).await;
     (outside, routers)
 }
 
-fn close(outside: Outside, routers: Vec<Running>) {
-    routers.into_iter().for_each(Running::close);
+fn close(outside: Outside, routers: Vec<RunningRouter>) {
+    routers.into_iter().for_each(RunningRouter::close);
     outside.close();
 }
 
 /// Number of requests that a router counts on the engines it owns.
-fn counted(router: &Running) -> u32 {
+fn counted(router: &RunningRouter) -> u32 {
     router.gateway().digests().iter().map(|(_, digest)| digest.running).sum()
 }
 
 /// Sends a chat; returns the status, the hint and the next router in the answer once it has ended.
-fn ask(router: &Running, chat: &str, hint: &str) -> impl Future<Output = (u16, String, String)> + use<> {
+fn ask(
+    router: &RunningRouter,
+    chat: &str,
+    hint: &str,
+) -> impl Future<Output = (u16, String, String)> + use<> {
     let content = "a long sentence that was said before ".repeat(400);
     let body = serde_json::json!({
         "model": MODEL, "stream": true, "messages": [{ "role": "user", "content": content }, { "role": "user", "content": "and now" }]
@@ -162,9 +166,9 @@
     let listener = loopback().unwrap();
     let peer = "127.0.0.1:0".parse().unwrap();
     let text = settings("router-1", listener.local_addr().unwrap(), peer, outside.platform_addr(), &seeds);
-    routers.push(Running::start_on(&Settings::parse(&text).unwrap(), listener).unwrap());
+    routers.push(RunningRouter::start_on(&Settings::parse(&text).unwrap(), listener).unwrap());
     until(|| routers[1].gateway().catalog().has_workspace(WORKSPACES[2])).await;
-    let first = async |from: &Running, chat: &str| {
+    let first = async |from: &RunningRouter, chat: &str| {
         let url =
             format!("http://{}/v1/entry?key={chat}&workspace={}&model={MODEL}", from.addr(), WORKSPACES[0]);
         let (_, answer) = Client::default().json(http::Method::GET, &url, None, READY_TIME).await.unwrap();
--- a/tests/refused.rs
+++ b/tests/refused.rs
@@ -13,17 +13,17 @@
     client::Client,
     config::Settings,
     metrics::Counter,
-    serve::Running,
+    serve::RunningRouter,
     standin::outside::{Outside, Plan, loopback, settings},
 };
 
 const READY_TIME: Duration = Duration::from_secs(20);
 
-async fn router(outside: &Outside) -> Running {
+async fn router(outside: &Outside) -> RunningRouter {
     let listener = loopback().unwrap();
     let peer: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let text = settings("router-0", listener.local_addr().unwrap(), peer, outside.platform_addr(), &[]);
-    let router = Running::start_on(&Settings::parse(&text).unwrap(), listener).unwrap();
+    let router = RunningRouter::start_on(&Settings::parse(&text).unwrap(), listener).unwrap();
     let waiting = async {
         while router.gateway().catalog().version == 0 {
             tokio::time::sleep(Duration::from_millis(10)).await;
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -16,7 +16,7 @@
     config::Settings,
     metrics::Counter,
     place::members::Member,
-    serve::Running,
+    serve::RunningRouter,
     standin::{
         engine::Faults,
         gate::Mode,
@@ -31,7 +31,7 @@
 
 struct Fleet {
     outside: Outside,
-    routers: Vec<Running>,
+    routers: Vec<RunningRouter>,
     client: Client,
     chats: AtomicU32,
 }
@@ -109,20 +109,20 @@
     }
 
     fn close(self) {
-        self.routers.into_iter().for_each(Running::close);
+        self.routers.into_iter().for_each(RunningRouter::close);
         self.outside.close();
     }
 }
 
-fn router(i: usize, outside: &Outside) -> Running {
+fn router(i: usize, outside: &Outside) -> RunningRouter {
     let listener = loopback().unwrap();
     let peer: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let addr = listener.local_addr().unwrap();
     let text = settings(&format!("router-{i}"), addr, peer, outside.platform_addr(), &[]);
-    Running::start_on(&Settings::parse(&text).unwrap(), listener).unwrap()
+    RunningRouter::start_on(&Settings::parse(&text).unwrap(), listener).unwrap()
 }
 
-fn member(i: usize, router: &Running) -> Member {
+fn member(i: usize, router: &RunningRouter) -> Member {
     Member {
         id: Id::of(&format!("router-{i}")),
         data_centre: "poa-a".into(),
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -5,7 +5,7 @@
 use cranberrytally::{
     client::Client,
     config::Settings,
-    serve::Running,
+    serve::RunningRouter,
     standin::{
         caller::Caller,
         outside::{Outside, Plan, WORKSPACES, settings},
@@ -21,11 +21,11 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn start(name: &str, platform: SocketAddr, seeds: &[SocketAddr]) -> Running {
+fn start(name: &str, platform: SocketAddr, seeds: &[SocketAddr]) -> RunningRouter {
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let text =
         settings(name, any, any, platform, seeds) + "drain: { answer_keep_ms: 1000, longest_ms: 20000 }\n";
-    Running::start(&Settings::parse(&text).unwrap()).unwrap()
+    RunningRouter::start(&Settings::parse(&text).unwrap()).unwrap()
 }
 
 /// Addresses in a router's entry answer.
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -11,7 +11,7 @@
     client::Client,
     http::{Limits, Server},
     metrics::Counter,
-    serve::Running,
+    serve::RunningRouter,
     standin::{
         engine::{EngineStandin, Faults},
         gate::Gate,
@@ -27,7 +27,7 @@
 struct Fleet {
     engine: Arc<EngineStandin>,
     gate: Gate,
-    routers: Vec<Running>,
+    routers: Vec<RunningRouter>,
     servers: Vec<Server>,
     client: Client,
 }
@@ -110,12 +110,12 @@
     }
 
     fn count(&self, event: &str) -> u64 {
-        let total = |r: &Running| r.metrics().totals(Counter::Streams).get(event).copied().unwrap_or(0);
+        let total = |r: &RunningRouter| r.metrics().totals(Counter::Streams).get(event).copied().unwrap_or(0);
         self.routers.iter().map(total).sum()
     }
 
     fn close(self) {
-        self.routers.into_iter().for_each(Running::close);
+        self.routers.into_iter().for_each(RunningRouter::close);
         self.gate.close();
         self.servers.into_iter().for_each(Server::close);
     }
