--- a/examples/tables.rs
+++ b/examples/tables.rs
@@ -19,7 +19,7 @@
     }
     println!();
     for counter in Counter::ALL {
-        let shown = counter.shown();
-        println!("| `{}_total` | `{}` | {} |", shown.name, shown.label, shown.about);
+        let spec = counter.spec();
+        println!("| `{}_total` | `{}` | {} |", spec.name, spec.label, spec.description);
     }
 }
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -212,7 +212,7 @@
         Counter::Claims,
     ] {
         for (value, n) in sum(routers, counter) {
-            row(&format!("{} {value}", counter.shown().name), n.to_string());
+            row(&format!("{} {value}", counter.spec().name), n.to_string());
         }
     }
     let control: u64 = sum(routers, Counter::ControlBytes).values().sum();
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs by spdlog-rs: levels, text or JSON lines on stderr.
+//! Logging with spdlog-rs: text or JSON lines with levels on stderr.
 
 pub mod explain;
 pub mod lines;
@@ -13,15 +13,15 @@
     terminal_style::StyleMode,
 };
 
-/// Sets the process's logger up.
+/// Sets up the process's default logger.
 ///
 /// # Errors
-/// When the level is unknown or the logger can't be built.
+/// If the level is unknown or the logger can't be built.
 pub(crate) fn start(level: &str, format: &str) -> Result<()> {
     let filter = match level {
         "off" => LevelFilter::Off,
         word => {
-            let level = word.parse().map_err(|_| anyhow!("could not read the log level {word:?}"))?;
+            let level = word.parse().map_err(|_| anyhow!("unknown log level {word:?}"))?;
             LevelFilter::MoreSevereEqual(level)
         }
     };
--- a/src/logs/lines.rs
+++ b/src/logs/lines.rs
@@ -1,7 +1,7 @@
-//! Structured log lines: one JSON object a line on standard output, within a budget, never blocking.
+//! Structured log on standard output: one JSON object per line, rate limited and non-blocking.
 //!
-//! Lines go through a bounded queue to a thread of their own. A reader that stops reading fills the queue; what does
-//! not fit is dropped and counted, and a line says how many were dropped once there is room again.
+//! Lines pass through a bounded queue to a writer thread. If the reader of the output stalls, the queue fills up;
+//! further lines are dropped and counted, and once there is room again a line reports the number of dropped lines.
 
 use std::{
     fmt::Write as _,
@@ -18,25 +18,25 @@
     util::{lock, now, wall_ms},
 };
 
-/// Lines that wait for the output; about 300 bytes each.
-const QUEUE: usize = 2_048;
-/// Bytes a second that routine lines may take unless the settings say otherwise.
+/// Maximum number of queued lines, of about 300 bytes each.
+const QUEUE_LINES: usize = 2_048;
+/// Default budget for log output in bytes per second.
 pub const DEFAULT_BYTES_PER_SECOND: u32 = 64 << 10;
-/// Part of the budget that only refusals, failures and changes of belief may use.
-const RESERVE: f64 = 0.5;
-/// Stack of the thread that writes, in bytes: it only copies lines to a descriptor.
-const STACK: usize = 64 << 10;
+/// Share of the budget that is reserved for lines of high priority.
+const RESERVED_SHARE: f64 = 0.5;
+/// Stack size of the writer thread; it is small because the thread only copies lines to a file descriptor.
+const STACK_BYTES: usize = 64 << 10;
 
-/// How long a line is kept when the budget runs out.
+/// Priority of a line, which decides whether it may use the reserved share of the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Weight {
-    /// A request that went well.
+    /// A successful request.
     Routine,
-    /// A refusal, a failure, or a change of what the process believes.
+    /// A refusal, a failure or a change of the process's state.
     Notable,
 }
 
-/// A log line that is being put together.
+/// Builder of a log line.
 #[derive(Debug)]
 pub struct Line(String);
 
@@ -72,33 +72,33 @@
         self.0.push(':');
     }
 
-    /// Adds a text.
+    /// Adds a string.
     pub fn text(mut self, key: &str, value: &str) -> Self {
         self.key(key);
         self.quote(value);
         self
     }
 
-    /// Adds a whole number.
+    /// Adds an integer.
     pub fn number(mut self, key: &str, value: impl Into<u64>) -> Self {
         self.key(key);
         let _ = write!(self.0, "{}", value.into());
         self
     }
 
-    /// Adds a number to two places.
+    /// Adds a number with two decimal places.
     pub fn decimal(mut self, key: &str, value: f64) -> Self {
         self.key(key);
         let _ = write!(self.0, "{value:.2}");
         self
     }
 
-    /// Adds a span in whole milliseconds.
+    /// Adds a duration in whole milliseconds.
     pub fn ms(self, key: &str, value: Duration) -> Self {
         self.number(key, value.as_millis() as u64)
     }
 
-    /// Adds a yes or no.
+    /// Adds a Boolean.
     pub fn flag(mut self, key: &str, value: bool) -> Self {
         self.key(key);
         self.0.push_str(if value { "true" } else { "false" });
@@ -116,51 +116,56 @@
 static OUTPUT: OnceLock<Output> = OnceLock::new();
 static HOST: OnceLock<String> = OnceLock::new();
 
-/// Names this host in every line from now on.
-pub fn name_host(name: &str) {
+/// Sets the host name that every later line contains; only the first call takes effect.
+pub fn set_host(name: &str) {
     let _ = HOST.set(name.to_owned());
 }
 
-/// Starts the output to `out` with a budget in bytes a second; a second call changes nothing.
+/// Starts logging to `out` with a budget in bytes per second; only the first call takes effect.
 pub fn start(out: impl std::io::Write + Send + 'static, bytes_per_second: u32) -> anyhow::Result<()> {
-    let (tx, rx) = sync_channel(QUEUE);
+    let (tx, rx) = sync_channel(QUEUE_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
-    let lost = dropped.clone();
+    let dropped_lines = dropped.clone();
     std::thread::Builder::new()
         .name("log".into())
-        .stack_size(STACK)
-        .spawn(move || write_all(out, &rx, &lost))?;
+        .stack_size(STACK_BYTES)
+        .spawn(move || write_lines(out, &rx, &dropped_lines))?;
     let bucket = |part: f64| {
         let rate = f64::from(bytes_per_second) * part;
         Mutex::new(TokenBucket::new(rate, rate))
     };
-    let _ = OUTPUT.set(Output { tx, budget: bucket(1.0 - RESERVE), reserve: bucket(RESERVE), dropped });
+    let _ = OUTPUT.set(Output {
+        tx,
+        budget: bucket(1.0 - RESERVED_SHARE),
+        reserve: bucket(RESERVED_SHARE),
+        dropped,
+    });
     Ok(())
 }
 
-fn write_all(mut out: impl std::io::Write, rx: &Receiver<String>, dropped: &AtomicU64) {
+fn write_lines(mut out: impl std::io::Write, rx: &Receiver<String>, dropped: &AtomicU64) {
     while let Ok(mut batch) = rx.recv() {
         batch.push('\n');
         while let Ok(line) = rx.try_recv() {
             batch.push_str(&line);
             batch.push('\n');
         }
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            batch.push_str(&Line::new("lines_dropped").number("lines", lost).0);
+        let dropped_lines = dropped.swap(0, Ordering::Relaxed);
+        if dropped_lines > 0 {
+            batch.push_str(&Line::new("lines_dropped").number("lines", dropped_lines).0);
             batch.push_str("}\n");
         }
-        // Nobody reads the output any more; requests go on without it.
+        // The reader of the output is gone. Stop logging; requests are served without it.
         if out.write_all(batch.as_bytes()).and_then(|()| out.flush()).is_err() {
             return;
         }
     }
 }
 
-/// Writes a line, if the output is started and the budget holds it.
-pub fn line(weight: Weight, event: &str, fill: impl FnOnce(Line) -> Line) {
+/// Logs a line. It is ignored before [`start`] and dropped if it exceeds the budget or the queue is full.
+pub fn line(weight: Weight, event: &str, build: impl FnOnce(Line) -> Line) {
     let Some(output) = OUTPUT.get() else { return };
-    let mut text = fill(Line::new(event)).0;
+    let mut text = build(Line::new(event)).0;
     text.push('}');
     let size = text.len() as f64;
     let now = now();
@@ -171,10 +176,10 @@
     }
 }
 
-/// Starts the output to standard output, with a budget in bytes a second.
+/// Starts logging to standard output with a budget in bytes per second.
 ///
 /// # Errors
-/// When the thread that writes can't be started.
+/// If the writer thread can't be started.
 pub fn start_stdout(bytes_per_second: u32) -> anyhow::Result<()> {
     start(std::io::stdout(), bytes_per_second)
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,13 +1,13 @@
-//! Counters by opentelemetry, shown in the Prometheus text format.
+//! Metrics with OpenTelemetry, exported in the Prometheus text format.
 //!
-//! Every counter stands in one table with its label; docs/METRICS.md shows the same table.
+//! The names, labels and descriptions of all counters are in one table, which docs/METRICS.md repeats.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use anyhow::{Context, Result};
 use opentelemetry::{
     KeyValue,
-    metrics::{Counter as Instrument, Gauge as Level, Histogram, MeterProvider},
+    metrics::{Counter as CounterInstrument, Gauge as GaugeInstrument, Histogram, MeterProvider},
 };
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
@@ -15,9 +15,9 @@
 /// A counter of the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Counter {
-    /// Requests by what became of them.
+    /// Requests by outcome.
     Requests,
-    /// Refusals and failures by the code of their kind.
+    /// Refusals and failures by error code.
     Refusals,
     /// Retries by reason.
     Retries,
@@ -37,32 +37,32 @@
     ControlBytes,
     /// Orders to engines by result.
     Orders,
-    /// Requests of callers on the platform by what became of them.
+    /// Requests of callers on the platform by outcome.
     RelayRequests,
-    /// Refusals and failures on the platform by the code of their kind.
+    /// Refusals and failures on the platform by error code.
     RelayRefusals,
-    /// Failed attempts at backend servers that were followed by another one, by failure.
+    /// Failed attempts at backend servers that were retried, by failure.
     RelayRetries,
-    /// Failed attempts that were not, by reason.
+    /// Failed attempts at backend servers that were not retried, by reason.
     RelayStops,
-    /// Placements by why the server was chosen.
+    /// Placements by reason for the choice of the server.
     RelayPlacements,
-    /// Breaks of streams by what followed.
+    /// Interrupted streams by what followed.
     RelayStreams,
-    /// Calls to the store by what they ask for.
+    /// Calls to the store by kind of call.
     RelayStoreCalls,
     /// Datagrams from other hosts that were dropped, by reason.
     RelayDatagrams,
-    /// Epochs of the store that are not the one known, by what they mean.
+    /// Responses of the store with an epoch other than the known one, by the conclusion drawn.
     RelayEpochs,
-    /// What backend servers said of themselves in answers.
+    /// Notices of backend servers about themselves in answers, by kind.
     RelayTold,
 }
 
-/// A value of the relay that goes up and down.
+/// A gauge of the relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Gauge {
-    /// Time since all changes of what is followed at the store were known.
+    /// Time since the data followed at the store was last confirmed to be complete.
     RelayUnconfirmed,
 }
 
@@ -70,13 +70,13 @@
     /// Every gauge.
     pub const ALL: [Gauge; 1] = [Gauge::RelayUnconfirmed];
 
-    /// The table of gauges.
-    pub fn shown(self) -> Shown {
+    /// Returns the name, label and description; this is the table of gauges.
+    pub fn spec(self) -> MetricSpec {
         match self {
-            Gauge::RelayUnconfirmed => Shown {
+            Gauge::RelayUnconfirmed => MetricSpec {
                 name: "relay_unconfirmed_seconds",
                 label: "kind",
-                about: "time since what is known was confirmed to be the newest",
+                description: "time since what is known was confirmed to be the newest",
             },
         }
     }
@@ -85,9 +85,9 @@
 /// A latency histogram of the relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Latency {
-    /// From a request's arrival to its first event.
+    /// From the arrival of a request to its first event.
     FirstEvent,
-    /// From a request's arrival to the end of its answer.
+    /// From the arrival of a request to the end of its answer.
     WholeAnswer,
     /// From the start of an attempt to the head of the backend server's answer.
     Attempt,
@@ -97,9 +97,10 @@
     /// Every histogram.
     pub const ALL: [Latency; 3] = [Latency::FirstEvent, Latency::WholeAnswer, Latency::Attempt];
 
-    /// The table of histograms; the label is the route's kind with the outcome.
-    pub fn shown(self) -> Shown {
-        let row = |name, about| Shown { name, label: "kind", about };
+    /// Returns the name, label and description; this is the table of histograms. The label value combines the kind of
+    /// route with the outcome.
+    pub fn spec(self) -> MetricSpec {
+        let row = |name, description| MetricSpec { name, label: "kind", description };
         match self {
             Latency::FirstEvent => row("relay_first_event_seconds", "arrival to first event, by kind"),
             Latency::WholeAnswer => {
@@ -112,19 +113,19 @@
     }
 }
 
-/// Upper bounds of the histograms' buckets, in seconds: around the objectives of 0.15 to 0.6 s and up to the longest
-/// deadlines.
-const BOUNDS: [f64; 12] = [0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 5.0, 15.0];
+/// Upper bounds of the histogram buckets in seconds. They are dense around the latency objectives of 0.15 to 0.6 s and
+/// extend to the longest deadlines.
+const BUCKET_BOUNDS_S: [f64; 12] = [0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 5.0, 15.0];
 
-/// How a counter is shown.
+/// Description of a metric.
 #[derive(Clone, Copy, Debug)]
-pub struct Shown {
+pub struct MetricSpec {
     /// Name, without the `_total` that the exporter adds.
     pub name: &'static str,
     /// Name of its label.
     pub label: &'static str,
-    /// What it counts.
-    pub about: &'static str,
+    /// Help text.
+    pub description: &'static str,
 }
 
 impl Counter {
@@ -153,9 +154,9 @@
         Counter::RelayTold,
     ];
 
-    /// The table of counters.
-    pub fn shown(self) -> Shown {
-        let row = |name, label, about| Shown { name, label, about };
+    /// Returns the name, label and description; this is the table of counters.
+    pub fn spec(self) -> MetricSpec {
+        let row = |name, label, description| MetricSpec { name, label, description };
         match self {
             Counter::Requests => row("requests", "outcome", "requests by what became of them"),
             Counter::Refusals => row("refusals", "reason", "refusals and failures by error code"),
@@ -202,21 +203,21 @@
     }
 }
 
-/// The counters of one router.
+/// The metrics of one router.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     provider: SdkMeterProvider,
-    instruments: Vec<Instrument<u64>>,
+    counters: Vec<CounterInstrument<u64>>,
     latencies: Vec<Histogram<f64>>,
-    levels: Vec<Level<f64>>,
+    gauges: Vec<GaugeInstrument<f64>>,
 }
 
 impl Metrics {
-    /// Creates the counters.
+    /// Creates all metrics.
     ///
     /// # Errors
-    /// When the exporter can't be registered.
+    /// If the exporter can't be built.
     pub fn new() -> Result<Self> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -226,57 +227,62 @@
             .context("could not build the exporter")?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("cranberrytally");
-        let build = |c: &Counter| meter.u64_counter(c.shown().name).with_description(c.shown().about).build();
-        let instruments = Counter::ALL.iter().map(build).collect();
+        let counter =
+            |c: &Counter| meter.u64_counter(c.spec().name).with_description(c.spec().description).build();
+        let counters = Counter::ALL.iter().map(counter).collect();
         let histogram = |l: &Latency| {
-            let Shown { name, about, .. } = l.shown();
-            meter.f64_histogram(name).with_description(about).with_boundaries(BOUNDS.to_vec()).build()
+            let MetricSpec { name, description, .. } = l.spec();
+            meter
+                .f64_histogram(name)
+                .with_description(description)
+                .with_boundaries(BUCKET_BOUNDS_S.to_vec())
+                .build()
         };
         let latencies = Latency::ALL.iter().map(histogram).collect();
-        let level = |g: &Gauge| meter.f64_gauge(g.shown().name).with_description(g.shown().about).build();
-        let levels = Gauge::ALL.iter().map(level).collect();
-        Ok(Self { registry, provider, instruments, latencies, levels })
+        let gauge = |g: &Gauge| meter.f64_gauge(g.spec().name).with_description(g.spec().description).build();
+        let gauges = Gauge::ALL.iter().map(gauge).collect();
+        Ok(Self { registry, provider, counters, latencies, gauges })
     }
 
-    /// Adds `n` to a counter under a label's value.
+    /// Adds `n` to a counter for the label value `value`.
     pub fn add(&self, counter: Counter, value: &'static str, n: u64) {
-        self.instruments[counter as usize].add(n, &[KeyValue::new(counter.shown().label, value)]);
+        self.counters[counter as usize].add(n, &[KeyValue::new(counter.spec().label, value)]);
     }
 
-    /// Records a latency under a label's value.
+    /// Records a latency for the label value `value`.
     pub fn record(&self, latency: Latency, value: &'static str, took: Duration) {
-        let label = KeyValue::new(latency.shown().label, value);
+        let label = KeyValue::new(latency.spec().label, value);
         self.latencies[latency as usize].record(took.as_secs_f64(), &[label]);
     }
 
-    /// Sets a gauge under a label's value.
+    /// Sets a gauge for the label value `value`.
     pub fn set(&self, gauge: Gauge, value: &'static str, to: f64) {
-        self.levels[gauge as usize].record(to, &[KeyValue::new(gauge.shown().label, value)]);
+        self.gauges[gauge as usize].record(to, &[KeyValue::new(gauge.spec().label, value)]);
     }
 
-    /// Counts a request by what became of it.
+    /// Counts a request by outcome.
     pub fn request(&self, outcome: &'static str) {
         self.add(Counter::Requests, outcome, 1);
     }
 
-    /// Counts a refusal by its reason.
+    /// Counts a refusal by reason.
     pub fn refuse(&self, reason: &'static str) {
         self.add(Counter::Refusals, reason, 1);
     }
 
-    /// Counts a retry by its reason.
+    /// Counts a retry by reason.
     pub fn retry(&self, reason: &'static str) {
         self.add(Counter::Retries, reason, 1);
     }
 
-    /// Totals of a counter by label value.
+    /// Returns the totals of a counter by label value.
     pub fn totals(&self, counter: Counter) -> BTreeMap<String, u64> {
-        let shown = counter.shown();
-        let wanted = format!("{}_total", shown.name);
+        let spec = counter.spec();
+        let name_with_suffix = format!("{}_total", spec.name);
         let mut totals = BTreeMap::new();
-        for family in self.registry.gather().iter().filter(|f| f.name() == wanted) {
+        for family in self.registry.gather().iter().filter(|f| f.name() == name_with_suffix) {
             for metric in family.get_metric() {
-                let value = metric.get_label().iter().find(|l| l.name() == shown.label);
+                let value = metric.get_label().iter().find(|l| l.name() == spec.label);
                 let value = value.map(|l| l.value().to_owned()).unwrap_or_default();
                 totals.insert(value, metric.get_counter().get_value() as u64);
             }
@@ -284,15 +290,15 @@
         totals
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// When the encoder fails.
+    /// If the encoding fails.
     pub fn text(&self) -> Result<String> {
         TextEncoder::new().encode_to_string(&self.registry.gather()).context("could not encode the metrics")
     }
 
-    /// Stops the meters.
+    /// Shuts down the metrics provider.
     pub fn close(self) {
         let _ = self.provider.shutdown();
     }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -51,7 +51,7 @@
     let signals = Signals::listen()?;
     let settings = Settings::load(path)?;
     lines::start_stdout(lines::DEFAULT_BYTES_PER_SECOND)?;
-    lines::name_host(&settings.name);
+    lines::set_host(&settings.name);
     line(Weight::Notable, "start", |l| {
         let l = l.text("version", env!("CARGO_PKG_VERSION"));
         l.text("data_centre", &settings.data_centre).text("callers", &settings.callers.to_string())
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -28,8 +28,8 @@
     let text = page("docs/METRICS.md");
 
     for counter in Counter::ALL {
-        let shown = counter.shown();
-        let row = format!("| `{}_total` | `{}` | {} |", shown.name, shown.label, shown.about);
+        let spec = counter.spec();
+        let row = format!("| `{}_total` | `{}` | {} |", spec.name, spec.label, spec.description);
         assert!(text.contains(&row), "docs/METRICS.md lacks this row:\n{row}");
     }
 }
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -44,7 +44,7 @@
 async fn the_lines_of_a_host_explain_three_kinds_of_failure() {
     let output = Shared::default();
     lines::start(output.clone(), 1 << 20).unwrap();
-    lines::name_host("host-1");
+    lines::set_host("host-1");
     let full = Server::start("i-full", [Act::Write(not_run())]).await;
     let begun = stream_head() + &chunk(&event(1)) + &chunk(&event(2));
     let cut = Server::start("i-cut", [Act::WriteAndReset(begun)]).await;
--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -81,7 +81,7 @@
         (Counter::RelayEpochs, names(&EpochCheck::COUNTED, |h| h.as_str())),
     ];
     for (counter, expected) in values {
-        let heading = format!("\n### `{}_total`", counter.shown().name);
+        let heading = format!("\n### `{}_total`", counter.spec().name);
 
         assert_eq!(documented(&text, &heading), expected, "{heading}");
     }
@@ -92,8 +92,8 @@
     let text = page("docs/METRICS.md");
 
     for latency in Latency::ALL {
-        let shown = latency.shown();
-        let row = format!("| `{}` | `{}` | {} |", shown.name, shown.label, shown.about);
+        let spec = latency.spec();
+        let row = format!("| `{}` | `{}` | {} |", spec.name, spec.label, spec.description);
         assert!(text.contains(&row), "docs/METRICS.md lacks this row:\n{row}");
     }
 }
@@ -103,8 +103,8 @@
     let text = page("docs/METRICS.md");
 
     for gauge in Gauge::ALL {
-        let shown = gauge.shown();
-        let row = format!("| `{}` | `{}` | {} |", shown.name, shown.label, shown.about);
+        let spec = gauge.spec();
+        let row = format!("| `{}` | `{}` | {} |", spec.name, spec.label, spec.description);
         assert!(text.contains(&row), "docs/METRICS.md lacks this row:\n{row}");
     }
 }
--- a/tests/operators_page.rs
+++ b/tests/operators_page.rs
@@ -36,7 +36,7 @@
 }
 
 fn total(counter: Counter) -> String {
-    format!("{}_total", counter.shown().name)
+    format!("{}_total", counter.spec().name)
 }
 
 /// Literals of one word that a match arm gives or a call passes on.
