--- a/benches/relay.rs
+++ b/benches/relay.rs
@@ -6,7 +6,7 @@
 };
 
 use cranberrytally::{
-    logs::lines::{self, Weight, line},
+    logs::lines::{self, Level, line},
     relay::{
         admission::{Admission, AdmissionRequest, ServiceLoad},
         backends::Backends,
@@ -121,7 +121,7 @@
 }
 
 fn write_line(n: u64) {
-    line(Weight::Routine, "sent", |l| {
+    line(Level::Routine, "sent", |l| {
         let l = l.text("request", "9c41d07be2a35f68").text("route", "r-5hsvxxt");
         let l = l
             .text("backend", "i-458d646f59")
--- a/src/logs/lines.rs
+++ b/src/logs/lines.rs
@@ -22,14 +22,14 @@
 const QUEUE_LINES: usize = 2_048;
 /// Default budget for log output in bytes per second.
 pub const DEFAULT_BYTES_PER_SECOND: u32 = 64 << 10;
-/// Share of the budget that is reserved for lines of high priority.
+/// Share of the budget that is reserved for notable lines.
 const RESERVED_SHARE: f64 = 0.5;
 /// Stack size of the writer thread; it is small because the thread only copies lines to a file descriptor.
 const STACK_BYTES: usize = 64 << 10;
 
-/// Priority of a line, which decides whether it may use the reserved share of the budget.
+/// Level of a line, which decides whether it may use the reserved share of the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Weight {
+pub enum Level {
     /// A successful request.
     Routine,
     /// A refusal, a failure or a change of the process's state.
@@ -163,14 +163,14 @@
 }
 
 /// Logs a line. It is ignored before [`start`] and dropped if it exceeds the budget or the queue is full.
-pub fn line(weight: Weight, event: &str, build: impl FnOnce(Line) -> Line) {
+pub fn line(level: Level, event: &str, build: impl FnOnce(Line) -> Line) {
     let Some(output) = OUTPUT.get() else { return };
     let mut text = build(Line::new(event)).0;
     text.push('}');
     let size = text.len() as f64;
     let now = now();
     let fits = lock(&output.budget).take_many(now, size)
-        || (weight == Weight::Notable && lock(&output.reserve).take_many(now, size));
+        || (level == Level::Notable && lock(&output.reserve).take_many(now, size));
     if !fits || output.tx.try_send(text).is_err() {
         output.dropped.fetch_add(1, Ordering::Relaxed);
     }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -16,7 +16,7 @@
 };
 
 use crate::{
-    logs::lines::{self, Weight, line},
+    logs::lines::{self, Level, line},
     relay::{Relay, follow, inbound, mesh},
 };
 
@@ -52,7 +52,7 @@
     let settings = Settings::load(path)?;
     lines::start_stdout(lines::DEFAULT_BYTES_PER_SECOND)?;
     lines::set_host(&settings.name);
-    line(Weight::Notable, "start", |l| {
+    line(Level::Notable, "start", |l| {
         let l = l.text("version", env!("CARGO_PKG_VERSION"));
         l.text("data_centre", &settings.data_centre).text("callers", &settings.callers.to_string())
     });
@@ -127,7 +127,7 @@
         }
     };
     let all_closed = tokio::time::timeout(CONNECTION_CLOSE_TIMEOUT, closed).await.is_ok();
-    line(Weight::Notable, "stop", |l| l.flag("all_closed", all_closed));
+    line(Level::Notable, "stop", |l| l.flag("all_closed", all_closed));
     // Gives the log writer's thread time to write the last lines.
     tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     Ok(())
@@ -136,8 +136,8 @@
 /// Reads the settings again and logs whether they changed. Only the seeds may change at run time, and peers report those too.
 fn reload(old: &Settings, path: &Path) {
     match Settings::load(path) {
-        Ok(new) => line(Weight::Notable, "reload", |l| l.flag("changed", new != *old)),
-        Err(e) => line(Weight::Notable, "reload_failed", |l| l.text("why", &format!("{e:#}"))),
+        Ok(new) => line(Level::Notable, "reload", |l| l.flag("changed", new != *old)),
+        Err(e) => line(Level::Notable, "reload_failed", |l| l.text("why", &format!("{e:#}"))),
     }
 }
 
@@ -198,7 +198,7 @@
     match relay.metrics().text() {
         Ok(text) => Response::new(Full::new(text.into())),
         Err(e) => {
-            line(Weight::Notable, "metrics_failed", |l| l.text("why", &format!("{e:#}")));
+            line(Level::Notable, "metrics_failed", |l| l.text("why", &format!("{e:#}")));
             status(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -24,7 +24,7 @@
 use tokio::sync::{Notify, watch};
 
 use crate::{
-    logs::lines::{Line, Weight, line},
+    logs::lines::{Level, Line, line},
     metrics::Metrics,
     schema::fleet::{Held, Member},
     util::{Instant, lock, now, wall_ms},
@@ -318,12 +318,12 @@
     /// Logs an event of a request.
     pub(crate) fn log_request(
         &self,
-        weight: Weight,
+        level: Level,
         event: &str,
         req: &Request,
         add_fields: impl FnOnce(Line) -> Line,
     ) {
-        line(weight, event, |l| add_fields(l.text("request", &req.id).text("route", &req.route.route.name)));
+        line(level, event, |l| add_fields(l.text("request", &req.id).text("route", &req.route.route.name)));
     }
 
     /// Whether a request is refused because its content crashes servers.
--- a/src/relay/follow.rs
+++ b/src/relay/follow.rs
@@ -27,7 +27,7 @@
     revision::{Epoch, Revision},
 };
 use crate::{
-    logs::lines::{Weight, line},
+    logs::lines::{Level, line},
     schema::fleet::{Backend, Backends, Configuration},
     util::{Instant, now, wall_ms},
 };
@@ -188,7 +188,7 @@
                 }
             }
             Err(StoreError::HistoryGone) => {
-                line(Weight::Notable, "history_gone", |l| l.text("kind", "configuration"));
+                line(Level::Notable, "history_gone", |l| l.text("kind", "configuration"));
                 after = None;
             }
             Err(StoreError::Restored { .. } | StoreError::WatchStalled) => after = None,
@@ -245,7 +245,7 @@
                 }
             }
             Err(StoreError::HistoryGone) => {
-                line(Weight::Notable, "history_gone", |l| l.text("kind", "backends"));
+                line(Level::Notable, "history_gone", |l| l.text("kind", "backends"));
                 needs_list = true;
             }
             Err(StoreError::Restored { .. } | StoreError::WatchStalled) => needs_list = true,
@@ -342,7 +342,7 @@
         state.backends_listed = true;
         let (received, known) = (update.revision(), state.backends.revision());
         if received < known {
-            line(Weight::Notable, "older_ignored", |l| {
+            line(Level::Notable, "older_ignored", |l| {
                 let l = l.text("kind", "backends").text("from", from);
                 let l = l.number("told", received.number).number("told_epoch", received.epoch);
                 l.number("known", known.number).number("known_epoch", known.epoch)
@@ -373,7 +373,7 @@
     let now = now();
     let (away, grace) = retry.record_answer(now);
     if let Some(away) = away {
-        line(Weight::Notable, "store_back", |l| l.text("kind", retry.topic()).ms("away_ms", away));
+        line(Level::Notable, "store_back", |l| l.text("kind", retry.topic()).ms("away_ms", away));
     }
     grace
 }
@@ -382,7 +382,7 @@
 async fn back_off(retry: &mut StoreRetry, e: &StoreError) {
     let failure = retry.record_failure(now(), *e == StoreError::TimedOut, &mut rand::rng());
     if failure.first {
-        line(Weight::Notable, "store_lost", |l| l.text("kind", retry.topic()).text("why", &format!("{e:?}")));
+        line(Level::Notable, "store_lost", |l| l.text("kind", retry.topic()).text("why", &format!("{e:?}")));
     }
     tokio::time::sleep(failure.wait).await;
 }
--- a/src/relay/follow/call.rs
+++ b/src/relay/follow/call.rs
@@ -4,7 +4,7 @@
 
 use super::StoreError;
 use crate::{
-    logs::lines::{Weight, line},
+    logs::lines::{Level, line},
     metrics::Counter,
     relay::{
         Relay, Wire,
@@ -164,7 +164,7 @@
         if let Some(topic) = watched_topic {
             self.state().confirmations.record_watch(topic, None);
         }
-        line(Weight::Routine, "store_called", |l| {
+        line(Level::Routine, "store_called", |l| {
             let l = l.text("call", call_kind.as_str()).flag("answered", answer.is_ok());
             let l = if let Some(after) = after { updates::with_revision(l, after) } else { l };
             l.ms("after_ms", now().saturating_sub(begun))
--- a/src/relay/follow/confirm.rs
+++ b/src/relay/follow/confirm.rs
@@ -4,7 +4,7 @@
 
 use super::{BackendsUpdate, Call, Store, StoreCall, StoreError};
 use crate::{
-    logs::lines::{Weight, line},
+    logs::lines::{Level, line},
     relay::{
         Relay, Wire,
         confirm::Topic,
@@ -35,7 +35,7 @@
         match check_store(&relay, &mut store).await {
             Ok(()) => relay.beat_due.notify_one(),
             Err(e) => {
-                line(Weight::Notable, "confirm_failed", |l| l.text("why", &format!("{e:?}")));
+                line(Level::Notable, "confirm_failed", |l| l.text("why", &format!("{e:?}")));
                 tokio::time::sleep(POLL_INTERVAL.0).await;
             }
         }
@@ -183,7 +183,7 @@
         if !self.state().confirmations.is_watch_behind(topic, changed) {
             return;
         }
-        line(Weight::Notable, "watch_deaf", |l| {
+        line(Level::Notable, "watch_deaf", |l| {
             l.text("kind", topic.as_str()).number("changed", changed.number)
         });
         self.cancel_watch[topic as usize].notify_waiters();
--- a/src/relay/follow/evacuations.rs
+++ b/src/relay/follow/evacuations.rs
@@ -10,7 +10,7 @@
     start::wait_for_gossip, wait_until_follower,
 };
 use crate::{
-    logs::lines::{Weight, line},
+    logs::lines::{Level, line},
     relay::{Relay, Wire, confirm::Topic, contact::StoreRetry},
     util::now,
 };
@@ -59,7 +59,7 @@
                 }
             }
             Err(StoreError::HistoryGone) => {
-                line(Weight::Notable, "history_gone", |l| l.text("kind", "evacuations"));
+                line(Level::Notable, "history_gone", |l| l.text("kind", "evacuations"));
                 needs_list = true;
             }
             Err(StoreError::Restored { .. } | StoreError::WatchStalled) => needs_list = true,
--- a/src/relay/follow/hosts.rs
+++ b/src/relay/follow/hosts.rs
@@ -6,7 +6,7 @@
 
 use super::{Store, StoreCall, StoreError};
 use crate::{
-    logs::lines::{Weight, line},
+    logs::lines::{Level, line},
     relay::{Relay, Wire},
     schema::fleet::Member,
 };
@@ -57,5 +57,5 @@
 }
 
 pub(super) fn log_hosts_failure(e: &StoreError) {
-    line(Weight::Notable, "hosts_failed", |l| l.text("why", &format!("{e:?}")));
+    line(Level::Notable, "hosts_failed", |l| l.text("why", &format!("{e:?}")));
 }
--- a/src/relay/heartbeat.rs
+++ b/src/relay/heartbeat.rs
@@ -10,7 +10,7 @@
     peers::{LocalVersions, Scope},
 };
 use crate::{
-    logs::lines::{Weight, line},
+    logs::lines::{Level, line},
     schema::fleet::{Beat, Evacuations, Held, InProgress, Start},
     util::{Instant, now},
 };
@@ -109,7 +109,7 @@
             self.on_evacuation_changes(&mut state, &changes, &from.to_string());
         }
         if heard.joined {
-            line(Weight::Notable, "peer", |l| {
+            line(Level::Notable, "peer", |l| {
                 let l = l.text("peer", &from.to_string()).text("change", "heard");
                 l.flag("ready", beat.ready).number("hosts", hosts as u64)
             });
--- a/src/relay/inbound.rs
+++ b/src/relay/inbound.rs
@@ -22,7 +22,7 @@
 };
 use crate::{
     error::{ErrorKind, Ran},
-    logs::lines::{Weight, line},
+    logs::lines::{Level, line},
     metrics::Counter,
     schema::fleet::CallerLimits,
     util::now,
@@ -86,7 +86,7 @@
         match listener.accept().await {
             Ok((stream, from)) => serve(stream, from),
             Err(e) => {
-                line(Weight::Notable, "accept_failed", |l| {
+                line(Level::Notable, "accept_failed", |l| {
                     l.text("of", peer_kind).text("why", &e.to_string())
                 });
                 tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
@@ -149,7 +149,7 @@
             run::run(relay.clone(), req).await
         }
         Err((id, kind)) => {
-            line(Weight::Notable, "refused", |l| {
+            line(Level::Notable, "refused", |l| {
                 let l = l.text("request", &id).text("kind", kind.answer().code);
                 let l = l.number("version", relay.routes().map_or(0, |r| r.version()));
                 l.ms("confirmed_ms", relay.configuration_age())
--- a/src/relay/mesh.rs
+++ b/src/relay/mesh.rs
@@ -21,7 +21,7 @@
     revision::Revision,
 };
 use crate::{
-    logs::lines::{Weight, line},
+    logs::lines::{Level, line},
     metrics::Counter,
     schema::fleet::{BackendChanges, Beat, Fetch, Fetched},
     util::{now, wall_ms},
@@ -113,7 +113,7 @@
 
 fn encode(beat: &Beat) -> Vec<u8> {
     datagram::encode(beat).unwrap_or_else(|e| {
-        line(Weight::Notable, "beat_failed", |l| l.text("why", &e.to_string()));
+        line(Level::Notable, "beat_failed", |l| l.text("why", &e.to_string()));
         Vec::new()
     })
 }
@@ -157,9 +157,7 @@
             Err(e) => {
                 let why = format!("{e:#}");
                 relay.state().peers.record_fetch_failure(now(), peer);
-                line(Weight::Notable, "fetch_failed", |l| {
-                    l.text("peer", &peer.to_string()).text("why", &why)
-                });
+                line(Level::Notable, "fetch_failed", |l| l.text("peer", &peer.to_string()).text("why", &why));
                 pause_before_retry().await;
             }
         }
--- a/src/relay/run.rs
+++ b/src/relay/run.rs
@@ -21,7 +21,7 @@
 };
 use crate::{
     error::{ErrorKind, Ran},
-    logs::lines::Weight,
+    logs::lines::Level,
     metrics::{Counter, Latency},
     util::{Instant, now},
 };
@@ -79,7 +79,7 @@
         let outcome = self.outcome.unwrap_or(Outcome::CallerLeft);
         let took = now() - self.req.arrived;
         if outcome == Outcome::CallerLeft {
-            self.relay.log_request(Weight::Notable, "caller_left", &self.req, |l| {
+            self.relay.log_request(Level::Notable, "caller_left", &self.req, |l| {
                 l.ms("after_ms", took).number("attempts", self.attempts_started)
             });
         }
@@ -157,7 +157,7 @@
             Err(stop) => relay.metrics.add(Counter::RelayStops, stop.as_str(), 1),
         }
         let backend = relay.backend_id(key);
-        relay.log_request(Weight::Notable, "attempt_failed", &req, |l| {
+        relay.log_request(Level::Notable, "attempt_failed", &req, |l| {
             let l = l.text("failure", failure.as_str()).text("backend", backend.as_deref().unwrap_or("gone"));
             let l = l.number("attempt", self.tries.made()).ms("after_ms", now() - req.arrived);
             l.text("next", next.as_ref().err().map_or("once more", |stop| stop.as_str()))
@@ -195,7 +195,7 @@
                 self.relay.record_crash(key);
                 let crashes = self.relay.state().suspects.record_crash(now(), self.req.fingerprint());
                 self.relay
-                    .log_request(Weight::Notable, "suspected", &self.req, |l| l.number("crashes", crashes));
+                    .log_request(Level::Notable, "suspected", &self.req, |l| l.number("crashes", crashes));
             }
         }
     }
@@ -284,7 +284,7 @@
     fn log_sent(&self, choice: &Choice, id: &str, stale_conns: usize) {
         self.relay.metrics.add(Counter::RelayPlacements, choice.reason.as_str(), 1);
         let from = choice.fetch_from.and_then(|key| Some(self.relay.state().backends.get(key)?.id.clone()));
-        self.relay.log_request(Weight::Routine, "sent", &self.req, |l| {
+        self.relay.log_request(Level::Routine, "sent", &self.req, |l| {
             let l = l.text("backend", id).text("why", choice.reason.as_str());
             let l = l.decimal("load", choice.load).decimal("bound", choice.bound);
             let l = l.text("fetches", from.as_deref().unwrap_or("")).number("stale", stale_conns as u64);
@@ -381,7 +381,7 @@
 
     fn deliver(&mut self, head: response::Parts, bytes: Bytes) -> Response<AnswerBody> {
         self.outcome = Some(Outcome::Answered);
-        self.relay.log_request(Weight::Routine, "answered", &self.req, |l| {
+        self.relay.log_request(Level::Routine, "answered", &self.req, |l| {
             let l = l.number("status", head.status.as_u16()).number("bytes", bytes.len() as u64);
             l.ms("after_ms", now() - self.req.arrived).number("attempts", self.attempts_started)
         });
@@ -393,7 +393,7 @@
         self.outcome = Some(Outcome::Refused);
         let kind = ErrorKind::Overloaded;
         self.relay.metrics.add(Counter::RelayRefusals, kind.answer().code, 1);
-        self.relay.log_request(Weight::Notable, "turned_away", &self.req, |l| {
+        self.relay.log_request(Level::Notable, "turned_away", &self.req, |l| {
             let l = l.number("rank", self.req.rank()).decimal("occupancy", refused.occupancy);
             let l = l.decimal("limit", refused.limit).decimal("chance", refused.chance.min(1.0));
             l.ms("retry_after_ms", refused.after).ms("after_ms", now() - self.req.arrived)
@@ -412,7 +412,7 @@
             _ => self.relay.retry_after(&self.req, kind),
         });
         let refusal = Refusal { kind, ran, retry_after };
-        self.relay.log_request(Weight::Notable, "given_up", &self.req, |l| {
+        self.relay.log_request(Level::Notable, "given_up", &self.req, |l| {
             let l = l.text("kind", kind.answer().code).text("ran", ran.as_str());
             let l = l.text("last", last.map_or("none", Failure::as_str));
             l.ms("after_ms", now() - self.req.arrived).number("attempts", self.tries.made())
--- a/src/relay/stop.rs
+++ b/src/relay/stop.rs
@@ -4,7 +4,7 @@
 
 use super::{Relay, Wire, leave::Leaving};
 use crate::{
-    logs::lines::{Weight, line},
+    logs::lines::{Level, line},
     util::{Instant, now},
 };
 
@@ -15,7 +15,7 @@
         if state.leaving.is_none() {
             state.leaving = Some(Leaving::new(now(), self.cfg.leave));
             let in_progress = state.in_progress as u64;
-            line(Weight::Notable, "leaving", |l| l.number("in_progress", in_progress));
+            line(Level::Notable, "leaving", |l| l.number("in_progress", in_progress));
         }
         drop(state);
         self.beat_due.notify_one();
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -19,7 +19,7 @@
     verdict::Failure,
 };
 use crate::{
-    logs::lines::Weight,
+    logs::lines::Level,
     metrics::{Counter, Latency},
     util::now,
 };
@@ -85,7 +85,7 @@
         Ok(Next::Events(bytes)) => {
             run.relay.metrics.record(Latency::FirstEvent, "stream", now() - run.req.arrived);
             run.relay.record_wait(&run.req, run.sent);
-            run.relay.log_request(Weight::Routine, "first_event", &run.req, |l| {
+            run.relay.log_request(Level::Routine, "first_event", &run.req, |l| {
                 l.ms("after_ms", now() - run.req.arrived)
             });
             Ok((head, Some(bytes), events))
@@ -131,7 +131,7 @@
                 self.ended = true;
                 run.outcome = Some(Outcome::Cut);
                 run.relay.metrics.add(Counter::RelayStreams, StreamBreak::Cut.as_str(), 1);
-                run.relay.log_request(Weight::Notable, "stream_cut", &run.req, |l| {
+                run.relay.log_request(Level::Notable, "stream_cut", &run.req, |l| {
                     let l = l.text("failure", failure.as_str()).number("events", self.last.unwrap_or(0));
                     l.ms("after_ms", now() - run.req.arrived)
                 });
@@ -151,7 +151,7 @@
             match run.attempt(self.last).await {
                 Ok(answered) if answered.head.status.is_success() => {
                     run.relay.metrics.add(Counter::RelayStreams, StreamBreak::Resumed.as_str(), 1);
-                    run.relay.log_request(Weight::Notable, "stream_resumed", &run.req, |l| {
+                    run.relay.log_request(Level::Notable, "stream_resumed", &run.req, |l| {
                         l.number("events", self.last.unwrap_or(0)).ms("after_ms", now() - run.req.arrived)
                     });
                     self.answered = Some(answered);
@@ -217,7 +217,7 @@
                 run.relay.return_connection(key, answered.conn, answered.read.keep_alive);
             }
         }
-        run.relay.log_request(Weight::Routine, "answered", &run.req, |l| {
+        run.relay.log_request(Level::Routine, "answered", &run.req, |l| {
             let l = l.number("events", self.last.unwrap_or(0)).number("attempts", run.attempts_started);
             l.ms("after_ms", now() - run.req.arrived)
         });
--- a/src/relay/updates.rs
+++ b/src/relay/updates.rs
@@ -17,7 +17,7 @@
     routes::Routes,
 };
 use crate::{
-    logs::lines::{Line, Weight, line},
+    logs::lines::{Level, Line, line},
     metrics::{Counter, Gauge},
     schema::fleet::{Configuration, ConfigurationChanges, Held, Member},
     util::{Instant, now},
@@ -113,7 +113,7 @@
             return;
         }
         self.metrics.add(Counter::RelayEpochs, check.as_str(), 1);
-        line(Weight::Notable, "store_epoch", |l| {
+        line(Level::Notable, "store_epoch", |l| {
             let l = l.text("heard", check.as_str()).text("from", from);
             l.number("epoch", epoch).number("known", before)
         });
@@ -128,7 +128,7 @@
         if state.routes.as_ref().is_some_and(|r| r.version() >= cfg.version) {
             return false;
         }
-        line(Weight::Notable, "configuration", |l| {
+        line(Level::Notable, "configuration", |l| {
             let l = l.number("version", cfg.version).text("from", from);
             l.number("routes", cfg.routes.len() as u64).number("workspaces", cfg.workspaces.len() as u64)
         });
@@ -156,7 +156,7 @@
                 false
             }
             None => {
-                line(Weight::Notable, "changes_unfit", |l| {
+                line(Level::Notable, "changes_unfit", |l| {
                     let l = l.number("version", routes.version()).text("from", from);
                     l.number("leads_from", changes.from).number("leads_to", changes.version)
                 });
@@ -169,7 +169,7 @@
     /// heartbeat.
     pub(crate) fn on_backend_changes(&self, state: &mut State, changes: &[(BackendKey, Change)], from: &str) {
         if changes.len() > MAX_BACKEND_LOG_LINES {
-            line(Weight::Notable, "backends", |l| {
+            line(Level::Notable, "backends", |l| {
                 let l = l.number("changes", changes.len() as u64).text("from", from);
                 with_revision(l, state.backends.revision())
             });
@@ -182,7 +182,7 @@
         }
         for (key, change) in changes.iter().take(MAX_BACKEND_LOG_LINES) {
             let Some(backend) = state.backends.get(*key) else { continue };
-            line(Weight::Notable, "backend", |l| {
+            line(Level::Notable, "backend", |l| {
                 let l = l.text("backend", &backend.id).text("change", change.as_str()).text("from", from);
                 let l = with_revision(l.text("service", &backend.service), state.backends.revision());
                 let l = l.number("born", backend.born);
@@ -215,7 +215,7 @@
     ) {
         for change in changes {
             let data_centre = change.data_centre();
-            line(Weight::Notable, "evacuation", |l| {
+            line(Level::Notable, "evacuation", |l| {
                 let l = l.text("data_centre", data_centre).text("change", change.as_str());
                 with_revision(l.text("from", from), state.evacuations.revision())
             });
@@ -270,10 +270,10 @@
             };
             match change {
                 confirm::Change::Stale(topic, age) => {
-                    line(Weight::Notable, "unconfirmed", |l| fill(l, topic, age));
+                    line(Level::Notable, "unconfirmed", |l| fill(l, topic, age));
                 }
                 confirm::Change::Renewed(topic, after) => {
-                    line(Weight::Notable, "confirmed", |l| fill(l, topic, after));
+                    line(Level::Notable, "confirmed", |l| fill(l, topic, after));
                 }
             }
         }
@@ -285,7 +285,7 @@
         let mut state = self.state();
         self.report_confirmations(&mut state, now);
         for expired in state.peers.expire(now) {
-            line(Weight::Notable, "peer", |l| l.text("peer", &expired.to_string()).text("change", "lost"));
+            line(Level::Notable, "peer", |l| l.text("peer", &expired.to_string()).text("change", "lost"));
         }
         let (changes, forgotten) = state.backends.expire(now);
         self.on_backend_changes(&mut state, &changes, "grace period expired");
@@ -305,7 +305,7 @@
         let Some(pause) = state.health.record_unreachable(now(), key) else { return };
         let Some(id) = state.backends.get(key).map(|b| b.id.clone()) else { return };
         drop(state);
-        line(Weight::Notable, "avoided", |l| l.text("backend", &id).text("why", why).ms("for_ms", pause));
+        line(Level::Notable, "avoided", |l| l.text("backend", &id).text("why", why).ms("for_ms", pause));
         self.beat_due.notify_one();
     }
 
@@ -318,7 +318,7 @@
         state.note_possible_restart(now(), key);
         let Some(id) = state.backends.get(key).map(|b| b.id.clone()) else { return };
         drop(state);
-        line(Weight::Notable, "taken_back", |l| l.text("backend", &id));
+        line(Level::Notable, "taken_back", |l| l.text("backend", &id));
     }
 
     /// Avoids a server that has crashed. Its cache is lost, even if the server is back before its store entry shows the
@@ -337,7 +337,7 @@
         let id = self.backend_id(key);
         let id = id.as_deref().unwrap_or("gone");
         if head.leaving {
-            self.log_request(Weight::Notable, "told_leaving", req, |l| l.text("backend", id));
+            self.log_request(Level::Notable, "told_leaving", req, |l| l.text("backend", id));
             let mut state = self.state();
             if let Some(change) = state.backends.mark_leaving(now(), key) {
                 self.metrics.add(Counter::RelayTold, ServerNotice::Leaving.as_str(), 1);
@@ -345,7 +345,7 @@
             }
         }
         if let Some(pause) = head.pause {
-            self.log_request(Weight::Notable, "told_pause", req, |l| {
+            self.log_request(Level::Notable, "told_pause", req, |l| {
                 l.text("backend", id).ms("for_ms", pause)
             });
             self.metrics.add(Counter::RelayTold, ServerNotice::Pause.as_str(), 1);
@@ -369,7 +369,7 @@
     /// Makes the followers list everything again after the host was suspended: its state may be outdated, and the
     /// connections of pending watches may be dead.
     pub fn on_resume_from_suspend(&self, slept: Duration) {
-        line(Weight::Notable, "woken", |l| l.ms("slept_ms", slept));
+        line(Level::Notable, "woken", |l| l.ms("slept_ms", slept));
         let mut state = self.state();
         if state.contact == FollowState::Follows {
             state.contact = FollowState::Lost;
--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -30,7 +30,7 @@
     files.into_iter().chain(dirs.iter().flat_map(|d| sources(d))).collect()
 }
 
-/// First words in quotes after each weight of a line, such as `line(Weight::Notable, "start", ..)`.
+/// First words in quotes after each level of a line, such as `line(Level::Notable, "start", ..)`.
 fn events() -> BTreeSet<String> {
     let mut files = sources(Path::new("src/relay"));
     files.extend(sources(Path::new("src/platform")));
@@ -38,8 +38,7 @@
     let mut found = BTreeSet::new();
     for file in files {
         let text = page(file.to_str().unwrap());
-        for rest in ["Weight::Notable, \"", "Weight::Routine, \""].iter().flat_map(|w| text.split(w).skip(1))
-        {
+        for rest in ["Level::Notable, \"", "Level::Routine, \""].iter().flat_map(|w| text.split(w).skip(1)) {
             found.insert(rest.split('"').next().unwrap().to_owned());
         }
     }
