--- a/src/config.rs
+++ b/src/config.rs
@@ -45,7 +45,7 @@
     /// Form of a log line.
     pub log_format: Arc<str>,
     /// Bytes that gossip may send in any one second.
-    pub gossip_bytes: u64,
+    pub gossip_bytes_per_second: u64,
     /// Bytes that probes of engines may cost in any one second.
     pub probe_bytes: u64,
     /// How long callers keep an entry answer.
@@ -101,7 +101,7 @@
             head_time: millis("limits.head_ms", limits.head_ms),
             log_level: word("log.level", log.level),
             log_format: word("log.format", log.format),
-            gossip_bytes: number("gossip.bytes_per_second", gossip.bytes_per_second),
+            gossip_bytes_per_second: number("gossip.bytes_per_second", gossip.bytes_per_second),
             probe_bytes: number("gossip.probe_bytes_per_second", gossip.probe_bytes_per_second),
             answer_keep: millis("drain.answer_keep_ms", drain.answer_keep_ms),
             drain_longest: millis("drain.longest_ms", drain.longest_ms),
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -81,8 +81,9 @@
             ready: false,
         };
         let seeds = cfg.seeds.iter().copied().filter(|s| *s != peer_addr).collect();
-        let member =
-            MemberConfig::default().with_bytes_per_second(cfg.gossip_bytes as usize).with_seeds(seeds);
+        let member = MemberConfig::default()
+            .with_bytes_per_second(cfg.gossip_bytes_per_second as usize)
+            .with_seeds(seeds);
         let probe = ProbeConfig { bytes_per_second: cfg.probe_bytes as usize, ..ProbeConfig::default() };
         let period = member.tick_interval;
         let key = GossipKey::new(&cfg.shared_key);
