--- a/src/config.rs
+++ b/src/config.rs
@@ -47,7 +47,7 @@
     /// Bytes that gossip may send in any one second.
     pub gossip_bytes_per_second: u64,
     /// Bytes that probes of engines may cost in any one second.
-    pub probe_bytes: u64,
+    pub probe_bytes_per_second: u64,
     /// How long callers keep an entry answer.
     pub answer_keep: Duration,
     /// Longest time for requests in progress once no entry answer names the router any more.
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -84,7 +84,8 @@
         let member = MemberConfig::default()
             .with_bytes_per_second(cfg.gossip_bytes_per_second as usize)
             .with_seeds(seeds);
-        let probe = ProbeConfig { bytes_per_second: cfg.probe_bytes as usize, ..ProbeConfig::default() };
+        let probe =
+            ProbeConfig { bytes_per_second: cfg.probe_bytes_per_second as usize, ..ProbeConfig::default() };
         let period = member.tick_interval;
         let key = GossipKey::new(&cfg.shared_key);
         let membership = Membership::new(member, probe, key, record, now(), rand::random());
