--- a/examples/tables.rs
+++ b/examples/tables.rs
@@ -1,15 +1,19 @@
 //! Prints the tables of the documentation: `cargo run --example tables`.
 
 use cranberrytally::{
-    config::{FIELDS, Takes},
+    config::{FIELDS, ValueType},
     error::ErrorKind,
     metrics::Counter,
 };
 
 fn main() {
     for f in FIELDS {
-        let unit = if matches!(f.takes, Takes::Number(..)) { format!(" {}", f.unit) } else { String::new() };
-        println!("| `{}` | {}{unit} | {} | {} |", f.key, f.default_text(), f.range_text(), f.about);
+        let unit = if matches!(f.value_type, ValueType::Number(..)) {
+            format!(" {}", f.unit)
+        } else {
+            String::new()
+        };
+        println!("| `{}` | {}{unit} | {} | {} |", f.key, f.default_text(), f.range_text(), f.description);
     }
     println!();
     for kind in ErrorKind::ALL {
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a router, read from YAML and checked against one table.
+//! Settings of a router, parsed from YAML and validated against the table of settings.
 
 use std::{fs, net::SocketAddr, path::Path, sync::Arc, time::Duration};
 
@@ -10,71 +10,71 @@
 mod fields;
 mod tree;
 
-pub use check::Fault;
-pub use fields::{FIELDS, Field, Takes};
+pub use check::SettingError;
+pub use fields::{FIELDS, Field, ValueType};
 
-/// Checked settings of one router.
+/// Validated settings of one router.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of this router, unique in the fleet.
     pub name: Arc<str>,
-    /// Where callers and operators are served.
+    /// Listen address for callers and operators.
     pub listen: SocketAddr,
-    /// UDP and TCP sockets between routers.
+    /// Listen address for other routers, UDP and TCP.
     pub peer_listen: SocketAddr,
-    /// Data centre in which this host stands.
+    /// Data centre of this host.
     pub data_centre: Arc<str>,
     /// Region of the data centre.
     pub region: Arc<str>,
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub platform: SocketAddr,
-    /// Peer addresses of other routers, tried at start.
+    /// Peer addresses of other routers, contacted at startup.
     pub seeds: Vec<SocketAddr>,
-    /// Key that authenticates routers to each other.
+    /// Key shared by the fleet: authenticates routers to each other, signs hints and resume tokens.
     pub shared_key: Arc<str>,
-    /// Workers of the HTTP server.
+    /// Worker threads of the HTTP server.
     pub http_threads: usize,
-    /// Largest request body, in bytes.
-    pub body_bytes: usize,
-    /// Longest time for a request body to arrive.
-    pub body_time: Duration,
-    /// Longest time for a request head to arrive.
-    pub head_time: Duration,
-    /// Lowest level that is logged.
+    /// Maximum size of a request body in bytes.
+    pub max_body_bytes: usize,
+    /// Timeout for receiving a request body.
+    pub body_timeout: Duration,
+    /// Timeout for receiving a request head.
+    pub head_timeout: Duration,
+    /// Minimum log level.
     pub log_level: Arc<str>,
-    /// Form of a log line.
+    /// Log format, `text` or `json`.
     pub log_format: Arc<str>,
-    /// Bytes that gossip may send in any one second.
+    /// Maximum number of bytes that gossip sends in any one second.
     pub gossip_bytes_per_second: u64,
-    /// Bytes that probes of engines may cost in any one second.
+    /// Maximum number of bytes that probes of engines transfer in any one second.
     pub probe_bytes_per_second: u64,
-    /// How long callers keep an entry answer.
+    /// Time for which callers cache an entry answer.
     pub answer_keep: Duration,
-    /// Longest time for requests in progress once no entry answer names the router any more.
-    pub drain_longest: Duration,
-    /// Models and adapters that the fleet may load from the weight store in a minute.
+    /// Timeout of a drain for requests in progress, starting when all entry answers that name the router have expired.
+    pub drain_timeout: Duration,
+    /// Maximum number of models and adapters that the fleet loads from the weight store per minute.
     pub loads_per_minute: u64,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Loads and validates a settings file.
     ///
     /// # Errors
-    /// When the file can't be read, or names all that is wrong with it.
+    /// If the file can't be read or is invalid; the message lists all its errors.
     pub fn load(path: &Path) -> Result<Self> {
         let text = fs::read_to_string(path).with_context(|| format!("could not read {}", path.display()))?;
-        Self::parse(&text).with_context(|| format!("could not accept {}", path.display()))
+        Self::parse(&text).with_context(|| format!("invalid settings file {}", path.display()))
     }
 
-    /// Parses and checks YAML text.
+    /// Parses and validates settings in YAML.
     ///
     /// # Errors
-    /// Names all that is wrong, each with its line and key.
+    /// If the text is invalid; the message lists all errors with line and key.
     pub fn parse(text: &str) -> Result<Self> {
-        let faults = faults(text)?;
-        if !faults.is_empty() {
-            let lines: Vec<_> = faults.iter().map(Fault::to_string).collect();
-            bail!("{} setting(s) are wrong\n  {}", lines.len(), lines.join("\n  "));
+        let errors = validate(text)?;
+        if !errors.is_empty() {
+            let lines: Vec<_> = errors.iter().map(SettingError::to_string).collect();
+            bail!("{} invalid setting(s)\n  {}", lines.len(), lines.join("\n  "));
         }
         let raw: raw::Settings = serde_saphyr::from_str(text).context("could not read the settings")?;
         Self::from_raw(raw)
@@ -95,44 +95,47 @@
             platform: raw.platform.parse()?,
             seeds: raw.seeds.iter().map(|s| s.parse()).collect::<Result<_, _>>()?,
             shared_key: raw.shared_key.into(),
-            http_threads: number("http_threads", raw.http_threads) as usize,
-            body_bytes: number("limits.body_bytes", limits.body_bytes) as usize,
-            body_time: millis("limits.body_ms", limits.body_ms),
-            head_time: millis("limits.head_ms", limits.head_ms),
-            log_level: word("log.level", log.level),
-            log_format: word("log.format", log.format),
-            gossip_bytes_per_second: number("gossip.bytes_per_second", gossip.bytes_per_second),
-            probe_bytes: number("gossip.probe_bytes_per_second", gossip.probe_bytes_per_second),
-            answer_keep: millis("drain.answer_keep_ms", drain.answer_keep_ms),
-            drain_longest: millis("drain.longest_ms", drain.longest_ms),
-            loads_per_minute: number("orders.loads_per_minute", orders.loads_per_minute),
+            http_threads: number_or_default("http_threads", raw.http_threads) as usize,
+            max_body_bytes: number_or_default("limits.body_bytes", limits.body_bytes) as usize,
+            body_timeout: millis_or_default("limits.body_ms", limits.body_ms),
+            head_timeout: millis_or_default("limits.head_ms", limits.head_ms),
+            log_level: word_or_default("log.level", log.level),
+            log_format: word_or_default("log.format", log.format),
+            gossip_bytes_per_second: number_or_default("gossip.bytes_per_second", gossip.bytes_per_second),
+            probe_bytes_per_second: number_or_default(
+                "gossip.probe_bytes_per_second",
+                gossip.probe_bytes_per_second,
+            ),
+            answer_keep: millis_or_default("drain.answer_keep_ms", drain.answer_keep_ms),
+            drain_timeout: millis_or_default("drain.longest_ms", drain.longest_ms),
+            loads_per_minute: number_or_default("orders.loads_per_minute", orders.loads_per_minute),
         })
     }
 }
 
-/// Lists all that is wrong with YAML text.
+/// Validates settings in YAML and returns all errors found.
 ///
 /// # Errors
-/// When the text is no YAML mapping.
-pub fn faults(text: &str) -> Result<Vec<Fault>> {
+/// If the text is not a YAML mapping.
+pub fn validate(text: &str) -> Result<Vec<SettingError>> {
     let root: tree::Section = serde_saphyr::from_str(text).context("could not read the YAML")?;
-    Ok(check::check(root).1)
+    Ok(check::validate(root).1)
 }
 
-fn number(key: &str, given: Option<u64>) -> u64 {
-    match fields::find(key).map(|f| f.takes) {
-        Some(Takes::Number(default, ..)) => given.unwrap_or(default),
-        _ => unreachable!("{key} is no number in the table"),
+fn number_or_default(key: &str, given: Option<u64>) -> u64 {
+    match fields::find(key).map(|f| f.value_type) {
+        Some(ValueType::Number(default, ..)) => given.unwrap_or(default),
+        _ => unreachable!("{key} is not a number in the table of settings"),
     }
 }
 
-fn millis(key: &str, given: Option<u64>) -> Duration {
-    Duration::from_millis(number(key, given))
+fn millis_or_default(key: &str, given: Option<u64>) -> Duration {
+    Duration::from_millis(number_or_default(key, given))
 }
 
-fn word(key: &str, given: Option<String>) -> Arc<str> {
-    match fields::find(key).map(|f| f.takes) {
-        Some(Takes::OneOf(words)) => given.as_deref().unwrap_or(words[0]).into(),
-        _ => unreachable!("{key} is no word in the table"),
+fn word_or_default(key: &str, given: Option<String>) -> Arc<str> {
+    match fields::find(key).map(|f| f.value_type) {
+        Some(ValueType::OneOf(words)) => given.as_deref().unwrap_or(words[0]).into(),
+        _ => unreachable!("{key} is not a choice in the table of settings"),
     }
 }
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,99 +1,103 @@
-//! Checks a settings file against the table and lists all that is wrong with it.
+//! Validates a settings file against the table of settings and lists all errors.
 
 use std::{collections::BTreeMap, fmt, net::SocketAddr};
 
 use serde_saphyr::Spanned;
 
 use super::{
-    fields::{FIELDS, Takes, find},
+    fields::{FIELDS, ValueType, find},
     tree::{Node, Section},
 };
 
-/// One thing that is wrong with a settings file.
+/// Error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// Line, counted from 1; 0 where a key is missing.
+pub struct SettingError {
+    /// Line number, starting at 1; 0 for a missing key.
     pub line: u64,
-    /// Key.
+    /// Key of the setting.
     pub key: String,
-    /// What is wrong.
-    pub what: String,
+    /// Error message.
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
-            0 => write!(f, "`{}`: {}", self.key, self.what),
-            line => write!(f, "line {line}, `{}`: {}", self.key, self.what),
+            0 => write!(f, "`{}`: {}", self.key, self.message),
+            line => write!(f, "line {line}, `{}`: {}", self.key, self.message),
         }
     }
 }
 
-/// Values of a file by key.
+/// Values of a settings file by key.
 pub(super) type Values = BTreeMap<String, Spanned<Node>>;
 
-/// Flattens `root` to values by key, and lists all that is wrong.
-pub(super) fn check(root: Section) -> (Values, Vec<Fault>) {
+/// Flattens `root` to values by key; also returns all errors found.
+pub(super) fn validate(root: Section) -> (Values, Vec<SettingError>) {
     let mut values = Values::new();
-    let mut faults = Vec::new();
-    flatten("", root, &mut values, &mut faults);
+    let mut errors = Vec::new();
+    flatten("", root, &mut values, &mut errors);
     for (key, value) in &values {
-        if let Some(what) = find(key).and_then(|f| wrong(f.takes, &value.value)) {
-            faults.push(Fault { line: value.referenced.line(), key: key.clone(), what });
+        if let Some(message) = find(key).and_then(|f| find_error(f.value_type, &value.value)) {
+            errors.push(SettingError { line: value.referenced.line(), key: key.clone(), message });
         }
     }
     for f in FIELDS {
-        let required = matches!(f.takes, Takes::Text | Takes::Address);
+        let required = matches!(f.value_type, ValueType::Text | ValueType::Address);
         if required && !values.contains_key(f.key) {
-            faults.push(Fault { line: 0, key: f.key.into(), what: "is missing".into() });
+            errors.push(SettingError { line: 0, key: f.key.into(), message: "is missing".into() });
         }
     }
-    faults.sort_by_key(|f| f.line);
-    (values, faults)
+    errors.sort_by_key(|f| f.line);
+    (values, errors)
 }
 
-fn flatten(prefix: &str, section: Section, values: &mut Values, faults: &mut Vec<Fault>) {
+fn flatten(prefix: &str, section: Section, values: &mut Values, errors: &mut Vec<SettingError>) {
     for (name, value) in section {
         let key = if prefix.is_empty() { name } else { format!("{prefix}.{name}") };
         if find(&key).is_some() {
             values.insert(key, value);
             continue;
         }
-        let known_section = FIELDS.iter().any(|f| f.key.starts_with(&format!("{key}.")));
+        let is_section = FIELDS.iter().any(|f| f.key.starts_with(&format!("{key}.")));
         let line = value.referenced.line();
         match value.value {
-            Node::Section(inner) if known_section => flatten(&key, inner, values, faults),
-            Node::Empty if known_section => {}
-            _ if known_section => {
-                faults.push(Fault { line, key, what: "holds settings, not a value".into() })
-            }
-            _ => faults.push(Fault { line, key, what: "is no setting".into() }),
+            Node::Section(inner) if is_section => flatten(&key, inner, values, errors),
+            Node::Empty if is_section => {}
+            _ if is_section => errors.push(SettingError {
+                line,
+                key,
+                message: "is a section of settings and takes no value".into(),
+            }),
+            _ => errors.push(SettingError { line, key, message: "is not a known setting".into() }),
         }
     }
 }
 
-fn wrong(takes: Takes, node: &Node) -> Option<String> {
-    match (takes, node) {
+fn find_error(value_type: ValueType, node: &Node) -> Option<String> {
+    match (value_type, node) {
         (_, Node::Empty) => Some("has no value".into()),
-        (Takes::Text, Node::Text(s)) => s.is_empty().then(|| "must not be empty".into()),
-        (Takes::Text, Node::Number(_)) => Some("is a number; put it in quotes".into()),
-        (Takes::Text, _) => Some("is no text".into()),
-        (Takes::Address, Node::Text(s)) => bad_address(s),
-        (Takes::Address, _) => Some("is no IP address and port".into()),
-        (Takes::Addresses, Node::List(list)) => list.iter().find_map(|n| wrong(Takes::Address, &n.value)),
-        (Takes::Addresses, _) => Some("is no list".into()),
-        (Takes::Number(_, least, most), Node::Number(n)) => {
+        (ValueType::Text, Node::Text(s)) => s.is_empty().then(|| "must not be empty".into()),
+        (ValueType::Text, Node::Number(_)) => Some("is a number; put it in quotes".into()),
+        (ValueType::Text, _) => Some("is not a string".into()),
+        (ValueType::Address, Node::Text(s)) => address_error(s),
+        (ValueType::Address, _) => Some("is not an IP address and port".into()),
+        (ValueType::Addresses, Node::List(list)) => {
+            list.iter().find_map(|n| find_error(ValueType::Address, &n.value))
+        }
+        (ValueType::Addresses, _) => Some("is not a list".into()),
+        (ValueType::Number(_, least, most), Node::Number(n)) => {
             (!(least..=most).contains(n)).then(|| format!("{n} is outside {least}..{most}"))
         }
-        (Takes::Number(..), Node::OtherNumber(s)) => Some(format!("{s} is no whole number from 0 up")),
-        (Takes::Number(..), _) => Some("is no number".into()),
-        (Takes::OneOf(words), Node::Text(s)) => {
-            (!words.contains(&s.as_str())).then(|| format!("{s:?} is none of {}", words.join(", ")))
+        (ValueType::Number(..), Node::OtherNumber(s)) => Some(format!("{s} is not a non-negative integer")),
+        (ValueType::Number(..), _) => Some("is not a number".into()),
+        (ValueType::OneOf(words), Node::Text(s)) => {
+            (!words.contains(&s.as_str())).then(|| format!("{s:?} is not one of {}", words.join(", ")))
         }
-        (Takes::OneOf(words), _) => Some(format!("is none of {}", words.join(", "))),
+        (ValueType::OneOf(words), _) => Some(format!("is not one of {}", words.join(", "))),
     }
 }
 
-fn bad_address(text: &str) -> Option<String> {
-    text.parse::<SocketAddr>().err().map(|_| format!("{text:?} is no IP address and port"))
+fn address_error(text: &str) -> Option<String> {
+    text.parse::<SocketAddr>().err().map(|_| format!("{text:?} is not an IP address and port"))
 }
--- a/src/config/tree.rs
+++ b/src/config/tree.rs
@@ -1,4 +1,4 @@
-//! YAML as a tree of values with the line of each, so that every error of a file can be told at once.
+//! YAML parsed into a tree of values with line numbers, so that all errors of a file can be reported together.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -8,17 +8,17 @@
 };
 use serde_saphyr::Spanned;
 
-/// A mapping whose values know their lines.
+/// Mapping of keys to values with line numbers.
 pub(super) type Section = BTreeMap<String, Spanned<Node>>;
 
-/// One value of a settings file.
+/// Value in a settings file.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Node {
-    /// Nothing stands behind the key.
+    /// Key without a value.
     Empty,
     Bool(bool),
     Number(u64),
-    /// A number that is negative, broken or too large.
+    /// Number that is negative, fractional or too large.
     OtherNumber(String),
     Text(String),
     List(Vec<Spanned<Node>>),
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -79,9 +79,9 @@
         let gateway = Gateway::new(me.clone(), &cfg.shared_key, &platform, metrics.clone());
         let gateway = Arc::new(gateway.with_entry_keep(cfg.answer_keep));
         let limits = Limits::default()
-            .with_max_body_bytes(cfg.body_bytes)
-            .with_body_timeout(cfg.body_time)
-            .with_head_timeout(cfg.head_time);
+            .with_max_body_bytes(cfg.max_body_bytes)
+            .with_body_timeout(cfg.body_timeout)
+            .with_head_timeout(cfg.head_timeout);
         let (peer_listener, socket, peer_addr) = listen_for_peers(cfg)?;
         gateway.set_peer_addr(peer_addr);
         let key = LinkKey::new(&cfg.shared_key);
@@ -97,7 +97,7 @@
         let drain = DrainConfig {
             answer_keep: cfg.answer_keep,
             propagation_time: LEAVE_PROPAGATION_TIME,
-            timeout: cfg.drain_longest,
+            timeout: cfg.drain_timeout,
         };
         let notifier = gateway.clone();
         let release_task = tokio::spawn(async move { notifier.tell_ended().await });
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,13 +1,14 @@
-//! Settings: every error of a file at once with line and key, and one table for schema, checks and README.
+//! Settings: all errors of a file are reported together with line and key, and the schema, the validation and the
+//! README agree with the table of settings.
 
 use std::collections::BTreeSet;
 
 use cranberrytally::{
-    config::{FIELDS, Settings, Takes, faults},
+    config::{FIELDS, Settings, ValueType, validate},
     schema::settings as raw,
 };
 
-const GOOD: &str = "name: r1
+const VALID: &str = "name: r1
 listen: 127.0.0.1:8000
 peer_listen: 127.0.0.1:8001
 data_centre: poa-a
@@ -17,34 +18,34 @@
 ";
 
 fn with(lines: &str) -> String {
-    format!("{GOOD}{lines}")
+    format!("{VALID}{lines}")
 }
 
 #[test]
-fn a_good_file_gets_the_defaults() {
-    let cfg = Settings::parse(GOOD).unwrap();
+fn omitted_settings_get_their_devalidate() {
+    let cfg = Settings::parse(VALID).unwrap();
 
     assert_eq!(&*cfg.name, "r1");
-    assert_eq!(cfg.body_bytes, 1 << 20);
+    assert_eq!(cfg.max_body_bytes, 1 << 20);
     assert_eq!(&*cfg.log_level, "info");
 }
 
 #[test]
-fn wrong_settings_are_named_with_line_and_key() {
+fn invalid_settings_are_reported_with_line_and_key() {
     let cases = [
         ("limits:\n  body_ms: 5\n", "line 9, `limits.body_ms`: 5 is outside 100..300000"),
-        ("limits:\n  body_ms: -5\n", "line 9, `limits.body_ms`: -5 is no whole number from 0 up"),
-        ("limits:\n  body_ms: soon\n", "line 9, `limits.body_ms`: is no number"),
-        ("limits:\n  bodyms: 5\n", "line 9, `limits.bodyms`: is no setting"),
-        ("limits: 5\n", "line 8, `limits`: holds settings, not a value"),
-        ("seeds: 127.0.0.1:1\n", "line 8, `seeds`: is no list"),
-        ("seeds: [localhost]\n", "line 8, `seeds`: \"localhost\" is no IP address and port"),
-        ("log: { level: loud }\n", "line 8, `log.level`: \"loud\" is none of info, trace"),
+        ("limits:\n  body_ms: -5\n", "line 9, `limits.body_ms`: -5 is not a non-negative integer"),
+        ("limits:\n  body_ms: soon\n", "line 9, `limits.body_ms`: is not a number"),
+        ("limits:\n  bodyms: 5\n", "line 9, `limits.bodyms`: is not a known setting"),
+        ("limits: 5\n", "line 8, `limits`: is a section of settings and takes no value"),
+        ("seeds: 127.0.0.1:1\n", "line 8, `seeds`: is not a list"),
+        ("seeds: [localhost]\n", "line 8, `seeds`: \"localhost\" is not an IP address and port"),
+        ("log: { level: loud }\n", "line 8, `log.level`: \"loud\" is not one of info, trace"),
         ("http_threads:\n", "line 8, `http_threads`: has no value"),
-        ("http_threads: 2.5\n", "line 8, `http_threads`: 2.5 is no whole number"),
+        ("http_threads: 2.5\n", "line 8, `http_threads`: 2.5 is not a non-negative integer"),
     ];
     for (lines, want) in cases {
-        let found = faults(&with(lines)).unwrap();
+        let found = validate(&with(lines)).unwrap();
 
         assert_eq!(found.len(), 1, "{lines}: {found:?}");
         assert!(found[0].to_string().starts_with(want), "{lines}: {}", found[0]);
@@ -52,8 +53,8 @@
 }
 
 #[test]
-fn all_errors_are_told_at_once() {
-    let found = faults("name: 5\nlisten: here\nwhat: 1\n").unwrap();
+fn all_errors_are_reported_together() {
+    let found = validate("name: 5\nlisten: here\nwhat: 1\n").unwrap();
 
     let keys: Vec<_> = found.iter().map(|f| (f.line, f.key.as_str())).collect();
     let missing = ["peer_listen", "data_centre", "region", "platform", "shared_key"].map(|k| (0, k));
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn text_that_is_no_mapping_is_an_error() {
+fn text_that_is_not_a_mapping_is_an_error() {
     for text in ["- a\n", "name: [\n", "name: a\nname: b\n", ""] {
         assert!(Settings::parse(text).is_err(), "{text:?}");
     }
@@ -103,8 +104,8 @@
     for f in FIELDS {
         let unit = if f.unit.is_empty() { String::new() } else { format!(" {}", f.unit) };
         let default = f.default_text();
-        let unit = if matches!(f.takes, Takes::Number(..)) { unit } else { String::new() };
-        let row = format!("| `{}` | {default}{unit} | {} | {} |", f.key, f.range_text(), f.about);
-        assert!(readme.contains(&row), "README.md lacks this row:\n{row}");
+        let unit = if matches!(f.value_type, ValueType::Number(..)) { unit } else { String::new() };
+        let row = format!("| `{}` | {default}{unit} | {} | {} |", f.key, f.range_text(), f.description);
+        assert!(readme.contains(&row), "README.md does not contain this row:\n{row}");
     }
 }
