--- a/src/cmd.rs
+++ b/src/cmd.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line interface.
 
 use std::{ffi::OsString, process::ExitCode};
 
@@ -21,26 +21,26 @@
 
 const NAME: &str = "cranberrytally";
 
-/// A subcommand.
+/// Subcommand of the program.
 pub(crate) trait Run {
-    /// Runs it to its end.
+    /// Runs the subcommand and returns its exit code.
     ///
     /// # Errors
-    /// One error that is printed to stderr.
+    /// The error to print to stderr.
     fn run(&self) -> Result<ExitCode>;
 }
 
-/// The arguments are not those of the command.
+/// Error: invalid command-line arguments.
 #[derive(Debug)]
-pub(crate) struct Usage(String);
+pub(crate) struct UsageError(String);
 
-impl std::fmt::Display for Usage {
+impl std::fmt::Display for UsageError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Usage {}
+impl std::error::Error for UsageError {}
 
 /// Routes returning chats to model engines, and calls to plain services.
 #[derive(Debug, Options)]
@@ -77,13 +77,13 @@
     Drain(drain::Drain),
 }
 
-/// Parses the arguments and runs the subcommand; returns the exit code that docs/OPERATORS.md lists.
+/// Parses the arguments and runs the subcommand; returns one of the exit codes listed in docs/OPERATORS.md.
 ///
 /// # Errors
-/// What the subcommand reports.
+/// The error of the subcommand.
 pub fn run() -> Result<ExitCode> {
     match parse().and_then(run_args) {
-        Err(e) if e.is::<Usage>() => {
+        Err(e) if e.is::<UsageError>() => {
             eprintln!("{NAME}: {e}; see --help");
             Ok(Exit::Invalid.into())
         }
@@ -95,14 +95,14 @@
     let words: Vec<_> = std::env::args_os().skip(1).collect();
     let words = words.into_iter().map(|word| word.into_string().map_err(not_unicode));
     let words = words.collect::<Result<Vec<_>>>()?;
-    Args::parse_args_default(&words).map_err(|e| Usage(e.to_string()).into())
+    Args::parse_args_default(&words).map_err(|e| UsageError(e.to_string()).into())
 }
 
 fn not_unicode(word: OsString) -> anyhow::Error {
-    Usage(format!("{word:?} is no text")).into()
+    UsageError(format!("{word:?} is not valid Unicode")).into()
 }
 
-/// Help of the command that was named, or of the program.
+/// Returns the help text of the given subcommand, or of the program if there is none.
 fn help(args: &Args) -> String {
     let mut last: &dyn Options = args;
     let mut usage = format!("Usage: {NAME}");
@@ -137,6 +137,6 @@
         Some(Cmd::Label(cmd)) => cmd.run(),
         Some(Cmd::Status(cmd)) => cmd.run(),
         Some(Cmd::Drain(cmd)) => cmd.run(),
-        None => Err(Usage("no command given".into()).into()),
+        None => Err(UsageError("no command given".into()).into()),
     }
 }
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: writes objects from a file into the platform, and can wait until all routers have them in force.
+//! `apply`: writes objects from a file to the platform, and optionally waits until all routers have them in force.
 
 use std::{
     collections::BTreeSet,
@@ -14,7 +14,7 @@
 
 use super::{
     Run,
-    remote::{self, Asked, Exit},
+    remote::{self, Exit, QueryResult},
 };
 use crate::{
     catalog::AnyObject,
@@ -23,9 +23,9 @@
     revision::check,
 };
 
-const POLL: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Writes objects from a file into the platform, and can wait until all routers have them in force.
+/// Writes objects from a file to the platform, and optionally waits until all routers have them in force.
 #[derive(Debug, Options)]
 pub(crate) struct Apply {
     #[options(help = "print this help")]
@@ -46,7 +46,7 @@
     fn run(&self) -> Result<ExitCode> {
         let platform = remote::platform(&self.platform)?;
         let routers = if self.wait { remote::routers(&self.router)? } else { Vec::new() };
-        let objects = match read(&self.file)? {
+        let objects = match read_objects(&self.file)? {
             Ok(objects) => objects,
             Err(problems) => {
                 problems.iter().for_each(|p| eprintln!("{}: {p}", self.file.display()));
@@ -59,27 +59,27 @@
             if exit != Exit::Done || !self.wait {
                 return Ok(exit.into());
             }
-            let limit = Duration::from_secs(self.timeout_s);
-            Ok(wait(&routers, version, limit).await.into())
+            let timeout = Duration::from_secs(self.timeout_s);
+            Ok(wait_until_in_force(&routers, version, timeout).await.into())
         })
     }
 }
 
-/// Reads the objects of a file; the inner error lists all that is wrong with them.
-fn read(file: &Path) -> Result<Result<Vec<AnyObject>, Vec<String>>> {
+/// Reads the objects of a file; the inner error lists all problems of invalid objects.
+fn read_objects(file: &Path) -> Result<Result<Vec<AnyObject>, Vec<String>>> {
     let text = std::fs::read_to_string(file).with_context(|| format!("could not read {}", file.display()))?;
     let docs: Vec<serde_json::Value> = match serde_saphyr::from_multiple(&text) {
         Ok(docs) => docs,
         Err(e) => return Ok(Err(vec![format!("could not read the YAML: {e}")])),
     };
     if docs.is_empty() {
-        return Ok(Err(vec!["there is no object in it".into()]));
+        return Ok(Err(vec!["the file contains no objects".into()]));
     }
     let (mut objects, mut problems, mut names) = (Vec::new(), Vec::new(), BTreeSet::new());
     for (i, doc) in docs.iter().enumerate() {
         match check::parse(doc) {
-            Ok(obj) if !names.insert(title(&obj)) => {
-                problems.push(format!("document {}: {} is there twice", i + 1, title(&obj)));
+            Ok(obj) if !names.insert(kind_and_name(&obj)) => {
+                problems.push(format!("document {}: duplicate object {}", i + 1, kind_and_name(&obj)));
             }
             Ok(obj) => objects.push(obj),
             Err(found) => problems.extend(found.iter().map(|p| format!("document {}: {p}", i + 1))),
@@ -88,25 +88,27 @@
     Ok(if problems.is_empty() { Ok(objects) } else { Err(problems) })
 }
 
-/// Writes all objects; returns the version to wait for and the worst outcome.
+/// Writes all objects; returns the highest version written and the worst exit code.
 async fn write_all(platform: &Platform, objects: Vec<AnyObject>) -> Result<(Version, Exit)> {
     let mut rng = StdRng::from_os_rng();
     let (mut version, mut worst) = (0, Exit::Done);
     for obj in objects {
-        let name = title(&obj);
-        let Some(obj) = changed(platform, obj, &mut version).await? else {
+        let name = kind_and_name(&obj);
+        let Some(obj) = prepare_write(platform, obj, &mut version).await? else {
             println!("{name} unchanged");
             continue;
         };
         let written = platform.put_with_retries(obj, &mut rng).await;
-        let exit = report(&name, written.with_context(|| format!("could not write {name}"))?, &mut version);
+        let exit =
+            report_outcome(&name, written.with_context(|| format!("could not write {name}"))?, &mut version);
         worst = worst.max(exit);
     }
     Ok((version, worst))
 }
 
-/// The object to write, based on what is there unless the file names a version; `None` when it is there already.
-async fn changed(
+/// Returns the object to write, or `None` if the platform already has it. Unless the file specifies a version, the
+/// write is conditional on the current version.
+async fn prepare_write(
     platform: &Platform,
     mut obj: AnyObject,
     version: &mut Version,
@@ -124,8 +126,8 @@
     Ok(Some(obj))
 }
 
-/// Tells what became of a write.
-pub(super) fn report(name: &str, write: WriteOutcome, version: &mut Version) -> Exit {
+/// Prints the outcome of a write and returns its exit code.
+pub(super) fn report_outcome(name: &str, write: WriteOutcome, version: &mut Version) -> Exit {
     match write {
         WriteOutcome::Done(obj) => {
             println!("{name} written, version {}", obj.metadata.resource_version);
@@ -150,32 +152,32 @@
     }
 }
 
-/// Waits until all live routers serve at least `version`; names those that don't when the time is over.
-async fn wait(routers: &[SocketAddr], version: Version, limit: Duration) -> Exit {
+/// Waits until all live routers serve at least `version`; prints those that don't when `timeout` has passed.
+async fn wait_until_in_force(routers: &[SocketAddr], version: Version, timeout: Duration) -> Exit {
     let (client, start) = (Client::default(), Instant::now());
     loop {
-        let asked = remote::ask_all(&client, routers).await;
-        let behind: Vec<_> = asked.iter().filter_map(|(addr, a)| lacks(addr, a, version)).collect();
+        let results = remote::query_all(&client, routers).await;
+        let behind: Vec<_> = results.iter().filter_map(|(addr, a)| describe_lag(addr, a, version)).collect();
         if behind.is_empty() {
             let seconds = start.elapsed().as_secs_f64();
             println!(
                 "version {version} is in force at all {} live routers after {seconds:.1} s",
-                asked.len()
+                results.len()
             );
             return Exit::Done;
         }
-        if start.elapsed() >= limit {
+        if start.elapsed() >= timeout {
             behind.iter().for_each(|line| eprintln!("not in force: {line}"));
             return Exit::NotInForce;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Why a router does not count as having the version in force.
-fn lacks(addr: &SocketAddr, asked: &Asked, version: Version) -> Option<String> {
-    let name = &asked.name;
-    match &asked.status {
+/// Describes why a router does not count as having the version in force; `None` if it does.
+fn describe_lag(addr: &SocketAddr, result: &QueryResult, version: Version) -> Option<String> {
+    let name = &result.name;
+    match &result.status {
         Err(e) => Some(format!("{name} ({addr}): {e:#}")),
         Ok(s) if !s.configuration.ready => Some(format!("{name} ({addr}): it does not serve yet")),
         Ok(s) if s.configuration.version < version => {
@@ -185,7 +187,7 @@
     }
 }
 
-fn title(obj: &AnyObject) -> String {
+fn kind_and_name(obj: &AnyObject) -> String {
     format!("{}/{}", obj.kind, obj.metadata.name)
 }
 
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `check`: reads settings files and reports what is wrong with them.
+//! `check`: validates settings files.
 
 use std::{
     fs,
@@ -9,10 +9,10 @@
 use anyhow::Result;
 use gumdrop::Options;
 
-use super::{Run, Usage, remote::Exit};
+use super::{Run, UsageError, remote::Exit};
 use crate::config::Settings;
 
-/// Names every error in settings files, with line and key.
+/// Validates settings files and prints all errors with line and key.
 #[derive(Debug, Options)]
 pub(crate) struct Check {
     #[options(help = "print this help")]
@@ -24,7 +24,7 @@
 impl Run for Check {
     fn run(&self) -> Result<ExitCode> {
         if self.files.is_empty() {
-            return Err(Usage("expected at least one settings file".into()).into());
+            return Err(UsageError("expected at least one settings file".into()).into());
         }
         let mut worst = Exit::Done;
         for file in &self.files {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Reports on one file; the others are checked whatever is wrong with it.
+/// Validates one file and prints the result. Errors are not returned, so that the remaining files are validated too.
 fn check(file: &Path) -> Exit {
     let text = match fs::read_to_string(file) {
         Ok(text) => text,
@@ -45,7 +45,7 @@
     };
     match Settings::parse(&text) {
         Ok(cfg) => {
-            println!("{} is fine: router {}", file.display(), cfg.name);
+            println!("{} is valid: router {}", file.display(), cfg.name);
             Exit::Done
         }
         Err(e) => {
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -1,5 +1,5 @@
-//! `demo`: a small fleet with stand-ins in one process, returning chats and saves while engines join, leave and
-//! flap, and a table of what came of them.
+//! `run_demo`: runs a small fleet with simulated callers, engines and backend servers in one process, with returning
+//! chats and saves while engines join, leave and flap, and prints a table of the results.
 
 use std::{
     collections::BTreeMap,
@@ -28,18 +28,18 @@
 };
 
 const ROUTERS: usize = 3;
-const TURNS: usize = 8;
-const TRIES: usize = 8;
-const CAPACITY: u32 = 32;
-const TOKENS: usize = 30;
-const TOKEN_TIME: Duration = Duration::from_millis(15);
-/// Longest pause of a caller between two turns.
-const TURN_PAUSE_MS: u64 = 800;
+const TURNS_PER_CHAT: usize = 8;
+const ATTEMPTS_PER_TURN: usize = 8;
+const ENGINE_CAPACITY: u32 = 32;
+const TOKENS_PER_ANSWER: usize = 30;
+const TOKEN_INTERVAL: Duration = Duration::from_millis(15);
+/// Maximum pause of a caller between two turns.
+const MAX_TURN_PAUSE_MS: u64 = 800;
 const CHURN_PAUSE: Duration = Duration::from_millis(700);
-const READY_TIME: Duration = Duration::from_secs(10);
-const READY_POLL: Duration = Duration::from_millis(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs a small fleet with stand-ins in one process; fails when a promise was broken.
+/// Runs a small fleet with stand-ins in one process; fails if a guarantee to callers was violated.
 #[derive(Debug, Options)]
 pub(crate) struct Demo {
     #[options(help = "print this help")]
@@ -52,13 +52,13 @@
     fn run(&self) -> Result<ExitCode> {
         logs::start("error", "text")?;
         let rt = tokio::runtime::Runtime::new().context("could not start the runtime")?;
-        rt.block_on(demo(self.chats))
+        rt.block_on(run_demo(self.chats))
     }
 }
 
-/// What the callers saw.
+/// Results observed by the callers.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct Results {
     answered: u32,
     failed: u32,
     wrong: u32,
@@ -68,8 +68,8 @@
     false_not_run: u32,
 }
 
-impl Seen {
-    fn add(&mut self, other: Seen) {
+impl Results {
+    fn add(&mut self, other: Results) {
         self.answered += other.answered;
         self.failed += other.failed;
         self.wrong += other.wrong;
@@ -80,32 +80,34 @@
     }
 }
 
-async fn demo(chats: usize) -> Result<ExitCode> {
-    say(&format!("starting {ROUTERS} routers, 9 engines, 3 backend servers of a plain service\n"));
-    let mut outside =
-        Outside::start(Plan::default().with_tokens(TOKENS, TOKEN_TIME).with_capacity(CAPACITY)).await?;
+async fn run_demo(chats: usize) -> Result<ExitCode> {
+    print_flushed(&format!("starting {ROUTERS} routers, 9 engines, 3 backend servers of a plain service\n"));
+    let mut outside = Outside::start(
+        Plan::default().with_tokens(TOKENS_PER_ANSWER, TOKEN_INTERVAL).with_capacity(ENGINE_CAPACITY),
+    )
+    .await?;
     let routers = start_routers(&outside)?;
-    ready(&routers).await?;
-    say(&format!(
-        "playing {chats} chats of {TURNS} turns, a save after each; engines join, leave and flap\n"
+    wait_until_ready(&routers).await?;
+    print_flushed(&format!(
+        "playing {chats} chats of {TURNS_PER_CHAT} turns, a save after each; engines join, leave and flap\n"
     ));
     let started = Instant::now();
     let addresses: Vec<_> = routers.iter().map(RunningRouter::addr).collect();
     let tokens = outside.tokens();
-    let tasks: Vec<_> = (0..chats).map(|i| tokio::spawn(converse(i, addresses.clone(), tokens))).collect();
+    let tasks: Vec<_> = (0..chats).map(|i| tokio::spawn(run_chat(i, addresses.clone(), tokens))).collect();
     churn(&mut outside).await?;
-    let mut seen = Seen::default();
+    let mut results = Results::default();
     for task in tasks {
         let (part, refused) = task.await?;
-        seen.add(part);
-        seen.false_not_run += refused.iter().filter(|key| outside.ran(key)).count() as u32;
+        results.add(part);
+        results.false_not_run += refused.iter().filter(|key| outside.ran(key)).count() as u32;
     }
     let doubled = outside.doubled().len();
-    say(&report(&outside, &routers, seen, doubled, started.elapsed()));
+    print_flushed(&report(&outside, &routers, results, doubled, started.elapsed()));
     routers.into_iter().for_each(RunningRouter::close);
     outside.close();
-    let kept = seen.failed == 0 && seen.wrong == 0 && seen.false_not_run == 0 && doubled == 0;
-    Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let passed = results.failed == 0 && results.wrong == 0 && results.false_not_run == 0 && doubled == 0;
+    Ok(if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn start_routers(outside: &Outside) -> Result<Vec<RunningRouter>> {
@@ -122,16 +124,16 @@
     Ok(routers)
 }
 
-async fn ready(routers: &[RunningRouter]) -> Result<()> {
+async fn wait_until_ready(routers: &[RunningRouter]) -> Result<()> {
     let waiting = async {
         while routers.iter().any(|r| r.gateway().catalog().version == 0) {
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(READY_TIME, waiting).await.context("a router got no configuration in time")
+    tokio::time::timeout(READY_TIMEOUT, waiting).await.context("a router got no configuration in time")
 }
 
-/// One engine flaps, one leaves for good and one joins while the chats go on.
+/// Makes one engine flap, one leave permanently and one join while the chats run.
 async fn churn(outside: &mut Outside) -> Result<()> {
     for mode in [Mode::Refuse, Mode::Open, Mode::Refuse, Mode::Open] {
         tokio::time::sleep(CHURN_PAUSE).await;
@@ -141,50 +143,50 @@
     outside.add_engine().await
 }
 
-async fn converse(i: usize, addresses: Vec<SocketAddr>, tokens: usize) -> (Seen, Vec<String>) {
+async fn run_chat(i: usize, addresses: Vec<SocketAddr>, tokens: usize) -> (Results, Vec<String>) {
     let mut caller = Caller::new(WORKSPACES[i % WORKSPACES.len()], &format!("chat-{i}"), addresses);
-    let mut seen = Seen::default();
+    let mut results = Results::default();
     let mut refused = Vec::new();
     if caller.enter().await.is_err() {
-        seen.failed += 1;
-        return (seen, refused);
+        results.failed += 1;
+        return (results, refused);
     }
-    tokio::time::sleep(pause(i, TURNS)).await;
-    for turn in 0..TURNS {
-        match caller.turn(TRIES).await {
-            Ok(answer) if caller.whole(&answer, tokens) => seen.answered += 1,
-            Ok(_) => seen.wrong += 1,
+    tokio::time::sleep(turn_pause(i, TURNS_PER_CHAT)).await;
+    for turn in 0..TURNS_PER_CHAT {
+        match caller.turn(ATTEMPTS_PER_TURN).await {
+            Ok(answer) if caller.whole(&answer, tokens) => results.answered += 1,
+            Ok(_) => results.wrong += 1,
             Err(e) => {
                 spdlog::warn!("chat-{i}: {e:#}");
-                seen.failed += 1;
+                results.failed += 1;
             }
         }
-        save(&caller, &format!("save-{i}-{turn}"), &mut seen, &mut refused).await;
-        tokio::time::sleep(pause(i, turn)).await;
+        save(&caller, &format!("save-{i}-{turn}"), &mut results, &mut refused).await;
+        tokio::time::sleep(turn_pause(i, turn)).await;
     }
-    (seen, refused)
+    (results, refused)
 }
 
-/// Callers come at different times, the same in every run.
-fn pause(chat: usize, turn: usize) -> Duration {
-    Duration::from_millis(hash((chat, turn)) % TURN_PAUSE_MS)
+/// Returns a pause that differs between callers and turns but is the same in every run.
+fn turn_pause(chat: usize, turn: usize) -> Duration {
+    Duration::from_millis(hash((chat, turn)) % MAX_TURN_PAUSE_MS)
 }
 
-async fn save(caller: &Caller, key: &str, seen: &mut Seen, refused: &mut Vec<String>) {
+async fn save(caller: &Caller, key: &str, results: &mut Results, refused: &mut Vec<String>) {
     match caller.save(caller.addresses()[0], key).await {
-        Ok(answer) if answer.status == 200 => seen.saved += 1,
+        Ok(answer) if answer.status == 200 => results.saved += 1,
         Ok(answer) if answer.outcome == "not-run" => {
-            seen.not_run += 1;
+            results.not_run += 1;
             refused.push(key.to_owned());
         }
-        _ => seen.unknown += 1,
+        _ => results.unknown += 1,
     }
 }
 
 fn report(
     outside: &Outside,
     routers: &[RunningRouter],
-    seen: Seen,
+    results: Results,
     doubled: usize,
     took: Duration,
 ) -> String {
@@ -193,13 +195,13 @@
     let mut row = |name: &str, value: String| {
         let _ = writeln!(text, "{name:44} {value}");
     };
-    row("chat turns answered whole", seen.answered.to_string());
-    row("chat turns given up", seen.failed.to_string());
-    row("answers that were cut or another's", seen.wrong.to_string());
-    row("saves that ran", seen.saved.to_string());
-    row("saves refused as not run", seen.not_run.to_string());
-    row("saves with unknown outcome", seen.unknown.to_string());
-    row("saves refused as not run that ran", seen.false_not_run.to_string());
+    row("chat turns answered whole", results.answered.to_string());
+    row("chat turns given up", results.failed.to_string());
+    row("answers that were cut or another's", results.wrong.to_string());
+    row("saves that ran", results.saved.to_string());
+    row("saves refused as not run", results.not_run.to_string());
+    row("saves with unknown outcome", results.unknown.to_string());
+    row("saves refused as not run that ran", results.false_not_run.to_string());
     row("saves that ran twice", doubled.to_string());
     row("cache reuse of returning chats", format!("{reuse:.3}"));
     row("requests of the busiest engine over the mean", format!("{skew:.2}"));
@@ -229,8 +231,8 @@
     totals
 }
 
-/// Prints; a closed pipe is no reason to fail.
-fn say(text: &str) {
+/// Prints to standard output; ignores a closed pipe.
+fn print_flushed(text: &str) {
     let mut out = std::io::stdout().lock();
     let _ = out.write_all(text.as_bytes());
     let _ = out.flush();
--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`: tells one router to shut down gracefully.
+//! `drain`: requests the graceful shutdown of one router.
 
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode, time::Duration};
 
@@ -11,9 +11,9 @@
 use super::{Run, remote};
 use crate::{client::Client, config::Settings, operate};
 
-const TIMEOUT: Duration = Duration::from_secs(5);
+const DRAIN_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Tells one router to shut down.
+/// Requests the graceful shutdown of one router.
 #[derive(Debug, Options)]
 pub(crate) struct Drain {
     #[options(help = "print this help")]
@@ -44,8 +44,8 @@
 
 impl Drain {
     async fn find(&self, client: &Client) -> Result<SocketAddr> {
-        let asked = remote::ask_all(client, &remote::routers(&self.router)?).await;
-        let found = asked.iter().find(|(_, a)| a.name == self.which).map(|(addr, _)| *addr);
+        let results = remote::query_all(client, &remote::routers(&self.router)?).await;
+        let found = results.iter().find(|(_, a)| a.name == self.which).map(|(addr, _)| *addr);
         found.with_context(|| format!("there is no live router {}", self.which))
     }
 }
@@ -55,11 +55,11 @@
         .header("authorization", format!("Bearer {}", operate::token(shared_key)))
         .header("content-length", 0)
         .body(Full::new(Bytes::new()))?;
-    let answer = tokio::time::timeout(TIMEOUT, client.send(req)).await;
-    let res = answer.with_context(|| format!("no answer from {addr} in time"))?;
+    let response = tokio::time::timeout(DRAIN_REQUEST_TIMEOUT, client.send(req)).await;
+    let res = response.with_context(|| format!("request to {addr} timed out"))?;
     let res = res.map_err(|e| anyhow::anyhow!("could not reach {addr}: {e:?}"))?;
     match res.status().as_u16() {
         202 => Ok(()),
-        status => bail!("{addr} answered {status}"),
+        status => bail!("{addr} responded with status {status}"),
     }
 }
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,14 +1,14 @@
-//! `explain`: prints the story of one request from log lines.
+//! `explain`: prints the timeline of one request from log lines.
 
 use std::{io, process::ExitCode};
 
 use anyhow::{Context, Result};
 use gumdrop::Options;
 
-use super::{Run, Usage, remote::Exit};
+use super::{Run, UsageError, remote::Exit};
 use crate::logs::explain::explain;
 
-/// Prints the story of one request from the log lines of any number of hosts on standard input.
+/// Prints the timeline of one request from the log lines of any number of hosts on standard input.
 #[derive(Debug, Options)]
 pub(crate) struct Explain {
     #[options(help = "print this help")]
@@ -20,16 +20,17 @@
 impl Run for Explain {
     fn run(&self) -> Result<ExitCode> {
         let Some(id) = &self.id else {
-            return Err(Usage("expected the identifier of a request".into()).into());
+            return Err(UsageError("expected the identifier of a request".into()).into());
         };
-        let lines = io::stdin().lines().collect::<Result<Vec<_>, _>>().context("could not read the lines")?;
+        let lines =
+            io::stdin().lines().collect::<Result<Vec<_>, _>>().context("could not read standard input")?;
         match explain(id, lines) {
             Some(story) => {
                 print!("{story}");
                 Ok(ExitCode::SUCCESS)
             }
             None => {
-                eprintln!("no line names the request {id}");
+                eprintln!("no log line contains the request {id}");
                 Ok(Exit::Invalid.into())
             }
         }
--- a/src/cmd/get.rs
+++ b/src/cmd/get.rs
@@ -1,14 +1,14 @@
-//! `get`: shows objects as the platform has them.
+//! `get`: prints objects stored on the platform.
 
 use std::process::ExitCode;
 
 use anyhow::{Context, Result, bail, ensure};
 use gumdrop::Options;
 
-use super::{Run, Usage, remote};
+use super::{Run, UsageError, remote};
 use crate::{catalog::AnyObject, objects::CONFIGURATION_KINDS};
 
-/// Shows objects as the platform has them.
+/// Prints objects stored on the platform.
 #[derive(Debug, Options)]
 pub(crate) struct Get {
     #[options(help = "print this help")]
@@ -26,9 +26,9 @@
         let (kind, name) = match self.words.as_slice() {
             [kind] => (kind, None),
             [kind, name] => (kind, Some(name)),
-            _ => return Err(Usage("expected KIND [NAME]".into()).into()),
+            _ => return Err(UsageError("expected KIND [NAME]".into()).into()),
         };
-        known_kind(kind)?;
+        check_kind(kind)?;
         let platform = remote::platform(&self.platform)?;
         let objects = remote::block_on(async {
             match name {
@@ -39,30 +39,30 @@
                 }
             }
         })?;
-        print!("{}", show(&objects, name.is_some(), &self.output)?);
+        print!("{}", format_objects(&objects, name.is_some(), &self.output)?);
         Ok(ExitCode::SUCCESS)
     }
 }
 
-/// Refuses a kind that operators don't write.
-pub(super) fn known_kind(kind: &str) -> Result<()> {
+/// Checks that `kind` is one of the kinds that operators write.
+pub(super) fn check_kind(kind: &str) -> Result<()> {
     let kinds = CONFIGURATION_KINDS;
     ensure!(kinds.contains(&kind), "`{kind}` is not one of {}", kinds.join(", "));
     Ok(())
 }
 
-fn show(objects: &[AnyObject], single: bool, output: &str) -> Result<String> {
+fn format_objects(objects: &[AnyObject], single: bool, output: &str) -> Result<String> {
     match output {
-        "" => Ok(table(objects)),
+        "" => Ok(format_table(objects)),
         "json" if single => Ok(serde_json::to_string_pretty(&objects[0])? + "\n"),
         "json" => Ok(serde_json::to_string_pretty(objects)? + "\n"),
-        // Documents that `apply` takes again.
+        // One document per object, as `apply` reads them.
         "yaml" => serde_saphyr::to_string_multiple(objects).context("could not write the YAML"),
-        other => bail!("`{other}` is neither json nor yaml"),
+        other => bail!("unknown output format `{other}`; expected json or yaml"),
     }
 }
 
-fn table(objects: &[AnyObject]) -> String {
+fn format_table(objects: &[AnyObject]) -> String {
     let mut text = format!("{:<16} {:<24} {:>8} {}\n", "KIND", "NAME", "VERSION", "LABELS");
     for obj in objects {
         let meta = &obj.metadata;
--- a/src/cmd/label.rs
+++ b/src/cmd/label.rs
@@ -7,7 +7,7 @@
 use rand::{SeedableRng, rngs::StdRng};
 
 use super::{
-    Run, Usage, apply, get,
+    Run, UsageError, apply, get,
     remote::{self, Exit},
 };
 use crate::{catalog::Labels, revision::check};
@@ -26,29 +26,29 @@
 impl Run for Label {
     fn run(&self) -> Result<ExitCode> {
         let [kind, name, changes @ ..] = self.words.as_slice() else {
-            return Err(Usage("expected KIND NAME LABEL=VALUE... LABEL-...".into()).into());
+            return Err(UsageError("expected KIND NAME LABEL=VALUE... LABEL-...".into()).into());
         };
-        get::known_kind(kind)?;
+        get::check_kind(kind)?;
         if changes.is_empty() {
-            return Err(Usage("expected at least one LABEL=VALUE or LABEL-".into()).into());
+            return Err(UsageError("expected at least one LABEL=VALUE or LABEL-".into()).into());
         }
         let platform = remote::platform(&self.platform)?;
         remote::block_on(async {
             let found = platform.get(kind, name).await?;
             let mut obj = found.with_context(|| format!("there is no {kind}/{name}"))?;
-            changes.iter().try_for_each(|text| change(&mut obj.metadata.labels, text))?;
+            changes.iter().try_for_each(|text| apply_change(&mut obj.metadata.labels, text))?;
             let problems = check::check(&obj);
             if !problems.is_empty() {
                 problems.iter().for_each(|p| eprintln!("{kind}/{name}: {p}"));
                 return Ok(Exit::Invalid.into());
             }
             let write = platform.put_with_retries(obj, &mut StdRng::from_os_rng()).await?;
-            Ok(apply::report(&format!("{kind}/{name}"), write, &mut 0).into())
+            Ok(apply::report_outcome(&format!("{kind}/{name}"), write, &mut 0).into())
         })
     }
 }
 
-fn change(labels: &mut Labels, text: &str) -> Result<()> {
+fn apply_change(labels: &mut Labels, text: &str) -> Result<()> {
     match (text.split_once('='), text.strip_suffix('-')) {
         (Some((key, value)), _) => drop(labels.insert(key.to_owned(), value.to_owned())),
         (None, Some(key)) => drop(labels.remove(key)),
--- a/src/cmd/relay.rs
+++ b/src/cmd/relay.rs
@@ -1,4 +1,4 @@
-//! `relay`: serves on the users' platform until it is told to stop.
+//! `relay`: runs a relay on the users' platform until it is stopped.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -8,10 +8,10 @@
 use super::Run;
 use crate::platform;
 
-/// Names the settings file where the command line does not.
+/// Environment variable with the path of the settings file, used if the command line names none.
 const SETTINGS_ENV: &str = "CRANBERRYTALLY_NODE_FILE";
 
-/// Serves on the platform with a settings file in the platform's form.
+/// Runs a relay on the platform with a settings file in the platform's format.
 #[derive(Debug, Options)]
 pub(crate) struct RelayCmd {
     #[options(help = "print this help")]
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: runs one router until it is told to stop.
+//! `serve`: runs one router until it is stopped.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -25,11 +25,13 @@
         let rt = tokio::runtime::Runtime::new().context("could not start the runtime")?;
         rt.block_on(async {
             let running = RunningRouter::start(&cfg)?;
-            // A script or a test that lets the system choose the ports reads them here.
+            // Scripts and tests that let the system choose the ports read them from this line.
             println!("callers {} peers {}", running.addr(), running.peer_addr());
             spdlog::info!("router {} serves on {}", cfg.name, running.addr());
-            let mut terminate = signal(SignalKind::terminate()).context("could not wait for a signal")?;
-            let mut interrupt = signal(SignalKind::interrupt()).context("could not wait for a signal")?;
+            let mut terminate =
+                signal(SignalKind::terminate()).context("could not install a signal handler")?;
+            let mut interrupt =
+                signal(SignalKind::interrupt()).context("could not install a signal handler")?;
             tokio::select! {
                 _ = terminate.recv() => {}
                 _ = interrupt.recv() => {}
@@ -38,7 +40,7 @@
             spdlog::info!("router {} is leaving", cfg.name);
             tokio::select! {
                 cut = running.shut_down() => spdlog::info!("router {} stopped, {cut} requests cut", cfg.name),
-                // A second interrupt is an operator at a terminal who won't wait.
+                // A second interrupt means that the operator does not want to wait.
                 _ = interrupt.recv() => spdlog::warn!("router {} stopped at once", cfg.name),
             }
             Ok(ExitCode::SUCCESS)
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `status`: shows which routers live, which version each has in force, and objects that are not valid.
+//! `status`: prints the live routers, the version that each has in force, and invalid objects.
 
 use std::{collections::BTreeMap, net::SocketAddr, process::ExitCode};
 
@@ -7,11 +7,11 @@
 
 use super::{
     Run,
-    remote::{self, Asked},
+    remote::{self, QueryResult},
 };
 use crate::client::Client;
 
-/// Shows the live routers, the version that each has in force, and objects that are not valid.
+/// Prints the live routers, the version that each has in force, and invalid objects.
 #[derive(Debug, Options)]
 pub(crate) struct Status {
     #[options(help = "print this help")]
@@ -25,25 +25,25 @@
 impl Run for Status {
     fn run(&self) -> Result<ExitCode> {
         let routers = remote::routers(&self.router)?;
-        let asked = remote::block_on(async { Ok(remote::ask_all(&Client::default(), &routers).await) })?;
+        let results = remote::block_on(async { Ok(remote::query_all(&Client::default(), &routers).await) })?;
         match self.output.as_str() {
-            "" => print!("{}", table(&asked)),
-            "json" => println!("{}", serde_json::to_string_pretty(&json(&asked))?),
-            other => bail!("`{other}` is not json"),
+            "" => print!("{}", format_table(&results)),
+            "json" => println!("{}", serde_json::to_string_pretty(&to_json(&results))?),
+            other => bail!("unknown output format `{other}`; expected json"),
         }
-        if asked.values().all(|a| a.status.is_err()) {
-            bail!("no router answered");
+        if results.values().all(|a| a.status.is_err()) {
+            bail!("no router responded");
         }
         Ok(ExitCode::SUCCESS)
     }
 }
 
-fn table(asked: &BTreeMap<SocketAddr, Asked>) -> String {
+fn format_table(results: &BTreeMap<SocketAddr, QueryResult>) -> String {
     let mut text = format!(
         "{:<16} {:<12} {:<22} {:>8} {:<6} {:<6} {}\n",
         "ROUTER", "DATA CENTRE", "ADDRESS", "VERSION", "READY", "WATCH", "STATE"
     );
-    for (addr, a) in asked {
+    for (addr, a) in results {
         let line = match &a.status {
             Err(e) => format!("{:<16} {:<12} {addr:<22} no answer: {e:#}\n", a.name, ""),
             Ok(s) => {
@@ -57,12 +57,12 @@
         };
         text += &line;
     }
-    text + &bad(asked)
+    text + &format_invalid(results)
 }
 
-/// Objects that are not valid, each once.
-fn bad(asked: &BTreeMap<SocketAddr, Asked>) -> String {
-    let all = asked.values().filter_map(|a| a.status.as_ref().ok()).flat_map(|s| &s.bad);
+/// Lists the invalid objects that the routers report, each once.
+fn format_invalid(results: &BTreeMap<SocketAddr, QueryResult>) -> String {
+    let all = results.values().filter_map(|a| a.status.as_ref().ok()).flat_map(|s| &s.bad);
     let by_name: BTreeMap<_, _> = all.map(|b| ((&b.kind, &b.name, b.version), b)).collect();
     let mut text = String::new();
     for b in by_name.values() {
@@ -73,10 +73,10 @@
     text
 }
 
-fn json(asked: &BTreeMap<SocketAddr, Asked>) -> serde_json::Value {
-    let row = |(addr, a): (&SocketAddr, &Asked)| match &a.status {
+fn to_json(results: &BTreeMap<SocketAddr, QueryResult>) -> serde_json::Value {
+    let row = |(addr, a): (&SocketAddr, &QueryResult)| match &a.status {
         Ok(status) => serde_json::json!({ "address": addr, "name": a.name, "status": status }),
         Err(e) => serde_json::json!({ "address": addr, "name": a.name, "error": format!("{e:#}") }),
     };
-    serde_json::json!({ "routers": asked.iter().map(row).collect::<Vec<_>>() })
+    serde_json::json!({ "routers": results.iter().map(row).collect::<Vec<_>>() })
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! A router fleet for very many returning chats.
+//! Fleet of routers between callers and model engines or backend servers, for large numbers of returning chats.
 //!
-//! Decision modules (`entry`, `place`, `catalog`) take time, randomness and input as arguments and return what
-//! to do. The shell (`http`, `client`, `platform`, `gateway`, `serve`) turns I/O into inputs and outputs into I/O.
+//! The decision modules (such as `entry`, `place` and `catalog`) perform no I/O: they receive time, randomness and
+//! input as arguments and return actions. The I/O modules (such as `http`, `client`, `platform`, `gateway` and `serve`)
+//! call them and perform the actions.
 
 pub mod admit;
 pub mod catalog;
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -118,13 +118,13 @@
     let table: [(&[&str], i32, &str); 11] = [
         (&["apply", "-f", &wrong, "--platform", NOWHERE], 2, "document 1: metadata.name"),
         (&["apply", "-f", &garbled, "--platform", NOWHERE], 2, "could not read the YAML"),
-        (&["apply", "-f", &empty, "--platform", NOWHERE], 2, "there is no object in it"),
+        (&["apply", "-f", &empty, "--platform", NOWHERE], 2, "the file contains no objects"),
         (&["apply", "-f", "no/such/file", "--platform", NOWHERE], 1, "could not read no/such/file"),
-        (&["apply", "-f", &objects, "--platform", "here"], 1, "--platform is no IP address and port"),
+        (&["apply", "-f", &objects, "--platform", "here"], 1, "--platform is not an IP address and port"),
         (&["apply", "-f", &objects, "--platform", NOWHERE], 1, "could not"),
         (&["apply", "-f", &objects, "--platform", NOWHERE, "--wait"], 1, "--router is missing"),
         (&["get", "Engines", "--platform", NOWHERE], 1, "is not one of"),
-        (&["status", "--router", NOWHERE], 1, "no router answered"),
+        (&["status", "--router", NOWHERE], 1, "no router responded"),
         (&["drain", NOWHERE, "-c", &settings], 1, "could not reach"),
         (&["serve", "-c", "no/such/file"], 1, "could not read no/such/file"),
     ];
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn omitted_settings_get_their_devalidate() {
+fn omitted_settings_get_their_defaults() {
     let cfg = Settings::parse(VALID).unwrap();
 
     assert_eq!(&*cfg.name, "r1");
