--- a/src/objects/write.rs
+++ b/src/objects/write.rs
@@ -31,9 +31,9 @@
 
 impl PendingWrite {
     /// Creates a write of `obj` with `nonce` and at most `attempts_left` attempts.
-    pub fn new(mut obj: AnyObject, nonce: impl Into<String>, attempts: u32) -> Self {
+    pub fn new(mut obj: AnyObject, nonce: impl Into<String>, attempts_left: u32) -> Self {
         obj.metadata.writer_nonce = nonce.into();
-        Self { obj, attempts_left: attempts, unanswered: false }
+        Self { obj, attempts_left, unanswered: false }
     }
 
     /// Returns the step that sends the next attempt, or [`Step::Unknown`] if no attempts are left.
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The program's arguments: help and version, plain errors on stderr, exit codes.
+//! Command line: help and version, one-line errors on stderr, exit codes.
 
 use std::{
     fs,
@@ -9,22 +9,22 @@
 const GOOD: &str = "name: r1\nlisten: 127.0.0.1:8000\npeer_listen: 127.0.0.1:8001\ndata_centre: poa-a\n\
     region: poa\nplatform: 127.0.0.1:9000\nshared_key: secret\n";
 const COMMANDS: [&str; 8] = ["serve", "check", "demo", "apply", "get", "label", "status", "drain"];
-/// Nothing listens here: the port is reserved.
+/// Address on which nothing listens: the port is reserved.
 const NOWHERE: &str = "127.0.0.1:1";
 
-struct Ended {
+struct RunResult {
     code: i32,
     out: String,
     err: String,
 }
 
-fn run(args: &[&str]) -> Ended {
+fn run(args: &[&str]) -> RunResult {
     let out = Command::new(env!("CARGO_BIN_EXE_cranberrytally")).args(args).output().unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    Ended { code: out.status.code().unwrap(), out: text(out.stdout), err: text(out.stderr) }
+    RunResult { code: out.status.code().unwrap(), out: text(out.stdout), err: text(out.stderr) }
 }
 
-/// A file with this text that only this test uses.
+/// Creates a file with this text that no other test uses; returns its path.
 fn file(name: &str, text: &str) -> String {
     let path =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("cli-{name}-{}.yaml", std::process::id()));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn help_is_there_at_each_level() {
+fn every_command_has_help() {
     let top = run(&["--help"]);
 
     assert_eq!((top.code, top.err.as_str()), (0, ""));
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn the_version_is_that_of_the_package() {
-    let seen = run(&["--version"]);
+fn the_version_matches_the_package() {
+    let result = run(&["--version"]);
 
-    assert_eq!((seen.code, seen.out), (0, format!("cranberrytally {}\n", env!("CARGO_PKG_VERSION"))));
+    assert_eq!((result.code, result.out), (0, format!("cranberrytally {}\n", env!("CARGO_PKG_VERSION"))));
 }
 
 #[test]
-fn wrong_arguments_are_told_plainly() {
+fn invalid_arguments_get_a_one_line_error() {
     let table: [(&[&str], &str); 14] = [
         (&[], "no command given"),
         (&["begin"], "unrecognized command `begin`"),
@@ -76,12 +76,12 @@
         (&["label", "Engine"], "expected KIND NAME"),
         (&["drain", "r1"], "missing required option `--config`"),
     ];
-    for (args, told) in table {
-        let seen = run(args);
+    for (args, expected) in table {
+        let result = run(args);
 
-        assert_eq!((seen.code, seen.out.as_str()), (2, ""), "{args:?}: {}", seen.err);
-        assert!(seen.err.contains(told), "{args:?}: {}", seen.err);
-        assert_eq!(seen.err.lines().count(), 1, "{args:?}: {}", seen.err);
+        assert_eq!((result.code, result.out.as_str()), (2, ""), "{args:?}: {}", result.err);
+        assert!(result.err.contains(expected), "{args:?}: {}", result.err);
+        assert_eq!(result.err.lines().count(), 1, "{args:?}: {}", result.err);
     }
 }
 
@@ -99,18 +99,18 @@
         (&[absent, &good], 1, &["could not read no/such/file.yaml"]),
         (&[&bad, absent], 2, &["line 8, `http_threads`", "could not read no/such/file.yaml"]),
     ];
-    for (files, code, told) in table {
-        let seen = run(&[&["check"], files].concat());
+    for (files, code, expected) in table {
+        let result = run(&[&["check"], files].concat());
 
-        assert_eq!(seen.code, code, "{files:?}: {}", seen.err);
-        assert!(told.iter().all(|t| seen.err.contains(t)), "{files:?}: {}", seen.err);
+        assert_eq!(result.code, code, "{files:?}: {}", result.err);
+        assert!(expected.iter().all(|t| result.err.contains(t)), "{files:?}: {}", result.err);
         let fine = files.iter().filter(|f| [&*good, &*other].contains(*f));
-        assert_eq!(seen.out.lines().count(), fine.count(), "{files:?}: {}", seen.out);
+        assert_eq!(result.out.lines().count(), fine.count(), "{files:?}: {}", result.out);
     }
 }
 
 #[test]
-fn what_fails_has_its_exit_code() {
+fn failures_have_their_exit_code() {
     let settings = file("settings", GOOD);
     let objects = file("objects", "kind: Workspace\nmetadata: {name: a}\n");
     let wrong = file("wrong", "kind: Workspace\nmetadata: {name: '-'}\n");
@@ -128,12 +128,12 @@
         (&["drain", NOWHERE, "-c", &settings], 1, "could not reach"),
         (&["serve", "-c", "no/such/file"], 1, "could not read no/such/file"),
     ];
-    for (args, code, told) in table {
-        let seen = run(args);
+    for (args, code, expected) in table {
+        let result = run(args);
 
-        assert_eq!(seen.code, code, "{args:?}: {}", seen.err);
-        assert!(seen.err.contains(told), "{args:?}: {}", seen.err);
-        assert!(!seen.err.contains("panicked"), "{args:?}: {}", seen.err);
+        assert_eq!(result.code, code, "{args:?}: {}", result.err);
+        assert!(result.err.contains(expected), "{args:?}: {}", result.err);
+        assert!(!result.err.contains("panicked"), "{args:?}: {}", result.err);
     }
 }
 
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -8,7 +8,7 @@
     schema::settings as raw,
 };
 
-const VALID: &str = "name: r1
+const GOOD: &str = "name: r1
 listen: 127.0.0.1:8000
 peer_listen: 127.0.0.1:8001
 data_centre: poa-a
@@ -18,12 +18,12 @@
 ";
 
 fn with(lines: &str) -> String {
-    format!("{VALID}{lines}")
+    format!("{GOOD}{lines}")
 }
 
 #[test]
 fn omitted_settings_get_their_defaults() {
-    let cfg = Settings::parse(VALID).unwrap();
+    let cfg = Settings::parse(GOOD).unwrap();
 
     assert_eq!(&*cfg.name, "r1");
     assert_eq!(cfg.max_body_bytes, 1 << 20);
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -1,4 +1,4 @@
-//! Contract of the engine's interface, client against stand-in, with the fault cases in tables.
+//! Contract tests of the engine API: the client against a simulated engine, with fault cases from tables.
 
 use std::{fs, net::TcpListener, path::Path, sync::Arc, time::Duration};
 
@@ -16,9 +16,9 @@
 };
 use serde::{Deserialize, de::DeserializeOwned};
 
-const TOKENS: usize = 6;
-const EVENTS: u32 = 7;
-const STALL: Duration = Duration::from_millis(300);
+const TOKENS_PER_ANSWER: usize = 6;
+const EVENTS_PER_ANSWER: u32 = 7;
+const STALL_TIMEOUT: Duration = Duration::from_millis(300);
 const REQUEST: &str = "request-1";
 
 type TestResult = datatest_stable::Result<()>;
@@ -32,7 +32,7 @@
 
 impl Fixture {
     async fn start(faults: Faults) -> Self {
-        let engine = Arc::new(EngineStandin::new(TOKENS, Duration::from_millis(1), 4));
+        let engine = Arc::new(EngineStandin::new(TOKENS_PER_ANSWER, Duration::from_millis(1), 4));
         engine.set_faults(faults);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let server = Server::start(listener, 1, Limits::default(), engine.clone()).unwrap();
@@ -49,7 +49,7 @@
             priority: 1,
             body: Bytes::from_static(br#"{"messages":[{"role":"user","content":"hello"}]}"#),
         };
-        match tokio::time::timeout(STALL, self.client.chat(&call)).await {
+        match tokio::time::timeout(STALL_TIMEOUT, self.client.chat(&call)).await {
             Err(_) => Err("stalled"),
             Ok(Err(Failure::Connect)) => Err("connect"),
             Ok(Err(Failure::Broken)) => Err("broken"),
@@ -71,36 +71,36 @@
     Bytes::from(format!("kv of {chat} in phrasebook"))
 }
 
-/// What reading one connection came to.
+/// Result of reading one connection.
 #[derive(Debug, Default, PartialEq)]
-struct Reading {
+struct ReadResult {
     passed: u32,
     dropped: Vec<&'static str>,
     end: &'static str,
 }
 
-async fn read(res: http::Response<hyper::body::Incoming>, tracker: &mut StreamTracker) -> Reading {
-    let mut answer = AnswerStream::new(res.into_body(), STALL);
-    let mut reading = Reading::default();
+async fn read(res: http::Response<hyper::body::Incoming>, tracker: &mut StreamTracker) -> ReadResult {
+    let mut answer = AnswerStream::new(res.into_body(), STALL_TIMEOUT);
+    let mut result = ReadResult::default();
     loop {
         let event = match answer.next().await {
             Ok(event) => event,
-            Err(broken) => {
-                reading.end = broken.as_str();
-                return reading;
+            Err(error) => {
+                result.end = error.as_str();
+                return result;
             }
         };
         match tracker.on_event(event.id.as_deref(), event.data.as_deref().unwrap_or("")) {
-            EventAction::Pass => reading.passed += 1,
-            EventAction::Drop(dropped) => reading.dropped.push(dropped.as_str()),
+            EventAction::Pass => result.passed += 1,
+            EventAction::Drop(dropped) => result.dropped.push(dropped.as_str()),
             EventAction::Refetch => {
-                reading.end = "refetch";
-                return reading;
+                result.end = "refetch";
+                return result;
             }
             EventAction::Complete => {
-                reading.passed += 1;
-                reading.end = "complete";
-                return reading;
+                result.passed += 1;
+                result.end = "complete";
+                return result;
             }
         }
     }
@@ -110,7 +110,7 @@
     serde_saphyr::from_str(&fs::read_to_string(path).unwrap()).unwrap()
 }
 
-fn run(work: impl Future<Output = ()>) -> TestResult {
+fn block_on(work: impl Future<Output = ()>) -> TestResult {
     tokio::runtime::Runtime::new()?.block_on(work);
     Ok(())
 }
@@ -143,7 +143,7 @@
 }
 
 fn answers(path: &Path) -> TestResult {
-    run(async {
+    block_on(async {
         for case in table::<AnswerCase>(path) {
             let fixture = Fixture::start(case.faults).await;
             fixture.gate.set(case.mode).await.unwrap();
@@ -160,10 +160,10 @@
             if let Ok(res) = res
                 && res.status() == 200
             {
-                let reading = read(res, &mut StreamTracker::new(REQUEST, 0)).await;
-                assert_eq!(reading.passed, case.passed, "{}: passed", case.name);
-                assert_eq!(reading.dropped, case.dropped, "{}: dropped", case.name);
-                assert_eq!(reading.end, case.end, "{}: end", case.name);
+                let result = read(res, &mut StreamTracker::new(REQUEST, 0)).await;
+                assert_eq!(result.passed, case.passed, "{}: passed", case.name);
+                assert_eq!(result.dropped, case.dropped, "{}: dropped", case.name);
+                assert_eq!(result.end, case.end, "{}: end", case.name);
             }
             fixture.close();
         }
@@ -179,7 +179,7 @@
 }
 
 fn resumes(path: &Path) -> TestResult {
-    run(async {
+    block_on(async {
         for case in table::<ResumeCase>(path) {
             let fixture = Fixture::start(case.faults).await;
             let mut tracker = StreamTracker::new(REQUEST, 0);
@@ -193,7 +193,7 @@
             }
 
             assert!(tracker.is_complete(), "{}: complete", case.name);
-            assert_eq!(passed, EVENTS, "{}: passed", case.name);
+            assert_eq!(passed, EVENTS_PER_ANSWER, "{}: passed", case.name);
             assert_eq!(connections, case.connections, "{}: connections", case.name);
             assert_eq!(fixture.engine.runs()[REQUEST], 1, "{}: runs", case.name);
             fixture.close();
@@ -211,16 +211,16 @@
 }
 
 fn orders(path: &Path) -> TestResult {
-    run(async {
+    block_on(async {
         for case in table::<OrderCase>(path) {
             let faults = Faults { checks_fencing: case.checks_fencing, ..Faults::default() };
             let fixture = Fixture::start(faults).await;
 
             for fencing in &case.given {
                 let order = Order { models: vec!["phrase-2".into()], ..Order::default() };
-                let ordered = fixture.client.order(&order, *fencing, STALL).await.unwrap();
+                let outcome = fixture.client.order(&order, *fencing, STALL_TIMEOUT).await.unwrap();
                 let newest = fixture.engine.orders().last().map(|o| o.0);
-                assert!(ordered == OrderOutcome::Stale || newest == Some(*fencing), "{}", case.name);
+                assert!(outcome == OrderOutcome::Stale || newest == Some(*fencing), "{}", case.name);
             }
 
             let taken: Vec<_> = fixture.engine.orders().into_iter().map(|o| o.0).collect();
@@ -231,9 +231,9 @@
     })
 }
 
-/// A caller goes away in the middle of an answer; the engine would go on to make tokens for nobody.
+/// A caller disconnects during an answer. Without a cancel the engine would keep generating tokens that nobody reads.
 fn cancels(_: &Path) -> TestResult {
-    run(async {
+    block_on(async {
         let fixture =
             Fixture::start(Faults { stall_after: Some(1), connections: 1, ..Faults::default() }).await;
         let res = fixture.chat().await.unwrap();
@@ -249,10 +249,10 @@
     })
 }
 
-/// Cache events come with a gap; a reader must be able to see that one is missing.
-/// Then the engine crashes: its start changes, its cache is empty and positions begin anew.
+/// Cache events arrive with a gap, which the reader must be able to detect. Then the engine crashes: its start changes,
+/// its cache is empty and positions restart.
 fn events_and_kv(_: &Path) -> TestResult {
-    run(async {
+    block_on(async {
         let fixture = Fixture::start(Faults { event_gap: 2, ..Faults::default() }).await;
         for chat in ["a", "b", "c"] {
             fixture.client.import_kv(id(chat), kv(chat)).await.unwrap();
@@ -268,7 +268,7 @@
         assert!(fixture.client.import_kv(id("z"), Bytes::from_static(b"torn")).await.is_err());
         fixture.engine.crash();
         let after = loop {
-            // A pooled connection may still be the one that the crash cuts.
+            // The client may reuse a pooled connection that the crash closes.
             if let Ok(after) = fixture.client.events(0).await {
                 break after;
             }
@@ -279,10 +279,10 @@
     })
 }
 
-/// Names of chats come from callers. One with a slash, a question mark or dots must name a cached context and
-/// nothing else of the engine, or a chat `a?b` would be answered from the context of `a`.
+/// Callers choose the names of chats. A name with a slash, a question mark or dots must address its own cached context
+/// and no other endpoint of the engine; in a URL, chat `a?b` would reach the context of `a`.
 fn any_chat_name_names_its_own_context(_: &Path) -> TestResult {
-    run(async {
+    block_on(async {
         let fixture = Fixture::start(Faults::default()).await;
         for chat in ["a", "a/b", "a?b", "..", "../load", "a b", "%61", "#"] {
             assert_eq!(fixture.client.export_kv(id(chat)).await.ok(), Some(None), "{chat} before");
@@ -298,10 +298,9 @@
     })
 }
 
-/// Both our companies call a chat `chat-1`. The second company's guest must not be answered from the context of
-/// the first one's traveller, though both chats run on the same engine.
+/// Two workspaces use the same chat name on one engine. Neither may get an answer from the other's cached context.
 fn workspaces_share_no_context(_: &Path) -> TestResult {
-    run(async {
+    block_on(async {
         let fixture = Fixture::start(Faults::default()).await;
         let body = Bytes::from(r#"{"messages":[{"content":"a"},{"content":"b"}]}"#);
         let turns = [("phrasebook", 0), ("excursions", 0), ("phrasebook", 1), ("excursions", 2)];
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! A failed request is explained from log lines alone: a refused one, a cut stream, and one that may have run.
+//! Log lines alone explain how a request ended: refusals, broken streams, unknown outcomes and callers that left.
 
 #[path = "support/relay.rs"]
 mod relay_support;
@@ -13,11 +13,11 @@
 use cranberrytally::logs::{explain::explain, lines};
 use wire::{Act, Host, Server, answer, chunk, event, not_run, request, status, stream_head};
 
-/// Output that tests read.
+/// Log output shared with the test.
 #[derive(Clone, Default)]
-struct Shared(Arc<Mutex<Vec<u8>>>);
+struct LogOutput(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Shared {
+impl Write for LogOutput {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(buf);
         Ok(buf.len())
@@ -28,7 +28,7 @@
     }
 }
 
-impl Shared {
+impl LogOutput {
     fn lines(&self) -> Vec<String> {
         String::from_utf8_lossy(&self.0.lock().unwrap()).lines().map(str::to_owned).collect()
     }
@@ -38,11 +38,11 @@
     req.replace("Attempt-Id: r1", &format!("Attempt-Id: {id}"))
 }
 
-/// Three callers complain: one was refused, one saw its stream break off, one does not know whether its save took
-/// effect. For each, the lines that the host wrote tell the servers that were asked, why, and what decided the end.
+/// One request is refused, one stream breaks, one write has an unknown outcome. For each, the host's log lines must
+/// give the servers tried, the reason for each choice and the cause of the end.
 #[tokio::test]
 async fn the_lines_of_a_host_explain_three_kinds_of_failure() {
-    let output = Shared::default();
+    let output = LogOutput::default();
     lines::start(output.clone(), 1 << 20).unwrap();
     lines::set_host("host-1");
     let full = Server::start("i-full", [Act::Write(not_run())]).await;
@@ -90,7 +90,7 @@
     text.lines().map(str::to_owned).collect()
 }
 
-/// A caller gave a stream up after two seconds. The end names the server that said nothing, and for how long.
+/// A caller disconnects after 2.4 s. The explanation must name the server that it waited for and for how long.
 #[test]
 fn a_caller_who_left_is_explained_by_what_it_waited_for() {
     let silent = r#"{"t":1000,"event":"sent","host":"h1","request":"r1","backend":"i-1","why":"home"}
@@ -113,7 +113,7 @@
     );
 }
 
-/// A host lost its power in the middle of a stream, so that no line of it tells the end. Its next start does.
+/// A host loses power during a stream, so no log line reports the end. The host's next start explains it.
 #[test]
 fn a_request_that_ended_with_its_host_is_explained_by_the_hosts_next_start() {
     let lines = r#"{"t":1000,"event":"sent","host":"h1","request":"r1","backend":"i-1","why":"home"}
@@ -128,7 +128,8 @@
     );
 }
 
-/// A request handled by an old configuration, whose lines don't tell why its host did not know the newer one.
+/// A host handles a request with an outdated configuration. The explanation must show why it had no newer one: its
+/// state changes before the request, but not those of other hosts.
 #[test]
 fn a_request_handled_by_an_old_configuration_is_explained() {
     let lines = [
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,4 +1,4 @@
-//! Bad input over HTTP: a clear error, nothing run, nothing leaked to another caller.
+//! Invalid HTTP input: gets a clear error, is not executed and does not affect other requests.
 
 use std::{
     io::{Read, Write},
@@ -14,8 +14,8 @@
 use cranberrytally::http::{Handler, Limits, Reply, Server, body_channel};
 use http::Request;
 
-const BODY_LIMIT: usize = 64;
-const BODY_TIME: Duration = Duration::from_millis(200);
+const MAX_BODY_BYTES: usize = 64;
+const BODY_TIMEOUT: Duration = Duration::from_millis(200);
 
 #[derive(Default)]
 struct Echo {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Sends the body on and lets go of it; the body `whole` is ended as it should be.
+/// Echoes the body as a stream. Only the body `whole` is finished; any other is dropped without an end.
 fn stream(body: Bytes) -> Reply {
     let (tx, rx) = body_channel(1);
     tokio::spawn(async move {
@@ -57,28 +57,28 @@
     let echo = Arc::new(Echo::default());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let limits = Limits::default()
-        .with_max_body_bytes(BODY_LIMIT)
-        .with_body_timeout(BODY_TIME)
-        .with_head_timeout(BODY_TIME);
+        .with_max_body_bytes(MAX_BODY_BYTES)
+        .with_body_timeout(BODY_TIMEOUT)
+        .with_head_timeout(BODY_TIMEOUT);
     let server = Server::start(listener, 1, limits, echo.clone()).unwrap();
     drop(_guard);
     Fixture { echo, server, _rt: rt }
 }
 
-fn talk(addr: SocketAddr, bytes: &[u8], half_close: bool) -> String {
+fn send_raw(addr: SocketAddr, bytes: &[u8], half_close: bool) -> String {
     let mut stream = TcpStream::connect(addr).unwrap();
     stream.write_all(bytes).unwrap();
     if half_close {
         stream.shutdown(Shutdown::Write).unwrap();
     }
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 #[test]
-fn bad_requests_get_a_clear_error_and_run_nothing() {
-    let long = "x".repeat(BODY_LIMIT + 1);
+fn invalid_bodies_get_an_error_and_are_not_executed() {
+    let long = "x".repeat(MAX_BODY_BYTES + 1);
     let cases = [
         (
             "body over the limit",
@@ -104,24 +104,23 @@
     ];
     let fixture = start();
     for (name, bytes, status) in cases {
-        let answer = talk(fixture.server.addr(), bytes.as_bytes(), false);
+        let response = send_raw(fixture.server.addr(), bytes.as_bytes(), false);
 
-        assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{name}: {answer:?}");
-        assert!(answer.contains("\"code\""), "{name}: {answer:?}");
+        assert!(response.starts_with(&format!("HTTP/1.1 {status}")), "{name}: {response:?}");
+        assert!(response.contains("\"code\""), "{name}: {response:?}");
     }
     assert_eq!(fixture.echo.runs.load(Ordering::SeqCst), 0);
     fixture.server.close();
 }
 
-/// A caller's roaming link breaks while it still sends its body. The connection closes early and the
-/// half of a request that arrived must not run: a save cut in the middle is no save.
+/// A caller's connection breaks while it sends a body. The received half of the request must not be executed.
 #[test]
-fn a_body_that_ends_early_does_not_run() {
+fn a_truncated_body_is_not_executed() {
     let fixture = start();
 
     for head in ["content-length: 9\r\n\r\nhalf", "transfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n"] {
         let bytes = format!("POST / HTTP/1.1\r\nhost: a\r\n{head}");
-        talk(fixture.server.addr(), bytes.as_bytes(), true);
+        send_raw(fixture.server.addr(), bytes.as_bytes(), true);
     }
 
     assert_eq!(fixture.echo.runs.load(Ordering::SeqCst), 0);
@@ -129,7 +128,7 @@
 }
 
 #[test]
-fn what_is_no_http_runs_nothing() {
+fn invalid_http_is_not_executed() {
     let cases: [&[u8]; 4] = [
         b"\x00\x01\x02\x03\r\n\r\n",
         b"POST / HTTP/1.1\r\nbad header\r\n\r\n",
@@ -138,42 +137,42 @@
     ];
     let fixture = start();
     for bytes in cases {
-        let answer = talk(fixture.server.addr(), bytes, true);
+        let response = send_raw(fixture.server.addr(), bytes, true);
 
-        assert!(!answer.starts_with("HTTP/1.1 200"), "{answer:?}");
+        assert!(!response.starts_with("HTTP/1.1 200"), "{response:?}");
     }
     assert_eq!(fixture.echo.runs.load(Ordering::SeqCst), 0);
     fixture.server.close();
 }
 
-/// Two callers share a connection through a careless client: the second request is sent before the first is
-/// answered. Each answer must hold the body of its own request, in order.
+/// A client sends a second request before the response to the first. Each response must belong to its own request, in
+/// order.
 #[test]
 fn pipelined_requests_get_their_own_answers() {
     let fixture = start();
     let one = "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\n\r\none";
     let two = "POST / HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: 3\r\n\r\ntwo";
 
-    let answer = talk(fixture.server.addr(), format!("{one}{two}").as_bytes(), false);
+    let response = send_raw(fixture.server.addr(), format!("{one}{two}").as_bytes(), false);
 
-    let (first, second) = (answer.find("one").unwrap(), answer.find("two").unwrap());
-    assert!(first < second, "{answer:?}");
-    assert_eq!(answer.matches("HTTP/1.1 200").count(), 2);
+    let (first, second) = (response.find("one").unwrap(), response.find("two").unwrap());
+    assert!(first < second, "{response:?}");
+    assert_eq!(response.matches("HTTP/1.1 200").count(), 2);
     fixture.server.close();
 }
 
-/// A guest loads their bookings while the router is stopped a second time. The task that relays the list is dropped
-/// half-way, and its end must not be the proper end of a chunked body, or half a list looks like the whole one.
+/// A router is stopped a second time while it streams a response, so the task that sends the body is dropped. The
+/// chunked body must not end normally, or the caller takes half of it for the complete body.
 #[test]
-fn a_streamed_answer_is_whole_only_when_it_was_finished() {
+fn a_streamed_response_is_complete_only_if_finished() {
     let fixture = start();
     for (body, ended) in [("whole", true), ("part", false)] {
         let head = format!("POST /stream HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\n", body.len());
         let bytes = format!("{head}connection: close\r\n\r\n{body}");
-        let answer = talk(fixture.server.addr(), bytes.as_bytes(), false);
+        let response = send_raw(fixture.server.addr(), bytes.as_bytes(), false);
 
-        assert!(answer.contains(body), "{body}: {answer:?}");
-        assert_eq!(answer.ends_with("\r\n0\r\n\r\n"), ended, "{body}: {answer:?}");
+        assert!(response.contains(body), "{body}: {response:?}");
+        assert_eq!(response.ends_with("\r\n0\r\n\r\n"), ended, "{body}: {response:?}");
     }
     fixture.server.close();
 }
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! A reader of the log that stops reading changes no answer.
+//! A stalled reader of the log does not affect requests.
 
 #[path = "support/relay.rs"]
 mod relay_support;
@@ -13,14 +13,14 @@
 use cranberrytally::logs::lines;
 use wire::{Act, Host, Server, ok, request, status};
 
-/// Output whose reader does not read until it is let go.
+/// Output that blocks all writes until `release` is called.
 #[derive(Clone, Default)]
-struct Stuck(Arc<(Mutex<(bool, String)>, Condvar)>);
+struct BlockedOutput(Arc<(Mutex<(bool, String)>, Condvar)>);
 
-impl Write for Stuck {
+impl Write for BlockedOutput {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        let (state, woken) = &*self.0;
-        let mut state = woken.wait_while(state.lock().unwrap(), |s| !s.0).unwrap();
+        let (state, released) = &*self.0;
+        let mut state = released.wait_while(state.lock().unwrap(), |s| !s.0).unwrap();
         state.1.push_str(&String::from_utf8_lossy(buf));
         Ok(buf.len())
     }
@@ -30,7 +30,7 @@
     }
 }
 
-impl Stuck {
+impl BlockedOutput {
     fn release(&self) {
         self.0.0.lock().unwrap().0 = true;
         self.0.1.notify_all();
@@ -41,11 +41,11 @@
     }
 }
 
-/// Nobody reads the output any more, so its queue fills up. Requests go on as before; what does not fit is dropped, and
-/// once somebody reads again a line tells how much.
+/// The reader of the output stalls, so the queue of lines fills up. Requests must be served as before. Lines that do
+/// not fit are dropped, and once the reader resumes a line reports their number.
 #[tokio::test]
 async fn a_stopped_reader_delays_no_request() {
-    let output = Stuck::default();
+    let output = BlockedOutput::default();
     lines::start(output.clone(), u32::MAX).unwrap();
     let server = Server::start("i-1", [Act::Write(ok("fine"))]).await;
     let host = Host::with(&[&server]).await;
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' commands against real router processes and the platform's stand-in.
+//! Operators' commands against real router processes and a simulated platform.
 
 use std::{
     fs,
@@ -23,7 +23,7 @@
 
 use process::Router;
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Fleet {
     outside: Outside,
@@ -65,9 +65,9 @@
     fleet: &Fleet,
     path: &std::path::Path,
     limit: u64,
-    ask: &[SocketAddr],
+    addrs: &[SocketAddr],
 ) -> (i32, String, String) {
-    let routers: Vec<_> = ask.iter().map(|addr| format!(" --router={addr}")).collect();
+    let routers: Vec<_> = addrs.iter().map(|addr| format!(" --router={addr}")).collect();
     let args = format!("apply -f {} --wait --timeout-s {limit}{}", path.display(), routers.concat());
     cmd(&fleet.outside, &args).await
 }
@@ -80,7 +80,7 @@
     serde_json::from_value(value).unwrap()
 }
 
-/// Waits until the router serves.
+/// Waits until the router is ready.
 async fn ready(addr: SocketAddr) -> Status {
     let start = Instant::now();
     loop {
@@ -88,13 +88,13 @@
         if now.configuration.ready {
             return now;
         }
-        assert!(start.elapsed() < PATIENCE, "{now:?}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "{now:?}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// An operator applies a change and waits; then the platform goes down and a host is replaced. The new router finds no
-/// platform. It must get the change from its peers, or it would serve callers by an older configuration or none.
+/// An operator applies a change, then the platform goes down and a router is replaced. The new router can't reach the
+/// platform and must get the change from its peers; otherwise it would serve an older configuration or none.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_router_restarts_while_the_platform_is_down() {
     let mut fleet = fleet("op").await;
@@ -103,10 +103,10 @@
         "kind: Workspace\nmetadata: {name: new}\n---\nkind: Workspace\nmetadata: {name: newer}\n",
     );
 
-    // The last router knows the others.
+    // Wait until the last router has found the others.
     let start = Instant::now();
     while status(fleet.routers[2].addr).await.routers.len() < 2 {
-        assert!(start.elapsed() < PATIENCE, "it never meets its seeds");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "the router did not find its seeds");
     }
     let (code, out, err) = apply(&fleet, &path, 30, &[fleet.routers[2].addr]).await;
 
@@ -128,9 +128,9 @@
     fleet.outside.close();
 }
 
-/// A router that the operator names does not answer. `apply --wait` must not report success; it names that router.
+/// One of the given routers does not respond. `apply --wait` must not report success and must name that router.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn apply_names_the_routers_that_lack_the_version() {
+async fn apply_reports_routers_without_the_version() {
     let mut fleet = fleet("lack").await;
     for r in &fleet.routers {
         ready(r.addr).await;
@@ -148,7 +148,8 @@
     fleet.outside.close();
 }
 
-/// The life of an object by commands alone; what is wrong is told, with an exit code that scripts can tell apart.
+/// Objects are created, changed, labelled and printed by commands. Each kind of error has a message and its own exit
+/// code.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn objects_are_applied_shown_and_labelled() {
     let outside = Outside::start(Plan::default().with_engines(1)).await.unwrap();
@@ -189,9 +190,10 @@
     outside.close();
 }
 
-/// A tool writes an object past all checks. The routers keep the last good one, and `status` names what is wrong.
+/// A tool writes an invalid object without validating it. The routers keep the last valid version, and `status` shows
+/// the problem.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn status_shows_a_bad_object() {
+async fn status_shows_an_invalid_object() {
     let fleet = fleet("bad").await;
     ready(fleet.routers[0].addr).await;
     let found = cmd(&fleet.outside, "get EnginePool -o json").await;
@@ -204,7 +206,7 @@
     let shown = loop {
         let out = run(vec!["status".into(), format!("--router={}", fleet.routers[0].addr)]).await;
         let out = text(&out.stdout);
-        if out.contains("is not valid") || start.elapsed() > PATIENCE {
+        if out.contains("is not valid") || start.elapsed() > WAIT_TIMEOUT {
             break out;
         }
     };
@@ -215,7 +217,7 @@
     fleet.outside.close();
 }
 
-/// A caller without the fleet's key must not be able to shut a router down; an operator with it can.
+/// Only a caller with the fleet's key may shut a router down.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn only_an_operator_drains() {
     let mut fleet = fleet("drain").await;
@@ -232,6 +234,6 @@
 
     assert!(out.status.success(), "{}", text(&out.stderr));
     let routers = &mut fleet.routers;
-    assert_eq!(routers[0].wait(), Some(0), "it ends by itself without an error");
+    assert_eq!(routers[0].wait(), Some(0), "the router exits by itself without an error");
     fleet.outside.close();
 }
