--- a/src/follow.rs
+++ b/src/follow.rs
@@ -146,7 +146,7 @@
         let member = |p: &Peer| Member { name: p.name.clone(), data_centre: p.data_centre.clone() };
         let staying = peers.iter().filter(|p| !p.leaving).map(member);
         let members: Vec<_> = std::iter::once(self.me.clone()).chain(staying).collect();
-        self.platform.set_rates(Rates::share(members.len()));
+        self.platform.set_rates(Rates::per_router(members.len()));
         state.follower.set_members(members);
         state.peers = peers.into_iter().map(|p| (p.name.clone(), p)).collect();
     }
--- a/src/objects/calls.rs
+++ b/src/objects/calls.rs
@@ -88,7 +88,7 @@
 
 impl Default for Rates {
     fn default() -> Self {
-        Self::share(DEFAULT_FLEET_SIZE)
+        Self::per_router(DEFAULT_FLEET_SIZE)
     }
 }
 
@@ -97,7 +97,7 @@
     /// within the fleet's calls of one second.
     ///
     /// The limit of claim writes depends on the number of shards that a router may own, one more than its equal share.
-    pub fn share(routers: usize) -> Self {
+    pub fn per_router(routers: usize) -> Self {
         let n = routers.max(1) as f64;
         let rate = |total: f64| Rate { rate: total / n, burst: (total / n).clamp(1.0, MAX_BURST_CALLS) };
         let shards = (f64::from(SHARD_COUNT) / n).ceil() + 1.0;
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -71,7 +71,7 @@
 fn the_shares_of_a_fleet_stay_within_the_platforms_limits() {
     for members in [1, 3, 8, 22, 100, 330, 1000] {
         let calls_per_second = |class| {
-            let mut limiter = Limiter::new(Rates::share(members));
+            let mut limiter = Limiter::new(Rates::per_router(members));
             let granted = (0..10_000).filter(|ms| limiter.take(at_ms(*ms), class).is_ok()).count();
             granted as f64 / 10.0 * members as f64
         };
