--- a/src/engine.rs
+++ b/src/engine.rs
@@ -23,7 +23,7 @@
 
 /// Header with the identifier of the request that an answer belongs to.
 pub const REQUEST_ID: &str = "x-request-id";
-/// Header in which a backend server states whether it ran a request.
+/// Header in which a backend server states that it did not run a request.
 pub const OUTCOME: &str = "x-outcome";
 /// Header with the name of a chat.
 pub const CHAT: &str = "x-chat";
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -62,7 +62,7 @@
 /// A gauge of the relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Gauge {
-    /// Time since the data followed at the store was last confirmed to be complete.
+    /// Time since the data followed at the store was last confirmed to be up to date.
     RelayUnconfirmed,
 }
 
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -58,9 +58,9 @@
         Host::with(&[&lost]).await.call(&named(request("/nowhere/x", ""), "path-1")).await,
         Host::with(&[&sick, &sicker]).await.call(&named(request("/safe/x", ""), "error-1")).await,
     ];
-    let told = |id: &str| output.lines().iter().any(|l| l.contains(id));
+    let is_logged = |id: &str| output.lines().iter().any(|l| l.contains(id));
     wire::until("the lines", || {
-        ["refused-1", "cut-1", "unknown-1", "path-1", "error-1"].into_iter().all(told)
+        ["refused-1", "cut-1", "unknown-1", "path-1", "error-1"].into_iter().all(is_logged)
     })
     .await;
     wire::until("the last lines", || output.lines().iter().any(|l| l.contains("\"status\":500"))).await;
@@ -82,7 +82,7 @@
     assert!(story("path-1").contains("end: refused as not_found before any attempt"));
     let error = story("error-1");
     assert!(error.contains("status=500") && error.contains("attempts=2"), "{error}");
-    assert!(unknown.contains("change=seen"), "beliefs about the server are shown: {unknown}");
+    assert!(unknown.contains("change=seen"), "state changes of the server are included: {unknown}");
     assert_eq!(explain("nobody", output.lines()), None);
 }
 
@@ -143,8 +143,10 @@
 
     let story = explain("r1", lines.map(str::to_owned)).unwrap();
 
-    for told in ["version=14 from=store", "alone=true", "confirm_failed", "confirmed_ms=1910", "status 200"] {
-        assert!(told.split(' ').all(|word| story.contains(word)), "{told} is missing:\n{story}");
+    for expected in
+        ["version=14 from=store", "alone=true", "confirm_failed", "confirmed_ms=1910", "status 200"]
+    {
+        assert!(expected.split(' ').all(|word| story.contains(word)), "{expected} is missing:\n{story}");
     }
     assert!(!story.contains("h-2"), "{story}");
 }
