--- a/src/gateway/relay/events.rs
+++ b/src/gateway/relay/events.rs
@@ -12,10 +12,10 @@
     client::Failure,
     engine::{
         EngineClient, REQUEST_ID,
-        answer::{Answer, Broken},
+        answer::{AnswerError, AnswerStream},
     },
     gateway::request::header,
-    http::{BodySender, Gone},
+    http::{BodySender, CallerDisconnected},
     metrics::{Counter, Metrics},
     stream::{EventAction, StreamTracker},
 };
@@ -131,7 +131,7 @@
             self.count("crossed");
             return ConnectionEnd::Reconnect;
         }
-        let mut answer = Answer::new(res.into_body(), EVENT_IDLE_TIMEOUT);
+        let mut answer = AnswerStream::new(res.into_body(), EVENT_IDLE_TIMEOUT);
         loop {
             let Some(event) = self.next(&mut answer).await else {
                 return ConnectionEnd::Finished(StreamEnd::Cancelled);
@@ -167,7 +167,7 @@
     }
 
     /// Waits for the next event while sending keep-alive comments; `None` if the caller has disconnected.
-    async fn next(&self, answer: &mut Answer) -> Option<Result<Sse, Broken>> {
+    async fn next(&self, answer: &mut AnswerStream) -> Option<Result<Sse, AnswerError>> {
         let mut next = std::pin::pin!(answer.next());
         loop {
             tokio::select! {
@@ -182,8 +182,8 @@
     }
 
     /// Forwards an event. Waits while the caller is slow, which applies backpressure to the engine.
-    async fn send(&self, event: Sse) -> Result<(), Gone> {
-        let bytes: Bytes = event.encode().map_err(|_| Gone)?;
+    async fn send(&self, event: Sse) -> Result<(), CallerDisconnected> {
+        let bytes: Bytes = event.encode().map_err(|_| CallerDisconnected)?;
         self.tx.send(bytes).await
     }
 
@@ -203,10 +203,10 @@
 }
 
 /// Label value of a broken answer, distinct from those of [`StreamEnd`].
-fn broken_label(broken: Broken) -> &'static str {
+fn broken_label(broken: AnswerError) -> &'static str {
     match broken {
-        Broken::Cut => "broken",
-        Broken::Stalled => "stalled",
-        Broken::Garbled => "garbled",
+        AnswerError::Disconnected => "broken",
+        AnswerError::Stalled => "stalled",
+        AnswerError::Garbled => "garbled",
     }
 }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -50,7 +50,7 @@
     socket: UdpSocket,
     client: Client,
     period: Duration,
-    follow: Arc<follow::Shared>,
+    follow: Arc<follow::FollowHandle>,
     gateway: Arc<Gateway>,
     metrics: Arc<Metrics>,
 }
@@ -65,7 +65,7 @@
         me: &Router,
         peer_addr: SocketAddr,
         socket: StdSocket,
-        follow: Arc<follow::Shared>,
+        follow: Arc<follow::FollowHandle>,
         gateway: Arc<Gateway>,
         metrics: Arc<Metrics>,
     ) -> Result<Self> {
@@ -81,9 +81,11 @@
             ready: false,
         };
         let seeds = cfg.seeds.iter().copied().filter(|s| *s != peer_addr).collect();
-        let member =
-            MemberConfig::default().with_bytes_per_second(cfg.gossip_bytes as usize).with_seeds(seeds);
-        let probe = ProbeConfig { bytes_per_second: cfg.probe_bytes as usize, ..ProbeConfig::default() };
+        let member = MemberConfig::default()
+            .with_bytes_per_second(cfg.gossip_bytes_per_second as usize)
+            .with_seeds(seeds);
+        let probe =
+            ProbeConfig { bytes_per_second: cfg.probe_bytes_per_second as usize, ..ProbeConfig::default() };
         let period = member.tick_interval;
         let key = GossipKey::new(&cfg.shared_key);
         let membership = Membership::new(member, probe, key, record, now(), rand::random());
@@ -189,7 +191,7 @@
                 Event::RoutersChanged => routers = true,
                 Event::NewerVersion(version) => {
                     self.report_peer_versions();
-                    self.follow.note_newest(version);
+                    self.follow.record_newest_version(version);
                 }
                 Event::Note { topic, origin, payload } => self.handle_note(topic, &origin, &payload),
                 Event::Paused(gap) => {
--- a/src/order/run.rs
+++ b/src/order/run.rs
@@ -11,11 +11,11 @@
 };
 use crate::{
     client::Client,
-    engine::{EngineClient, Ordered},
+    engine::{EngineClient, OrderOutcome},
     follow,
     lease::{Action, LeaseConfig, LeaseDriver},
     metrics::{Counter, Metrics},
-    objects::{Platform, Write},
+    objects::{Platform, WriteOutcome},
     util::{Instant, now},
 };
 
@@ -50,7 +50,7 @@
     /// Starts the task; `loads_per_minute` is the load rate of the weight store for the whole fleet.
     pub(crate) fn start(
         me: &Arc<str>,
-        follow: Arc<follow::Shared>,
+        follow: Arc<follow::FollowHandle>,
         platform: Platform,
         metrics: Arc<Metrics>,
         loads_per_minute: f64,
@@ -76,7 +76,7 @@
 async fn reconcile_tasks(
     cx: Arc<Context>,
     me: Arc<str>,
-    follow: Arc<follow::Shared>,
+    follow: Arc<follow::FollowHandle>,
     mut stopped: watch::Receiver<bool>,
 ) {
     let mut tasks = Tasks::new();
@@ -174,7 +174,7 @@
                 self.keeper.read(now(), answer, &mut self.rng);
             }
             Action::Write(obj) => {
-                let write = self.cx.platform.put(&obj).await.unwrap_or(Write::Unknown);
+                let write = self.cx.platform.put(&obj).await.unwrap_or(WriteOutcome::Unknown);
                 self.keeper.written(now(), write, &mut self.rng);
             }
         }
@@ -224,8 +224,8 @@
         for (order, result) in fenced.iter().zip(results) {
             let EngineOrder { engine, .. } = order.engine_order();
             match result {
-                Some(Ordered::Taken) => self.cx.metrics.add(Counter::Orders, "taken", 1),
-                Some(Ordered::Stale) => self.order_failed(engine, "stale"),
+                Some(OrderOutcome::Accepted) => self.cx.metrics.add(Counter::Orders, "taken", 1),
+                Some(OrderOutcome::Stale) => self.order_failed(engine, "stale"),
                 // The order may have been accepted; the engine's next report shows it.
                 None => self.order_failed(engine, "unanswered"),
             }
@@ -233,7 +233,7 @@
     }
 
     /// Sends one order; `None` if there was no answer in time.
-    async fn send(&self, order: &FencedOrder) -> Option<Ordered> {
+    async fn send(&self, order: &FencedOrder) -> Option<OrderOutcome> {
         let EngineOrder { engine, order: wanted } = order.engine_order();
         let client = EngineClient::new(self.cx.client.clone(), *self.pool.engines.get(engine)?);
         match client.order(wanted, order.fencing(), ORDER_TIMEOUT).await {
--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -30,7 +30,7 @@
     files.into_iter().chain(dirs.iter().flat_map(|d| sources(d))).collect()
 }
 
-/// First words in quotes after each weight of a line, such as `line(Weight::Notable, "start", ..)`.
+/// First words in quotes after each level of a line, such as `line(Level::Notable, "start", ..)`.
 fn events() -> BTreeSet<String> {
     let mut files = sources(Path::new("src/relay"));
     files.extend(sources(Path::new("src/platform")));
@@ -38,8 +38,7 @@
     let mut found = BTreeSet::new();
     for file in files {
         let text = page(file.to_str().unwrap());
-        for rest in ["Weight::Notable, \"", "Weight::Routine, \""].iter().flat_map(|w| text.split(w).skip(1))
-        {
+        for rest in ["Level::Notable, \"", "Level::Routine, \""].iter().flat_map(|w| text.split(w).skip(1)) {
             found.insert(rest.split('"').next().unwrap().to_owned());
         }
     }
@@ -81,7 +80,7 @@
         (Counter::RelayEpochs, names(&EpochCheck::COUNTED, |h| h.as_str())),
     ];
     for (counter, expected) in values {
-        let heading = format!("\n### `{}_total`", counter.shown().name);
+        let heading = format!("\n### `{}_total`", counter.spec().name);
 
         assert_eq!(documented(&text, &heading), expected, "{heading}");
     }
@@ -92,8 +91,8 @@
     let text = page("docs/METRICS.md");
 
     for latency in Latency::ALL {
-        let shown = latency.shown();
-        let row = format!("| `{}` | `{}` | {} |", shown.name, shown.label, shown.about);
+        let spec = latency.spec();
+        let row = format!("| `{}` | `{}` | {} |", spec.name, spec.label, spec.description);
         assert!(text.contains(&row), "docs/METRICS.md lacks this row:\n{row}");
     }
 }
@@ -103,8 +102,8 @@
     let text = page("docs/METRICS.md");
 
     for gauge in Gauge::ALL {
-        let shown = gauge.shown();
-        let row = format!("| `{}` | `{}` | {} |", shown.name, shown.label, shown.about);
+        let spec = gauge.spec();
+        let row = format!("| `{}` | `{}` | {} |", spec.name, spec.label, spec.description);
         assert!(text.contains(&row), "docs/METRICS.md lacks this row:\n{row}");
     }
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -5,9 +5,9 @@
 use cranberrytally::{
     catalog::{AnyObject, Object},
     objects::{
-        Step, Write, Writing,
+        PendingWrite, Step, WriteOutcome,
         backoff::Backoff,
-        bucket::Bucket,
+        bucket::TokenBucket,
         calls::{Class, Limiter, Rates},
     },
     schema::object::Meta,
@@ -21,7 +21,7 @@
 }
 
 /// Number of tokens granted within `span` milliseconds with one request per millisecond.
-fn tokens_granted(bucket: &mut Bucket, from: u64, span: u64) -> usize {
+fn tokens_granted(bucket: &mut TokenBucket, from: u64, span: u64) -> usize {
     (from..from + span).filter(|ms| bucket.take(at_ms(*ms)).is_ok()).count()
 }
 
@@ -30,14 +30,14 @@
     let table = [(10.0, 5.0, 1000, 14), (10.0, 5.0, 5000, 54), (0.5, 1.0, 4000, 2), (100.0, 40.0, 1000, 139)];
 
     for (rate, burst, span, want) in table {
-        let got = tokens_granted(&mut Bucket::new(rate, burst), 0, span);
+        let got = tokens_granted(&mut TokenBucket::new(rate, burst), 0, span);
         assert!(got.abs_diff(want) <= 1, "{rate}/s, burst {burst}, {span} ms: got {got}, expected {want}");
     }
 }
 
 #[test]
 fn a_bucket_returns_the_time_to_wait() {
-    let mut bucket = Bucket::new(2.0, 1.0);
+    let mut bucket = TokenBucket::new(2.0, 1.0);
     bucket.take(at_ms(0)).unwrap();
 
     let wait = bucket.take(at_ms(0)).unwrap_err();
@@ -49,7 +49,7 @@
 /// The platform requests a pause. Calls before its end would be refused again and count against the rate limit.
 #[test]
 fn a_paused_bucket_grants_nothing() {
-    let mut bucket = Bucket::new(100.0, 100.0);
+    let mut bucket = TokenBucket::new(100.0, 100.0);
     bucket.pause(at_ms(0), SECOND * 3);
 
     assert_eq!(tokens_granted(&mut bucket, 0, 2999), 0);
@@ -59,7 +59,7 @@
 /// A clock that is set back must neither fill the bucket nor block it permanently.
 #[test]
 fn a_bucket_tolerates_a_clock_that_is_set_back() {
-    let mut bucket = Bucket::new(1.0, 1.0);
+    let mut bucket = TokenBucket::new(1.0, 1.0);
     bucket.take(at_ms(60_000)).unwrap();
 
     assert!(bucket.take(at_ms(0)).is_err());
@@ -71,7 +71,7 @@
 fn the_shares_of_a_fleet_stay_within_the_platforms_limits() {
     for members in [1, 3, 8, 22, 100, 330, 1000] {
         let calls_per_second = |class| {
-            let mut limiter = Limiter::new(Rates::share(members));
+            let mut limiter = Limiter::new(Rates::per_router(members));
             let granted = (0..10_000).filter(|ms| limiter.take(at_ms(*ms), class).is_ok()).count();
             granted as f64 / 10.0 * members as f64
         };
@@ -98,7 +98,7 @@
 fn backoff_grows_to_its_limit_and_differs_between_routers() {
     let waits = |seed| -> Vec<_> {
         let (mut rng, mut backoff) = (StdRng::seed_from_u64(seed), Backoff::new(SECOND, SECOND * 10));
-        (0..8).map(|_| backoff.wait(&mut rng)).collect()
+        (0..8).map(|_| backoff.next_delay(&mut rng)).collect()
     };
 
     let (one, other) = (waits(1), waits(2));
@@ -125,25 +125,28 @@
 #[test]
 fn lost_responses_of_a_write_are_resolved_by_its_nonce() {
     let (own_write, other_write) = (object("mine", "2"), object("theirs", "2"));
-    let conflict = |obj: &AnyObject| Write::Conflict(Some(obj.clone()));
+    let conflict = |obj: &AnyObject| WriteOutcome::Conflict(Some(obj.clone()));
     let table = [
-        (vec![Write::Done(own_write.clone())], Step::Done(own_write.clone())),
+        (vec![WriteOutcome::Done(own_write.clone())], Step::Done(own_write.clone())),
         (vec![conflict(&other_write)], Step::Conflict(Some(other_write.clone()))),
-        (vec![Write::Unknown, conflict(&own_write)], Step::Done(own_write.clone())),
-        (vec![Write::Unknown, conflict(&other_write)], Step::Conflict(Some(other_write.clone()))),
-        (vec![Write::Unknown, Write::Unknown, Write::Done(own_write.clone())], Step::Done(own_write.clone())),
-        (vec![Write::Unknown, Write::Conflict(None)], Step::Conflict(None)),
-        (vec![Write::Unknown, Write::Unknown, Write::Unknown], Step::Unknown),
+        (vec![WriteOutcome::Unknown, conflict(&own_write)], Step::Done(own_write.clone())),
+        (vec![WriteOutcome::Unknown, conflict(&other_write)], Step::Conflict(Some(other_write.clone()))),
+        (
+            vec![WriteOutcome::Unknown, WriteOutcome::Unknown, WriteOutcome::Done(own_write.clone())],
+            Step::Done(own_write.clone()),
+        ),
+        (vec![WriteOutcome::Unknown, WriteOutcome::Conflict(None)], Step::Conflict(None)),
+        (vec![WriteOutcome::Unknown, WriteOutcome::Unknown, WriteOutcome::Unknown], Step::Unknown),
         // If no response was lost before, an object with this writer's nonce can't be the result of this write.
         (vec![conflict(&own_write)], Step::Conflict(Some(own_write.clone()))),
     ];
 
     for (answers, want) in table {
-        let mut writing = Writing::new(object("", "1"), "mine", 3);
-        let mut step = writing.start();
+        let mut writing = PendingWrite::new(object("", "1"), "mine", 3);
+        let mut step = writing.next_attempt();
         for answer in answers.clone() {
             assert!(matches!(step, Step::Send(_)), "{answers:?}");
-            step = writing.answered(answer);
+            step = writing.handle_outcome(answer);
         }
         assert_eq!(step, want, "{answers:?}");
     }
--- a/tests/platform_contract.rs
+++ b/tests/platform_contract.rs
@@ -6,7 +6,7 @@
     catalog::{AnyObject, Object},
     http::{Limits, Server},
     objects::{
-        Event, Next, Platform, Version, Watched, Write,
+        Event, NextEvent, OpenedWatch, Platform, Version, WriteOutcome,
         calls::{Class, Outcome, Rate, Rates},
     },
     schema::object::Meta,
@@ -65,27 +65,27 @@
     }
 }
 
-fn check_write(step: &Step, write: anyhow::Result<Write>) {
+fn check_write(step: &Step, write: anyhow::Result<WriteOutcome>) {
     let got = match &write {
-        Ok(Write::Done(_)) => "done",
-        Ok(Write::Conflict(Some(_))) => "conflict",
-        Ok(Write::Conflict(None)) => "conflict with nothing",
-        Ok(Write::Unknown) => "unknown",
+        Ok(WriteOutcome::Done(_)) => "done",
+        Ok(WriteOutcome::Conflict(Some(_))) => "conflict",
+        Ok(WriteOutcome::Conflict(None)) => "conflict with nothing",
+        Ok(WriteOutcome::Unknown) => "unknown",
         Err(_) => "not written",
     };
     assert_eq!(got, step.expect, "{write:?}");
-    if let Ok(Write::Done(obj) | Write::Conflict(Some(obj))) = &write {
+    if let Ok(WriteOutcome::Done(obj) | WriteOutcome::Conflict(Some(obj))) = &write {
         check_object(step, obj);
     }
 }
 
 async fn events(step: &Step, platform: &Platform) -> Option<Vec<Event>> {
-    let Watched::Open(mut watch) = platform.watch(step.from).await.unwrap() else { return None };
+    let OpenedWatch::Open(mut watch) = platform.watch(step.from).await.unwrap() else { return None };
     let want = step.expect_names.as_ref().map_or(0, Vec::len);
     let mut events = Vec::new();
     while events.len() < want {
         match watch.next_within(EVENT_WAIT).await.unwrap() {
-            Next::Changed(event) => events.push(event),
+            NextEvent::Changed(event) => events.push(event),
             other => panic!("no event within the time: {other:?}"),
         }
     }
@@ -108,7 +108,7 @@
             "forget history" => self.standin.forget_history(),
             "put" => check_write(step, self.platform.put(&object(step)).await),
             "put resolved" => {
-                check_write(step, self.platform.put_resolved(object(step), &mut self.rng).await);
+                check_write(step, self.platform.put_with_retries(object(step), &mut self.rng).await);
             }
             "delete" => check_write(step, self.platform.delete(&object(step)).await),
             "get" => self.get(step).await,
@@ -116,8 +116,8 @@
             "watch" => self.watch(step).await,
             "deaf watch" => self.deaf_watch(step).await,
             "dropped watch" => self.dropped_watch().await,
-            "count limited" => self.count(step, Outcome::Limited),
-            "count held" => self.count(step, Outcome::Held),
+            "count limited" => self.count(step, Outcome::LimitedByServer),
+            "count held" => self.count(step, Outcome::LimitedByClient),
             other => panic!("no such call: {other}"),
         }
     }
@@ -161,18 +161,22 @@
 
     async fn dropped_watch(&self) {
         let from = self.platform.list().await.unwrap().version;
-        let Watched::Open(mut watch) = self.platform.watch(from).await.unwrap() else { panic!("too old") };
+        let OpenedWatch::Open(mut watch) = self.platform.watch(from).await.unwrap() else {
+            panic!("too old")
+        };
         self.standin.drop_watches();
-        assert_eq!(watch.next_within(EVENT_WAIT).await.unwrap(), Next::Ended);
+        assert_eq!(watch.next_within(EVENT_WAIT).await.unwrap(), NextEvent::Ended);
     }
 
     /// A watch that is open while a change is made that it is not told; another one is told on opening.
     async fn deaf_watch(&self, step: &Step) {
         let from = self.platform.list().await.unwrap().version;
-        let Watched::Open(mut watch) = self.platform.watch(from).await.unwrap() else { panic!("too old") };
+        let OpenedWatch::Open(mut watch) = self.platform.watch(from).await.unwrap() else {
+            panic!("too old")
+        };
         self.standin.set_faults(Faults { deaf: true, ..Faults::default() });
         check_write(step, self.platform.put(&object(step)).await);
-        assert_eq!(watch.next_within(SILENT).await.unwrap(), Next::Silent);
+        assert_eq!(watch.next_within(SILENT).await.unwrap(), NextEvent::Idle);
         watch.close();
     }
 
@@ -188,7 +192,8 @@
     tokio::runtime::Runtime::new()?.block_on(async {
         let standin = Arc::new(PlatformStandin::default());
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let server = Server::start(listener, 1, Limits::default().with_bytes(4 << 20), standin.clone())?;
+        let server =
+            Server::start(listener, 1, Limits::default().with_max_body_bytes(4 << 20), standin.clone())?;
         let mut rates = Rates::default();
         if let Some(rate) = case.reads_per_second {
             rates = rates.with_reads(Rate { rate, burst: 1.0 });
