--- a/src/schema/fleet.rs
+++ b/src/schema/fleet.rs
@@ -3,194 +3,194 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Configuration {
-    /// Version that the operator gave; rises with each change.
+    /// Version that the operator assigned; increases with each change.
     #[prost(uint64, tag = "1")]
     pub version: u64,
     /// Routes of all host names.
     #[prost(message, repeated, tag = "2")]
     pub routes: ::prost::alloc::vec::Vec<Route>,
-    /// Services that routes lead to.
+    /// Services that routes refer to.
     #[prost(message, repeated, tag = "3")]
     pub services: ::prost::alloc::vec::Vec<Service>,
-    /// Limits on what callers send.
+    /// Limits on requests from callers.
     #[prost(message, optional, tag = "4")]
     pub limits: ::core::option::Option<CallerLimits>,
-    /// Workspaces and their keys; empty where callers need no key.
+    /// Workspaces and their API keys; empty if callers need no key.
     #[prost(message, repeated, tag = "5")]
     pub workspaces: ::prost::alloc::vec::Vec<Workspace>,
 }
-/// Requests of one host name under one path prefix.
+/// Route for the requests of one host name and path prefix.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Route {
-    /// Name in logs.
+    /// Name in log lines.
     #[prost(string, tag = "1")]
     pub name: ::prost::alloc::string::String,
-    /// Host name that the caller gives.
+    /// Host name of the requests.
     #[prost(string, tag = "2")]
     pub host: ::prost::alloc::string::String,
-    /// Path prefix, with a slash at both ends.
+    /// Path prefix, with a leading and a trailing slash.
     #[prost(string, tag = "3")]
     pub prefix: ::prost::alloc::string::String,
-    /// Whether an attempt may be repeated, and the form of the answer.
+    /// Whether a request may be retried, and whether its response is a stream.
     #[prost(enumeration = "Repeat", tag = "4")]
     pub repeat: i32,
-    /// Longest time that a caller is kept waiting, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     #[prost(uint32, tag = "5")]
     pub timeout_ms: u32,
-    /// Time within which an answer has its full worth, in milliseconds.
+    /// Latency objective, in milliseconds.
     #[prost(uint32, tag = "6")]
     pub objective_ms: u32,
-    /// Rank of its requests; 0 is the most urgent.
+    /// Priority of the requests; 0 is the highest.
     #[prost(uint32, tag = "7")]
     pub rank: u32,
-    /// Services among which its requests are shared out.
+    /// Services among which the requests are split.
     #[prost(message, repeated, tag = "8")]
     pub shares: ::prost::alloc::vec::Vec<Share>,
-    /// Backend servers to which one attempt of a caller may go.
+    /// Maximum number of backend servers tried for one attempt of a caller.
     #[prost(uint32, tag = "9")]
     pub attempts: u32,
-    /// Whether a caller needs no key.
+    /// Whether callers need no API key.
     #[prost(bool, tag = "10")]
     pub open: bool,
-    /// Whether a stream may go on at another backend server.
+    /// Whether a stream may be resumed at another backend server.
     #[prost(bool, tag = "11")]
     pub resumable: bool,
-    /// Whether its requests name the parts of their prompt.
+    /// Whether requests list the parts of their prompt.
     #[prost(bool, tag = "12")]
     pub prompts: bool,
 }
-/// Part of a route's requests that goes to one service.
+/// Share of a route's requests that goes to one service.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Share {
     /// Name of the service.
     #[prost(string, tag = "1")]
     pub service: ::prost::alloc::string::String,
-    /// Weight among the shares of the route.
+    /// Weight relative to the other shares of the route.
     #[prost(uint32, tag = "2")]
     pub weight: u32,
 }
-/// A service that backend servers run.
+/// Service that backend servers run.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Service {
     /// Name of the service.
     #[prost(string, tag = "1")]
     pub name: ::prost::alloc::string::String,
-    /// Connections that one backend server accepts from all hosts.
+    /// Maximum connections that one backend server accepts from all hosts together.
     #[prost(uint32, tag = "2")]
     pub connections: u32,
-    /// Whether its backend servers cache prompts and can fetch them from each other.
+    /// Whether the backend servers cache prompts and can fetch them from each other.
     #[prost(bool, tag = "3")]
     pub caches_prompts: bool,
-    /// How long a backend server is cold after a start, in milliseconds; 0 where it never is.
+    /// Duration of the warm-up after a start of a backend server, in milliseconds; 0 for none.
     #[prost(uint32, tag = "4")]
     pub cold_ms: u32,
-    /// Requests a minute that a cold backend server bears, of all hosts together.
+    /// Requests per minute that a backend server can take during warm-up, from all hosts together.
     #[prost(uint32, tag = "5")]
     pub cold_per_minute: u32,
 }
-/// Limits on what callers send.
+/// Limits on requests from callers.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct CallerLimits {
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     #[prost(uint32, tag = "1")]
     pub head_bytes: u32,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[prost(uint32, tag = "2")]
     pub body_bytes: u32,
-    /// Longest time for a request head, in milliseconds.
+    /// Timeout for receiving a request head, in milliseconds.
     #[prost(uint32, tag = "3")]
     pub head_ms: u32,
-    /// Longest time that a connection stays idle, in milliseconds.
+    /// Idle timeout of a connection, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub idle_ms: u32,
 }
-/// A workspace and its keys.
+/// Workspace and its API keys.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Workspace {
-    /// Name that backend servers are told.
+    /// Name that is sent to backend servers.
     #[prost(string, tag = "1")]
     pub name: ::prost::alloc::string::String,
-    /// Keys that its callers may use.
+    /// API keys of its callers.
     #[prost(string, repeated, tag = "2")]
     pub keys: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
-    /// Rank of its requests, before the route's; 0 is the most urgent.
+    /// Priority of the requests, which overrides that of the route; 0 is the highest.
     #[prost(uint32, optional, tag = "3")]
     pub rank: ::core::option::Option<u32>,
 }
-/// A backend server as the store lists it.
+/// Backend server as the store lists it.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Backend {
-    /// Identifier; the server keeps it when it starts again.
+    /// Identifier, which stays the same after a restart.
     #[prost(string, tag = "1")]
     pub id: ::prost::alloc::string::String,
-    /// Service that it runs.
+    /// Service that the server runs.
     #[prost(string, tag = "2")]
     pub service: ::prost::alloc::string::String,
-    /// IP address and port; empty where the entry can't be read and names no server to use.
+    /// IP address and port; empty if the entry is invalid and the server can't be used.
     #[prost(string, tag = "3")]
     pub addr: ::prost::alloc::string::String,
-    /// Data centre in which it stands.
+    /// Data centre of the server.
     #[prost(string, tag = "4")]
     pub data_centre: ::prost::alloc::string::String,
-    /// Requests that it runs at once.
+    /// Number of requests that the server runs concurrently.
     #[prost(uint32, tag = "5")]
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether the server is leaving and takes no new work.
     #[prost(bool, tag = "6")]
     pub leaving: bool,
-    /// When this start began, in milliseconds since 1970; 0 where it is not told.
+    /// Start time of the server's process, in milliseconds since 1970; 0 if unknown.
     #[prost(uint64, tag = "7")]
     pub born: u64,
-    /// For how much longer it is cold, in milliseconds, as of this message.
+    /// Remaining warm-up time as of this message, in milliseconds.
     #[prost(uint32, tag = "8")]
     pub cold_ms: u32,
-    /// Its entry had been removed before the store was restored: for how much longer it must be listed to count as alive, in
-    /// milliseconds, as of this message; 0 for all others.
+    /// Remaining time, in milliseconds as of this message, for which the server must stay listed to count as alive; 0
+    /// unless its entry had been removed before the store was restored.
     #[prost(uint32, tag = "9")]
     pub unconfirmed_ms: u32,
 }
-/// One start of a backend server.
+/// Start of a backend server's process.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Start {
     /// Identifier of the server.
     #[prost(string, tag = "1")]
     pub id: ::prost::alloc::string::String,
-    /// When the start began, in milliseconds since 1970; 0 where it is not told.
+    /// Start time of the process, in milliseconds since 1970; 0 if unknown.
     #[prost(uint64, tag = "2")]
     pub born: u64,
 }
-/// All backend servers as of one revision of the store.
+/// List of all backend servers at one revision of the store.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Backends {
     /// Revision of the store.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Every backend server that is listed.
+    /// Listed backend servers.
     #[prost(message, repeated, tag = "2")]
     pub items: ::prost::alloc::vec::Vec<Backend>,
-    /// Epoch of the store.
+    /// Epoch of the store to which the revision belongs.
     #[prost(uint64, tag = "3")]
     pub epoch: u64,
 }
-/// Datagram from one host to another: load and versions always, the rest in full beats only.
+/// Heartbeat datagram between hosts; load and versions are always present, the rest only in full heartbeats.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Beat {
-    /// Start of the sender's process, in milliseconds since 1970; a higher one replaces the sender's state.
+    /// Start time of the sender's process, in milliseconds since 1970; a higher one replaces the sender's earlier state.
     #[prost(uint64, tag = "1")]
     pub start: u64,
-    /// Number of the beat since the start; an older one that arrives late is dropped.
+    /// Sequence number since the start; a heartbeat with a lower number than the last one is dropped.
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// Whether callers may be sent to the sender.
+    /// Whether the sender is ready to serve callers.
     #[prost(bool, tag = "3")]
     pub ready: bool,
     /// Version of the configuration in force at the sender.
@@ -199,73 +199,74 @@
     /// Revision of the sender's list of backend servers.
     #[prost(uint64, tag = "5")]
     pub backends: u64,
-    /// Requests in progress that the sender has at backend servers, none where there are none.
+    /// Requests in progress from the sender, by backend server; servers without any are left out.
     #[prost(message, repeated, tag = "6")]
     pub in_progress: ::prost::alloc::vec::Vec<InProgress>,
-    /// Prompt parts that backend servers have read for the sender since its last beats.
+    /// Prompt parts that backend servers have cached for the sender since its last heartbeats.
     #[prost(message, repeated, tag = "7")]
     pub held: ::prost::alloc::vec::Vec<Held>,
-    /// Retries that the sender has spent in the window of the retry budget, by service.
+    /// Retries that the sender has spent in the retry budget's window, by service.
     #[prost(message, repeated, tag = "8")]
     pub spent: ::prost::alloc::vec::Vec<Spent>,
-    /// Backend servers that the sender keeps away from.
+    /// Tags of backend servers that the sender avoids.
     #[prost(fixed32, repeated, tag = "9")]
     pub avoided: ::prost::alloc::vec::Vec<u32>,
-    /// Contents that were running when a backend server crashed, with the number of crashes.
+    /// Contents that were running when a backend server crashed.
     #[prost(message, repeated, tag = "10")]
     pub suspects: ::prost::alloc::vec::Vec<Suspect>,
-    /// The sender itself, in full beats.
+    /// The sender itself, in full heartbeats.
     #[prost(message, optional, tag = "11")]
     pub sender: ::core::option::Option<Member>,
-    /// Other members, in full beats.
+    /// Other members, in full heartbeats.
     #[prost(message, repeated, tag = "12")]
     pub members: ::prost::alloc::vec::Vec<Member>,
-    /// Whether the sender has just started and wants a full beat in return.
+    /// Whether the sender has just started and requests a full heartbeat in return.
     #[prost(bool, tag = "13")]
     pub wants_full: bool,
-    /// Digest of the sender's list of backend servers; equal lists need no fetch.
+    /// Digest of the sender's list of backend servers; if it matches, no fetch is needed.
     #[prost(fixed32, tag = "14")]
     pub backends_digest: u32,
-    /// Whether the sender reaches the store.
+    /// Whether the sender follows the store by its own calls.
     #[prost(bool, tag = "15")]
     pub follows_store: bool,
-    /// Summary of the sender's data centre, in beats to other data centres of a large fleet.
+    /// Summary of the sender's data centre, in heartbeats to other data centres of a large fleet.
     #[prost(message, optional, tag = "16")]
     pub centre: ::core::option::Option<Centre>,
-    /// Whether the sender calls the store and gets no answer.
+    /// Whether the sender calls the store and receives no answer.
     #[prost(bool, tag = "17")]
     pub lost_store: bool,
-    /// Data centres that are evacuated, once the sender knows.
+    /// Evacuated data centres, once the sender knows them.
     #[prost(message, optional, tag = "18")]
     pub evacuations: ::core::option::Option<Evacuations>,
-    /// Epoch of the store as of which the revision of the backend servers is.
+    /// Epoch of the store to which the revision in `backends` belongs.
     #[prost(uint64, tag = "19")]
     pub backends_epoch: u64,
-    /// Tags of backend servers that the sender has seen leaving lately.
+    /// Tags of backend servers that the sender has recently seen leave.
     #[prost(fixed32, repeated, tag = "20")]
     pub left: ::prost::alloc::vec::Vec<u32>,
-    /// How long ago the sender was sure that what it knows was the newest.
+    /// Time since the sender's state was last confirmed to be current.
     #[prost(message, optional, tag = "21")]
     pub confirmed: ::core::option::Option<Confirmed>,
 }
-/// Milliseconds since each kind was known to be the newest, as of the message; long ago for what never was.
+/// Time since each kind of state was last confirmed to be current, in milliseconds as of this message; very long for
+/// state that was never confirmed.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Confirmed {
-    /// Of the configuration.
+    /// Time for the configuration.
     #[prost(uint32, tag = "1")]
     pub configuration_ms: u32,
-    /// Of the backend servers.
+    /// Time for the list of backend servers.
     #[prost(uint32, tag = "2")]
     pub backends_ms: u32,
-    /// Of the evacuated data centres.
+    /// Time for the evacuated data centres.
     #[prost(uint32, tag = "3")]
     pub evacuations_ms: u32,
-    /// Milliseconds from the start of the sender to the message, by which one that comes late shows.
+    /// Time from the start of the sender to this message, in milliseconds; it shows the receiver that a message is late.
     #[prost(uint64, tag = "4")]
     pub sent_ms: u64,
 }
-/// Data centres whose backend servers get nothing new, as of one revision of the store.
+/// Data centres whose backend servers get no new requests, at one revision of the store.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Evacuations {
@@ -275,32 +276,32 @@
     /// Names of the data centres.
     #[prost(string, repeated, tag = "2")]
     pub data_centres: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
-    /// Epoch of the store.
+    /// Epoch of the store to which the revision belongs.
     #[prost(uint64, tag = "3")]
     pub epoch: u64,
-    /// Data centres that were evacuated when the store was restored, and of which it has told nothing since.
+    /// Data centres that were evacuated before the store was restored and about which it has had no entry since.
     #[prost(message, repeated, tag = "4")]
     pub kept: ::prost::alloc::vec::Vec<Kept>,
 }
-/// A data centre that stays evacuated for a while.
+/// Data centre that stays evacuated for a limited time.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Kept {
     /// Name of the data centre.
     #[prost(string, tag = "1")]
     pub data_centre: ::prost::alloc::string::String,
-    /// For how much longer, in milliseconds, as of this message.
+    /// Remaining time as of this message, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub left_ms: u32,
 }
-/// What the hosts of one data centre have in progress, and which of them callers may be sent to.
+/// Summary of a data centre: the requests in progress of its hosts, and its ready hosts.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Centre {
-    /// Requests in progress of all its hosts.
+    /// Requests in progress of all its hosts together.
     #[prost(message, repeated, tag = "1")]
     pub in_progress: ::prost::alloc::vec::Vec<InProgress>,
-    /// Tags of its hosts that are ready.
+    /// Tags of its ready hosts.
     #[prost(fixed32, repeated, tag = "2")]
     pub ready: ::prost::alloc::vec::Vec<u32>,
 }
@@ -315,7 +316,7 @@
     #[prost(uint32, tag = "2")]
     pub requests: u32,
 }
-/// A prompt part that a backend server has read.
+/// Prompt part that a backend server has cached.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Held {
@@ -326,131 +327,131 @@
     #[prost(fixed32, tag = "2")]
     pub backend: u32,
 }
-/// Retries of one service.
+/// Retries spent on one service.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Spent {
     /// Tag of the service.
     #[prost(fixed32, tag = "1")]
     pub service: u32,
-    /// Retries in the window.
+    /// Number of retries in the window.
     #[prost(uint32, tag = "2")]
     pub retries: u32,
 }
-/// A content that may crash backend servers.
+/// Content that may crash backend servers.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Suspect {
     /// Fingerprint of the content.
     #[prost(fixed64, tag = "1")]
     pub fingerprint: u64,
-    /// Crashes at which it was running.
+    /// Number of crashes during which it was running.
     #[prost(uint32, tag = "2")]
     pub crashes: u32,
 }
-/// A host of the fleet.
+/// Host of the fleet.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Member {
-    /// Name in logs.
+    /// Name in log lines.
     #[prost(string, tag = "1")]
     pub name: ::prost::alloc::string::String,
-    /// Where callers are served.
+    /// IP address and port for callers.
     #[prost(string, tag = "2")]
     pub callers: ::prost::alloc::string::String,
-    /// Where other hosts reach it.
+    /// IP address and port for other hosts.
     #[prost(string, tag = "3")]
     pub peers: ::prost::alloc::string::String,
-    /// Data centre in which it stands.
+    /// Data centre of the host.
     #[prost(string, tag = "4")]
     pub data_centre: ::prost::alloc::string::String,
 }
-/// Asks a peer for what is newer than what the asker has.
+/// Request for state that is newer than that of the requesting host.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Fetch {
-    /// Version of the asker's configuration, 0 without one.
+    /// Configuration version of the requesting host; 0 for none.
     #[prost(uint64, tag = "1")]
     pub configuration: u64,
-    /// Revision of the asker's backend servers, 0 without any.
+    /// Revision of the requesting host's list of backend servers; 0 for none.
     #[prost(uint64, tag = "2")]
     pub backends: u64,
-    /// Whether the asker has just started and knows no holders of prompt parts.
+    /// Whether the requesting host has just started and knows no holders of prompt parts.
     #[prost(bool, tag = "3")]
     pub wants_held: bool,
-    /// Epoch of the store as of which the revision of the backend servers is.
+    /// Epoch of the store to which the revision in `backends` belongs.
     #[prost(uint64, tag = "4")]
     pub backends_epoch: u64,
 }
-/// What a peer has that is newer.
+/// Response with a peer's newer state.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Fetched {
-    /// Its configuration, if newer.
+    /// Full configuration, if newer and `configuration_changes` is absent.
     #[prost(message, optional, tag = "1")]
     pub configuration: ::core::option::Option<Configuration>,
-    /// Its list of backend servers, if newer and the changes are not known any more.
+    /// Full list of backend servers, if newer and the changes are no longer available.
     #[prost(message, optional, tag = "2")]
     pub backends: ::core::option::Option<Backends>,
-    /// Prompt parts and the backend servers that have read them, if asked for.
+    /// Prompt parts and the backend servers that have cached them, if requested.
     #[prost(message, repeated, tag = "3")]
     pub held: ::prost::alloc::vec::Vec<Held>,
-    /// What has changed of its backend servers since the asker's revision, if that is known.
+    /// Changes of the backend servers since the requested revision, if available.
     #[prost(message, optional, tag = "4")]
     pub changes: ::core::option::Option<BackendChanges>,
-    /// It answers as many others as it may at a time, and tells nothing.
+    /// Whether the peer has reached its limit of concurrent fetches and returns no state.
     #[prost(bool, tag = "5")]
     pub busy: bool,
-    /// What has changed since the asker's configuration, if that is known; then the whole is left out.
+    /// Changes since the requested configuration version, if available; then the full configuration is left out.
     #[prost(message, optional, tag = "6")]
     pub configuration_changes: ::core::option::Option<ConfigurationChanges>,
-    /// Starts of backend servers that were seen leaving, for one that has just started.
+    /// Starts of backend servers that were seen leaving, for a host that has just started.
     #[prost(message, repeated, tag = "7")]
     pub left: ::prost::alloc::vec::Vec<Start>,
 }
-/// What leads from one configuration to a newer one.
+/// Changes from one configuration version to a newer one.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct ConfigurationChanges {
-    /// Version from which they lead.
+    /// Version on which the changes are based.
     #[prost(uint64, tag = "1")]
     pub from: u64,
-    /// Version to which they lead.
+    /// Version that results from the changes.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// The new list of routes, as runs of the old one and of the new ones.
+    /// New list of routes, as runs of kept and new routes.
     #[prost(message, repeated, tag = "3")]
     pub routes: ::prost::alloc::vec::Vec<Run>,
-    /// Routes that are new or have changed, in order.
+    /// New and changed routes, in order.
     #[prost(message, repeated, tag = "4")]
     pub new_routes: ::prost::alloc::vec::Vec<Route>,
-    /// The new list of workspaces, likewise.
+    /// New list of workspaces, as runs of kept and new workspaces.
     #[prost(message, repeated, tag = "5")]
     pub workspaces: ::prost::alloc::vec::Vec<Run>,
-    /// Workspaces that are new or have changed, in order.
+    /// New and changed workspaces, in order.
     #[prost(message, repeated, tag = "6")]
     pub new_workspaces: ::prost::alloc::vec::Vec<Workspace>,
     /// All services.
     #[prost(message, repeated, tag = "7")]
     pub services: ::prost::alloc::vec::Vec<Service>,
-    /// The limits on what callers send.
+    /// Limits on requests from callers.
     #[prost(message, optional, tag = "8")]
     pub limits: ::core::option::Option<CallerLimits>,
-    /// Digest of the whole configuration to which they lead.
+    /// Digest of the complete resulting configuration.
     #[prost(fixed64, tag = "9")]
     pub digest: u64,
 }
-/// A part of a list: some items of the old list, then some new ones.
+/// Section of a list: kept items of the old list, followed by new items.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Run {
-    /// Place of the first kept item in the old list.
+    /// Index of the first kept item in the old list.
     #[prost(uint32, tag = "1")]
     pub start: u32,
-    /// Kept items.
+    /// Number of kept items.
     #[prost(uint32, tag = "2")]
     pub kept: u32,
-    /// New items.
+    /// Number of new items.
     #[prost(uint32, tag = "3")]
     pub new: u32,
 }
@@ -458,29 +459,29 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct BackendChanges {
-    /// Revision that they lead to.
+    /// Revision that results from the changes.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Servers that are new or have changed.
+    /// New and changed servers.
     #[prost(message, repeated, tag = "2")]
     pub puts: ::prost::alloc::vec::Vec<Backend>,
     /// Identifiers of servers whose entries were removed.
     #[prost(string, repeated, tag = "3")]
     pub removed: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
-    /// Epoch of the store.
+    /// Epoch of the store to which the revision belongs.
     #[prost(uint64, tag = "4")]
     pub epoch: u64,
 }
-/// Whether requests may be repeated.
+/// Whether requests may be retried.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum Repeat {
-    /// At most one run.
+    /// Not retried: at most one run.
     Never = 0,
-    /// Any number of runs.
+    /// May be retried: any number of runs.
     Idempotent = 1,
-    /// A stream of events: at most one run, unless it may be resumed.
+    /// Event stream: at most one run, unless the stream is resumable.
     Stream = 2,
 }
 impl Repeat {
--- a/src/schema/object.rs
+++ b/src/schema/object.rs
@@ -13,14 +13,14 @@
         ::prost::alloc::string::String,
         ::prost::alloc::string::String,
     >,
-    /// Version that the platform gave to the last write, as decimal digits.
+    /// Version that the platform assigned to the last write, as decimal digits.
     #[prost(string, tag = "3")]
     pub resource_version: ::prost::alloc::string::String,
-    /// Random number of the last writer; tells whether a lost write took effect.
+    /// Random number set by the last writer, which shows whether a write without an answer took effect.
     #[prost(string, tag = "4")]
     pub writer_nonce: ::prost::alloc::string::String,
 }
-/// Condition on labels; all parts must hold.
+/// Label selector; all conditions must match.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 #[derive(Clone, PartialEq, ::prost::Message)]
@@ -35,12 +35,12 @@
     #[prost(message, repeated, tag = "2")]
     pub match_expressions: ::prost::alloc::vec::Vec<Requirement>,
 }
-/// One condition on one label.
+/// Condition on one label.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Requirement {
-    /// Label.
+    /// Label key.
     #[prost(string, tag = "1")]
     pub key: ::prost::alloc::string::String,
     /// `In`, `NotIn`, `Exists` or `DoesNotExist`.
@@ -50,7 +50,7 @@
     #[prost(string, repeated, tag = "3")]
     pub values: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
 }
-/// Which traffic may reach which pool.
+/// Routes the chats of workspaces to an engine pool.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 #[derive(Clone, PartialEq, ::prost::Message)]
@@ -58,17 +58,17 @@
     /// Workspaces whose chats this policy routes.
     #[prost(message, optional, tag = "1")]
     pub workspaces: ::core::option::Option<Selector>,
-    /// Model that the request asks for; empty for any.
+    /// Requested model; empty matches any.
     #[prost(string, tag = "2")]
     pub model: ::prost::alloc::string::String,
-    /// Pool that serves it.
+    /// Pool that serves the requests.
     #[prost(string, tag = "3")]
     pub pool: ::prost::alloc::string::String,
-    /// Policies are tried from the highest rank to the lowest.
+    /// Priority of the policy; the highest rank is tried first.
     #[prost(uint32, tag = "4")]
     pub rank: u32,
 }
-/// Engines that serve together.
+/// Pool of engines among which requests are balanced.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 #[derive(Clone, PartialEq, ::prost::Message)]
@@ -76,23 +76,23 @@
     /// Engines that belong to the pool.
     #[prost(message, optional, tag = "1")]
     pub engines: ::core::option::Option<Selector>,
-    /// Highest load of an engine as a multiple of the mean, in thousandths.
+    /// Upper bound of an engine's load as a multiple of the mean, in thousandths.
     #[prost(uint32, tag = "2")]
     pub load_bound_milli: u32,
-    /// Models that the engines shall hold.
+    /// Models to load on the engines.
     #[prost(string, repeated, tag = "3")]
     pub models: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
-    /// Adapters that the engines shall hold.
+    /// Adapters to load on the engines.
     #[prost(string, repeated, tag = "4")]
     pub adapters: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
-    /// Role that the engines shall have; empty leaves it as it is.
+    /// Role of the engines; empty leaves it unchanged.
     #[prost(string, tag = "5")]
     pub role: ::prost::alloc::string::String,
-    /// Whether the engines refuse an order with an old fencing number.
+    /// Whether the engines reject an order with an outdated fencing token.
     #[prost(bool, tag = "6")]
     pub checks_fencing: bool,
 }
-/// A model engine or a backend server of a plain service.
+/// Model engine, or backend server of a plain service.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
@@ -100,41 +100,41 @@
     /// IP address and port.
     #[prost(string, tag = "1")]
     pub address: ::prost::alloc::string::String,
-    /// Data centre in which it stands.
+    /// Data centre of the server.
     #[prost(string, tag = "2")]
     pub data_centre: ::prost::alloc::string::String,
-    /// Requests that it runs well at once.
+    /// Number of concurrent requests that it runs without slowdown.
     #[prost(uint32, tag = "3")]
     pub capacity: u32,
 }
-/// A plain service beside the model engines.
+/// Plain service, which is not a model engine.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Service {
-    /// Backend servers that serve it.
+    /// Backend servers of the service.
     #[prost(message, optional, tag = "1")]
     pub engines: ::core::option::Option<Selector>,
-    /// Path prefixes below the service whose calls may not be repeated, whatever their method.
+    /// Path prefixes below the service whose calls must not be retried, regardless of their method.
     #[prost(string, repeated, tag = "2")]
     pub non_idempotent: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
-    /// Whether a non-idempotent call without an idempotency key is refused.
+    /// Whether a non-idempotent call without an idempotency key is rejected.
     #[prost(bool, tag = "3")]
     pub require_key: bool,
-    /// Paths below the service, with all that lies under them, whose POST and PATCH calls may be repeated.
+    /// Path prefixes below the service whose POST and PATCH calls may be retried.
     #[prost(string, repeated, tag = "4")]
     pub idempotent: ::prost::alloc::vec::Vec<::prost::alloc::string::String>,
 }
-/// A workspace, the unit of fairness and limits.
+/// Workspace, the unit of fair queueing and of limits.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Workspace {
-    /// Requests it may have in progress at once; 0 for no limit.
+    /// Limit of concurrent requests; 0 for no limit.
     #[prost(uint32, tag = "1")]
     pub max_running: u32,
 }
-/// Workspaces that share a limit.
+/// Group of workspaces with a common limit.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 #[derive(Clone, PartialEq, ::prost::Message)]
@@ -142,7 +142,7 @@
     /// Workspaces in the group.
     #[prost(message, optional, tag = "1")]
     pub workspaces: ::core::option::Option<Selector>,
-    /// Requests the group may have in progress at once; 0 for no limit.
+    /// Limit of concurrent requests of the whole group; 0 for no limit.
     #[prost(uint32, tag = "2")]
     pub max_running: u32,
 }
