--- a/src/standin/gate.rs
+++ b/src/standin/gate.rs
@@ -24,14 +24,14 @@
 
 /// A gate before one server.
 #[derive(Debug)]
-pub struct Gate {
+pub struct FaultProxy {
     addr: SocketAddr,
     mode: watch::Sender<Mode>,
     cuts: watch::Sender<u64>,
     task: JoinHandle<()>,
 }
 
-impl Gate {
+impl FaultProxy {
     /// Opens a gate on loopback before `target`; a change of `crashes` cuts all connections.
     ///
     /// # Errors
--- a/src/standin/outside.rs
+++ b/src/standin/outside.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{Context, Result, anyhow};
 
-use super::{engine::EngineStandin, gate::Gate, platform::PlatformStandin, service::ServiceStandin};
+use super::{engine::EngineStandin, gate::FaultProxy, platform::PlatformStandin, service::ServiceStandin};
 use crate::{
     catalog::{AnyObject, Object},
     http::{Limits, Server},
@@ -72,7 +72,7 @@
     /// The model engines.
     pub engines: Vec<Arc<EngineStandin>>,
     /// Gates before the model engines, in their order.
-    pub gates: Vec<Gate>,
+    pub gates: Vec<FaultProxy>,
     /// The backend servers of the plain service.
     pub services: Vec<Arc<ServiceStandin>>,
     plan: Plan,
@@ -127,7 +127,7 @@
         let i = self.engines.len();
         let engine = Arc::new(EngineStandin::new(self.plan.tokens, self.plan.token_time, self.plan.cache));
         let server = Server::start(loopback()?, 1, Limits::default(), engine.clone())?;
-        let gate = Gate::start(server.addr(), Some(engine.crashes())).await?;
+        let gate = FaultProxy::start(server.addr(), Some(engine.crashes())).await?;
         self.put(backend(&format!("engine-{i}"), "model", i, gate.addr(), self.plan.capacity))?;
         self.servers.push(server);
         self.gates.push(gate);
--- a/tests/bookings.rs
+++ b/tests/bookings.rs
@@ -11,7 +11,7 @@
     http::{Limits, Server},
     serve::Running,
     standin::{
-        gate::{Gate, Mode},
+        gate::{FaultProxy, Mode},
         platform::{Faults as PlatformFaults, PlatformStandin},
         service::{Faults, ServiceStandin},
     },
@@ -25,7 +25,7 @@
 struct Fleet {
     platform: Arc<PlatformStandin>,
     service: Arc<ServiceStandin>,
-    gate: Gate,
+    gate: FaultProxy,
     routers: Vec<Running>,
     addrs: Vec<std::net::SocketAddr>,
     servers: Vec<Server>,
@@ -44,7 +44,7 @@
     async fn start() -> Self {
         let service = Arc::new(ServiceStandin::default());
         let backend = Server::start(loopback(), 1, Limits::default(), service.clone()).unwrap();
-        let gate = Gate::start(backend.addr(), None).await.unwrap();
+        let gate = FaultProxy::start(backend.addr(), None).await.unwrap();
         let select = serde_json::json!({ "matchLabels": { "role": "app" } });
         let calls =
             |key| serde_json::json!({ "engines": select, "nonIdempotent": ["/hold"], "requireKey": key });
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -10,7 +10,7 @@
     schema::engine::Order,
     standin::{
         engine::{EngineStandin, Faults},
-        gate::{Gate, Mode},
+        gate::{FaultProxy, Mode},
     },
     stream::{EventAction, StreamTracker},
 };
@@ -26,7 +26,7 @@
 struct Fixture {
     engine: Arc<EngineStandin>,
     server: Server,
-    gate: Gate,
+    gate: FaultProxy,
     client: EngineClient,
 }
 
@@ -36,7 +36,7 @@
         engine.set_faults(faults);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let server = Server::start(listener, 1, Limits::default(), engine.clone()).unwrap();
-        let gate = Gate::start(server.addr(), Some(engine.crashes())).await.unwrap();
+        let gate = FaultProxy::start(server.addr(), Some(engine.crashes())).await.unwrap();
         let client = EngineClient::new(Client::default(), gate.addr());
         Self { engine, server, gate, client }
     }
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -14,7 +14,7 @@
     serve::Running,
     standin::{
         engine::{EngineStandin, Faults},
-        gate::Gate,
+        gate::FaultProxy,
     },
 };
 use fixture::{loopback, object};
@@ -26,7 +26,7 @@
 
 struct Fleet {
     engine: Arc<EngineStandin>,
-    gate: Gate,
+    gate: FaultProxy,
     routers: Vec<Running>,
     servers: Vec<Server>,
     client: Client,
@@ -68,7 +68,7 @@
         let engine = Arc::new(engine);
         engine.set_faults(faults);
         let server = Server::start(loopback(), 1, Limits::default(), engine.clone()).unwrap();
-        let gate = Gate::start(server.addr(), Some(engine.crashes())).await.unwrap();
+        let gate = FaultProxy::start(server.addr(), Some(engine.crashes())).await.unwrap();
         let select = serde_json::json!({ "matchLabels": { "role": "model" } });
         let (_, store) = fixture::platform([
             object("Workspace", "phrasebook", "", serde_json::json!({})),
--- a/tests/support/soak/engine.rs
+++ b/tests/support/soak/engine.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use cranberrytally::standin::gate::{Gate, Mode};
+use cranberrytally::standin::gate::{FaultProxy, Mode};
 use tokio::{
     io::AsyncWriteExt,
     net::{TcpListener, TcpStream},
@@ -53,7 +53,7 @@
 struct Engine {
     id: String,
     leaving: Arc<AtomicBool>,
-    gate: Gate,
+    gate: FaultProxy,
     task: JoinHandle<()>,
     crash: watch::Sender<u64>,
 }
@@ -88,7 +88,7 @@
         let id = format!("i-{}", self.started.fetch_add(1, Ordering::Relaxed));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let crash = watch::Sender::new(0);
-        let gate = Gate::start(listener.local_addr().unwrap(), Some(crash.subscribe())).await.unwrap();
+        let gate = FaultProxy::start(listener.local_addr().unwrap(), Some(crash.subscribe())).await.unwrap();
         let leaving = Arc::<AtomicBool>::default();
         let serving = Serving {
             id: id.clone(),
--- a/tests/support/soak/store.rs
+++ b/tests/support/soak/store.rs
@@ -14,7 +14,7 @@
 };
 
 use bytes::Bytes;
-use cranberrytally::standin::gate::{Gate, Mode};
+use cranberrytally::standin::gate::{FaultProxy, Mode};
 use http::{Method, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full};
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
@@ -76,7 +76,7 @@
     objects: Arc<Mutex<Objects>>,
     revision: watch::Sender<u64>,
     busy: Arc<AtomicBool>,
-    gate: Arc<Gate>,
+    gate: Arc<FaultProxy>,
     /// What answers every other call, while it answers in two epochs.
     other: Arc<Mutex<Option<Box<Store>>>>,
     calls: Arc<AtomicU64>,
@@ -92,7 +92,7 @@
     /// Starts an empty store on loopback.
     pub async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let gate = Arc::new(Gate::start(listener.local_addr().unwrap(), None).await.unwrap());
+        let gate = Arc::new(FaultProxy::start(listener.local_addr().unwrap(), None).await.unwrap());
         let (objects, busy) = (Arc::default(), Arc::default());
         let (other, calls, stale) = (Arc::default(), Arc::default(), Arc::default());
         let (revision, deaf, wrong_epoch) = (watch::Sender::new(1), Arc::default(), Arc::default());
