--- a/src/standin/outside.rs
+++ b/src/standin/outside.rs
@@ -72,7 +72,7 @@
     /// The model engines.
     pub engines: Vec<Arc<EngineStandin>>,
     /// Gates before the model engines, in their order.
-    pub gates: Vec<FaultProxy>,
+    pub engine_proxies: Vec<FaultProxy>,
     /// The backend servers of the plain service.
     pub services: Vec<Arc<ServiceStandin>>,
     plan: Plan,
@@ -91,7 +91,7 @@
         let mut outside = Self {
             platform,
             engines: Vec::new(),
-            gates: Vec::new(),
+            engine_proxies: Vec::new(),
             services: Vec::new(),
             plan,
             platform_addr: server.addr(),
@@ -130,7 +130,7 @@
         let gate = FaultProxy::start(server.addr(), Some(engine.crashes())).await?;
         self.put(backend(&format!("engine-{i}"), "model", i, gate.addr(), self.plan.capacity))?;
         self.servers.push(server);
-        self.gates.push(gate);
+        self.engine_proxies.push(gate);
         self.engines.push(engine);
         Ok(())
     }
