--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -135,9 +135,9 @@
 async fn churn(outside: &mut Outside) -> Result<()> {
     for mode in [Mode::Refuse, Mode::Open, Mode::Refuse, Mode::Open] {
         tokio::time::sleep(CHURN_PAUSE).await;
-        outside.engine_proxies[0].set(mode).await?;
+        outside.engine_proxies[0].set_mode(mode).await?;
     }
-    outside.engine_proxies[1].set(Mode::Refuse).await?;
+    outside.engine_proxies[1].set_mode(Mode::Refuse).await?;
     outside.add_engine().await
 }
 
--- a/src/standin/gate.rs
+++ b/src/standin/gate.rs
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// When the gate has ended.
-    pub async fn set(&self, mode: Mode) -> Result<()> {
+    pub async fn set_mode(&self, mode: Mode) -> Result<()> {
         self.mode.send_replace(mode);
         if mode == Mode::Refuse {
             self.cut();
--- a/tests/bookings.rs
+++ b/tests/bookings.rs
@@ -226,10 +226,10 @@
 #[tokio::test]
 async fn a_claim_that_did_not_run_is_released() {
     let fleet = Fleet::start().await;
-    fleet.gate.set(Mode::Refuse).await.unwrap();
+    fleet.gate.set_mode(Mode::Refuse).await.unwrap();
 
     let refused = fleet.call(0, "bookings", "k3", "tour", true).await;
-    fleet.gate.set(Mode::Open).await.unwrap();
+    fleet.gate.set_mode(Mode::Open).await.unwrap();
     let again = fleet.until_settled(1, "k3", "tour").await;
 
     assert_eq!((refused.status, refused.outcome.as_str()), (503, "not-run"), "{refused:?}");
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -146,7 +146,7 @@
     run(async {
         for case in table::<AnswerCase>(path) {
             let fixture = Fixture::start(case.faults).await;
-            fixture.gate.set(case.mode).await.unwrap();
+            fixture.gate.set_mode(case.mode).await.unwrap();
 
             let res = fixture.chat().await;
 
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -264,7 +264,7 @@
 #[tokio::test]
 async fn attempts_are_counted_over_all_hops() {
     let fleet = Fleet::start(2, Plan::default().with_engines(2)).await;
-    fleet.outside.engine_proxies[0].set(Mode::Refuse).await.unwrap();
+    fleet.outside.engine_proxies[0].set_mode(Mode::Refuse).await.unwrap();
 
     let mut most = 0;
     for i in 0..8 {
@@ -357,7 +357,7 @@
     let tasks: Vec<_> = (0..12).map(|i| tokio::spawn(persist(fleet.clone(), format!("text {i}")))).collect();
     for mode in [Mode::Refuse, Mode::Open, Mode::Refuse, Mode::Open, Mode::Refuse, Mode::Open] {
         tokio::time::sleep(Duration::from_millis(60)).await;
-        fleet.outside.engine_proxies[0].set(mode).await.unwrap();
+        fleet.outside.engine_proxies[0].set_mode(mode).await.unwrap();
     }
 
     for task in tasks {
--- a/tests/support/soak/engine.rs
+++ b/tests/support/soak/engine.rs
@@ -115,7 +115,7 @@
     /// A server dies with all that it runs; another one takes its place, and its entry lapses later.
     pub async fn crash(&self, n: usize) {
         let (engine, from) = (self.take(n), Instant::now());
-        engine.gate.set(Mode::Refuse).await.unwrap();
+        engine.gate.set_mode(Mode::Refuse).await.unwrap();
         engine.crash.send_modify(|n| *n += 1);
         engine.task.abort();
         disturbed(&self.record, &engine.id, from);
@@ -127,9 +127,9 @@
     /// A server accepts connections and passes no byte on new ones.
     pub async fn stall(&self, n: usize, time: Duration) {
         let (engine, from) = (self.nth(n), Instant::now());
-        engine.gate.set(Mode::Stall).await.unwrap();
+        engine.gate.set_mode(Mode::Stall).await.unwrap();
         tokio::time::sleep(time).await;
-        engine.gate.set(Mode::Open).await.unwrap();
+        engine.gate.set_mode(Mode::Open).await.unwrap();
         disturbed(&self.record, &engine.id, from);
     }
 
@@ -145,7 +145,7 @@
             tokio::time::sleep(SERVES_ON).await;
             store.remove("servers", &engine.id);
             let from = Instant::now();
-            engine.gate.set(Mode::Refuse).await.unwrap();
+            engine.gate.set_mode(Mode::Refuse).await.unwrap();
             engine.task.abort();
             disturbed(&record, &engine.id, from);
         });
--- a/tests/support/soak/store.rs
+++ b/tests/support/soak/store.rs
@@ -133,7 +133,7 @@
 
     /// Cuts open connections and changes what becomes of new ones.
     pub async fn set_gate(&self, mode: Mode) {
-        self.gate.set(mode).await.unwrap();
+        self.gate.set_mode(mode).await.unwrap();
         self.gate.cut();
     }
 
