--- a/src/standin/gate.rs
+++ b/src/standin/gate.rs
@@ -66,7 +66,7 @@
     pub async fn set_mode(&self, mode: Mode) -> Result<()> {
         self.mode.send_replace(mode);
         if mode == Mode::Refuse {
-            self.cut();
+            self.cut_connections();
         }
         loop {
             let refused = TcpStream::connect(self.addr).await.is_err();
@@ -79,13 +79,13 @@
     }
 
     /// Cuts all open connections.
-    pub fn cut(&self) {
+    pub fn cut_connections(&self) {
         self.cuts.send_modify(|n| *n += 1);
     }
 
     /// Closes the gate.
     pub fn close(self) {
-        self.cut();
+        self.cut_connections();
         self.task.abort();
     }
 }
--- a/tests/support/soak/store.rs
+++ b/tests/support/soak/store.rs
@@ -134,7 +134,7 @@
     /// Cuts open connections and changes what becomes of new ones.
     pub async fn set_gate(&self, mode: Mode) {
         self.gate.set_mode(mode).await.unwrap();
-        self.gate.cut();
+        self.gate.cut_connections();
     }
 
     /// What it holds now, to be restored later.
