--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -15,7 +15,7 @@
     http::{Limits, Server},
     standin::{
         engine::EngineStandin,
-        outside::{MODEL, Outside, Plan, WORKSPACES, loopback, object},
+        outside::{MODEL, Plan, Standins, WORKSPACES, loopback, object},
     },
 };
 use hdrhistogram::Histogram;
@@ -127,7 +127,7 @@
 
 async fn overhead() {
     let plan = Plan::default().with_engines(0).with_tokens(TOKENS, Duration::ZERO);
-    let outside = Outside::start(plan).await.unwrap();
+    let outside = Standins::start(plan).await.unwrap();
     let engine = Arc::new(EngineStandin::new(TOKENS, Duration::ZERO, 64));
     let server = Server::start(loopback().unwrap(), 2, Limits::default(), engine).unwrap();
     register(&outside, server.addr());
@@ -154,14 +154,14 @@
     outside.close();
 }
 
-fn register(outside: &Outside, addr: SocketAddr) {
+fn register(outside: &Standins, addr: SocketAddr) {
     let spec = serde_json::json!({ "address": addr.to_string(), "dataCentre": "poa-a", "capacity": 100_000 });
     outside.put(object("Engine", "engine-0", &[("role", "model")], spec)).unwrap();
 }
 
 async fn memory() {
     let plan = Plan::default().with_engines(0).with_tokens(2, Duration::ZERO);
-    let outside = Outside::start(plan).await.unwrap();
+    let outside = Standins::start(plan).await.unwrap();
     let engine = Arc::new(EngineStandin::new(1_000, Duration::from_secs(30), 64));
     let server = Server::start(loopback().unwrap(), 2, Limits::default(), engine).unwrap();
     register(&outside, server.addr());
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -22,7 +22,7 @@
     standin::{
         caller::Caller,
         gate::Mode,
-        outside::{Outside, Plan, WORKSPACES, loopback, settings},
+        outside::{Plan, Standins, WORKSPACES, loopback, settings},
     },
     util::hash,
 };
@@ -83,7 +83,7 @@
 async fn demo(chats: usize) -> Result<ExitCode> {
     say(&format!("starting {ROUTERS} routers, 9 engines, 3 backend servers of a plain service\n"));
     let mut outside =
-        Outside::start(Plan::default().with_tokens(TOKENS, TOKEN_TIME).with_capacity(CAPACITY)).await?;
+        Standins::start(Plan::default().with_tokens(TOKENS, TOKEN_TIME).with_capacity(CAPACITY)).await?;
     let routers = start_routers(&outside)?;
     ready(&routers).await?;
     say(&format!(
@@ -108,7 +108,7 @@
     Ok(if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn start_routers(outside: &Outside) -> Result<Vec<Running>> {
+fn start_routers(outside: &Standins) -> Result<Vec<Running>> {
     let listeners = (0..ROUTERS).map(|_| Ok((loopback()?, loopback()?))).collect::<Result<Vec<_>>>()?;
     let seeds = listeners.iter().map(|(_, peer)| Ok(peer.local_addr()?)).collect::<Result<Vec<_>>>()?;
     let mut routers = Vec::new();
@@ -132,7 +132,7 @@
 }
 
 /// One engine flaps, one leaves for good and one joins while the chats go on.
-async fn churn(outside: &mut Outside) -> Result<()> {
+async fn churn(outside: &mut Standins) -> Result<()> {
     for mode in [Mode::Refuse, Mode::Open, Mode::Refuse, Mode::Open] {
         tokio::time::sleep(CHURN_PAUSE).await;
         outside.engine_proxies[0].set_mode(mode).await?;
@@ -181,7 +181,7 @@
     }
 }
 
-fn report(outside: &Outside, routers: &[Running], seen: Seen, doubled: usize, took: Duration) -> String {
+fn report(outside: &Standins, routers: &[Running], seen: Seen, doubled: usize, took: Duration) -> String {
     let (reuse, skew) = outside.reuse_and_skew();
     let mut text = String::new();
     let mut row = |name: &str, value: String| {
--- a/src/standin/outside.rs
+++ b/src/standin/outside.rs
@@ -66,7 +66,7 @@
 
 /// The stand-ins of one deployment.
 #[derive(Debug)]
-pub struct Outside {
+pub struct Standins {
     /// The platform.
     pub platform: Arc<PlatformStandin>,
     /// The model engines.
@@ -80,7 +80,7 @@
     servers: Vec<Server>,
 }
 
-impl Outside {
+impl Standins {
     /// Starts the stand-ins and writes a configuration that routes to them.
     ///
     /// # Errors
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -13,7 +13,7 @@
     objects::Collection,
     operate::Status,
     standin::{
-        outside::{Outside, Plan},
+        outside::{Plan, Standins},
         platform::Faults,
     },
 };
@@ -26,12 +26,12 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 struct Fleet {
-    outside: Outside,
+    outside: Standins,
     routers: Vec<Router>,
 }
 
 async fn fleet(prefix: &str) -> Fleet {
-    let outside = Outside::start(Plan::default().with_engines(2)).await.unwrap();
+    let outside = Standins::start(Plan::default().with_engines(2)).await.unwrap();
     let platform = outside.platform_addr();
     let first = Router::start(&format!("{prefix}-0"), platform, &[]);
     let second = Router::start(&format!("{prefix}-1"), platform, &[first.peer]);
@@ -54,7 +54,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-async fn cmd(outside: &Outside, args: &str) -> (i32, String, String) {
+async fn cmd(outside: &Standins, args: &str) -> (i32, String, String) {
     let mut args: Vec<_> = args.split(' ').map(str::to_owned).collect();
     args.push(format!("--platform={}", outside.platform_addr()));
     let out = run(args).await;
@@ -151,7 +151,7 @@
 /// The life of an object by commands alone; what is wrong is told, with an exit code that scripts can tell apart.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn objects_are_applied_shown_and_labelled() {
-    let outside = Outside::start(Plan::default().with_engines(1)).await.unwrap();
+    let outside = Standins::start(Plan::default().with_engines(1)).await.unwrap();
     let good =
         file("good", "kind: Workspace\nmetadata: {name: a, labels: {tier: small}}\nspec: {maxRunning: 3}\n");
     let bad = file(
--- a/tests/orders_given.rs
+++ b/tests/orders_given.rs
@@ -9,14 +9,14 @@
     serve::Running,
     standin::{
         engine::{EngineStandin, Faults},
-        outside::{Outside, Plan, loopback, settings},
+        outside::{Plan, Standins, loopback, settings},
     },
 };
 
 const TIMEOUT: Duration = Duration::from_secs(40);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-fn router(outside: &Outside, name: &str) -> Running {
+fn router(outside: &Standins, name: &str) -> Running {
     let listener = loopback().unwrap();
     let any = "127.0.0.1:0".parse().unwrap();
     let addr = listener.local_addr().unwrap();
@@ -25,7 +25,7 @@
 }
 
 /// Sets the desired models of the pool.
-async fn set_models(outside: &Outside, models: &[&str]) {
+async fn set_models(outside: &Standins, models: &[&str]) {
     let platform = Platform::new(outside.platform_addr());
     let mut pool: AnyObject = platform.get("EnginePool", "models").await.unwrap().unwrap();
     pool.spec["models"] = serde_json::json!(models);
@@ -42,7 +42,7 @@
     assert!(tokio::time::timeout(TIMEOUT, waiting).await.is_ok(), "timed out waiting until {what}");
 }
 
-fn all_ordered(outside: &Outside, models: &[&str]) -> bool {
+fn all_ordered(outside: &Standins, models: &[&str]) -> bool {
     let last = |e: &Arc<EngineStandin>| e.orders().last().map(|(_, order)| order.models.clone());
     outside.engines.iter().all(|e| last(e).is_some_and(|have| have == models))
 }
@@ -51,7 +51,7 @@
 /// so that engines that check the number refuse late orders of the first.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_pool_converges_across_a_change_of_lease_holder() {
-    let outside = Outside::start(Plan::default().with_engines(2)).await.unwrap();
+    let outside = Standins::start(Plan::default().with_engines(2)).await.unwrap();
     for engine in &outside.engines {
         engine.set_faults(Faults { checks_fencing: true, ..Faults::default() });
     }
--- a/tests/place_links.rs
+++ b/tests/place_links.rs
@@ -11,7 +11,7 @@
     metrics::Counter,
     place::members::Member,
     serve::Running,
-    standin::outside::{MODEL, Outside, Plan, WORKSPACES, loopback, settings},
+    standin::outside::{MODEL, Plan, Standins, WORKSPACES, loopback, settings},
 };
 use http::Request;
 use http_body_util::{BodyExt, Full};
@@ -30,7 +30,7 @@
     tokio::time::timeout(READY_TIME, waiting).await.expect("not met in time");
 }
 
-fn router(i: usize, outside: &Outside) -> Running {
+fn router(i: usize, outside: &Standins) -> Running {
     let listener = loopback().unwrap();
     let addr = listener.local_addr().unwrap();
     let peer = "127.0.0.1:0".parse().unwrap();
@@ -49,14 +49,14 @@
     routers.iter().enumerate().map(member).collect()
 }
 
-async fn start(count: usize, plan: Plan) -> (Outside, Vec<Running>) {
-    let outside = Outside::start(plan).await.unwrap();
+async fn start(count: usize, plan: Plan) -> (Standins, Vec<Running>) {
+    let outside = Standins::start(plan).await.unwrap();
     let routers: Vec<_> = (0..count).map(|i| router(i, &outside)).collect();
     until(|| routers.iter().all(|r| r.gateway().catalog().has_workspace(WORKSPACES[2]))).await;
     (outside, routers)
 }
 
-fn close(outside: Outside, routers: Vec<Running>) {
+fn close(outside: Standins, routers: Vec<Running>) {
     routers.into_iter().for_each(Running::close);
     outside.close();
 }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -16,7 +16,7 @@
     standin::{
         caller::{Answer, Caller},
         engine,
-        outside::{Outside, Plan, WORKSPACES},
+        outside::{Plan, Standins, WORKSPACES},
         platform::Faults,
         service,
     },
@@ -194,14 +194,14 @@
 
 /// Makes the services cut some responses after the save has run, and delay all of them so that faults coincide with
 /// saves that have run.
-fn set_service_faults(outside: &Outside) {
+fn set_service_faults(outside: &Standins) {
     for s in &outside.services {
         s.set_faults(service::Faults { late_ms: 30, cut_answers: 3, ..service::Faults::default() });
     }
 }
 
 /// Compares the outcomes that callers received with the runs that the backend servers recorded.
-fn assert_at_most_once(outside: &Outside, outcomes: &BTreeMap<String, String>) {
+fn assert_at_most_once(outside: &Standins, outcomes: &BTreeMap<String, String>) {
     let count = |outcome: &str| outcomes.values().filter(|o| *o == outcome).count();
     println!(
         "{} keys: {} ran, {} not-run, {} unknown",
@@ -226,7 +226,7 @@
 /// attempts between two faults. Callers resend every save with an unknown outcome to other routers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_save_runs_at_most_once_while_routers_die_and_the_platform_flaps() {
-    let outside = Outside::start(Plan::default().with_engines(1)).await.unwrap();
+    let outside = Standins::start(Plan::default().with_engines(1)).await.unwrap();
     let platform = outside.platform_addr();
     let mut routers = start_three(platform);
     wait_until_converged(&routers).await;
@@ -322,7 +322,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn routers_leave_under_load_and_cut_nothing() {
     let plan = Plan::default().with_tokens(LONG_RESPONSE_TOKENS, Duration::from_millis(10));
-    let outside = Outside::start(plan).await.unwrap();
+    let outside = Standins::start(plan).await.unwrap();
     let mut routers = start_three(outside.platform_addr());
     wait_until_converged(&routers).await;
     let chats = Chats::start(LONG_RESPONSE_TOKENS, &routers);
@@ -352,7 +352,7 @@
 async fn a_leaving_engine_finishes_its_streams_and_gets_no_more() {
     const TOKENS: usize = 100;
     let plan = Plan::default().with_tokens(TOKENS, Duration::from_millis(10));
-    let outside = Outside::start(plan).await.unwrap();
+    let outside = Standins::start(plan).await.unwrap();
     let routers = start_three(outside.platform_addr());
     wait_until_converged(&routers).await;
     let chats = Chats::start(TOKENS, &routers);
@@ -378,14 +378,14 @@
 }
 
 /// Sets the model that the pool's engines must load.
-async fn set_model(outside: &Outside, model: &str) {
+async fn set_model(outside: &Standins, model: &str) {
     let mut pool = Platform::new(outside.platform_addr()).get("EnginePool", "models").await.unwrap().unwrap();
     pool.spec["models"] = serde_json::json!([model]);
     outside.platform.put(pool).unwrap();
 }
 
 /// Waits until the last order to each engine names only this model.
-async fn wait_until_ordered(outside: &Outside, model: &str) {
+async fn wait_until_ordered(outside: &Standins, model: &str) {
     wait_until("the orders for the model", async || {
         outside.engines.iter().all(|e| e.orders().last().is_some_and(|(_, order)| order.models == [model]))
     })
@@ -393,7 +393,7 @@
 }
 
 /// Index of the router that holds the orders lease on the platform.
-async fn lease_holder(outside: &Outside) -> usize {
+async fn lease_holder(outside: &Standins) -> usize {
     let lease = Platform::new(outside.platform_addr()).get("Lease", "pool-models").await.unwrap().unwrap();
     let name = lease.spec["holder"].as_str().unwrap().split('/').next().unwrap().to_owned();
     name.trim_start_matches('r').parse().unwrap()
@@ -405,7 +405,7 @@
 /// check fencing tokens.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_suspended_router_resumes_without_acting_on_stale_state() {
-    let outside = Outside::start(Plan::default().with_engines(3)).await.unwrap();
+    let outside = Standins::start(Plan::default().with_engines(3)).await.unwrap();
     let routers = start_three(outside.platform_addr());
     wait_until_converged(&routers).await;
     set_model(&outside, "m@1").await;
@@ -441,7 +441,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn every_chat_is_answered_after_a_router_is_killed() {
     let plan = Plan::default().with_tokens(8, Duration::from_millis(2));
-    let outside = Outside::start(plan).await.unwrap();
+    let outside = Standins::start(plan).await.unwrap();
     let mut routers = start_three(outside.platform_addr());
     let addresses = addresses(&routers);
     let (first_answered, mut first_answers) = tokio::sync::mpsc::channel(CHATS);
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -20,7 +20,7 @@
     standin::{
         engine::Faults,
         gate::Mode,
-        outside::{MODEL, Outside, Plan, WORKSPACES, loopback, object, settings},
+        outside::{MODEL, Plan, Standins, WORKSPACES, loopback, object, settings},
     },
 };
 use http::{HeaderMap, Request};
@@ -30,7 +30,7 @@
 const READY_TIME: Duration = Duration::from_secs(20);
 
 struct Fleet {
-    outside: Outside,
+    outside: Standins,
     routers: Vec<Running>,
     client: Client,
     chats: AtomicU32,
@@ -62,7 +62,7 @@
 
 impl Fleet {
     async fn start(routers: usize, plan: Plan) -> Self {
-        let outside = Outside::start(plan).await.unwrap();
+        let outside = Standins::start(plan).await.unwrap();
         let routers: Vec<_> = (0..routers).map(|i| router(i, &outside)).collect();
         let waiting = async {
             while routers.iter().any(|r| !r.gateway().catalog().has_workspace(WORKSPACES[2])) {
@@ -114,7 +114,7 @@
     }
 }
 
-fn router(i: usize, outside: &Outside) -> Running {
+fn router(i: usize, outside: &Standins) -> Running {
     let listener = loopback().unwrap();
     let peer: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let addr = listener.local_addr().unwrap();
