--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -15,7 +15,7 @@
     http::{Limits, Server},
     standin::{
         engine::EngineStandin,
-        outside::{MODEL, Plan, Standins, WORKSPACES, loopback, object},
+        outside::{MODEL, StandinConfig, Standins, WORKSPACES, loopback, object},
     },
 };
 use hdrhistogram::Histogram;
@@ -126,7 +126,7 @@
 }
 
 async fn overhead() {
-    let plan = Plan::default().with_engines(0).with_tokens(TOKENS, Duration::ZERO);
+    let plan = StandinConfig::default().with_engines(0).with_tokens(TOKENS, Duration::ZERO);
     let outside = Standins::start(plan).await.unwrap();
     let engine = Arc::new(EngineStandin::new(TOKENS, Duration::ZERO, 64));
     let server = Server::start(loopback().unwrap(), 2, Limits::default(), engine).unwrap();
@@ -160,7 +160,7 @@
 }
 
 async fn memory() {
-    let plan = Plan::default().with_engines(0).with_tokens(2, Duration::ZERO);
+    let plan = StandinConfig::default().with_engines(0).with_tokens(2, Duration::ZERO);
     let outside = Standins::start(plan).await.unwrap();
     let engine = Arc::new(EngineStandin::new(1_000, Duration::from_secs(30), 64));
     let server = Server::start(loopback().unwrap(), 2, Limits::default(), engine).unwrap();
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -22,7 +22,7 @@
     standin::{
         caller::Caller,
         gate::Mode,
-        outside::{Plan, Standins, WORKSPACES, loopback, settings},
+        outside::{StandinConfig, Standins, WORKSPACES, loopback, settings},
     },
     util::hash,
 };
@@ -83,7 +83,8 @@
 async fn demo(chats: usize) -> Result<ExitCode> {
     say(&format!("starting {ROUTERS} routers, 9 engines, 3 backend servers of a plain service\n"));
     let mut outside =
-        Standins::start(Plan::default().with_tokens(TOKENS, TOKEN_TIME).with_capacity(CAPACITY)).await?;
+        Standins::start(StandinConfig::default().with_tokens(TOKENS, TOKEN_TIME).with_capacity(CAPACITY))
+            .await?;
     let routers = start_routers(&outside)?;
     ready(&routers).await?;
     say(&format!(
--- a/src/standin/outside.rs
+++ b/src/standin/outside.rs
@@ -25,7 +25,7 @@
 
 /// How many stand-ins there are and how the engines answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct StandinConfig {
     engines: usize,
     services: usize,
     tokens: usize,
@@ -34,7 +34,7 @@
     capacity: u32,
 }
 
-impl Default for Plan {
+impl Default for StandinConfig {
     fn default() -> Self {
         Self {
             engines: 9,
@@ -47,7 +47,7 @@
     }
 }
 
-impl Plan {
+impl StandinConfig {
     /// Sets the number of model engines.
     pub fn with_engines(self, engines: usize) -> Self {
         Self { engines, ..self }
@@ -75,7 +75,7 @@
     pub engine_proxies: Vec<FaultProxy>,
     /// The backend servers of the plain service.
     pub services: Vec<Arc<ServiceStandin>>,
-    plan: Plan,
+    plan: StandinConfig,
     platform_addr: SocketAddr,
     servers: Vec<Server>,
 }
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     /// When no port can be had.
-    pub async fn start(plan: Plan) -> Result<Self> {
+    pub async fn start(plan: StandinConfig) -> Result<Self> {
         let platform = Arc::new(PlatformStandin::default());
         let server = Server::start(loopback()?, 1, Limits::default(), platform.clone())?;
         let mut outside = Self {
--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -11,7 +11,7 @@
     client::Client,
     config::Settings,
     serve::Running,
-    standin::outside::{Plan, Standins, WORKSPACES, loopback, settings},
+    standin::outside::{StandinConfig, Standins, WORKSPACES, loopback, settings},
 };
 use http::{HeaderMap, Request};
 use http_body_util::{BodyExt, Full};
@@ -213,7 +213,7 @@
 #[tokio::test]
 async fn every_example_gets_the_answer_that_the_page_promises() {
     let page = std::fs::read_to_string("docs/CALLERS.md").unwrap();
-    let outside = Standins::start(Plan::default().with_engines(2)).await.unwrap();
+    let outside = Standins::start(StandinConfig::default().with_engines(2)).await.unwrap();
     let router = router(&outside);
     ready(&router).await;
     let mut kept = Kept::from([("ROUTER".to_owned(), router.addr().to_string())]);
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -13,7 +13,7 @@
     objects::Collection,
     operate::Status,
     standin::{
-        outside::{Plan, Standins},
+        outside::{StandinConfig, Standins},
         platform::Faults,
     },
 };
@@ -31,7 +31,7 @@
 }
 
 async fn fleet(prefix: &str) -> Fleet {
-    let outside = Standins::start(Plan::default().with_engines(2)).await.unwrap();
+    let outside = Standins::start(StandinConfig::default().with_engines(2)).await.unwrap();
     let platform = outside.platform_addr();
     let first = Router::start(&format!("{prefix}-0"), platform, &[]);
     let second = Router::start(&format!("{prefix}-1"), platform, &[first.peer]);
@@ -151,7 +151,7 @@
 /// The life of an object by commands alone; what is wrong is told, with an exit code that scripts can tell apart.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn objects_are_applied_shown_and_labelled() {
-    let outside = Standins::start(Plan::default().with_engines(1)).await.unwrap();
+    let outside = Standins::start(StandinConfig::default().with_engines(1)).await.unwrap();
     let good =
         file("good", "kind: Workspace\nmetadata: {name: a, labels: {tier: small}}\nspec: {maxRunning: 3}\n");
     let bad = file(
--- a/tests/orders_given.rs
+++ b/tests/orders_given.rs
@@ -9,7 +9,7 @@
     serve::Running,
     standin::{
         engine::{EngineStandin, Faults},
-        outside::{Plan, Standins, loopback, settings},
+        outside::{StandinConfig, Standins, loopback, settings},
     },
 };
 
@@ -51,7 +51,7 @@
 /// so that engines that check the number refuse late orders of the first.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_pool_converges_across_a_change_of_lease_holder() {
-    let outside = Standins::start(Plan::default().with_engines(2)).await.unwrap();
+    let outside = Standins::start(StandinConfig::default().with_engines(2)).await.unwrap();
     for engine in &outside.engines {
         engine.set_faults(Faults { checks_fencing: true, ..Faults::default() });
     }
--- a/tests/place_links.rs
+++ b/tests/place_links.rs
@@ -11,7 +11,7 @@
     metrics::Counter,
     place::members::Member,
     serve::Running,
-    standin::outside::{MODEL, Plan, Standins, WORKSPACES, loopback, settings},
+    standin::outside::{MODEL, StandinConfig, Standins, WORKSPACES, loopback, settings},
 };
 use http::Request;
 use http_body_util::{BodyExt, Full};
@@ -49,7 +49,7 @@
     routers.iter().enumerate().map(member).collect()
 }
 
-async fn start(count: usize, plan: Plan) -> (Standins, Vec<Running>) {
+async fn start(count: usize, plan: StandinConfig) -> (Standins, Vec<Running>) {
     let outside = Standins::start(plan).await.unwrap();
     let routers: Vec<_> = (0..count).map(|i| router(i, &outside)).collect();
     until(|| routers.iter().all(|r| r.gateway().catalog().has_workspace(WORKSPACES[2]))).await;
@@ -93,7 +93,7 @@
 /// remain counted after the callers disconnect.
 #[tokio::test]
 async fn work_that_runs_is_counted_once_through_a_change_of_owner() {
-    let plan = Plan::default().with_tokens(1_000, Duration::from_millis(20));
+    let plan = StandinConfig::default().with_tokens(1_000, Duration::from_millis(20));
     let (outside, routers) = start(3, plan).await;
     for r in &routers[..2] {
         r.gateway().set_members(members(&routers[..2])).await;
@@ -119,7 +119,7 @@
 /// tokens is faster than recomputing it.
 #[tokio::test]
 async fn a_moving_chat_transfers_its_context() {
-    let (outside, routers) = start(1, Plan::default()).await;
+    let (outside, routers) = start(1, StandinConfig::default()).await;
     let (status, hint, _) = ask(&routers[0], "chat", "").await;
     assert_eq!(status, 200);
     let first = outside.engines.iter().position(|e| e.counts().0 == 1).unwrap();
@@ -139,7 +139,7 @@
 /// owner.
 #[tokio::test]
 async fn a_chat_is_answered_while_an_owner_is_down() {
-    let (outside, routers) = start(1, Plan::default()).await;
+    let (outside, routers) = start(1, StandinConfig::default()).await;
     let mut list = members(&routers);
     let down = loopback().unwrap().local_addr().unwrap();
     list.push(Member { id: Id::of("gone"), peer: down, addr: down, ..list[0].clone() });
@@ -156,7 +156,7 @@
 /// needs no message between routers; through another router it would need a reservation.
 #[tokio::test]
 async fn an_entry_answer_for_a_chat_names_the_owner_of_its_engine() {
-    let plan = Plan::default().with_engines(18).with_tokens(2, Duration::ZERO);
+    let plan = StandinConfig::default().with_engines(18).with_tokens(2, Duration::ZERO);
     let (outside, mut routers) = start(1, plan).await;
     let seeds = [routers[0].peer_addr()];
     let listener = loopback().unwrap();
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -16,7 +16,7 @@
     standin::{
         caller::{Answer, Caller},
         engine,
-        outside::{Plan, Standins, WORKSPACES},
+        outside::{StandinConfig, Standins, WORKSPACES},
         platform::Faults,
         service,
     },
@@ -226,7 +226,7 @@
 /// attempts between two faults. Callers resend every save with an unknown outcome to other routers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_save_runs_at_most_once_while_routers_die_and_the_platform_flaps() {
-    let outside = Standins::start(Plan::default().with_engines(1)).await.unwrap();
+    let outside = Standins::start(StandinConfig::default().with_engines(1)).await.unwrap();
     let platform = outside.platform_addr();
     let mut routers = start_three(platform);
     wait_until_converged(&routers).await;
@@ -321,7 +321,7 @@
 /// through it, or while other routers or cached entry answers still name it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn routers_leave_under_load_and_cut_nothing() {
-    let plan = Plan::default().with_tokens(LONG_RESPONSE_TOKENS, Duration::from_millis(10));
+    let plan = StandinConfig::default().with_tokens(LONG_RESPONSE_TOKENS, Duration::from_millis(10));
     let outside = Standins::start(plan).await.unwrap();
     let mut routers = start_three(outside.platform_addr());
     wait_until_converged(&routers).await;
@@ -351,7 +351,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_leaving_engine_finishes_its_streams_and_gets_no_more() {
     const TOKENS: usize = 100;
-    let plan = Plan::default().with_tokens(TOKENS, Duration::from_millis(10));
+    let plan = StandinConfig::default().with_tokens(TOKENS, Duration::from_millis(10));
     let outside = Standins::start(plan).await.unwrap();
     let routers = start_three(outside.platform_addr());
     wait_until_converged(&routers).await;
@@ -405,7 +405,7 @@
 /// check fencing tokens.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_suspended_router_resumes_without_acting_on_stale_state() {
-    let outside = Standins::start(Plan::default().with_engines(3)).await.unwrap();
+    let outside = Standins::start(StandinConfig::default().with_engines(3)).await.unwrap();
     let routers = start_three(outside.platform_addr());
     wait_until_converged(&routers).await;
     set_model(&outside, "m@1").await;
@@ -440,7 +440,7 @@
 /// callers must get complete responses from the next address.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn every_chat_is_answered_after_a_router_is_killed() {
-    let plan = Plan::default().with_tokens(8, Duration::from_millis(2));
+    let plan = StandinConfig::default().with_tokens(8, Duration::from_millis(2));
     let outside = Standins::start(plan).await.unwrap();
     let mut routers = start_three(outside.platform_addr());
     let addresses = addresses(&routers);
--- a/tests/refused.rs
+++ b/tests/refused.rs
@@ -14,7 +14,7 @@
     config::Settings,
     metrics::Counter,
     serve::Running,
-    standin::outside::{Plan, Standins, loopback, settings},
+    standin::outside::{StandinConfig, Standins, loopback, settings},
 };
 
 const READY_TIME: Duration = Duration::from_secs(20);
@@ -51,7 +51,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn every_path_refuses_a_wrong_method() {
-    let outside = Standins::start(Plan::default().with_engines(1)).await.unwrap();
+    let outside = Standins::start(StandinConfig::default().with_engines(1)).await.unwrap();
     let router = router(&outside).await;
     let table = [
         ("POST", "/v1/entry"),
@@ -81,7 +81,7 @@
 /// not name, which would bypass other components that read the path.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_path_names_its_service_once() {
-    let outside = Standins::start(Plan::default().with_engines(1)).await.unwrap();
+    let outside = Standins::start(StandinConfig::default().with_engines(1)).await.unwrap();
     let router = router(&outside).await;
     for path in
         ["/services//services/lessons/cards", "/services/services/lessons/cards", "/services//lessons/cards"]
@@ -136,7 +136,7 @@
 /// be counted. This fails if the body is refused before the gateway reads the key.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_refused_body_is_counted_and_has_the_known_outcome() {
-    let outside = Standins::start(Plan::default().with_engines(1)).await.unwrap();
+    let outside = Standins::start(StandinConfig::default().with_engines(1)).await.unwrap();
     let router = router(&outside).await;
     let chunked = "transfer-encoding: chunked\r\n";
     let large = "content-length: 99999999\r\n";
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -20,7 +20,7 @@
     standin::{
         engine::Faults,
         gate::Mode,
-        outside::{MODEL, Plan, Standins, WORKSPACES, loopback, object, settings},
+        outside::{MODEL, StandinConfig, Standins, WORKSPACES, loopback, object, settings},
     },
 };
 use http::{HeaderMap, Request};
@@ -61,7 +61,7 @@
 }
 
 impl Fleet {
-    async fn start(routers: usize, plan: Plan) -> Self {
+    async fn start(routers: usize, plan: StandinConfig) -> Self {
         let outside = Standins::start(plan).await.unwrap();
         let routers: Vec<_> = (0..routers).map(|i| router(i, &outside)).collect();
         let waiting = async {
@@ -134,7 +134,7 @@
 
 #[tokio::test]
 async fn a_header_without_an_allowed_value_is_a_clear_error() {
-    let fleet = Fleet::start(1, Plan::default().with_engines(2)).await;
+    let fleet = Fleet::start(1, StandinConfig::default().with_engines(2)).await;
     let long = "x".repeat(300);
     let table = [
         ("x-priority", "urgent", "high, normal, low", "not-run"),
@@ -159,7 +159,7 @@
 /// and another workspace is served.
 #[tokio::test]
 async fn a_workspace_at_its_limit_is_refused_and_others_are_served() {
-    let plan = Plan::default().with_engines(2).with_tokens(40, Duration::from_millis(50));
+    let plan = StandinConfig::default().with_engines(2).with_tokens(40, Duration::from_millis(50));
     let fleet = Fleet::start(1, plan).await;
     let limited = object("Workspace", "limited", &[], serde_json::json!({ "maxRunning": 1 }));
     fleet.outside.put(limited).unwrap();
@@ -192,7 +192,7 @@
 async fn a_full_pool_queues_and_a_small_workspace_goes_first() {
     const PLACES: u32 = 16;
     const SURGE: u32 = 48;
-    let plan = Plan::default().with_engines(2).with_tokens(10, Duration::from_millis(100));
+    let plan = StandinConfig::default().with_engines(2).with_tokens(10, Duration::from_millis(100));
     let fleet = Arc::new(Fleet::start(1, plan).await);
     let done = Arc::new(AtomicU32::new(0));
     let surge: Vec<_> = (0..SURGE)
@@ -235,7 +235,7 @@
 /// when to come back, while one with time to spare waits and is answered.
 #[tokio::test]
 async fn a_deadline_that_passes_in_the_queue_is_told() {
-    let plan = Plan::default().with_engines(1).with_tokens(20, Duration::from_millis(50));
+    let plan = StandinConfig::default().with_engines(1).with_tokens(20, Duration::from_millis(50));
     let fleet = Arc::new(Fleet::start(1, plan).await);
     let running: Vec<_> = (0..8)
         .map(|i| {
@@ -263,7 +263,7 @@
 /// tells how many attempts were made, and a caller that carries a used-up count is refused.
 #[tokio::test]
 async fn attempts_are_counted_over_all_hops() {
-    let fleet = Fleet::start(2, Plan::default().with_engines(2)).await;
+    let fleet = Fleet::start(2, StandinConfig::default().with_engines(2)).await;
     fleet.outside.engine_proxies[0].set_mode(Mode::Refuse).await.unwrap();
 
     let mut most = 0;
@@ -286,7 +286,7 @@
 /// final answer comes at once, says that nothing ran, and every further chat costs one attempt.
 #[tokio::test]
 async fn retries_end_with_the_budget() {
-    let fleet = Fleet::start(1, Plan::default().with_engines(3)).await;
+    let fleet = Fleet::start(1, StandinConfig::default().with_engines(3)).await;
     for engine in &fleet.outside.engines {
         engine.set_faults(Faults { refuse: true, ..Faults::default() });
     }
@@ -308,7 +308,7 @@
 /// router. Unguarded it takes down one engine a try; it may take two in all. Other chats go on meanwhile.
 #[tokio::test]
 async fn a_crashing_chat_costs_two_engines_at_most() {
-    let plan = Plan::default().with_engines(6).with_tokens(4, Duration::from_millis(5));
+    let plan = StandinConfig::default().with_engines(6).with_tokens(4, Duration::from_millis(5));
     let fleet = Fleet::start(3, plan).await;
     for engine in &fleet.outside.engines {
         engine.set_faults(Faults { crash_on: Some("poison".into()), ..Faults::default() });
@@ -333,7 +333,7 @@
 /// speaks against it, and it is answered when its caller sends it again.
 #[tokio::test]
 async fn a_cut_connection_quarantines_no_chat() {
-    let fleet = Fleet::start(1, Plan::default().with_engines(3)).await;
+    let fleet = Fleet::start(1, StandinConfig::default().with_engines(3)).await;
     for _ in 0..4 {
         let cut = Faults { cut_after: Some(1), connections: 1, ..Faults::default() };
         fleet.outside.engines.iter().for_each(|e| e.set_faults(cut.clone()));
@@ -352,7 +352,7 @@
 /// caller sends it again; none may be taken for the cause.
 #[tokio::test]
 async fn a_flapping_engine_quarantines_no_chat() {
-    let plan = Plan::default().with_engines(3).with_tokens(10, Duration::from_millis(20));
+    let plan = StandinConfig::default().with_engines(3).with_tokens(10, Duration::from_millis(20));
     let fleet = Arc::new(Fleet::start(1, plan).await);
     let tasks: Vec<_> = (0..12).map(|i| tokio::spawn(persist(fleet.clone(), format!("text {i}")))).collect();
     for mode in [Mode::Refuse, Mode::Open, Mode::Refuse, Mode::Open, Mode::Refuse, Mode::Open] {
@@ -383,7 +383,7 @@
 #[tokio::test]
 async fn a_call_that_may_not_be_repeated_is_sent_once() {
     const ROUTERS: usize = 4;
-    let fleet = Fleet::start(ROUTERS, Plan::default().with_engines(1)).await;
+    let fleet = Fleet::start(ROUTERS, StandinConfig::default().with_engines(1)).await;
     let breaking = Breaking::start().await;
     fleet.outside.put(breaking.engine()).unwrap();
     let select = serde_json::json!({ "matchLabels": { "role": "breaking" } });
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -8,7 +8,7 @@
     serve::Running,
     standin::{
         caller::Caller,
-        outside::{Plan, Standins, WORKSPACES, settings},
+        outside::{StandinConfig, Standins, WORKSPACES, settings},
     },
 };
 use http::Method;
@@ -52,7 +52,8 @@
 /// complete.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_leaving_router_is_not_advertised_and_cuts_no_request() {
-    let outside = Standins::start(Plan::default().with_tokens(TOKENS, TOKEN_INTERVAL)).await.unwrap();
+    let outside =
+        Standins::start(StandinConfig::default().with_tokens(TOKENS, TOKEN_INTERVAL)).await.unwrap();
     let first = start("r0", outside.platform_addr(), &[]);
     let second = start("r1", outside.platform_addr(), &[first.peer_addr()]);
     let (leaving, stays) = (first.addr(), second.addr());
@@ -85,7 +86,8 @@
 /// after the response has completed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_terminated_process_completes_its_response_and_exits_with_code_0() {
-    let outside = Standins::start(Plan::default().with_tokens(TOKENS, TOKEN_INTERVAL)).await.unwrap();
+    let outside =
+        Standins::start(StandinConfig::default().with_tokens(TOKENS, TOKEN_INTERVAL)).await.unwrap();
     let mut router = process::Router::start("term", outside.platform_addr(), &[]);
     let addr = router.addr;
     wait_for("a router that names itself", async || entry_addresses(addr).await == [addr]).await;
@@ -111,7 +113,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_leaving_router_refuses_callers_with_expired_entry_answers() {
     const CALLERS: [&str; 3] = ["one", "two", "three"];
-    let outside = Standins::start(Plan::default().with_tokens(TOKENS, TOKEN_INTERVAL)).await.unwrap();
+    let outside =
+        Standins::start(StandinConfig::default().with_tokens(TOKENS, TOKEN_INTERVAL)).await.unwrap();
     let router = start("r0", outside.platform_addr(), &[]);
     let addr = router.addr();
     wait_for("a configuration", async || router.gateway().catalog().has_workspace(WORKSPACES[0])).await;
