--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -101,7 +101,7 @@
         seen.add(part);
         seen.false_not_run += refused.iter().filter(|key| outside.ran(key)).count() as u32;
     }
-    let doubled = outside.doubled().len();
+    let doubled = outside.duplicate_runs().len();
     say(&report(&outside, &routers, seen, doubled, started.elapsed()));
     routers.into_iter().for_each(Running::close);
     outside.close();
--- a/src/standin/outside.rs
+++ b/src/standin/outside.rs
@@ -165,7 +165,7 @@
     }
 
     /// Idempotency keys that ran more than once, by the backend servers' own records.
-    pub fn doubled(&self) -> Vec<String> {
+    pub fn duplicate_runs(&self) -> Vec<String> {
         let mut runs = std::collections::BTreeMap::<String, u32>::new();
         for (key, n) in self.services.iter().flat_map(|s| s.runs()) {
             *runs.entry(key).or_default() += n;
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -210,7 +210,7 @@
         count("not-run"),
         count("unknown")
     );
-    assert_eq!(outside.doubled(), [""; 0]);
+    assert_eq!(outside.duplicate_runs(), [""; 0]);
     let ran: BTreeSet<_> = outside.services.iter().flat_map(|s| s.runs().into_keys()).collect();
     let has_wrong_outcome = |(key, outcome): &(&String, &String)| match outcome.as_str() {
         "not-run" => ran.contains(*key),
