--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -99,7 +99,7 @@
     for task in tasks {
         let (part, refused) = task.await?;
         seen.add(part);
-        seen.false_not_run += refused.iter().filter(|key| outside.ran(key)).count() as u32;
+        seen.false_not_run += refused.iter().filter(|key| outside.has_run(key)).count() as u32;
     }
     let doubled = outside.duplicate_runs().len();
     say(&report(&outside, &routers, seen, doubled, started.elapsed()));
--- a/src/standin/outside.rs
+++ b/src/standin/outside.rs
@@ -174,7 +174,7 @@
     }
 
     /// Whether a key ran, by the backend servers' own records.
-    pub fn ran(&self, key: &str) -> bool {
+    pub fn has_run(&self, key: &str) -> bool {
         self.services.iter().any(|s| s.runs().contains_key(key))
     }
 
