--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -183,7 +183,7 @@
 }
 
 fn report(outside: &Standins, routers: &[Running], seen: Seen, doubled: usize, took: Duration) -> String {
-    let (reuse, skew) = outside.reuse_and_skew();
+    let (reuse, skew) = outside.hit_rate_and_skew();
     let mut text = String::new();
     let mut row = |name: &str, value: String| {
         let _ = writeln!(text, "{name:44} {value}");
--- a/src/standin/outside.rs
+++ b/src/standin/outside.rs
@@ -154,7 +154,7 @@
     }
 
     /// Share of returning chats that found their prefix cached, and the busiest engine over the mean.
-    pub fn reuse_and_skew(&self) -> (f64, f64) {
+    pub fn hit_rate_and_skew(&self) -> (f64, f64) {
         let counts: Vec<_> = self.engines.iter().map(|e| e.counts()).collect();
         let total: u64 = counts.iter().map(|c| c.0).sum();
         let returns: u64 = counts.iter().map(|c| c.1).sum();
