--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -146,7 +146,7 @@
     let mut caller = Caller::new(WORKSPACES[i % WORKSPACES.len()], &format!("chat-{i}"), addresses);
     let mut seen = Seen::default();
     let mut refused = Vec::new();
-    if caller.enter().await.is_err() {
+    if caller.fetch_addresses().await.is_err() {
         seen.failed += 1;
         return (seen, refused);
     }
--- a/src/standin/caller.rs
+++ b/src/standin/caller.rs
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     /// When no known router answers.
-    pub async fn enter(&mut self) -> Result<()> {
+    pub async fn fetch_addresses(&mut self) -> Result<()> {
         for addr in self.addresses.clone() {
             let url = format!(
                 "http://{addr}/v1/entry?key={}&workspace={}&model={MODEL}",
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -60,7 +60,7 @@
 /// Addresses in a router's entry answer.
 async fn entry_addresses(router: SocketAddr) -> Vec<SocketAddr> {
     let mut asker = Caller::new(WORKSPACES[0], "asker", vec![router]).with_timeout(WAIT_TIMEOUT);
-    match asker.enter().await {
+    match asker.fetch_addresses().await {
         Ok(()) => asker.addresses()[..asker.addresses().len() - 1].to_vec(),
         Err(_) => Vec::new(),
     }
@@ -279,7 +279,7 @@
                     Caller::new(WORKSPACES[0], &format!("chat-{i}"), addrs).with_timeout(WAIT_TIMEOUT);
                 let mut turns = 0;
                 while !*stopped.borrow() {
-                    caller.enter().await.unwrap();
+                    caller.fetch_addresses().await.unwrap();
                     let answer = caller.turn(1).await.unwrap();
                     assert!(caller.whole(&answer, tokens), "{answer:?}");
                     answered.fetch_add(1, Ordering::Relaxed);
