--- a/src/standin/caller.rs
+++ b/src/standin/caller.rs
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// When every try failed; says what the last one saw.
-    pub async fn turn(&mut self, tries: usize) -> Result<Answer> {
+    pub async fn send_turn(&mut self, tries: usize) -> Result<Answer> {
         let mut last = anyhow!("no address");
         for i in 0..tries {
             let addr = self.addresses[i % self.addresses.len()];
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -87,7 +87,7 @@
 
 /// Returns the next response of a chat, retried at other routers as needed.
 async fn turn(caller: &mut Caller) -> Answer {
-    caller.turn(MAX_TRIES).await.unwrap()
+    caller.send_turn(MAX_TRIES).await.unwrap()
 }
 
 /// Concurrent callers that each save under one new key after another until they are stopped.
@@ -280,7 +280,7 @@
                 let mut turns = 0;
                 while !*stopped.borrow() {
                     caller.fetch_addresses().await.unwrap();
-                    let answer = caller.turn(1).await.unwrap();
+                    let answer = caller.send_turn(1).await.unwrap();
                     assert!(caller.whole(&answer, tokens), "{answer:?}");
                     answered.fetch_add(1, Ordering::Relaxed);
                     turns += 1;
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -63,7 +63,7 @@
     .await;
     let turn = |chat: &'static str| async move {
         let mut caller = Caller::new(WORKSPACES[0], chat, vec![leaving]);
-        let answer = caller.turn(1).await.unwrap();
+        let answer = caller.send_turn(1).await.unwrap();
         caller.whole(&answer, TOKENS)
     };
     let early = tokio::spawn(turn("early"));
@@ -93,7 +93,7 @@
     wait_for("a router that names itself", async || entry_addresses(addr).await == [addr]).await;
     let turn = tokio::spawn(async move {
         let mut caller = Caller::new(WORKSPACES[0], "chat", vec![addr]);
-        let answer = caller.turn(1).await.unwrap();
+        let answer = caller.send_turn(1).await.unwrap();
         caller.whole(&answer, TOKENS)
     });
     wait_for("a running request", async || outside.engines.iter().any(|e| e.running() > 0)).await;
@@ -121,7 +121,7 @@
     let ask_on = |chat: &'static str| async move {
         let mut caller = Caller::new(WORKSPACES[0], chat, vec![addr]);
         loop {
-            match caller.turn(1).await {
+            match caller.send_turn(1).await {
                 Ok(answer) => assert!(caller.whole(&answer, TOKENS), "{answer:?}"),
                 Err(e) => return e.to_string(),
             }
