--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -153,7 +153,7 @@
     tokio::time::sleep(pause(i, TURNS)).await;
     for turn in 0..TURNS {
         match caller.send_turn(TRIES).await {
-            Ok(answer) if caller.whole(&answer, tokens) => seen.answered += 1,
+            Ok(answer) if caller.is_complete(&answer, tokens) => seen.answered += 1,
             Ok(_) => seen.wrong += 1,
             Err(e) => {
                 spdlog::warn!("chat-{i}: {e:#}");
--- a/src/standin/caller.rs
+++ b/src/standin/caller.rs
@@ -148,7 +148,7 @@
     }
 
     /// Whether `answer` is the whole answer of `tokens` tokens to this caller's chat and holds nothing else.
-    pub fn whole(&self, answer: &Answer, tokens: usize) -> bool {
+    pub fn is_complete(&self, answer: &Answer, tokens: usize) -> bool {
         let all = (0..tokens).all(|i| answer.body.contains(&format!("\"{}:{i} \"", self.chat)));
         all && answer.body.contains("data: [DONE]") && answer.body.matches("\"content\"").count() == tokens
     }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -281,7 +281,7 @@
                 while !*stopped.borrow() {
                     caller.fetch_addresses().await.unwrap();
                     let answer = caller.send_turn(1).await.unwrap();
-                    assert!(caller.whole(&answer, tokens), "{answer:?}");
+                    assert!(caller.is_complete(&answer, tokens), "{answer:?}");
                     answered.fetch_add(1, Ordering::Relaxed);
                     turns += 1;
                 }
@@ -462,7 +462,7 @@
                 for _ in 2..TURNS {
                     answers.push(turn(&mut caller).await);
                 }
-                answers.iter().filter(|a| caller.whole(a, 8)).count()
+                answers.iter().filter(|a| caller.is_complete(a, 8)).count()
             })
         })
         .collect();
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -64,7 +64,7 @@
     let turn = |chat: &'static str| async move {
         let mut caller = Caller::new(WORKSPACES[0], chat, vec![leaving]);
         let answer = caller.send_turn(1).await.unwrap();
-        caller.whole(&answer, TOKENS)
+        caller.is_complete(&answer, TOKENS)
     };
     let early = tokio::spawn(turn("early"));
     wait_for("a running request", async || first.running() > 0).await;
@@ -94,7 +94,7 @@
     let turn = tokio::spawn(async move {
         let mut caller = Caller::new(WORKSPACES[0], "chat", vec![addr]);
         let answer = caller.send_turn(1).await.unwrap();
-        caller.whole(&answer, TOKENS)
+        caller.is_complete(&answer, TOKENS)
     });
     wait_for("a running request", async || outside.engines.iter().any(|e| e.running() > 0)).await;
 
@@ -122,7 +122,7 @@
         let mut caller = Caller::new(WORKSPACES[0], chat, vec![addr]);
         loop {
             match caller.send_turn(1).await {
-                Ok(answer) => assert!(caller.whole(&answer, TOKENS), "{answer:?}"),
+                Ok(answer) => assert!(caller.is_complete(&answer, TOKENS), "{answer:?}"),
                 Err(e) => return e.to_string(),
             }
         }
