--- a/src/standin/caller.rs
+++ b/src/standin/caller.rs
@@ -123,14 +123,14 @@
     /// # Errors
     /// When no whole answer came, so that the outcome is not known.
     pub async fn save(&self, addr: SocketAddr, key: &str) -> Result<Answer> {
-        self.try_save(addr, key, false).await
+        self.save_attempt(addr, key, false).await
     }
 
     /// Like [`Caller::save`]; `first` states that no earlier attempt under the key may have run.
     ///
     /// # Errors
     /// When no whole answer came, so that the outcome is not known.
-    pub async fn try_save(&self, addr: SocketAddr, key: &str, first: bool) -> Result<Answer> {
+    pub async fn save_attempt(&self, addr: SocketAddr, key: &str, first: bool) -> Result<Answer> {
         let mut req = Request::post(format!("http://{addr}/services/{SERVICE}/progress"))
             .header("content-type", "application/json")
             .header("x-workspace", &self.workspace)
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -178,7 +178,7 @@
     let (mut first, mut last) = (true, String::new());
     for i in 0..MAX_TRIES {
         let addrs = current_addresses.borrow().clone();
-        let answer = caller.try_save(addrs[(n + i) % addrs.len()], key, first).await;
+        let answer = caller.save_attempt(addrs[(n + i) % addrs.len()], key, first).await;
         attempts.fetch_add(1, Ordering::Relaxed);
         let body = answer.as_ref().map_or("", |a| a.body.as_str());
         let is_final = body.contains("key_unknown") || body.contains("key_expired");
