--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -112,7 +112,7 @@
     }
 
     /// Requests, returning requests, and returning requests that found their prefix cached.
-    pub fn counts(&self) -> (u64, u64, u64) {
+    pub fn request_counts(&self) -> (u64, u64, u64) {
         let load = |n: &AtomicU64| n.load(Ordering::Relaxed);
         (load(&self.requests), load(&self.returns), load(&self.hits))
     }
--- a/src/standin/outside.rs
+++ b/src/standin/outside.rs
@@ -155,7 +155,7 @@
 
     /// Share of returning chats that found their prefix cached, and the busiest engine over the mean.
     pub fn hit_rate_and_skew(&self) -> (f64, f64) {
-        let counts: Vec<_> = self.engines.iter().map(|e| e.counts()).collect();
+        let counts: Vec<_> = self.engines.iter().map(|e| e.request_counts()).collect();
         let total: u64 = counts.iter().map(|c| c.0).sum();
         let returns: u64 = counts.iter().map(|c| c.1).sum();
         let hits: u64 = counts.iter().map(|c| c.2).sum();
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -312,7 +312,7 @@
 
             drop(fixture.client.chat(&call).await);
 
-            assert_eq!(fixture.engine.counts(), (i as u64 + 1, i as u64 + 1, hits), "turn {i}");
+            assert_eq!(fixture.engine.request_counts(), (i as u64 + 1, i as u64 + 1, hits), "turn {i}");
         }
         fixture.close();
     })
--- a/tests/place_links.rs
+++ b/tests/place_links.rs
@@ -122,15 +122,15 @@
     let (outside, routers) = start(1, StandinConfig::default()).await;
     let (status, hint, _) = ask(&routers[0], "chat", "").await;
     assert_eq!(status, 200);
-    let first = outside.engines.iter().position(|e| e.counts().0 == 1).unwrap();
+    let first = outside.engines.iter().position(|e| e.request_counts().0 == 1).unwrap();
 
     routers[0].gateway().note_engine_leaving(&format!("engine-{first}"));
     let (status, _, _) = ask(&routers[0], "chat", &hint).await;
 
     assert_eq!(status, 200);
-    assert_eq!(outside.engines[first].counts().0, 1, "a leaving engine gets no new work");
+    assert_eq!(outside.engines[first].request_counts().0, 1, "a leaving engine gets no new work");
     assert_eq!(routers[0].metrics().totals(Counter::Placements).get("kv_moved"), Some(&1));
-    let second = outside.engines.iter().map(|e| e.counts()).find(|c| c.0 == 1 && c.2 == 1);
+    let second = outside.engines.iter().map(|e| e.request_counts()).find(|c| c.0 == 1 && c.2 == 1);
     assert!(second.is_some(), "the second engine found the context");
     close(outside, routers);
 }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -361,17 +361,17 @@
 
     leaving.set_faults(engine::Faults { leaving: true, ..engine::Faults::default() });
     wait_until("the end of the engine's responses", async || {
-        let (before, was_idle) = (leaving.counts().0, leaving.running() == 0);
+        let (before, was_idle) = (leaving.request_counts().0, leaving.running() == 0);
         chats.wait_for_progress().await;
-        was_idle && leaving.counts().0 == before && leaving.running() == 0
+        was_idle && leaving.request_counts().0 == before && leaving.running() == 0
     })
     .await;
-    let chats_before = leaving.counts().0;
+    let chats_before = leaving.request_counts().0;
     for _ in 0..TURNS {
         chats.wait_for_progress().await;
     }
 
-    assert_eq!(leaving.counts().0, chats_before, "a leaving engine got new work");
+    assert_eq!(leaving.request_counts().0, chats_before, "a leaving engine got new work");
     println!("{} responses, all complete", chats.finish().await);
     drop(routers);
     outside.close();
