--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -143,7 +143,7 @@
     }
 
     /// Number of crashes; connections in front of the engine end when it changes.
-    pub fn crashes(&self) -> watch::Receiver<u64> {
+    pub fn subscribe_crashes(&self) -> watch::Receiver<u64> {
         self.crashes.subscribe()
     }
 
--- a/src/standin/outside.rs
+++ b/src/standin/outside.rs
@@ -127,7 +127,7 @@
         let i = self.engines.len();
         let engine = Arc::new(EngineStandin::new(self.plan.tokens, self.plan.token_time, self.plan.cache));
         let server = Server::start(loopback()?, 1, Limits::default(), engine.clone())?;
-        let gate = FaultProxy::start(server.addr(), Some(engine.crashes())).await?;
+        let gate = FaultProxy::start(server.addr(), Some(engine.subscribe_crashes())).await?;
         self.put(backend(&format!("engine-{i}"), "model", i, gate.addr(), self.plan.capacity))?;
         self.servers.push(server);
         self.engine_proxies.push(gate);
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -36,7 +36,7 @@
         engine.set_faults(faults);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let server = Server::start(listener, 1, Limits::default(), engine.clone()).unwrap();
-        let gate = FaultProxy::start(server.addr(), Some(engine.crashes())).await.unwrap();
+        let gate = FaultProxy::start(server.addr(), Some(engine.subscribe_crashes())).await.unwrap();
         let client = EngineClient::new(Client::default(), gate.addr());
         Self { engine, server, gate, client }
     }
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -105,7 +105,7 @@
     }
 
     fn crashes(&self) -> u64 {
-        self.outside.engines.iter().map(|e| *e.crashes().borrow()).sum()
+        self.outside.engines.iter().map(|e| *e.subscribe_crashes().borrow()).sum()
     }
 
     fn close(self) {
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -68,7 +68,7 @@
         let engine = Arc::new(engine);
         engine.set_faults(faults);
         let server = Server::start(loopback(), 1, Limits::default(), engine.clone()).unwrap();
-        let gate = FaultProxy::start(server.addr(), Some(engine.crashes())).await.unwrap();
+        let gate = FaultProxy::start(server.addr(), Some(engine.subscribe_crashes())).await.unwrap();
         let select = serde_json::json!({ "matchLabels": { "role": "model" } });
         let (_, store) = fixture::platform([
             object("Workspace", "phrasebook", "", serde_json::json!({})),
