--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -128,7 +128,7 @@
     }
 
     /// Events handed to connections.
-    pub fn sent(&self) -> u64 {
+    pub fn events_sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -295,7 +295,7 @@
         let mut before = 0;
         loop {
             tokio::time::sleep(Duration::from_millis(500)).await;
-            let sent = fleet.engine.sent();
+            let sent = fleet.engine.events_sent();
             if sent > 0 && sent == before {
                 return sent;
             }
