--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -123,7 +123,7 @@
     }
 
     /// Forgets the history, so that watches from before are too old.
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         let mut state = self.state();
         state.configuration.forget();
         state.records.forget();
--- a/tests/platform_contract.rs
+++ b/tests/platform_contract.rs
@@ -105,7 +105,7 @@
             "faults" => self.standin.set_faults(step.faults.clone()),
             "freeze" => self.standin.freeze(),
             "thaw" => self.standin.thaw(),
-            "forget history" => self.standin.forget_history(),
+            "forget history" => self.standin.compact_history(),
             "put" => check_write(step, self.platform.put(&object(step)).await),
             "put resolved" => {
                 check_write(step, self.platform.put_resolved(object(step), &mut self.rng).await);
