--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -118,7 +118,7 @@
     }
 
     /// Ends all open watches.
-    pub fn drop_watches(&self) {
+    pub fn close_watches(&self) {
         let _ = self.tx.send(None);
     }
 
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -115,7 +115,7 @@
     let version = fleet.outside.platform.version(Collection::Configuration);
 
     fleet.outside.platform.set_faults(Faults { down: true, ..Faults::default() });
-    fleet.outside.platform.drop_watches();
+    fleet.outside.platform.close_watches();
     fleet.routers[1].kill();
     let seeds = [fleet.routers[0].peer, fleet.routers[2].peer];
     fleet.routers[1] = Router::start("op-1b", fleet.outside.platform_addr(), &seeds);
--- a/tests/platform_contract.rs
+++ b/tests/platform_contract.rs
@@ -162,7 +162,7 @@
     async fn dropped_watch(&self) {
         let from = self.platform.list().await.unwrap().version;
         let Watched::Open(mut watch) = self.platform.watch(from).await.unwrap() else { panic!("too old") };
-        self.standin.drop_watches();
+        self.standin.close_watches();
         assert_eq!(watch.next_within(EVENT_WAIT).await.unwrap(), Next::Ended);
     }
 
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -244,7 +244,7 @@
         savers.addresses.send_replace(addresses(&routers));
         savers.wait_for_progress().await;
         outside.platform.set_faults(Faults { down: true, ..Faults::default() });
-        outside.platform.drop_watches();
+        outside.platform.close_watches();
         savers.wait_for_progress().await;
         savers.wait_for_refusal().await;
         outside.platform.set_faults(Faults { lose_answers: 5, ..Faults::default() });
