--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -15,7 +15,7 @@
     http::{Limits, Server},
     standin::{
         engine::EngineStandin,
-        outside::{MODEL, StandinConfig, Standins, WORKSPACES, loopback, object},
+        outside::{MODEL, StandinConfig, Standins, WORKSPACES, loopback_listener, object},
     },
 };
 use hdrhistogram::Histogram;
@@ -129,7 +129,7 @@
     let plan = StandinConfig::default().with_engines(0).with_tokens(TOKENS, Duration::ZERO);
     let outside = Standins::start(plan).await.unwrap();
     let engine = Arc::new(EngineStandin::new(TOKENS, Duration::ZERO, 64));
-    let server = Server::start(loopback().unwrap(), 2, Limits::default(), engine).unwrap();
+    let server = Server::start(loopback_listener().unwrap(), 2, Limits::default(), engine).unwrap();
     register(&outside, server.addr());
     let router = Router::start("overhead", outside.platform_addr(), &[]);
     ready(router.addr).await;
@@ -163,7 +163,7 @@
     let plan = StandinConfig::default().with_engines(0).with_tokens(2, Duration::ZERO);
     let outside = Standins::start(plan).await.unwrap();
     let engine = Arc::new(EngineStandin::new(1_000, Duration::from_secs(30), 64));
-    let server = Server::start(loopback().unwrap(), 2, Limits::default(), engine).unwrap();
+    let server = Server::start(loopback_listener().unwrap(), 2, Limits::default(), engine).unwrap();
     register(&outside, server.addr());
     let router = Router::start("memory", outside.platform_addr(), &[]);
     ready(router.addr).await;
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -22,7 +22,7 @@
     standin::{
         caller::Caller,
         gate::Mode,
-        outside::{StandinConfig, Standins, WORKSPACES, loopback, settings},
+        outside::{StandinConfig, Standins, WORKSPACES, loopback_listener, settings},
     },
     util::hash,
 };
@@ -110,7 +110,8 @@
 }
 
 fn start_routers(outside: &Standins) -> Result<Vec<Running>> {
-    let listeners = (0..ROUTERS).map(|_| Ok((loopback()?, loopback()?))).collect::<Result<Vec<_>>>()?;
+    let listeners =
+        (0..ROUTERS).map(|_| Ok((loopback_listener()?, loopback_listener()?))).collect::<Result<Vec<_>>>()?;
     let seeds = listeners.iter().map(|(_, peer)| Ok(peer.local_addr()?)).collect::<Result<Vec<_>>>()?;
     let mut routers = Vec::new();
     for (i, (listener, peer)) in listeners.into_iter().enumerate() {
--- a/src/standin/outside.rs
+++ b/src/standin/outside.rs
@@ -87,7 +87,7 @@
     /// When no port can be had.
     pub async fn start(plan: StandinConfig) -> Result<Self> {
         let platform = Arc::new(PlatformStandin::default());
-        let server = Server::start(loopback()?, 1, Limits::default(), platform.clone())?;
+        let server = Server::start(loopback_listener()?, 1, Limits::default(), platform.clone())?;
         let mut outside = Self {
             platform,
             engines: Vec::new(),
@@ -126,7 +126,7 @@
     pub async fn add_engine(&mut self) -> Result<()> {
         let i = self.engines.len();
         let engine = Arc::new(EngineStandin::new(self.plan.tokens, self.plan.token_time, self.plan.cache));
-        let server = Server::start(loopback()?, 1, Limits::default(), engine.clone())?;
+        let server = Server::start(loopback_listener()?, 1, Limits::default(), engine.clone())?;
         let gate = FaultProxy::start(server.addr(), Some(engine.subscribe_crashes())).await?;
         self.put(backend(&format!("engine-{i}"), "model", i, gate.addr(), self.plan.capacity))?;
         self.servers.push(server);
@@ -138,7 +138,7 @@
     fn add_service(&mut self) -> Result<()> {
         let i = self.services.len();
         let service = Arc::new(ServiceStandin::default());
-        let server = Server::start(loopback()?, 1, Limits::default(), service.clone())?;
+        let server = Server::start(loopback_listener()?, 1, Limits::default(), service.clone())?;
         self.put(backend(&format!("app-{i}"), "app", i, server.addr(), self.plan.capacity))?;
         self.servers.push(server);
         self.services.push(service);
@@ -204,7 +204,7 @@
 ///
 /// # Errors
 /// When no port can be had.
-pub fn loopback() -> Result<TcpListener> {
+pub fn loopback_listener() -> Result<TcpListener> {
     TcpListener::bind("127.0.0.1:0").context("could not listen on loopback")
 }
 
--- a/tests/bookings.rs
+++ b/tests/bookings.rs
@@ -16,7 +16,7 @@
         service::{Faults, ServiceStandin},
     },
 };
-use fixture::{loopback, object};
+use fixture::{loopback_listener, object};
 use http::Request;
 use http_body_util::{BodyExt, Full};
 
@@ -43,7 +43,7 @@
 impl Fleet {
     async fn start() -> Self {
         let service = Arc::new(ServiceStandin::default());
-        let backend = Server::start(loopback(), 1, Limits::default(), service.clone()).unwrap();
+        let backend = Server::start(loopback_listener(), 1, Limits::default(), service.clone()).unwrap();
         let gate = FaultProxy::start(backend.addr(), None).await.unwrap();
         let select = serde_json::json!({ "matchLabels": { "role": "app" } });
         let calls =
--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -11,7 +11,7 @@
     client::Client,
     config::Settings,
     serve::Running,
-    standin::outside::{StandinConfig, Standins, WORKSPACES, loopback, settings},
+    standin::outside::{StandinConfig, Standins, WORKSPACES, loopback_listener, settings},
 };
 use http::{HeaderMap, Request};
 use http_body_util::{BodyExt, Full};
@@ -195,7 +195,7 @@
 }
 
 fn router(outside: &Standins) -> Running {
-    let listener = loopback().unwrap();
+    let listener = loopback_listener().unwrap();
     let peer: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let text = settings("router-0", listener.local_addr().unwrap(), peer, outside.platform_addr(), &[]);
     Running::start_on(&Settings::parse(&text).unwrap(), listener).unwrap()
--- a/tests/operators_page.rs
+++ b/tests/operators_page.rs
@@ -173,7 +173,7 @@
     let text = page("docs/OPERATORS.md");
     let objects: Vec<_> = fences(&text).into_iter().filter(|f| f.starts_with("kind:")).collect();
     let platform = std::sync::Arc::new(PlatformStandin::default());
-    let listener = cranberrytally::standin::outside::loopback().unwrap();
+    let listener = cranberrytally::standin::outside::loopback_listener().unwrap();
     let server = cranberrytally::http::Server::start(listener, 1, Default::default(), platform).unwrap();
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("page-{}.yaml", std::process::id()));
     fs::write(&file, objects.join("\n---\n")).unwrap();
--- a/tests/orders_given.rs
+++ b/tests/orders_given.rs
@@ -9,7 +9,7 @@
     serve::Running,
     standin::{
         engine::{EngineStandin, Faults},
-        outside::{StandinConfig, Standins, loopback, settings},
+        outside::{StandinConfig, Standins, loopback_listener, settings},
     },
 };
 
@@ -17,7 +17,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 fn router(outside: &Standins, name: &str) -> Running {
-    let listener = loopback().unwrap();
+    let listener = loopback_listener().unwrap();
     let any = "127.0.0.1:0".parse().unwrap();
     let addr = listener.local_addr().unwrap();
     let text = settings(name, addr, any, outside.platform_addr(), &[]) + "orders: {loads_per_minute: 6000}\n";
--- a/tests/place_links.rs
+++ b/tests/place_links.rs
@@ -11,7 +11,7 @@
     metrics::Counter,
     place::members::Member,
     serve::Running,
-    standin::outside::{MODEL, StandinConfig, Standins, WORKSPACES, loopback, settings},
+    standin::outside::{MODEL, StandinConfig, Standins, WORKSPACES, loopback_listener, settings},
 };
 use http::Request;
 use http_body_util::{BodyExt, Full};
@@ -31,7 +31,7 @@
 }
 
 fn router(i: usize, outside: &Standins) -> Running {
-    let listener = loopback().unwrap();
+    let listener = loopback_listener().unwrap();
     let addr = listener.local_addr().unwrap();
     let peer = "127.0.0.1:0".parse().unwrap();
     let text = settings(&format!("router-{i}"), addr, peer, outside.platform_addr(), &[]);
@@ -141,7 +141,7 @@
 async fn a_chat_is_answered_while_an_owner_is_down() {
     let (outside, routers) = start(1, StandinConfig::default()).await;
     let mut list = members(&routers);
-    let down = loopback().unwrap().local_addr().unwrap();
+    let down = loopback_listener().unwrap().local_addr().unwrap();
     list.push(Member { id: Id::of("gone"), peer: down, addr: down, ..list[0].clone() });
     routers[0].gateway().set_members(list).await;
 
@@ -159,7 +159,7 @@
     let plan = StandinConfig::default().with_engines(18).with_tokens(2, Duration::ZERO);
     let (outside, mut routers) = start(1, plan).await;
     let seeds = [routers[0].peer_addr()];
-    let listener = loopback().unwrap();
+    let listener = loopback_listener().unwrap();
     let peer = "127.0.0.1:0".parse().unwrap();
     let text = settings("router-1", listener.local_addr().unwrap(), peer, outside.platform_addr(), &seeds);
     routers.push(Running::start_on(&Settings::parse(&text).unwrap(), listener).unwrap());
--- a/tests/probe.rs
+++ b/tests/probe.rs
@@ -6,7 +6,7 @@
     client::Client,
     http::{Limits, Server},
     probe::{EngineSpec, EngineTable, PROBE_WIRE_BYTES, PROBERS_PER_ENGINE, ProbeConfig, ProbeResult, State},
-    standin::{engine::EngineStandin, outside::loopback},
+    standin::{engine::EngineStandin, outside::loopback_listener},
     util::Instant,
 };
 use http::Method;
@@ -219,7 +219,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_probe_costs_no_more_bytes_than_the_budget_counts() {
     let engine = Arc::new(EngineStandin::new(1, Duration::ZERO, 1));
-    let server = Server::start(loopback().unwrap(), 1, Limits::default(), engine).unwrap();
+    let server = Server::start(loopback_listener().unwrap(), 1, Limits::default(), engine).unwrap();
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let front = listener.local_addr().unwrap();
     let target = server.addr();
--- a/tests/refused.rs
+++ b/tests/refused.rs
@@ -14,13 +14,13 @@
     config::Settings,
     metrics::Counter,
     serve::Running,
-    standin::outside::{StandinConfig, Standins, loopback, settings},
+    standin::outside::{StandinConfig, Standins, loopback_listener, settings},
 };
 
 const READY_TIME: Duration = Duration::from_secs(20);
 
 async fn router(outside: &Standins) -> Running {
-    let listener = loopback().unwrap();
+    let listener = loopback_listener().unwrap();
     let peer: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let text = settings("router-0", listener.local_addr().unwrap(), peer, outside.platform_addr(), &[]);
     let router = Running::start_on(&Settings::parse(&text).unwrap(), listener).unwrap();
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -20,7 +20,7 @@
     standin::{
         engine::Faults,
         gate::Mode,
-        outside::{MODEL, StandinConfig, Standins, WORKSPACES, loopback, object, settings},
+        outside::{MODEL, StandinConfig, Standins, WORKSPACES, loopback_listener, object, settings},
     },
 };
 use http::{HeaderMap, Request};
@@ -115,7 +115,7 @@
 }
 
 fn router(i: usize, outside: &Standins) -> Running {
-    let listener = loopback().unwrap();
+    let listener = loopback_listener().unwrap();
     let peer: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let addr = listener.local_addr().unwrap();
     let text = settings(&format!("router-{i}"), addr, peer, outside.platform_addr(), &[]);
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -17,7 +17,7 @@
         gate::FaultProxy,
     },
 };
-use fixture::{loopback, object};
+use fixture::{loopback_listener, object};
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -67,7 +67,7 @@
     async fn start_with(engine: EngineStandin, faults: Faults) -> Self {
         let engine = Arc::new(engine);
         engine.set_faults(faults);
-        let server = Server::start(loopback(), 1, Limits::default(), engine.clone()).unwrap();
+        let server = Server::start(loopback_listener(), 1, Limits::default(), engine.clone()).unwrap();
         let gate = FaultProxy::start(server.addr(), Some(engine.subscribe_crashes())).await.unwrap();
         let select = serde_json::json!({ "matchLabels": { "role": "model" } });
         let (_, store) = fixture::platform([
