--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a model engine: streams tokens, remembers which chats' prefixes it has cached, and fails as told.
+//! Stand-in for a model engine: streams tokens, simulates a prefix cache and injects faults.
 
 use std::{
     collections::BTreeMap,
@@ -28,21 +28,21 @@
 pub use faults::Faults;
 
 use answers::Answer;
-use cache::{Cache, Chat};
+use cache::{Cache, ChatKey};
 
-/// A model engine with a bounded prefix cache.
+/// Model engine with a bounded prefix cache.
 #[derive(Debug)]
 pub struct EngineStandin {
     tokens: usize,
-    token_time: Duration,
+    token_interval: Duration,
     state: Mutex<State>,
     crashes: watch::Sender<u64>,
     running: Arc<AtomicU32>,
-    hits: AtomicU64,
-    returns: AtomicU64,
+    cache_hits: AtomicU64,
+    follow_ups: AtomicU64,
     requests: AtomicU64,
     cancels: AtomicU64,
-    sent: Arc<AtomicU64>,
+    events_sent: Arc<AtomicU64>,
 }
 
 #[derive(Debug)]
@@ -50,124 +50,124 @@
     start: u64,
     cache: Cache,
     faults: Faults,
-    answers: BTreeMap<String, Running>,
+    answers: BTreeMap<String, StoredAnswer>,
     runs: BTreeMap<String, u32>,
-    fencing: Fencing,
+    highest_fencing: Fencing,
     orders: Vec<(Fencing, Order)>,
-    wanted: Order,
+    desired: Order,
 }
 
 #[derive(Debug)]
-struct Running {
+struct StoredAnswer {
     answer: Answer,
     task: tokio::task::AbortHandle,
 }
 
-/// Counts a running request; dropping it ends the count, also when the request is aborted.
-struct Count(Arc<AtomicU32>);
+/// Counts a running request until it is dropped, which also happens when the request's task is aborted.
+struct RunningGuard(Arc<AtomicU32>);
 
-impl Count {
+impl RunningGuard {
     fn start(running: &Arc<AtomicU32>) -> Self {
         running.fetch_add(1, Ordering::Relaxed);
         Self(running.clone())
     }
 }
 
-impl Drop for Count {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl EngineStandin {
-    /// Engine that answers `tokens` tokens, one every `token_time`, and caches `cache_size` chats.
-    pub fn new(tokens: usize, token_time: Duration, cache_size: usize) -> Self {
+    /// Engine that answers with `tokens` tokens, one every `token_interval`, and caches `cache_size` chats.
+    pub fn new(tokens: usize, token_interval: Duration, cache_size: usize) -> Self {
         let state = State {
             start: rand::random(),
             cache: Cache::new(cache_size),
             faults: Faults::default(),
             answers: BTreeMap::new(),
             runs: BTreeMap::new(),
-            fencing: 0,
+            highest_fencing: 0,
             orders: Vec::new(),
-            wanted: Order::default(),
+            desired: Order::default(),
         };
         Self {
             tokens,
-            token_time,
+            token_interval,
             state: Mutex::new(state),
             crashes: watch::Sender::new(0),
             running: Arc::default(),
-            hits: AtomicU64::new(0),
-            returns: AtomicU64::new(0),
+            cache_hits: AtomicU64::new(0),
+            follow_ups: AtomicU64::new(0),
             requests: AtomicU64::new(0),
             cancels: AtomicU64::new(0),
-            sent: Arc::default(),
+            events_sent: Arc::default(),
         }
     }
 
-    /// Sets what the engine does wrong from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
-    /// Requests, returning requests, and returning requests that found their prefix cached.
+    /// Numbers of requests, of follow-up requests in a chat, and of follow-up requests with a cache hit.
     pub fn request_counts(&self) -> (u64, u64, u64) {
         let load = |n: &AtomicU64| n.load(Ordering::Relaxed);
-        (load(&self.requests), load(&self.returns), load(&self.hits))
+        (load(&self.requests), load(&self.follow_ups), load(&self.cache_hits))
     }
 
-    /// Runs by request identifier.
+    /// Number of runs by request identifier.
     pub fn runs(&self) -> BTreeMap<String, u32> {
         self.lock().runs.clone()
     }
 
-    /// Cancels that met a running request.
+    /// Number of cancels that found their request.
     pub fn cancels(&self) -> u64 {
         self.cancels.load(Ordering::Relaxed)
     }
 
-    /// Events handed to connections.
+    /// Number of events sent on all connections.
     pub fn events_sent(&self) -> u64 {
-        self.sent.load(Ordering::Relaxed)
+        self.events_sent.load(Ordering::Relaxed)
     }
 
-    /// Requests that run now.
+    /// Number of running requests.
     pub fn running(&self) -> u32 {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Orders that were taken, in their order.
+    /// Accepted orders with their fencing tokens, in order of arrival.
     pub fn orders(&self) -> Vec<(Fencing, Order)> {
         self.lock().orders.clone()
     }
 
-    /// Number of crashes; connections in front of the engine end when it changes.
+    /// Receiver of the number of crashes; the proxy in front of the engine cuts its connections at each change.
     pub fn subscribe_crashes(&self) -> watch::Receiver<u64> {
         self.crashes.subscribe()
     }
 
-    /// Crashes the engine: what ran and what was cached is lost, connections are cut, the start changes.
+    /// Simulates a crash and restart: running requests and the cache are lost, connections are cut, the start changes.
     pub fn crash(&self) {
         let mut state = self.lock();
         state.start = rand::random();
         state.cache.clear();
-        for (_, running) in std::mem::take(&mut state.answers) {
-            running.task.abort();
+        for (_, stored) in std::mem::take(&mut state.answers) {
+            stored.task.abort();
         }
         drop(state);
         self.crashes.send_modify(|n| *n += 1);
     }
 
-    fn chat(&self, req: &Request<Bytes>) -> Result<Reply, Crashed> {
-        let chat = chat_of(req);
+    fn start_chat(&self, req: &Request<Bytes>) -> Result<Reply, Crashed> {
+        let chat = chat_key(req);
         let request = Some(header(req, REQUEST_ID)).filter(|id| !id.is_empty());
         let request = request.map_or_else(random_id, str::to_owned);
         let Ok(body) = serde_json::from_slice::<serde_json::Value>(req.body()) else {
             return Ok(Reply::full(400, "").with_header(OUTCOME, "not-run"));
         };
         let mut state = self.lock();
-        let faults = state.faults.for_connection();
+        let faults = state.faults.take_for_connection();
         if faults.refuse {
             return Ok(Reply::full(503, "").with_header(OUTCOME, "not-run"));
         }
@@ -181,20 +181,20 @@
         self.requests.fetch_add(1, Ordering::Relaxed);
         let cached = state.cache.touch(&chat);
         if turns > 1 {
-            self.returns.fetch_add(1, Ordering::Relaxed);
-            self.hits.fetch_add(u64::from(cached), Ordering::Relaxed);
+            self.follow_ups.fetch_add(1, Ordering::Relaxed);
+            self.cache_hits.fetch_add(u64::from(cached), Ordering::Relaxed);
         }
-        let (answer, maker) = Answer::start(&request, &chat.1, self.tokens);
-        let rx = answer.connect(0, faults.clone(), self.crashes.subscribe(), self.sent.clone());
-        let (pause, count) = (self.token_time, Count::start(&self.running));
+        let (answer, producer) = Answer::start(&request, &chat.1, self.tokens);
+        let rx = answer.connect(0, faults.clone(), self.crashes.subscribe(), self.events_sent.clone());
+        let (interval, guard) = (self.token_interval, RunningGuard::start(&self.running));
         let task = tokio::spawn(async move {
-            maker.run(faults.late(), pause).await;
-            drop(count);
-            // The answer is kept for connections that resume it.
+            producer.run(faults.delay(), interval).await;
+            drop(guard);
+            // The producer stays alive, so that connections can still resume the answer.
             std::future::pending::<()>().await;
-            drop(maker);
+            drop(producer);
         });
-        state.answers.insert(request.clone(), Running { answer, task: task.abort_handle() });
+        state.answers.insert(request.clone(), StoredAnswer { answer, task: task.abort_handle() });
         let reply = Reply::stream(200, rx).with_header("content-type", "text/event-stream");
         Ok(reply.with_header(REQUEST_ID, &request))
     }
@@ -202,22 +202,22 @@
     fn resume(&self, request: &str, query: &str) -> Reply {
         let Some(Ok(from)) = query.strip_prefix("from=").map(str::parse) else { return Reply::full(400, "") };
         let mut state = self.lock();
-        let faults = state.faults.for_connection();
-        let Some(running) = state.answers.get(request) else { return Reply::full(404, "") };
-        let rx = running.answer.connect(from, faults, self.crashes.subscribe(), self.sent.clone());
+        let faults = state.faults.take_for_connection();
+        let Some(stored) = state.answers.get(request) else { return Reply::full(404, "") };
+        let rx = stored.answer.connect(from, faults, self.crashes.subscribe(), self.events_sent.clone());
         Reply::stream(200, rx)
             .with_header("content-type", "text/event-stream")
             .with_header(REQUEST_ID, request)
     }
 
     fn cancel(&self, request: &str) -> Reply {
-        let Some(running) = self.lock().answers.remove(request) else { return Reply::full(404, "") };
-        running.task.abort();
+        let Some(stored) = self.lock().answers.remove(request) else { return Reply::full(404, "") };
+        stored.task.abort();
         self.cancels.fetch_add(1, Ordering::Relaxed);
         Reply::full(204, "")
     }
 
-    fn load(&self) -> Reply {
+    fn load_report(&self) -> Reply {
         let state = self.lock();
         let running = self.running();
         let load = Load {
@@ -226,14 +226,14 @@
             waiting: 0,
             tokens: u64::from(running) * self.tokens as u64,
             leaving: state.faults.leaving,
-            models: state.wanted.models.clone(),
-            adapters: state.wanted.adapters.clone(),
-            role: state.wanted.role.clone(),
+            models: state.desired.models.clone(),
+            adapters: state.desired.adapters.clone(),
+            role: state.desired.role.clone(),
         };
         Reply::json(200, &load)
     }
 
-    fn events(&self, query: &str) -> Reply {
+    fn cache_events(&self, query: &str) -> Reply {
         let Some(Ok(since)) = query.strip_prefix("since=").map(str::parse) else {
             return Reply::full(400, "");
         };
@@ -241,30 +241,30 @@
         Reply::json(200, &state.cache.events(state.start, since, state.faults.event_gap))
     }
 
-    fn export(&self, chat: &Chat) -> Reply {
-        if self.lock().cache.holds(chat) { Reply::full(200, kv_of(chat)) } else { Reply::full(404, "") }
+    fn export_kv(&self, chat: &ChatKey) -> Reply {
+        if self.lock().cache.contains(chat) { Reply::full(200, kv_data(chat)) } else { Reply::full(404, "") }
     }
 
-    fn import(&self, chat: &Chat, kv: &Bytes) -> Reply {
-        if *kv != kv_of(chat) {
+    fn import_kv(&self, chat: &ChatKey, kv: &Bytes) -> Reply {
+        if *kv != kv_data(chat) {
             return Reply::full(400, "");
         }
         self.lock().cache.touch(chat);
         Reply::full(204, "")
     }
 
-    fn order(&self, req: &Request<Bytes>) -> Reply {
+    fn handle_order(&self, req: &Request<Bytes>) -> Reply {
         let (Ok(fencing), Ok(order)) =
             (header(req, FENCING).parse::<Fencing>(), serde_json::from_slice::<Order>(req.body()))
         else {
             return Reply::full(400, "");
         };
         let mut state = self.lock();
-        if state.faults.checks_fencing && fencing < state.fencing {
+        if state.faults.checks_fencing && fencing < state.highest_fencing {
             return Reply::full(409, "");
         }
-        state.fencing = state.fencing.max(fencing);
-        state.wanted = order.clone();
+        state.highest_fencing = state.highest_fencing.max(fencing);
+        state.desired = order.clone();
         state.orders.push((fencing, order));
         Reply::full(202, "")
     }
@@ -274,11 +274,11 @@
     }
 }
 
-fn chat_of(req: &Request<Bytes>) -> Chat {
+fn chat_key(req: &Request<Bytes>) -> ChatKey {
     (header(req, WORKSPACE).to_owned(), header(req, CHAT).to_owned())
 }
 
-fn kv_of((workspace, chat): &Chat) -> String {
+fn kv_data((workspace, chat): &ChatKey) -> String {
     format!("kv of {chat} in {workspace}")
 }
 
@@ -286,16 +286,16 @@
     req.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or("")
 }
 
-/// The engine has crashed on a request, and answers nothing any more.
+/// The engine crashed on a request, which therefore gets no answer.
 struct Crashed;
 
-/// Time for the gate in front of the engine to cut the connections. A head that is written before that reaches the caller
-/// first on a busy machine, who then sees an answer that breaks off instead of none.
-const GATE_CUTS: Duration = Duration::from_secs(1);
+/// Time for the proxy in front of the engine to cut the connections. On a busy machine, a response head written earlier
+/// could still reach the caller, who would see a truncated answer instead of none.
+const PROXY_CUT_WAIT: Duration = Duration::from_secs(1);
 
-/// Reply whose connection is cut.
-async fn cut() -> Reply {
-    tokio::time::sleep(GATE_CUTS).await;
+/// Reply that never reaches the caller, since the proxy cuts the connection first.
+async fn cut_connection() -> Reply {
+    tokio::time::sleep(PROXY_CUT_WAIT).await;
     let (_, rx) = body_channel(1);
     Reply::stream(200, rx)
 }
@@ -306,17 +306,17 @@
         let query = req.uri().query().unwrap_or("");
         let parts: Vec<_> = path.split('/').collect();
         match (req.method(), parts.as_slice()) {
-            (&Method::POST, ["v1", "chat", "completions"]) => match self.chat(&req) {
+            (&Method::POST, ["v1", "chat", "completions"]) => match self.start_chat(&req) {
                 Ok(reply) => reply,
-                Err(Crashed) => cut().await,
+                Err(Crashed) => cut_connection().await,
             },
             (&Method::GET, ["v1", "streams", id]) => self.resume(id, query),
             (&Method::DELETE, ["v1", "streams", id]) => self.cancel(id),
-            (&Method::GET, ["load"]) => self.load(),
-            (&Method::GET, ["events"]) => self.events(query),
-            (&Method::GET, ["kv"]) => self.export(&chat_of(&req)),
-            (&Method::PUT, ["kv"]) => self.import(&chat_of(&req), req.body()),
-            (&Method::POST, ["orders"]) => self.order(&req),
+            (&Method::GET, ["load"]) => self.load_report(),
+            (&Method::GET, ["events"]) => self.cache_events(query),
+            (&Method::GET, ["kv"]) => self.export_kv(&chat_key(&req)),
+            (&Method::PUT, ["kv"]) => self.import_kv(&chat_key(&req), req.body()),
+            (&Method::POST, ["orders"]) => self.handle_order(&req),
             _ => Reply::full(404, ""),
         }
     }
--- a/src/standin/engine/answers.rs
+++ b/src/standin/engine/answers.rs
@@ -1,4 +1,4 @@
-//! The answers that a stand-in engine keeps, and the connections that read them.
+//! Answers that a stand-in engine keeps for resumption, and the connections that stream them.
 
 use std::{
     sync::{
@@ -18,43 +18,48 @@
     stream::{DONE, EventId, Offset},
 };
 
-const DEPTH: usize = 4;
-const EACH: u64 = 3;
+/// Capacity of a connection's body channel, in events.
+const CHANNEL_CAPACITY: usize = 4;
+/// The faults `cross`, `skip` and `repeat` affect one event out of this many.
+const FAULT_INTERVAL: u64 = 3;
 
-/// One answer, made over time and kept for connections that resume it.
+/// Answer that is produced over time and kept for connections that resume it.
 #[derive(Clone, Debug)]
 pub(super) struct Answer {
     request: Arc<str>,
     events: Arc<Vec<String>>,
-    made: watch::Receiver<Offset>,
+    produced: watch::Receiver<Offset>,
 }
 
-/// Makes an answer; dropping it ends the answer for those that read it.
-pub(super) struct Maker {
-    made: watch::Sender<Offset>,
-    last: Offset,
+/// Producer of an answer; dropping it breaks the connections that still wait for events.
+pub(super) struct Producer {
+    produced: watch::Sender<Offset>,
+    total: Offset,
 }
 
 impl Answer {
-    /// Answer of `tokens` events and the final marker.
-    pub(super) fn start(request: &str, chat: &str, tokens: usize) -> (Self, Maker) {
-        let mut events: Vec<_> = (0..tokens).map(|i| event(request, chat, i)).collect();
+    /// Creates an answer of `token_count` events and the final marker, and its producer.
+    pub(super) fn start(request: &str, chat: &str, token_count: usize) -> (Self, Producer) {
+        let mut events: Vec<_> = (0..token_count).map(|i| event(request, chat, i)).collect();
         events.push(DONE.to_owned());
         let (tx, rx) = watch::channel(0);
-        let last = events.len() as Offset;
-        (Self { request: request.into(), events: Arc::new(events), made: rx }, Maker { made: tx, last })
+        let total = events.len() as Offset;
+        (
+            Self { request: request.into(), events: Arc::new(events), produced: rx },
+            Producer { produced: tx, total },
+        )
     }
 
-    /// Sends the events from `from` on over a new connection.
+    /// Opens a connection that sends the events from the offset `from`.
     pub(super) fn connect(
         &self,
         from: Offset,
         faults: Faults,
         crashed: watch::Receiver<u64>,
-        count: Arc<AtomicU64>,
+        total_sent: Arc<AtomicU64>,
     ) -> BodyReceiver {
-        let (tx, rx) = body_channel(DEPTH);
-        let conn = Connection { answer: self.clone(), faults, crashed, tx, sent: 0, count };
+        let (tx, rx) = body_channel(CHANNEL_CAPACITY);
+        let conn = Connection { answer: self.clone(), faults, crashed, tx, sent: 0, total_sent };
         tokio::spawn(conn.run(from));
         rx
     }
@@ -65,18 +70,18 @@
     serde_json::json!({ "id": request, "choices": [{ "delta": { "content": content } }] }).to_string()
 }
 
-impl Maker {
-    /// Makes one event every `pause`, until the last.
-    pub(super) async fn run(&self, late: Duration, pause: Duration) {
-        tokio::time::sleep(late).await;
-        for made in 1..=self.last {
-            if made < self.last {
-                // The timer rounds up to a millisecond; no pause means none.
-                if !pause.is_zero() {
-                    tokio::time::sleep(pause).await;
+impl Producer {
+    /// Produces one event every `interval` after `delay`; the final marker follows the last token at once.
+    pub(super) async fn run(&self, delay: Duration, interval: Duration) {
+        tokio::time::sleep(delay).await;
+        for produced in 1..=self.total {
+            if produced < self.total {
+                // The timer rounds up to a millisecond, so a zero interval must not sleep at all.
+                if !interval.is_zero() {
+                    tokio::time::sleep(interval).await;
                 }
             }
-            self.made.send_replace(made);
+            self.produced.send_replace(produced);
         }
     }
 }
@@ -86,76 +91,78 @@
     faults: Faults,
     crashed: watch::Receiver<u64>,
     tx: BodySender,
+    /// Events of the answer sent on this connection.
     sent: u64,
-    count: Arc<AtomicU64>,
+    /// Events sent on all connections of the engine.
+    total_sent: Arc<AtomicU64>,
 }
 
-/// Why a connection is over before the last event.
-enum Over {
-    /// It breaks.
-    Cut,
-    /// It ends in the ordinary way, but too early.
-    Ended,
+/// Reason for ending a connection before the last event.
+enum EarlyEnd {
+    /// The connection breaks.
+    Broken,
+    /// The body ends properly, but too early.
+    Truncated,
 }
 
 impl Connection {
     async fn run(mut self, from: Offset) {
-        match self.send_all(from).await {
-            Ok(()) | Err(Over::Ended) => self.tx.finish().await,
-            Err(Over::Cut) => {}
+        match self.send_from(from).await {
+            Ok(()) | Err(EarlyEnd::Truncated) => self.tx.finish().await,
+            Err(EarlyEnd::Broken) => {}
         }
     }
 
-    async fn send_all(&mut self, from: Offset) -> Result<(), Over> {
+    async fn send_from(&mut self, from: Offset) -> Result<(), EarlyEnd> {
         for offset in from..self.answer.events.len() as Offset {
-            self.wait(offset).await?;
-            self.send(offset).await?;
+            self.wait_until_produced(offset).await?;
+            self.send_with_faults(offset).await?;
         }
         Ok(())
     }
 
-    /// Waits until the event is made; fails when the answer was cancelled or the engine crashed.
-    async fn wait(&mut self, offset: Offset) -> Result<(), Over> {
-        let made = self.answer.made.wait_for(|made| *made > offset);
+    /// Waits until the event is produced; fails if the answer was cancelled or the engine crashed.
+    async fn wait_until_produced(&mut self, offset: Offset) -> Result<(), EarlyEnd> {
+        let produced = self.answer.produced.wait_for(|produced| *produced > offset);
         tokio::select! {
-            made = made => made.map(drop).map_err(|_| Over::Cut),
-            _ = self.crashed.changed() => Err(Over::Cut),
+            produced = produced => produced.map(drop).map_err(|_| EarlyEnd::Broken),
+            _ = self.crashed.changed() => Err(EarlyEnd::Broken),
         }
     }
 
-    async fn send(&mut self, offset: Offset) -> Result<(), Over> {
+    async fn send_with_faults(&mut self, offset: Offset) -> Result<(), EarlyEnd> {
         if self.faults.end_after == Some(self.sent) {
-            return Err(Over::Ended);
+            return Err(EarlyEnd::Truncated);
         }
         if self.faults.cut_after == Some(self.sent) {
-            return Err(Over::Cut);
+            return Err(EarlyEnd::Broken);
         }
         if self.faults.stall_after == Some(self.sent) {
             self.tx.closed().await;
-            return Err(Over::Cut);
+            return Err(EarlyEnd::Broken);
         }
         self.sent += 1;
-        let third = offset % EACH == EACH - 1;
+        let is_affected = offset % FAULT_INTERVAL == FAULT_INTERVAL - 1;
         let data = &self.answer.events[offset as usize];
         let id = EventId { request: self.answer.request.clone(), offset };
-        if third && self.faults.cross {
+        if is_affected && self.faults.cross {
             let other = EventId { request: "another-request".into(), offset };
-            self.put(&other, &event("another-request", "another-chat", offset as usize)).await?;
+            self.send_event(&other, &event("another-request", "another-chat", offset as usize)).await?;
         }
-        if third && self.faults.skip {
+        if is_affected && self.faults.skip {
             return Ok(());
         }
-        self.put(&id, data).await?;
-        if third && self.faults.repeat {
-            self.put(&id, data).await?;
+        self.send_event(&id, data).await?;
+        if is_affected && self.faults.repeat {
+            self.send_event(&id, data).await?;
         }
         Ok(())
     }
 
-    async fn put(&self, id: &EventId, data: &str) -> Result<(), Over> {
+    async fn send_event(&self, id: &EventId, data: &str) -> Result<(), EarlyEnd> {
         let bytes = Sse::default().id(id.to_string()).data(data).encode().unwrap_or_else(|_| Bytes::new());
-        self.tx.send(bytes).await.map_err(|_| Over::Cut)?;
-        self.count.fetch_add(1, Ordering::Relaxed);
+        self.tx.send(bytes).await.map_err(|_| EarlyEnd::Broken)?;
+        self.total_sent.fetch_add(1, Ordering::Relaxed);
         Ok(())
     }
 }
--- a/src/standin/engine/faults.rs
+++ b/src/standin/engine/faults.rs
@@ -1,46 +1,46 @@
-//! What a stand-in engine can be told to do wrong.
+//! Injected faults of a stand-in engine.
 
 use std::time::Duration;
 
-/// Faults of an engine; the default has none.
+/// Faults to inject; none by default.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// Milliseconds before the first event.
+    /// Delay before the first event, in milliseconds.
     pub late_ms: u64,
-    /// Cuts a connection after this many events.
+    /// Breaks the connection after this many events.
     pub cut_after: Option<u64>,
-    /// Ends a body in the ordinary way after this many events, without the final marker.
+    /// Ends the body properly after this many events, but without the final marker.
     pub end_after: Option<u64>,
-    /// Sends nothing more on a connection after this many events.
+    /// Stalls the connection after this many events: it stays open but sends nothing more.
     pub stall_after: Option<u64>,
-    /// How many connections the three faults above meet; later ones are served whole.
+    /// Number of connections affected by the three faults above and by `skip`; later ones are served completely.
     pub connections: u32,
-    /// Sends an event of another request before each third event.
+    /// Sends an event of another request before every third event.
     pub cross: bool,
-    /// Sends each third event twice.
+    /// Sends every third event twice.
     pub repeat: bool,
-    /// Leaves out each third event on the first connection of a stream.
+    /// Leaves out every third event on the affected connections.
     pub skip: bool,
-    /// Answers each request with a proof that it did not run.
+    /// Rejects each request with a proof that it did not run.
     pub refuse: bool,
     /// Crashes on a request whose body contains this text.
     pub crash_on: Option<String>,
-    /// Leaves each nth cache event out of the answers; 0 leaves none out.
+    /// Leaves every nth cache event out of the answers; 0 leaves out none.
     pub event_gap: u64,
-    /// Refuses orders with an old fencing number.
+    /// Rejects orders with an outdated fencing token.
     pub checks_fencing: bool,
-    /// Reports that it stops soon.
+    /// Reports in the load report that the engine is leaving.
     pub leaving: bool,
 }
 
 impl Faults {
-    pub(super) fn late(&self) -> Duration {
+    pub(super) fn delay(&self) -> Duration {
         Duration::from_millis(self.late_ms)
     }
 
-    /// Takes one connection from those that a fault meets.
-    pub(super) fn for_connection(&mut self) -> Self {
+    /// Returns the faults for a new connection and counts it as one of the affected connections.
+    pub(super) fn take_for_connection(&mut self) -> Self {
         let mut faults = self.clone();
         if self.connections > 0 {
             self.connections -= 1;
--- a/src/standin/gate.rs
+++ b/src/standin/gate.rs
@@ -1,4 +1,4 @@
-//! A TCP gate before a stand-in: can refuse connections, cut those that are open, and hold bytes back.
+//! TCP proxy for fault injection in front of a stand-in: refuses, cuts or stalls connections.
 
 use std::{io, net::SocketAddr};
 
@@ -10,19 +10,19 @@
     task::JoinHandle,
 };
 
-/// What a gate does with connections.
+/// How the proxy treats connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// Passes bytes on.
+    /// Forwards bytes.
     Open,
-    /// Refuses new connections and cuts those that are open.
+    /// Refuses new connections and cuts open ones.
     Refuse,
-    /// Accepts connections and passes no byte on.
+    /// Accepts new connections but forwards nothing on them until the mode changes.
     Stall,
 }
 
-/// A gate before one server.
+/// TCP proxy in front of one server.
 #[derive(Debug)]
 pub struct FaultProxy {
     addr: SocketAddr,
@@ -32,16 +32,16 @@
 }
 
 impl FaultProxy {
-    /// Opens a gate on loopback before `target`; a change of `crashes` cuts all connections.
+    /// Starts a proxy for `target` on loopback; each change of `crashes` cuts all connections.
     ///
     /// # Errors
-    /// When no port can be had.
+    /// If no port is available.
     pub async fn start(target: SocketAddr, crashes: Option<watch::Receiver<u64>>) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await.context("could not listen on loopback")?;
         let addr = listener.local_addr()?;
         let mode = watch::Sender::new(Mode::Open);
         let cuts = watch::Sender::new(0);
-        let accept = Accept { addr, target, mode: mode.subscribe(), cuts: cuts.clone() };
+        let accept = Acceptor { addr, target, mode: mode.subscribe(), cuts: cuts.clone() };
         let task = tokio::spawn(accept.run(listener));
         if let Some(mut crashes) = crashes {
             let cuts = cuts.clone();
@@ -54,15 +54,15 @@
         Ok(Self { addr, mode, cuts, task })
     }
 
-    /// Address of the gate.
+    /// Address of the proxy.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Changes the mode; waits until connections are refused, or accepted again.
+    /// Changes the mode and waits until the proxy refuses or accepts connections accordingly.
     ///
     /// # Errors
-    /// When the gate has ended.
+    /// If the proxy has stopped.
     pub async fn set_mode(&self, mode: Mode) -> Result<()> {
         self.mode.send_replace(mode);
         if mode == Mode::Refuse {
@@ -73,7 +73,7 @@
             if refused == (mode == Mode::Refuse) {
                 return Ok(());
             }
-            anyhow::ensure!(!self.task.is_finished(), "the gate has ended");
+            anyhow::ensure!(!self.task.is_finished(), "the proxy has stopped");
             tokio::task::yield_now().await;
         }
     }
@@ -83,28 +83,28 @@
         self.cuts.send_modify(|n| *n += 1);
     }
 
-    /// Closes the gate.
+    /// Stops the proxy and cuts all connections.
     pub fn close(self) {
         self.cut_connections();
         self.task.abort();
     }
 }
 
-struct Accept {
+struct Acceptor {
     addr: SocketAddr,
     target: SocketAddr,
     mode: watch::Receiver<Mode>,
     cuts: watch::Sender<u64>,
 }
 
-impl Accept {
+impl Acceptor {
     async fn run(mut self, mut listener: TcpListener) {
         let mut refuse = self.mode.clone();
         loop {
             tokio::select! {
                 conn = listener.accept() => {
                     if let Ok((conn, _)) = conn {
-                        tokio::spawn(pass(conn, self.target, self.mode.clone(), self.cuts.subscribe()));
+                        tokio::spawn(forward(conn, self.target, self.mode.clone(), self.cuts.subscribe()));
                     }
                 }
                 refused = async { refuse.wait_for(|m| *m == Mode::Refuse).await.is_ok() } => {
@@ -112,8 +112,8 @@
                         return;
                     }
                     drop(listener);
-                    match self.reopen().await {
-                        Ok(again) => listener = again,
+                    match self.rebind().await {
+                        Ok(rebound) => listener = rebound,
                         Err(_) => return,
                     }
                 }
@@ -121,7 +121,7 @@
         }
     }
 
-    async fn reopen(&mut self) -> Result<TcpListener> {
+    async fn rebind(&mut self) -> Result<TcpListener> {
         self.mode.wait_for(|m| *m != Mode::Refuse).await.map(drop)?;
         loop {
             match TcpListener::bind(self.addr).await {
@@ -133,21 +133,21 @@
     }
 }
 
-async fn pass(
+async fn forward(
     mut conn: TcpStream,
     target: SocketAddr,
     mut mode: watch::Receiver<Mode>,
     mut cuts: watch::Receiver<u64>,
 ) {
-    let work = async {
+    let copying = async {
         if mode.wait_for(|m| *m != Mode::Stall).await.is_err() {
             return;
         }
-        let Ok(mut inner) = TcpStream::connect(target).await else { return };
-        let _ = copy_bidirectional(&mut conn, &mut inner).await;
+        let Ok(mut server) = TcpStream::connect(target).await else { return };
+        let _ = copy_bidirectional(&mut conn, &mut server).await;
     };
     tokio::select! {
-        () = work => {}
+        () = copying => {}
         _ = cuts.changed() => {}
     }
 }
--- a/src/standin/outside.rs
+++ b/src/standin/outside.rs
@@ -29,7 +29,7 @@
     engines: usize,
     services: usize,
     tokens: usize,
-    token_time: Duration,
+    token_interval: Duration,
     cache: usize,
     capacity: u32,
 }
@@ -40,7 +40,7 @@
             engines: 9,
             services: 3,
             tokens: 12,
-            token_time: Duration::from_millis(3),
+            token_interval: Duration::from_millis(3),
             cache: 64,
             capacity: 8,
         }
@@ -59,8 +59,8 @@
     }
 
     /// Sets the tokens of an answer and the time between two of them.
-    pub fn with_tokens(self, tokens: usize, token_time: Duration) -> Self {
-        Self { tokens, token_time, ..self }
+    pub fn with_tokens(self, tokens: usize, token_interval: Duration) -> Self {
+        Self { tokens, token_interval, ..self }
     }
 }
 
@@ -125,7 +125,8 @@
     /// When no port can be had.
     pub async fn add_engine(&mut self) -> Result<()> {
         let i = self.engines.len();
-        let engine = Arc::new(EngineStandin::new(self.plan.tokens, self.plan.token_time, self.plan.cache));
+        let engine =
+            Arc::new(EngineStandin::new(self.plan.tokens, self.plan.token_interval, self.plan.cache));
         let server = Server::start(loopback_listener()?, 1, Limits::default(), engine.clone())?;
         let gate = FaultProxy::start(server.addr(), Some(engine.subscribe_crashes())).await?;
         self.put(backend(&format!("engine-{i}"), "model", i, gate.addr(), self.plan.capacity))?;
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's object API, which can be told to fail.
+//! Stand-in for the platform's object API, with fault injection.
 
 use std::{
     net::SocketAddr,
@@ -23,39 +23,40 @@
 mod store;
 
 pub use faults::Faults;
-use faults::{Fate, Trouble, cut};
+use faults::{CallOutcome, FaultState, broken_reply};
 use store::Store;
 
-const WATCH_DEPTH: usize = 4096;
+/// Number of events buffered for a watch.
+const WATCH_CAPACITY: usize = 4096;
 
-/// The objects, their history and the faults to show.
+/// Objects, their history and the injected faults.
 #[derive(Debug)]
 pub struct PlatformStandin {
     state: Mutex<State>,
-    trouble: Mutex<Trouble>,
-    /// `None` ends the open watches.
+    fault_state: Mutex<FaultState>,
+    /// Events for the open watches; `None` closes the watches.
     tx: broadcast::Sender<Option<Event>>,
-    calls: [AtomicU64; 3],
+    call_counts: [AtomicU64; 3],
 }
 
 #[derive(Debug, Default)]
 struct State {
     configuration: Store,
     records: Store,
-    /// What reads answer while the stand-in answers with old data.
-    old: Option<(Store, Store)>,
+    /// Snapshot that reads and watches see while the stand-in is frozen.
+    frozen: Option<(Store, Store)>,
 }
 
 impl State {
-    fn real(&mut self, collection: Collection) -> &mut Store {
+    fn store_mut(&mut self, collection: Collection) -> &mut Store {
         match collection {
             Collection::Configuration => &mut self.configuration,
             Collection::Records => &mut self.records,
         }
     }
 
-    fn shown(&self, collection: Collection) -> &Store {
-        let (configuration, records) = match &self.old {
+    fn visible_store(&self, collection: Collection) -> &Store {
+        let (configuration, records) = match &self.frozen {
             Some((configuration, records)) => (configuration, records),
             None => (&self.configuration, &self.records),
         };
@@ -66,14 +67,14 @@
     }
 }
 
-/// Calls that reached the stand-in.
+/// Numbers of calls that reached the stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Served {
+pub struct CallCounts {
     /// Gets and lists.
     pub reads: u64,
     /// Creates, updates and deletes.
     pub writes: u64,
-    /// Watches opened.
+    /// Opened watches.
     pub watches: u64,
 }
 
@@ -81,96 +82,98 @@
     fn default() -> Self {
         Self {
             state: Mutex::default(),
-            trouble: Mutex::default(),
-            tx: broadcast::channel(WATCH_DEPTH).0,
-            calls: Default::default(),
+            fault_state: Mutex::default(),
+            tx: broadcast::channel(WATCH_CAPACITY).0,
+            call_counts: Default::default(),
         }
     }
 }
 
 impl PlatformStandin {
-    /// Writes an object if its version matches.
+    /// Writes an object if its version matches the current one.
     ///
     /// # Errors
-    /// The object as it is now, when another write came first.
+    /// Returns the current object, if any, when the version does not match.
     pub fn put(&self, obj: AnyObject) -> Result<AnyObject, Box<Option<AnyObject>>> {
         let collection = Collection::of(&obj.kind);
         let mut state = self.state();
-        let event = state.real(collection).put(obj)?;
+        let event = state.store_mut(collection).put(obj)?;
         self.publish(&state, collection, &event);
         Ok(event.object)
     }
 
-    /// Sets the faults to show from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
-        *self.trouble() = Trouble::new(faults);
+        *self.fault_state() = FaultState::new(faults);
     }
 
-    /// Answers reads and watches with the state of this moment until [`PlatformStandin::thaw`].
+    /// Serves reads and new watches from a snapshot taken now, until [`PlatformStandin::thaw`] is called.
     pub fn freeze(&self) {
         let mut state = self.state();
-        state.old = Some((state.configuration.clone(), state.records.clone()));
+        state.frozen = Some((state.configuration.clone(), state.records.clone()));
     }
 
-    /// Answers with the real state again.
+    /// Serves the current state again.
     pub fn thaw(&self) {
-        self.state().old = None;
+        self.state().frozen = None;
     }
 
-    /// Ends all open watches.
+    /// Closes all open watches.
     pub fn close_watches(&self) {
         let _ = self.tx.send(None);
     }
 
-    /// Forgets the history, so that watches from before are too old.
+    /// Discards the history, so that a watch from an earlier version is rejected as too old.
     pub fn compact_history(&self) {
         let mut state = self.state();
-        state.configuration.forget();
-        state.records.forget();
+        state.configuration.compact();
+        state.records.compact();
     }
 
-    /// Version of a collection.
+    /// Current version of a collection.
     pub fn version(&self, collection: Collection) -> Version {
-        self.state().real(collection).version
+        self.state().store_mut(collection).version
     }
 
-    /// Calls so far.
-    pub fn served(&self) -> Served {
-        let [reads, writes, watches] = &self.calls;
+    /// Numbers of calls so far.
+    pub fn call_counts(&self) -> CallCounts {
+        let [reads, writes, watches] = &self.call_counts;
         let load = |n: &AtomicU64| n.load(Ordering::Relaxed);
-        Served { reads: load(reads), writes: load(writes), watches: load(watches) }
+        CallCounts { reads: load(reads), writes: load(writes), watches: load(watches) }
     }
 
-    fn answer(&self, collection: Collection, req: &Request<Bytes>, rest: &[&str]) -> Reply {
+    fn handle_object(&self, collection: Collection, req: &Request<Bytes>, rest: &[&str]) -> Reply {
         let field = |name: &str| {
             let query = req.uri().query()?;
             query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('=')).map(str::to_owned)
         };
         match (req.method(), rest) {
-            (&Method::GET, []) => Reply::json(200, &self.state().shown(collection).list(None)),
-            (&Method::GET, [kind]) => Reply::json(200, &self.state().shown(collection).list(Some(kind))),
-            (&Method::GET, [kind, name]) => match self.state().shown(collection).get(kind, name) {
+            (&Method::GET, []) => Reply::json(200, &self.state().visible_store(collection).list(None)),
+            (&Method::GET, [kind]) => {
+                Reply::json(200, &self.state().visible_store(collection).list(Some(kind)))
+            }
+            (&Method::GET, [kind, name]) => match self.state().visible_store(collection).get(kind, name) {
                 Some(obj) => Reply::json(200, obj),
                 None => Reply::full(404, ""),
             },
-            (&Method::PUT, [kind, name]) => self.answer_put(kind, name, req.body()),
+            (&Method::PUT, [kind, name]) => self.handle_put(kind, name, req.body()),
             (&Method::DELETE, [kind, name]) => {
-                self.answer_delete(collection, kind, name, &field("version").unwrap_or_default())
+                self.handle_delete(collection, kind, name, &field("version").unwrap_or_default())
             }
             _ => Reply::full(404, ""),
         }
     }
 
-    fn answer_put(&self, kind: &str, name: &str, body: &[u8]) -> Reply {
+    fn handle_put(&self, kind: &str, name: &str, body: &[u8]) -> Reply {
         if body.len() > MAX_VALUE {
-            return Reply::full(413, "the value is too long");
+            return Reply::full(413, "the object is too large");
         }
         let obj: AnyObject = match serde_json::from_slice(body) {
             Ok(obj) => obj,
             Err(e) => return Reply::full(400, e.to_string()),
         };
         if obj.kind != kind || obj.metadata.name != name {
-            return Reply::full(400, "the path names another object");
+            return Reply::full(400, "the path does not match the kind and name of the object");
         }
         match self.put(obj) {
             Ok(obj) => Reply::json(200, &obj),
@@ -178,10 +181,10 @@
         }
     }
 
-    fn answer_delete(&self, collection: Collection, kind: &str, name: &str, version: &str) -> Reply {
+    fn handle_delete(&self, collection: Collection, kind: &str, name: &str, version: &str) -> Reply {
         let key = (kind.to_owned(), name.to_owned());
         let mut state = self.state();
-        match state.real(collection).delete(&key, version) {
+        match state.store_mut(collection).delete(&key, version) {
             Ok(event) => {
                 self.publish(&state, collection, &event);
                 Reply::json(200, &event.object)
@@ -191,18 +194,18 @@
         }
     }
 
-    fn watch(&self, from: Version) -> Reply {
-        let (old, mut live) = {
+    fn handle_watch(&self, from: Version) -> Reply {
+        let (backlog, mut live) = {
             let state = self.state();
-            let Some(old) = state.shown(Collection::Configuration).since(from) else {
+            let Some(backlog) = state.visible_store(Collection::Configuration).changes_since(from) else {
                 return Reply::full(410, "");
             };
-            (old, self.tx.subscribe())
+            (backlog, self.tx.subscribe())
         };
-        let (tx, rx) = body_channel(WATCH_DEPTH);
+        let (tx, rx) = body_channel(WATCH_CAPACITY);
         tokio::spawn(async move {
-            for event in old {
-                if tx.send(line(&event)).await.is_err() {
+            for event in backlog {
+                if tx.send(json_line(&event)).await.is_err() {
                     return;
                 }
             }
@@ -212,7 +215,7 @@
                     () = tx.closed() => return,
                 };
                 let Ok(Some(event)) = event else { return tx.finish().await };
-                if tx.send(line(&event)).await.is_err() {
+                if tx.send(json_line(&event)).await.is_err() {
                     return;
                 }
             }
@@ -220,34 +223,37 @@
         Reply::stream(200, rx)
     }
 
-    /// Sends an event while the state is locked, so that watches see all events once and in order.
+    /// Sends an event to the open watches. The state must be locked, so that watches see every event once and in order.
     fn publish(&self, state: &State, collection: Collection, event: &Event) {
-        if state.old.is_none() && collection == Collection::Configuration && !self.trouble().is_deaf() {
+        if state.frozen.is_none()
+            && collection == Collection::Configuration
+            && !self.fault_state().drops_events()
+        {
             let _ = self.tx.send(Some(event.clone()));
         }
     }
 
-    fn count(&self, req: &Request<Bytes>, watch: bool) {
-        let class = if watch { 2 } else { usize::from(req.method() != Method::GET) };
-        self.calls[class].fetch_add(1, Ordering::Relaxed);
+    fn count(&self, req: &Request<Bytes>, is_watch: bool) {
+        let class = if is_watch { 2 } else { usize::from(req.method() != Method::GET) };
+        self.call_counts[class].fetch_add(1, Ordering::Relaxed);
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
         lock(&self.state)
     }
 
-    fn trouble(&self) -> MutexGuard<'_, Trouble> {
-        lock(&self.trouble)
+    fn fault_state(&self) -> MutexGuard<'_, FaultState> {
+        lock(&self.fault_state)
     }
 }
 
-fn line(event: &Event) -> Bytes {
+fn json_line(event: &Event) -> Bytes {
     let mut bytes = serde_json::to_vec(event).unwrap_or_default();
     bytes.push(b'\n');
     Bytes::from(bytes)
 }
 
-fn collection(name: &str) -> Option<Collection> {
+fn collection_by_name(name: &str) -> Option<Collection> {
     Collection::ALL.into_iter().find(|c| c.as_str() == name)
 }
 
@@ -257,26 +263,26 @@
         let parts: Vec<_> = path.trim_start_matches('/').split('/').collect();
         self.count(&req, parts[0] == "watch");
         let writes = req.method() != Method::GET;
-        let (fate, late) = {
-            let mut trouble = self.trouble();
-            (trouble.draw(now(), writes), trouble.late())
+        let (outcome, delay) = {
+            let mut fault_state = self.fault_state();
+            (fault_state.decide(now(), writes), fault_state.delay())
         };
-        if !late.is_zero() {
-            tokio::time::sleep(late).await;
+        if !delay.is_zero() {
+            tokio::time::sleep(delay).await;
         }
-        match fate {
-            Fate::Lost => return cut(),
-            Fate::Limited => return Reply::full(429, "").with_header("retry-after", "1"),
-            Fate::Served | Fate::AnswerLost => {}
+        match outcome {
+            CallOutcome::Lost => return broken_reply(),
+            CallOutcome::RateLimited => return Reply::full(429, "").with_header("retry-after", "1"),
+            CallOutcome::Answered | CallOutcome::AnswerLost => {}
         }
-        let reply = match (parts[0], collection(parts[0])) {
+        let reply = match (parts[0], collection_by_name(parts[0])) {
             ("watch", _) => {
                 let from = req.uri().query().and_then(|q| q.strip_prefix("from=")?.parse().ok());
-                self.watch(from.unwrap_or(0))
+                self.handle_watch(from.unwrap_or(0))
             }
-            (_, Some(collection)) => self.answer(collection, &req, &parts[1..]),
+            (_, Some(collection)) => self.handle_object(collection, &req, &parts[1..]),
             _ => Reply::full(404, ""),
         };
-        if fate == Fate::AnswerLost { cut() } else { reply }
+        if outcome == CallOutcome::AnswerLost { broken_reply() } else { reply }
     }
 }
--- a/src/standin/platform/faults.rs
+++ b/src/standin/platform/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that the stand-in for the platform can be told to show.
+//! Injected faults of the stand-in for the platform.
 
 use std::time::Duration;
 
@@ -6,88 +6,89 @@
 
 use crate::{http::Reply, objects::bucket::Bucket, util::Instant};
 
-/// What the stand-in shall do wrong.
+/// Faults to inject; none by default.
 #[derive(Clone, Debug, Default, serde::Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 pub struct Faults {
-    /// Breaks every connection before a call takes effect.
+    /// Breaks the connection of every call before the call takes effect.
     pub down: bool,
-    /// Milliseconds by which every answer is late.
+    /// Delay of every call, in milliseconds.
     pub late_ms: u64,
-    /// Share of calls, in thousandths, that are lost before they take effect.
+    /// Fraction of calls that are lost before they take effect, in thousandths.
     pub loss_milli: u32,
-    /// Number of writes that take effect but whose answer is lost.
+    /// Number of next writes that take effect but whose answer is lost.
     pub lose_answers: u32,
-    /// Calls a second of all classes beyond which calls are refused; 0 for no limit.
+    /// Limit of calls per second, over all classes of calls; further calls are rejected; 0 for no limit.
     pub rate_limit: u32,
-    /// Whether changes are sent on no open watch, though its connection lives.
+    /// Whether open watches stay connected but receive no events.
     pub deaf: bool,
-    /// Seed of the losses.
+    /// Seed of the random losses.
     pub seed: u64,
 }
 
-/// What shall become of one call.
+/// Simulated outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Fate {
-    /// Answered.
-    Served,
-    /// Lost before it takes effect.
+pub(super) enum CallOutcome {
+    /// The call is processed and answered.
+    Answered,
+    /// The call is lost before it takes effect.
     Lost,
-    /// Takes effect, but its answer is lost.
+    /// The call takes effect, but its answer is lost.
     AnswerLost,
-    /// Refused for the rate.
-    Limited,
+    /// The call is rejected by the rate limit.
+    RateLimited,
 }
 
-/// The faults with their random source and what is left of them.
+/// Configured faults with the remaining counts, the rate limiter and the random generator.
 #[derive(Debug)]
-pub(super) struct Trouble {
+pub(super) struct FaultState {
     faults: Faults,
     rng: StdRng,
     bucket: Option<Bucket>,
 }
 
-impl Default for Trouble {
+impl Default for FaultState {
     fn default() -> Self {
         Self::new(Faults::default())
     }
 }
 
-impl Trouble {
+impl FaultState {
     pub(super) fn new(faults: Faults) -> Self {
         let rate = f64::from(faults.rate_limit);
         let bucket = (faults.rate_limit > 0).then(|| Bucket::new(rate, rate));
         Self { rng: StdRng::seed_from_u64(faults.seed), bucket, faults }
     }
 
-    pub(super) fn is_deaf(&self) -> bool {
+    pub(super) fn drops_events(&self) -> bool {
         self.faults.deaf
     }
 
-    pub(super) fn late(&self) -> Duration {
+    pub(super) fn delay(&self) -> Duration {
         Duration::from_millis(self.faults.late_ms)
     }
 
-    pub(super) fn draw(&mut self, now: Instant, writes: bool) -> Fate {
+    /// Decides the outcome of a call.
+    pub(super) fn decide(&mut self, now: Instant, writes: bool) -> CallOutcome {
         if self.faults.down {
-            return Fate::Lost;
+            return CallOutcome::Lost;
         }
         if self.bucket.as_mut().is_some_and(|b| b.take(now).is_err()) {
-            return Fate::Limited;
+            return CallOutcome::RateLimited;
         }
         if self.rng.random_range(0..1000) < self.faults.loss_milli {
-            return Fate::Lost;
+            return CallOutcome::Lost;
         }
         if writes && self.faults.lose_answers > 0 {
             self.faults.lose_answers -= 1;
-            return Fate::AnswerLost;
+            return CallOutcome::AnswerLost;
         }
-        Fate::Served
+        CallOutcome::Answered
     }
 }
 
-/// A reply whose connection breaks before its end.
-pub(super) fn cut() -> Reply {
+/// Reply whose connection breaks before the end of the body.
+pub(super) fn broken_reply() -> Reply {
     let (_, rx) = crate::http::body_channel(1);
     Reply::stream(200, rx)
 }
--- a/src/standin/platform/store.rs
+++ b/src/standin/platform/store.rs
@@ -1,4 +1,4 @@
-//! Objects of the stand-in's collections with their history.
+//! Versioned objects of one collection, with the history of changes.
 
 use std::collections::BTreeMap;
 
@@ -7,36 +7,37 @@
     objects::{Event, List, Version},
 };
 
+/// Kind and name of an object.
 type Key = (String, String);
-/// The object as it is now, if it exists.
-pub(super) type Current = Box<Option<AnyObject>>;
+/// Current object, if it exists; returned when a version does not match.
+pub(super) type CurrentObject = Box<Option<AnyObject>>;
 
-/// One collection.
+/// Objects of one collection, with optimistic concurrency control.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Store {
     pub(super) version: Version,
     objects: BTreeMap<Key, AnyObject>,
     history: Vec<Event>,
-    forgotten: Version,
+    compacted: Version,
 }
 
 impl Store {
-    /// Writes an object whose version still matches.
-    pub(super) fn put(&mut self, mut obj: AnyObject) -> Result<Event, Current> {
+    /// Writes an object if its version matches the current one.
+    pub(super) fn put(&mut self, mut obj: AnyObject) -> Result<Event, CurrentObject> {
         let key = (obj.kind.clone(), obj.metadata.name.clone());
-        self.check(&key, &obj.metadata.resource_version)?;
+        self.check_version(&key, &obj.metadata.resource_version)?;
         self.version += 1;
         obj.metadata.resource_version = self.version.to_string();
         self.objects.insert(key, obj.clone());
-        Ok(self.note(Event { version: self.version, deleted: false, object: obj }))
+        Ok(self.record(Event { version: self.version, deleted: false, object: obj }))
     }
 
-    /// Deletes an object whose version still matches.
-    pub(super) fn delete(&mut self, key: &Key, version: &str) -> Result<Event, Current> {
-        self.check(key, version)?;
-        let object = self.objects.remove(key).ok_or_else(Current::default)?;
+    /// Deletes an object if `version` matches the current one.
+    pub(super) fn delete(&mut self, key: &Key, version: &str) -> Result<Event, CurrentObject> {
+        self.check_version(key, version)?;
+        let object = self.objects.remove(key).ok_or_else(CurrentObject::default)?;
         self.version += 1;
-        Ok(self.note(Event { version: self.version, deleted: true, object }))
+        Ok(self.record(Event { version: self.version, deleted: true, object }))
     }
 
     pub(super) fn get(&self, kind: &str, name: &str) -> Option<&AnyObject> {
@@ -44,31 +45,31 @@
     }
 
     pub(super) fn list(&self, kind: Option<&str>) -> List {
-        let wanted = self.objects.values().filter(|o| kind.is_none_or(|k| o.kind == k));
-        List { version: self.version, items: wanted.cloned().collect() }
+        let matching = self.objects.values().filter(|o| kind.is_none_or(|k| o.kind == k));
+        List { version: self.version, items: matching.cloned().collect() }
     }
 
-    /// Changes after `from`; `None` when they are no longer known.
-    pub(super) fn since(&self, from: Version) -> Option<Vec<Event>> {
-        if from < self.forgotten {
+    /// Changes after `from`; `None` if the history no longer reaches back so far.
+    pub(super) fn changes_since(&self, from: Version) -> Option<Vec<Event>> {
+        if from < self.compacted {
             return None;
         }
         Some(self.history.iter().filter(|e| e.version > from).cloned().collect())
     }
 
-    /// Forgets the history up to now, so that watches from before must list again.
-    pub(super) fn forget(&mut self) {
-        self.forgotten = self.version;
+    /// Discards the history, so that watches from an earlier version must list again.
+    pub(super) fn compact(&mut self) {
+        self.compacted = self.version;
         self.history.clear();
     }
 
-    fn check(&self, key: &Key, version: &str) -> Result<(), Current> {
+    fn check_version(&self, key: &Key, version: &str) -> Result<(), CurrentObject> {
         let current = self.objects.get(key);
-        let have = current.map_or("", |o| o.metadata.resource_version.as_str());
-        if have == version { Ok(()) } else { Err(Box::new(current.cloned())) }
+        let current_version = current.map_or("", |o| o.metadata.resource_version.as_str());
+        if current_version == version { Ok(()) } else { Err(Box::new(current.cloned())) }
     }
 
-    fn note(&mut self, event: Event) -> Event {
+    fn record(&mut self, event: Event) -> Event {
         self.history.push(event.clone());
         event
     }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service that records every run by idempotency key, and fails as told.
+//! Stand-in for a plain service that counts runs by idempotency key and injects faults.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Mutex, time::Duration};
 
@@ -11,21 +11,21 @@
     util::lock,
 };
 
-/// What a service can be told to do wrong; the default does nothing wrong.
+/// Faults to inject; none by default.
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// Milliseconds before it answers.
+    /// Delay of each answer, in milliseconds.
     pub late_ms: u64,
-    /// Runs that end with the connection cut instead of an answer.
+    /// Number of next runs that end with a cut connection instead of an answer.
     pub cut_answers: u32,
-    /// Refuses with a proof that the request did not run.
+    /// Rejects each request with a proof that it did not run.
     pub refuse: bool,
-    /// Bytes added to each answer.
+    /// Number of bytes added to each answer.
     pub padding: usize,
 }
 
-/// A plain service; its record tells how often each key ran.
+/// Plain service that counts how often each idempotency key ran.
 #[derive(Debug, Default)]
 pub struct ServiceStandin {
     runs: Mutex<BTreeMap<String, u32>>,
@@ -33,42 +33,44 @@
 }
 
 impl ServiceStandin {
-    /// Runs by idempotency key.
+    /// Number of runs by idempotency key.
     pub fn runs(&self) -> BTreeMap<String, u32> {
         lock(&self.runs).clone()
     }
 
-    /// Sets what the service does wrong from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         *lock(&self.faults) = faults;
     }
 
-    fn run(&self, req: &Request<Bytes>) -> u32 {
+    /// Counts a run of the request's key; returns the number of runs of all keys.
+    fn record_run(&self, req: &Request<Bytes>) -> u32 {
         let key = req.headers().get("idempotency-key").and_then(|v| v.to_str().ok()).unwrap_or("");
         let mut runs = lock(&self.runs);
         *runs.entry(key.to_owned()).or_default() += 1;
         runs.values().sum()
     }
 
-    fn take_faults(&self) -> Faults {
+    /// Faults of the next request; one fewer of the next answers will be cut.
+    fn next_faults(&self) -> Faults {
         let mut faults = lock(&self.faults);
-        let now = faults.clone();
+        let current = faults.clone();
         faults.cut_answers = faults.cut_answers.saturating_sub(1);
-        now
+        current
     }
 }
 
 impl Handler for ServiceStandin {
     async fn handle(&self, req: Request<Bytes>, _peer: SocketAddr) -> Reply {
-        // A router's probe is no run.
+        // Probes of routers don't count as runs.
         if req.uri().path() == "/load" {
             return Reply::full(404, "");
         }
-        let faults = self.take_faults();
+        let faults = self.next_faults();
         if faults.refuse {
             return Reply::full(503, "").with_header(OUTCOME, "not-run");
         }
-        let run = self.run(&req);
+        let run = self.record_run(&req);
         tokio::time::sleep(Duration::from_millis(faults.late_ms)).await;
         if faults.cut_answers > 0 {
             let (_, rx) = body_channel(1);
