--- a/schema/gen/lib.rs
+++ b/schema/gen/lib.rs
@@ -1,3 +1,3 @@
-//! Generates `src/schema` from `schema/*.proto`; the work is done in `tests/schema.rs`.
+//! Generator of `src/schema` from `schema/*.proto`, implemented in `tests/schema.rs`.
 //!
-//! A package of its own, because the main package does not compile while its generated code is out of date.
+//! It is a separate package, because the main package may not compile while its generated code is out of date.
--- a/src/standin.rs
+++ b/src/standin.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for the outside systems: the platform's object API, model engines and plain services.
+//! Stand-ins for the external systems, for tests and the demo: platform, model engines, plain services and callers.
 
 pub mod caller;
 pub mod engine;
