--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -11,7 +11,7 @@
 };
 
 use cranberrytally::logs::{explain::explain, lines};
-use wire::{Act, Host, Server, answer, chunk, event, not_run, request, status, stream_head};
+use wire::{Host, ScriptStep, Server, answer, chunk, event, not_run, request, status, stream_head};
 
 /// Output that tests read.
 #[derive(Clone, Default)]
@@ -45,11 +45,11 @@
     let output = Shared::default();
     lines::start(output.clone(), 1 << 20).unwrap();
     lines::name_host("host-1");
-    let full = Server::start("i-full", [Act::Write(not_run())]).await;
+    let full = Server::start("i-full", [ScriptStep::Write(not_run())]).await;
     let begun = stream_head() + &chunk(&event(1)) + &chunk(&event(2));
-    let cut = Server::start("i-cut", [Act::WriteAndReset(begun)]).await;
-    let lost = Server::start("i-lost", [Act::WriteAndReset(String::new())]).await;
-    let error = Act::Write(answer("500 Internal Server Error", ""));
+    let cut = Server::start("i-cut", [ScriptStep::WriteAndReset(begun)]).await;
+    let lost = Server::start("i-lost", [ScriptStep::WriteAndReset(String::new())]).await;
+    let error = ScriptStep::Write(answer("500 Internal Server Error", ""));
     let (sick, sicker) = (Server::start("i-5", [error.clone()]).await, Server::start("i-6", [error]).await);
     let answers = [
         Host::with(&[&full]).await.call(&named(request("/unsafe/x", ""), "refused-1")).await,
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -11,7 +11,7 @@
 };
 
 use cranberrytally::logs::lines;
-use wire::{Act, Host, Server, ok, request, status};
+use wire::{Host, ScriptStep, Server, ok, request, status};
 
 /// Output whose reader does not read until it is let go.
 #[derive(Clone, Default)]
@@ -47,7 +47,7 @@
 async fn a_stopped_reader_delays_no_request() {
     let output = Stuck::default();
     lines::start(output.clone(), u32::MAX).unwrap();
-    let server = Server::start("i-1", [Act::Write(ok("fine"))]).await;
+    let server = Server::start("i-1", [ScriptStep::Write(ok("fine"))]).await;
     let host = Host::with(&[&server]).await;
 
     for _ in 0..1_500 {
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -17,7 +17,7 @@
 };
 use relay_support::rev;
 use tokio::io::AsyncWriteExt;
-use wire::{Act, Server};
+use wire::{ScriptStep, Server};
 
 /// A call for the changes after a revision, or for the whole list.
 fn call(after: Option<u64>) -> Call {
@@ -31,9 +31,9 @@
     }
 }
 
-fn reply(status: &str, body: &str) -> Act {
+fn reply(status: &str, body: &str) -> ScriptStep {
     let length = body.len();
-    Act::Write(format!(
+    ScriptStep::Write(format!(
         "HTTP/1.1 {status}\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\r\n{body}"
     ))
 }
@@ -65,12 +65,12 @@
 }
 
 /// A response of the store with this epoch.
-fn reply_with_epoch(epoch: &str, status: &str, body: &str) -> Act {
-    let Act::Write(text) = reply(status, body) else { unreachable!("reply returns Act::Write") };
-    Act::Write(text.replacen("\r\n", &format!("\r\nStore-Era: {epoch}\r\n"), 1))
+fn reply_with_epoch(epoch: &str, status: &str, body: &str) -> ScriptStep {
+    let ScriptStep::Write(text) = reply(status, body) else { unreachable!("reply returns Act::Write") };
+    ScriptStep::Write(text.replacen("\r\n", &format!("\r\nStore-Era: {epoch}\r\n"), 1))
 }
 
-async fn store(acts: Vec<Act>) -> (StoreClient, Server) {
+async fn store(acts: Vec<ScriptStep>) -> (StoreClient, Server) {
     let server = Server::start("store", acts).await;
     (StoreClient::new(server.addr), server)
 }
@@ -360,12 +360,13 @@
 
 #[tokio::test]
 async fn failed_calls_are_distinguished() {
-    let truncated = Act::WriteAndClose("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"items\"".into());
+    let truncated =
+        ScriptStep::WriteAndClose("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"items\"".into());
     let cases = [
         ("history expired", reply("410 Gone", "{}"), "HistoryGone"),
         ("temporary refusal", reply("503 Service Unavailable", "{}"), "Unavailable"),
         ("too many calls", reply("429 Too Many Requests", "{}"), "Unavailable"),
-        ("lost response", Act::WriteAndReset(String::new()), "Unavailable"),
+        ("lost response", ScriptStep::WriteAndReset(String::new()), "Unavailable"),
         ("truncated response", truncated, "Unavailable"),
         ("invalid JSON", reply("200 OK", "hello"), "Unreadable"),
     ];
@@ -382,7 +383,8 @@
 #[tokio::test]
 async fn a_call_after_a_lost_response_succeeds() {
     let page = format!(r#"{{"items":[{}],"hasMore":false,"currentRev":9}}"#, server("i-1", "ready"));
-    let (mut store, server) = store(vec![Act::WriteAndReset(String::new()), reply("200 OK", &page)]).await;
+    let (mut store, server) =
+        store(vec![ScriptStep::WriteAndReset(String::new()), reply("200 OK", &page)]).await;
 
     store.backends(call(None)).await.unwrap_err();
     let second = store.backends(call(None)).await;
--- a/tests/relay_evacuations.rs
+++ b/tests/relay_evacuations.rs
@@ -16,7 +16,7 @@
 };
 use proptest::prelude::*;
 use relay_support::rev;
-use wire::{Act, Host, Server, header, ok, request, status};
+use wire::{Host, ScriptStep, Server, header, ok, request, status};
 
 const NOW: Duration = Duration::from_secs(100);
 
@@ -92,8 +92,8 @@
 /// from then on, and by the near one again once it is taken back.
 #[tokio::test]
 async fn an_evacuated_data_centre_gets_no_new_requests() {
-    let near = Server::start("near", vec![Act::Write(ok("near")); 4]).await;
-    let far = Server::start("far", vec![Act::Write(ok("far")); 4]).await;
+    let near = Server::start("near", vec![ScriptStep::Write(ok("near")); 4]).await;
+    let far = Server::start("far", vec![ScriptStep::Write(ok("far")); 4]).await;
     let host = Host::with(&[&near, &far]).await;
 
     let before = host.call(&request("/safe/1", "")).await;
@@ -111,8 +111,8 @@
 /// there.
 #[tokio::test]
 async fn a_retry_avoids_an_evacuated_data_centre() {
-    let near = Server::start("near", vec![Act::WriteAndReset(String::new()); 4]).await;
-    let far = Server::start("far", vec![Act::Write(ok("far")); 4]).await;
+    let near = Server::start("near", vec![ScriptStep::WriteAndReset(String::new()); 4]).await;
+    let far = Server::start("far", vec![ScriptStep::Write(ok("far")); 4]).await;
     let host = Host::with(&[&near, &far]).await;
     host.relay.update_evacuations(&changed(5, "b", true), "test");
 
@@ -126,7 +126,7 @@
 /// that nothing ran and when to retry, and no server may be asked.
 #[tokio::test]
 async fn requests_for_a_fully_evacuated_service_are_refused() {
-    let near = Server::start("near", vec![Act::Write(ok("near")); 2]).await;
+    let near = Server::start("near", vec![ScriptStep::Write(ok("near")); 2]).await;
     let host = Host::with(&[&near]).await;
     host.relay.update_evacuations(&changed(5, "a", true), "test");
 
--- a/tests/relay_faults.rs
+++ b/tests/relay_faults.rs
@@ -11,13 +11,14 @@
 use cranberrytally::metrics::Counter;
 use tokio::net::TcpSocket;
 use wire::{
-    Act, Host, Server, answer, chunk, event, events, is_whole, not_run, ok, request, status, stream_head,
+    Host, ScriptStep, Server, answer, chunk, event, events, is_whole, not_run, ok, request, status,
+    stream_head,
 };
 
 /// A fault of the server that is asked first.
 struct Case {
     name: &'static str,
-    act: Act,
+    act: ScriptStep,
     /// Whether a non-idempotent request is sent to the second server.
     unsafe_is_retried: bool,
     /// Status of a non-idempotent request.
@@ -31,14 +32,19 @@
     let unsigned = ok("unsigned").replace("Response-Seal: s1\r\n", "");
     let moved = "HTTP/1.1 421 Misdirected Request\r\nInstance-Id: i-x\r\nContent-Length: 0\r\n\r\n";
     vec![
-        case("says that it did not run the request", Act::Write(not_run()), true, 200),
-        case("is another server", Act::Write(moved.into()), true, 200),
-        case("resets before an answer", Act::WriteAndReset(String::new()), false, 502),
-        case("closes before an answer", Act::WriteAndClose(String::new()), false, 502),
-        case("cuts the body", Act::WriteAndClose(ok("whole").replace("whole", "wh")), false, 502),
-        case("answers another request", Act::Write(foreign), false, 502),
-        case("answers without its signature", Act::Write(unsigned), false, 502),
-        case("writes bytes that are no answer", Act::WriteAndClose("garbage\r\n\r\n".into()), false, 502),
+        case("says that it did not run the request", ScriptStep::Write(not_run()), true, 200),
+        case("is another server", ScriptStep::Write(moved.into()), true, 200),
+        case("resets before an answer", ScriptStep::WriteAndReset(String::new()), false, 502),
+        case("closes before an answer", ScriptStep::WriteAndClose(String::new()), false, 502),
+        case("cuts the body", ScriptStep::WriteAndClose(ok("whole").replace("whole", "wh")), false, 502),
+        case("answers another request", ScriptStep::Write(foreign), false, 502),
+        case("answers without its signature", ScriptStep::Write(unsigned), false, 502),
+        case(
+            "writes bytes that are no answer",
+            ScriptStep::WriteAndClose("garbage\r\n\r\n".into()),
+            false,
+            502,
+        ),
     ]
 }
 
@@ -52,7 +58,7 @@
             [("/safe/x", true, 200), ("/unsafe/x", case.unsafe_is_retried, case.unsafe_status)]
         {
             let first = Server::start("i-1", [case.act.clone()]).await;
-            let second = Server::start("i-2", [Act::Write(ok("fine"))]).await;
+            let second = Server::start("i-2", [ScriptStep::Write(ok("fine"))]).await;
             let host = Host::with(&[&first, &second]).await;
 
             let answer = host.call(&request(path, "body")).await;
@@ -70,8 +76,10 @@
 #[tokio::test]
 async fn an_error_of_the_server_is_passed_on_unchanged() {
     for (path, attempts) in [("/unsafe/x", 1), ("/safe/x", 2)] {
-        let first = Server::start("i-1", [Act::Write(answer("500 Internal Server Error", "no"))]).await;
-        let second = Server::start("i-2", [Act::Write(answer("500 Internal Server Error", "no"))]).await;
+        let first =
+            Server::start("i-1", [ScriptStep::Write(answer("500 Internal Server Error", "no"))]).await;
+        let second =
+            Server::start("i-2", [ScriptStep::Write(answer("500 Internal Server Error", "no"))]).await;
         let host = Host::with(&[&first, &second]).await;
 
         let answer = host.call(&request(path, "")).await;
@@ -88,7 +96,7 @@
     // The port stays bound without accepting connections, so that no other test can get it.
     let bound = TcpSocket::new_v4().unwrap();
     bound.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    let mut gone = Server::start("i-1", [Act::Hang]).await;
+    let mut gone = Server::start("i-1", [ScriptStep::Hang]).await;
     gone.addr = bound.local_addr().unwrap();
     let host = Host::with(&[&gone]).await;
 
@@ -104,7 +112,7 @@
 #[tokio::test]
 async fn extra_bytes_after_an_answer_are_discarded() {
     let extra = ok("first") + &ok("extra");
-    let server = Server::start("i-1", [Act::Write(extra), Act::Write(ok("second"))]).await;
+    let server = Server::start("i-1", [ScriptStep::Write(extra), ScriptStep::Write(ok("second"))]).await;
     let host = Host::with(&[&server]).await;
 
     let first = host.call(&request("/unsafe/x", "")).await;
@@ -118,7 +126,7 @@
 /// on a new connection, even if it is not idempotent.
 #[tokio::test]
 async fn a_closed_idle_connection_fails_no_request() {
-    let server = Server::start("i-1", [Act::WriteAndClose(ok("a")), Act::Write(ok("b"))]).await;
+    let server = Server::start("i-1", [ScriptStep::WriteAndClose(ok("a")), ScriptStep::Write(ok("b"))]).await;
     let host = Host::with(&[&server]).await;
     host.call(&request("/unsafe/x", "")).await;
     wire::until("the close", || host.relay.idle_connections() == 0).await;
@@ -134,8 +142,8 @@
 async fn a_resumable_stream_continues_after_its_last_complete_event() {
     let begun = stream_head() + &chunk(&event(1)) + &chunk(&event(2)) + &chunk("id: 3\nda");
     let rest = stream_head() + &chunk(&event(3)) + &chunk(&event(4)) + "0\r\n\r\n";
-    let first = Server::start("i-1", [Act::WriteAndReset(begun)]).await;
-    let second = Server::start("i-2", [Act::Write(rest)]).await;
+    let first = Server::start("i-1", [ScriptStep::WriteAndReset(begun)]).await;
+    let second = Server::start("i-2", [ScriptStep::Write(rest)]).await;
     let host = Host::with(&[&first, &second]).await;
 
     let answer = host.call(&request("/stream/x", "")).await;
@@ -152,8 +160,8 @@
     for number in [2, 4] {
         let begun = stream_head() + &chunk(&event(1)) + &chunk(&event(2));
         let rest = stream_head() + &chunk(&event(number)) + "0\r\n\r\n";
-        let first = Server::start("i-1", [Act::WriteAndReset(begun)]).await;
-        let second = Server::start("i-2", [Act::Write(rest)]).await;
+        let first = Server::start("i-1", [ScriptStep::WriteAndReset(begun)]).await;
+        let second = Server::start("i-2", [ScriptStep::Write(rest)]).await;
         let host = Host::with(&[&first, &second]).await;
 
         let answer = host.call(&request("/stream/x", "")).await;
@@ -168,8 +176,8 @@
 #[tokio::test]
 async fn a_stream_that_is_not_resumable_is_visibly_truncated() {
     let begun = stream_head() + &chunk(&event(1)) + &chunk("id: 2\n");
-    let first = Server::start("i-1", [Act::WriteAndClose(begun)]).await;
-    let second = Server::start("i-2", [Act::Write(ok("fine"))]).await;
+    let first = Server::start("i-1", [ScriptStep::WriteAndClose(begun)]).await;
+    let second = Server::start("i-2", [ScriptStep::Write(ok("fine"))]).await;
     let host = Host::with(&[&first, &second]).await;
 
     let answer = host.call(&request("/once/x", "")).await;
@@ -183,7 +191,7 @@
 /// the request.
 #[tokio::test]
 async fn the_server_connection_closes_when_the_caller_disconnects() {
-    let server = Server::start("i-1", [Act::Hang]).await;
+    let server = Server::start("i-1", [ScriptStep::Hang]).await;
     let host = Host::with(&[&server]).await;
     let mut caller = host.connect().await;
     caller.send(&request("/once/x", "")).await;
@@ -200,7 +208,7 @@
 async fn a_content_that_crashes_servers_is_quarantined() {
     let mut servers = Vec::new();
     for i in 0..5 {
-        servers.push(Server::start(&format!("i-{i}"), [Act::Crash]).await);
+        servers.push(Server::start(&format!("i-{i}"), [ScriptStep::Crash]).await);
     }
     let host = Host::with(&servers.iter().collect::<Vec<_>>()).await;
 
@@ -209,7 +217,7 @@
         statuses.push(status(&host.call(&request("/unsafe/x", "crash")).await));
     }
     let runs: usize = servers.iter().map(|s| s.seen().len()).sum();
-    let healthy = Server::start("i-9", [Act::Write(ok("fine"))]).await;
+    let healthy = Server::start("i-9", [ScriptStep::Write(ok("fine"))]).await;
     host.list_more(&healthy);
     let other = host.call(&request("/unsafe/x", "harmless")).await;
 
@@ -223,7 +231,7 @@
 /// together; they are now asked to retry later, but not after more than a third of their time.
 #[tokio::test]
 async fn a_caller_that_found_all_servers_full_is_asked_to_retry_late() {
-    let server = Server::start("i-1", [Act::Write(not_run())]).await;
+    let server = Server::start("i-1", [ScriptStep::Write(not_run())]).await;
     let host = Host::with(&[&server]).await;
     let begun = Instant::now();
 
--- a/tests/relay_input.rs
+++ b/tests/relay_input.rs
@@ -9,10 +9,10 @@
 
 use cranberrytally::{platform::settings::Settings, relay::follow::BackendsUpdate, schema::fleet::Backends};
 use relay_support::rev;
-use wire::{Act, Host, Server, header, ok, request, status};
+use wire::{Host, ScriptStep, Server, header, ok, request, status};
 
 async fn server() -> Server {
-    Server::start("i-1", [Act::Write(ok("fine"))]).await
+    Server::start("i-1", [ScriptStep::Write(ok("fine"))]).await
 }
 
 /// Each of these is answered with its own error and reaches no server.
@@ -203,7 +203,7 @@
 /// broke off resumes it: this is never rejected, since the work already done for it would be lost.
 #[tokio::test]
 async fn a_resumed_stream_is_not_rejected() {
-    let server = Server::start("i-1", [Act::Hang]).await;
+    let server = Server::start("i-1", [ScriptStep::Hang]).await;
     let host = Host::with(&[&server]).await;
     let again = request("/once/x", "").replace("\r\n\r\n", "\r\nLast-Event-Id: 2\r\n\r\n");
     let mut callers = Vec::new();
--- a/tests/relay_told.rs
+++ b/tests/relay_told.rs
@@ -13,11 +13,11 @@
     schema::fleet::Backend,
 };
 use relay_support::rev;
-use wire::{Act, Host, Server, answer, chunk, event, not_run, ok, request, status, stream_head};
+use wire::{Host, ScriptStep, Server, answer, chunk, event, not_run, ok, request, status, stream_head};
 
 /// A response with one more header.
-fn with_header(text: &str, name: &str, value: &str) -> Act {
-    Act::Write(text.replacen("\r\n", &format!("\r\n{name}: {value}\r\n"), 1))
+fn with_header(text: &str, name: &str, value: &str) -> ScriptStep {
+    ScriptStep::Write(text.replacen("\r\n", &format!("\r\n{name}: {value}\r\n"), 1))
 }
 
 /// A complete stream of twelve events.
@@ -27,10 +27,11 @@
 }
 
 /// Number of requests that reach the first of two servers after it has answered one with `first_response`.
-async fn later_requests(path: &str, first_response: Act) -> usize {
-    let first = Server::start("i-1", [first_response, Act::Write(ok("fine"))]).await;
+async fn later_requests(path: &str, first_response: ScriptStep) -> usize {
+    let first = Server::start("i-1", [first_response, ScriptStep::Write(ok("fine"))]).await;
     let second =
-        Server::start("i-2", [Act::Write(if path == "/stream/x" { stream() } else { ok("fine") })]).await;
+        Server::start("i-2", [ScriptStep::Write(if path == "/stream/x" { stream() } else { ok("fine") })])
+            .await;
     let host = Host::with(&[&first, &second]).await;
     host.call(&request(path, "")).await;
     assert_eq!(first.seen().len(), 1, "the first request reaches the first server");
@@ -83,7 +84,8 @@
 #[tokio::test]
 async fn callers_are_refused_at_once_while_all_servers_ask_for_a_pause() {
     let server =
-        Server::start("i-1", [with_header(&not_run(), "Retry-After", "30"), Act::Write(ok("fine"))]).await;
+        Server::start("i-1", [with_header(&not_run(), "Retry-After", "30"), ScriptStep::Write(ok("fine"))])
+            .await;
     let host = Host::with(&[&server]).await;
 
     let answers = [host.call(&request("/unsafe/x", "")).await, host.call(&request("/safe/x", "")).await];
@@ -144,7 +146,7 @@
 #[tokio::test]
 async fn only_a_later_start_ends_the_leaving_of_a_server() {
     let first = Server::start("i-1", [with_header(&ok("fine"), "Server-Leaving", "1")]).await;
-    let second = Server::start("i-2", [Act::Write(ok("fine"))]).await;
+    let second = Server::start("i-2", [ScriptStep::Write(ok("fine"))]).await;
     let host = Host::with(&[&first, &second]).await;
     let entry = |born| Backend {
         id: "i-1".into(),
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -19,7 +19,7 @@
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use relay_support::{listed, rev};
-use wire::{Act, Host, Server, configuration, header, ok, request, status};
+use wire::{Host, ScriptStep, Server, configuration, header, ok, request, status};
 
 const TAG: u32 = 77;
 const LIMIT: ColdLimit = ColdLimit { duration: Duration::from_secs(3), per_second: 11.0 };
@@ -182,8 +182,8 @@
 /// The nearest server has just restarted cold. While another server has a free slot, requests go there.
 #[tokio::test]
 async fn a_cold_server_gets_no_requests_while_another_has_room() {
-    let near = Server::start("near", vec![Act::Write(ok("near")); 4]).await;
-    let far = Server::start("far", vec![Act::Write(ok("far")); 4]).await;
+    let near = Server::start("near", vec![ScriptStep::Write(ok("near")); 4]).await;
+    let far = Server::start("far", vec![ScriptStep::Write(ok("far")); 4]).await;
     let host = Host::with(&[&near, &far]).await;
     host.relay.set_configuration(cold_configuration(600), "test");
 
@@ -198,8 +198,8 @@
 #[tokio::test]
 async fn servers_are_cold_after_the_evacuation_of_their_data_centre() {
     use cranberrytally::relay::evacuations::Update;
-    let near = Server::start("near", vec![Act::Write(ok("near")); 4]).await;
-    let far = Server::start("far", vec![Act::Write(ok("far")); 4]).await;
+    let near = Server::start("near", vec![ScriptStep::Write(ok("near")); 4]).await;
+    let far = Server::start("far", vec![ScriptStep::Write(ok("far")); 4]).await;
     let host = Host::with(&[&near, &far]).await;
     host.relay.set_configuration(cold_configuration(600), "test");
 
@@ -215,7 +215,7 @@
 /// Every server of a service is cold and takes no more requests. Callers must learn at once that nothing ran.
 #[tokio::test]
 async fn requests_are_refused_while_all_servers_are_cold() {
-    let near = Server::start("near", vec![Act::Write(ok("near")); 4]).await;
+    let near = Server::start("near", vec![ScriptStep::Write(ok("near")); 4]).await;
     let host = Host::with(&[&near]).await;
     host.relay.set_configuration(cold_configuration(0), "test");
     report_cold(&host, &near, "a");
@@ -233,8 +233,8 @@
 /// backoff.
 #[tokio::test]
 async fn an_unreachable_server_counts_as_cold() {
-    let near = Server::start("near", vec![Act::Crash]).await;
-    let far = Server::start("far", vec![Act::Write(ok("far")); 8]).await;
+    let near = Server::start("near", vec![ScriptStep::Crash]).await;
+    let far = Server::start("far", vec![ScriptStep::Write(ok("far")); 8]).await;
     let host = Host::with(&[&near, &far]).await;
     let mut cfg = cold_configuration(600);
     cfg.services[0].cold_ms = 60_000;
--- a/tests/support/wire.rs
+++ b/tests/support/wire.rs
@@ -30,7 +30,7 @@
 
 /// What a scripted server does with one request.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum ScriptStep {
     /// Writes these bytes and keeps the connection.
     Write(String),
     /// Writes these bytes and closes.
@@ -56,7 +56,7 @@
 
 impl Server {
     /// Starts a server with a script; `{id}` in it stands for the request's identifier.
-    pub async fn start(id: &str, script: impl Into<Vec<Act>>) -> Self {
+    pub async fn start(id: &str, script: impl Into<Vec<ScriptStep>>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let server = Self {
             id: id.into(),
@@ -85,7 +85,12 @@
         server
     }
 
-    async fn serve(self, mut stream: TcpStream, script: Arc<Vec<Act>>, crash: mpsc::Sender<TcpStream>) {
+    async fn serve(
+        self,
+        mut stream: TcpStream,
+        script: Arc<Vec<ScriptStep>>,
+        crash: mpsc::Sender<TcpStream>,
+    ) {
         while let Some(req) = read_request(&mut stream).await {
             let at = {
                 let mut seen = self.seen.lock().unwrap();
@@ -96,21 +101,21 @@
             let id = header(&req, "attempt-id").unwrap_or_default();
             let write = |text: &str| text.replace("{id}", &id).into_bytes();
             match act {
-                Act::Write(text) => stream.write_all(&write(&text)).await.unwrap(),
-                Act::WriteAndClose(text) => {
+                ScriptStep::Write(text) => stream.write_all(&write(&text)).await.unwrap(),
+                ScriptStep::WriteAndClose(text) => {
                     stream.write_all(&write(&text)).await.unwrap();
                     return;
                 }
-                Act::WriteAndReset(text) => {
+                ScriptStep::WriteAndReset(text) => {
                     stream.write_all(&write(&text)).await.unwrap();
                     reset(stream);
                     return;
                 }
-                Act::Crash => {
+                ScriptStep::Crash => {
                     let _ = crash.send(stream).await;
                     return;
                 }
-                Act::Hang => {
+                ScriptStep::Hang => {
                     let _ = stream.read(&mut [0]).await;
                     *self.closed.lock().unwrap() += 1;
                     return;
