--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -88,7 +88,7 @@
 
     let cfg = cfg.unwrap();
     assert_eq!((revision, cfg.version), (rev(530), 7));
-    assert_eq!(target(&server.seen()[0]), "/objects/config");
+    assert_eq!(target(&server.requests()[0]), "/objects/config");
     let kinds: Vec<_> = cfg.routes.iter().map(|r| (r.repeat(), r.open, r.resumable, r.prompts)).collect();
     let expected = [
         (Repeat::Stream, false, true, true),
@@ -118,7 +118,7 @@
     let BackendsUpdate::List(list) = update else { panic!("{update:?}") };
     assert_eq!(list.revision, 10, "changes since the first page must be watched");
     assert_eq!(list.items.iter().map(|i| i.id.as_str()).collect::<Vec<_>>(), ["i 1", "i-2"]);
-    assert_eq!(target(&server.seen()[1]), "/objects/servers?after=i+1");
+    assert_eq!(target(&server.requests()[1]), "/objects/servers?after=i+1");
 }
 
 #[tokio::test]
@@ -135,7 +135,7 @@
     let BackendsUpdate::Changes { revision, puts, removed } = update else { panic!("{update:?}") };
     assert_eq!((revision, puts.len(), removed), (rev(533), 1, vec!["i-3".to_owned()]));
     assert!(puts[0].leaving);
-    assert!(target(&server.seen()[0]).starts_with("/objects/servers?watch=530&waitMs="));
+    assert!(target(&server.requests()[0]).starts_with("/objects/servers?watch=530&waitMs="));
 }
 
 /// A list has many pages. A starting host first leaves reading it to its peers, so that the hosts of a large fleet do not all
@@ -148,7 +148,7 @@
     let e = store.backends(Call { allow_large: false, ..call(None) }).await.unwrap_err();
 
     assert_eq!(e, StoreError::Long);
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
 /// A starting host reads a stale copy on every page: it costs a tenth, and peers with newer data send what is missing.
@@ -170,7 +170,7 @@
     store.backends(stale_ok).await.unwrap();
     store.configuration(stale_ok).await.unwrap();
 
-    let seen = server.seen();
+    let seen = server.requests();
     let targets: Vec<_> = seen.iter().map(|r| target(r)).collect();
     let expected =
         ["/objects/servers?staleOk=1", "/objects/servers?after=i-1&staleOk=1", "/objects/config?staleOk=1"];
@@ -208,7 +208,7 @@
 
     assert!(matches!(first, Err(StoreError::Large { bytes }) if bytes > 70 << 10), "{first:?}");
     assert_eq!(second.unwrap().1.map(|cfg| cfg.version), Some(7));
-    assert_eq!(server.seen().len(), 2);
+    assert_eq!(server.requests().len(), 2);
 }
 
 /// The head of a response arrives at once and its body later, as on a congested link. A client that timed out would start
@@ -390,7 +390,7 @@
     let second = store.backends(call(None)).await;
 
     assert!(second.is_ok(), "{second:?}");
-    assert_eq!(server.seen().len(), 2);
+    assert_eq!(server.requests().len(), 2);
 }
 
 fn member() -> Member {
@@ -420,9 +420,9 @@
         store.register_hosts("a 1", &hosts).await.unwrap();
 
         let seen: Vec<_> =
-            server.seen().iter().map(|r| r.split(" HTTP").next().unwrap().to_owned()).collect();
+            server.requests().iter().map(|r| r.split(" HTTP").next().unwrap().to_owned()).collect();
         assert_eq!(seen, expected, "{name}");
-        assert!(server.seen()[0].contains("10.0.0.1:7000") && server.seen()[0].contains("59"));
+        assert!(server.requests()[0].contains("10.0.0.1:7000") && server.requests()[0].contains("59"));
     }
     let (mut store, _) = store(vec![reply("503 Service Unavailable", "{}")]).await;
     store.register_hosts("a 1", &hosts).await.unwrap_err();
@@ -441,7 +441,7 @@
     let hosts = store.hosts().await.unwrap();
 
     assert_eq!(hosts, Hosts { sample: vec![member()], count: 59 });
-    assert_eq!(target(&server.seen()[0]), "/objects/hosts?staleOk=1");
+    assert_eq!(target(&server.requests()[0]), "/objects/hosts?staleOk=1");
 }
 
 /// After the store was restored, a watch must not continue from an old revision, and a list must not mix two epochs.
--- a/tests/relay_evacuations.rs
+++ b/tests/relay_evacuations.rs
@@ -104,7 +104,7 @@
 
     assert!(before.ends_with("near") && after.ends_with("near"), "{before} {after}");
     assert!(during.iter().all(|answer| answer.ends_with("far")), "{during:?}");
-    assert_eq!(near.seen().len(), 2);
+    assert_eq!(near.requests().len(), 2);
 }
 
 /// The only other server is in an evacuated data centre. A request that fails at the first server must not be retried
@@ -119,7 +119,7 @@
     let answer = host.call(&request("/safe/1", "")).await;
 
     assert_ne!(status(&answer), 200, "{answer}");
-    assert_eq!(far.seen().len(), 0);
+    assert_eq!(far.requests().len(), 0);
 }
 
 /// All data centres with servers of a service are evacuated at once. Callers must get an immediate refusal that says
@@ -136,7 +136,7 @@
     assert!(answer.contains("evacuated"), "{answer}");
     let after: f64 = header(&answer, "retry-after").unwrap().parse().unwrap();
     assert!(after > 0.2, "{after}");
-    assert_eq!(near.seen().len(), 0);
+    assert_eq!(near.requests().len(), 0);
 }
 
 /// The store is restored to a state before an operator evacuated a data centre. Guards against requests that go there
--- a/tests/relay_faults.rs
+++ b/tests/relay_faults.rs
@@ -65,8 +65,8 @@
 
             let name = format!("{path}: a server that {}", case.name);
             assert_eq!(status(&answer), expected, "{name}: {answer}");
-            assert_eq!(first.seen().len(), 1, "{name}");
-            assert_eq!(second.seen().len(), usize::from(is_retried), "{name}");
+            assert_eq!(first.requests().len(), 1, "{name}");
+            assert_eq!(second.requests().len(), usize::from(is_retried), "{name}");
         }
     }
 }
@@ -86,7 +86,7 @@
 
         assert_eq!(status(&answer), 500);
         assert_eq!(wire::header(&answer, "response-seal").as_deref(), Some("s1"));
-        assert_eq!(first.seen().len() + second.seen().len(), attempts, "{path}");
+        assert_eq!(first.requests().len() + second.requests().len(), attempts, "{path}");
     }
 }
 
@@ -150,7 +150,7 @@
 
     assert_eq!(events(&answer), ["e1", "e2", "e3", "e4"]);
     assert!(is_whole(&answer), "{answer}");
-    assert_eq!(wire::header(&second.seen()[0], "last-event-id").as_deref(), Some("2"));
+    assert_eq!(wire::header(&second.requests()[0], "last-event-id").as_deref(), Some("2"));
 }
 
 /// The server that takes over a stream resumes it at a different event than requested. The caller must not miss
@@ -184,7 +184,7 @@
 
     assert_eq!(events(&answer), ["e1"]);
     assert!(!is_whole(&answer), "{answer}");
-    assert_eq!(second.seen().len(), 0);
+    assert_eq!(second.requests().len(), 0);
 }
 
 /// A caller disconnects while its answer is pending. The server's connection is closed, so that it stops working on
@@ -195,7 +195,7 @@
     let host = Host::with(&[&server]).await;
     let mut caller = host.connect().await;
     caller.send(&request("/once/x", "")).await;
-    wire::until("the request", || server.seen().len() == 1).await;
+    wire::until("the request", || server.requests().len() == 1).await;
 
     drop(caller);
 
@@ -216,7 +216,7 @@
     for _ in 0..4 {
         statuses.push(status(&host.call(&request("/unsafe/x", "crash")).await));
     }
-    let runs: usize = servers.iter().map(|s| s.seen().len()).sum();
+    let runs: usize = servers.iter().map(|s| s.requests().len()).sum();
     let healthy = Server::start("i-9", [ScriptStep::Write(ok("fine"))]).await;
     host.list_more(&healthy);
     let other = host.call(&request("/unsafe/x", "harmless")).await;
--- a/tests/relay_input.rs
+++ b/tests/relay_input.rs
@@ -38,7 +38,7 @@
         let answer = host.call(&req).await;
 
         assert_eq!(status(&answer), expected, "{name}: {answer}");
-        assert_eq!(server.seen().len(), 0, "{name}");
+        assert_eq!(server.requests().len(), 0, "{name}");
     }
 }
 
@@ -58,7 +58,7 @@
     // Once a later request has been answered, the truncated one would have run.
     host.call(&request("/unsafe/y", "")).await;
 
-    assert!(server.seen().iter().all(|req| !req.contains("/unsafe/x")), "{:?}", server.seen());
+    assert!(server.requests().iter().all(|req| !req.contains("/unsafe/x")), "{:?}", server.requests());
 }
 
 /// A request hides another one in its body, by means of two conflicting lengths. A server must never see the hidden
@@ -74,7 +74,8 @@
     host.call(&both).await;
     host.call(&request("/unsafe/x", hidden)).await;
 
-    let heads: Vec<_> = server.seen().iter().filter_map(|r| r.lines().next().map(str::to_owned)).collect();
+    let heads: Vec<_> =
+        server.requests().iter().filter_map(|r| r.lines().next().map(str::to_owned)).collect();
     assert!(heads.iter().all(|head| !head.contains("hidden")), "{heads:?}");
 }
 
@@ -90,7 +91,7 @@
 
     host.call(&req).await;
 
-    let seen = server.seen().remove(0);
+    let seen = server.requests().remove(0);
     assert_eq!(header(&seen, "tenant").as_deref(), Some("travel"));
     assert_eq!(header(&seen, "expected-instance").as_deref(), Some("i-1"));
     assert_eq!(header(&seen, "attempt-id").as_deref(), Some("r1"));
@@ -212,14 +213,14 @@
         let mut caller = host.connect().await;
         caller.send(&again).await;
         callers.push(caller);
-        wire::until("it is sent", || server.seen().len() == n).await;
+        wire::until("it is sent", || server.requests().len() == n).await;
     }
 
     let refused = host.call(&request("/once/x", "")).await;
 
     assert_eq!(status(&refused), 503, "{refused}");
     assert!(refused.contains("overloaded"), "{refused}");
-    assert_eq!(server.seen().len(), 60);
+    assert_eq!(server.requests().len(), 60);
 }
 
 const SETTINGS: &str = r#"{
--- a/tests/relay_told.rs
+++ b/tests/relay_told.rs
@@ -34,12 +34,12 @@
             .await;
     let host = Host::with(&[&first, &second]).await;
     host.call(&request(path, "")).await;
-    assert_eq!(first.seen().len(), 1, "the first request reaches the first server");
+    assert_eq!(first.requests().len(), 1, "the first request reaches the first server");
 
     for _ in 0..3 {
         host.call(&request("/unsafe/x", "")).await;
     }
-    first.seen().len() - 1
+    first.requests().len() - 1
 }
 
 /// Guards against work for a server whose responses say that it is leaving while the store is unavailable.
@@ -95,7 +95,7 @@
         let after: f64 = wire::header(&answer, "retry-after").unwrap().parse().unwrap();
         assert!(after > 20.0 && after <= 30.0, "{after}");
     }
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
 /// Guards against a pause that is cut short by a later, shorter one or by a successful answer, and against one that
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -225,7 +225,7 @@
     assert_eq!(status(&answer), 503, "{answer}");
     assert!(answer.contains("warming_up"), "{answer}");
     assert!(header(&answer, "retry-after").is_some());
-    assert_eq!(near.seen().len(), 0);
+    assert_eq!(near.requests().len(), 0);
 }
 
 /// The nearest server refuses connections, and is back before an entry with its new start time arrives. The first
@@ -245,7 +245,7 @@
     let later = host.call(&request("/safe/3", "")).await;
 
     assert!(answers.iter().all(|a| a.ends_with("far")) && later.ends_with("far"), "{answers:?} {later}");
-    assert_eq!(near.seen().len(), 1);
+    assert_eq!(near.requests().len(), 1);
 }
 
 /// A server answers again without a new entry. It counts as cold for the same period after its first answer as
--- a/tests/support/wire.rs
+++ b/tests/support/wire.rs
@@ -125,7 +125,7 @@
     }
 
     /// Requests that have arrived, each as its head and body.
-    pub fn seen(&self) -> Vec<String> {
+    pub fn requests(&self) -> Vec<String> {
         self.seen.lock().unwrap().clone()
     }
 
