--- a/tests/relay_faults.rs
+++ b/tests/relay_faults.rs
@@ -199,7 +199,7 @@
 
     drop(caller);
 
-    wire::until("the close of the server's connection", || server.closed() == 1).await;
+    wire::until("the close of the server's connection", || server.closed_connections() == 1).await;
 }
 
 /// A content crashes every server that starts to run it, and its caller keeps sending it. It is refused, as not
--- a/tests/support/wire.rs
+++ b/tests/support/wire.rs
@@ -130,7 +130,7 @@
     }
 
     /// Connections that the other side closed while this server said nothing.
-    pub fn closed(&self) -> usize {
+    pub fn closed_connections(&self) -> usize {
         *self.closed.lock().unwrap()
     }
 }
