--- a/tests/relay_faults.rs
+++ b/tests/relay_faults.rs
@@ -11,7 +11,7 @@
 use cranberrytally::metrics::Counter;
 use tokio::net::TcpSocket;
 use wire::{
-    Host, ScriptStep, Server, answer, chunk, event, events, is_whole, not_run, ok, request, status,
+    Host, ScriptStep, Server, answer, chunk, event, events, is_complete, not_run, ok, request, status,
     stream_head,
 };
 
@@ -149,7 +149,7 @@
     let answer = host.call(&request("/stream/x", "")).await;
 
     assert_eq!(events(&answer), ["e1", "e2", "e3", "e4"]);
-    assert!(is_whole(&answer), "{answer}");
+    assert!(is_complete(&answer), "{answer}");
     assert_eq!(wire::header(&second.requests()[0], "last-event-id").as_deref(), Some("2"));
 }
 
@@ -167,7 +167,7 @@
         let answer = host.call(&request("/stream/x", "")).await;
 
         assert_eq!(events(&answer), ["e1", "e2"], "{number}");
-        assert!(!is_whole(&answer), "{number}");
+        assert!(!is_complete(&answer), "{number}");
     }
 }
 
@@ -183,7 +183,7 @@
     let answer = host.call(&request("/once/x", "")).await;
 
     assert_eq!(events(&answer), ["e1"]);
-    assert!(!is_whole(&answer), "{answer}");
+    assert!(!is_complete(&answer), "{answer}");
     assert_eq!(second.requests().len(), 0);
 }
 
--- a/tests/support/soak/caller.rs
+++ b/tests/support/soak/caller.rs
@@ -21,7 +21,7 @@
     checks::{End, Kind, Record, Seen},
     hosts::Hosts,
 };
-use crate::wire::{events, is_whole, status};
+use crate::wire::{events, is_complete, status};
 
 /// A key that stays.
 pub const KEY: &str = "k1";
@@ -90,7 +90,7 @@
     let mut buf = Vec::new();
     loop {
         let text = String::from_utf8_lossy(&buf).into_owned();
-        if is_whole(&text) {
+        if is_complete(&text) {
             return End::Whole { status: status(&text), data: data(&text, kind, id) };
         }
         match stream.read_buf(&mut buf).await {
--- a/tests/support/wire.rs
+++ b/tests/support/wire.rs
@@ -326,7 +326,7 @@
         let reading = async {
             loop {
                 let text = String::from_utf8_lossy(&buf).into_owned();
-                if is_whole(&text) || !matches!(self.0.read_buf(&mut buf).await, Ok(n) if n > 0) {
+                if is_complete(&text) || !matches!(self.0.read_buf(&mut buf).await, Ok(n) if n > 0) {
                     return text;
                 }
             }
@@ -336,7 +336,7 @@
 }
 
 /// Whether a raw answer is complete.
-pub fn is_whole(text: &str) -> bool {
+pub fn is_complete(text: &str) -> bool {
     let Some((_, body)) = text.split_once("\r\n\r\n") else { return false };
     match header(text, "content-length") {
         Some(length) => body.len() >= length.parse().unwrap(),
