--- a/tests/support/soak/engine.rs
+++ b/tests/support/soak/engine.rs
@@ -21,7 +21,7 @@
     disturbed,
     store::{Store, server},
 };
-use crate::wire::{chunk, event_of, header, read_request};
+use crate::wire::{chunk, event_with_data, header, read_request};
 
 /// Servers at any time.
 pub const SERVERS: usize = 4;
@@ -266,7 +266,7 @@
     );
     stream.write_all(head.as_bytes()).await?;
     for n in after + 1..=EVENTS {
-        stream.write_all(chunk(&event_of(n, &format!("own {n} {id}"))).as_bytes()).await?;
+        stream.write_all(chunk(&event_with_data(n, &format!("own {n} {id}"))).as_bytes()).await?;
         tokio::time::sleep(GAP).await;
     }
     stream.write_all(b"0\r\n\r\n").await
--- a/tests/support/wire.rs
+++ b/tests/support/wire.rs
@@ -198,11 +198,11 @@
 
 /// One event.
 pub fn event(number: u32) -> String {
-    event_of(number, &format!("e{number}"))
+    event_with_data(number, &format!("e{number}"))
 }
 
 /// One event with data of its own.
-pub fn event_of(number: u32, data: &str) -> String {
+pub fn event_with_data(number: u32, data: &str) -> String {
     format!("id: {number}\ndata: {data}\n\n")
 }
 
