--- a/tests/relay_faults.rs
+++ b/tests/relay_faults.rs
@@ -218,7 +218,7 @@
     }
     let runs: usize = servers.iter().map(|s| s.requests().len()).sum();
     let healthy = Server::start("i-9", [ScriptStep::Write(ok("fine"))]).await;
-    host.list_more(&healthy);
+    host.add_server(&healthy);
     let other = host.call(&request("/unsafe/x", "harmless")).await;
 
     assert_eq!(statuses, [502, 502, 502, 503]);
--- a/tests/support/wire.rs
+++ b/tests/support/wire.rs
@@ -285,7 +285,7 @@
     }
 
     /// Lists one more server, which stands in the host's data centre.
-    pub fn list_more(&self, server: &Server) {
+    pub fn add_server(&self, server: &Server) {
         let put = Backend {
             id: server.id.clone(),
             service: "app".into(),
