--- a/tests/support/wire.rs
+++ b/tests/support/wire.rs
@@ -266,12 +266,12 @@
     pub async fn with(servers: &[&Server]) -> Self {
         let host = Self::empty().await;
         host.relay.set_configuration(configuration(), "test");
-        host.list(servers);
+        host.set_servers(servers);
         host
     }
 
     /// Lists the backend servers. Only the first one stands in the host's data centre and is preferred.
-    pub fn list(&self, servers: &[&Server]) {
+    pub fn set_servers(&self, servers: &[&Server]) {
         let items = servers.iter().enumerate().map(|(i, s)| Backend {
             id: s.id.clone(),
             service: "app".into(),
