--- a/tests/relay_input.rs
+++ b/tests/relay_input.rs
@@ -112,7 +112,7 @@
 /// to retry in a second, since their only retry would fail the same way.
 #[tokio::test]
 async fn a_host_without_configuration_reports_not_run() {
-    let host = Host::empty().await;
+    let host = Host::without_configuration().await;
 
     let mut told = Vec::new();
     while told.last().map(String::as_str) != Some("1.000") && told.len() < 10_000 {
--- a/tests/support/wire.rs
+++ b/tests/support/wire.rs
@@ -251,7 +251,7 @@
 
 impl Host {
     /// A host without configuration.
-    pub async fn empty() -> Self {
+    pub async fn without_configuration() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let mut cfg = relay_config("host-1");
