--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -52,11 +52,11 @@
     let error = ScriptStep::Write(answer("500 Internal Server Error", ""));
     let (sick, sicker) = (Server::start("i-5", [error.clone()]).await, Server::start("i-6", [error]).await);
     let answers = [
-        Host::with(&[&full]).await.call(&named(request("/unsafe/x", ""), "refused-1")).await,
-        Host::with(&[&cut]).await.call(&named(request("/once/x", ""), "cut-1")).await,
-        Host::with(&[&lost]).await.call(&named(request("/unsafe/x", ""), "unknown-1")).await,
-        Host::with(&[&lost]).await.call(&named(request("/nowhere/x", ""), "path-1")).await,
-        Host::with(&[&sick, &sicker]).await.call(&named(request("/safe/x", ""), "error-1")).await,
+        Host::with_servers(&[&full]).await.call(&named(request("/unsafe/x", ""), "refused-1")).await,
+        Host::with_servers(&[&cut]).await.call(&named(request("/once/x", ""), "cut-1")).await,
+        Host::with_servers(&[&lost]).await.call(&named(request("/unsafe/x", ""), "unknown-1")).await,
+        Host::with_servers(&[&lost]).await.call(&named(request("/nowhere/x", ""), "path-1")).await,
+        Host::with_servers(&[&sick, &sicker]).await.call(&named(request("/safe/x", ""), "error-1")).await,
     ];
     let told = |id: &str| output.lines().iter().any(|l| l.contains(id));
     wire::until("the lines", || {
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -48,7 +48,7 @@
     let output = Stuck::default();
     lines::start(output.clone(), u32::MAX).unwrap();
     let server = Server::start("i-1", [ScriptStep::Write(ok("fine"))]).await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
 
     for _ in 0..1_500 {
         assert_eq!(status(&host.call(&request("/unsafe/x", "")).await), 200);
--- a/tests/relay_evacuations.rs
+++ b/tests/relay_evacuations.rs
@@ -94,7 +94,7 @@
 async fn an_evacuated_data_centre_gets_no_new_requests() {
     let near = Server::start("near", vec![ScriptStep::Write(ok("near")); 4]).await;
     let far = Server::start("far", vec![ScriptStep::Write(ok("far")); 4]).await;
-    let host = Host::with(&[&near, &far]).await;
+    let host = Host::with_servers(&[&near, &far]).await;
 
     let before = host.call(&request("/safe/1", "")).await;
     host.relay.update_evacuations(&changed(5, "a", true), "test");
@@ -113,7 +113,7 @@
 async fn a_retry_avoids_an_evacuated_data_centre() {
     let near = Server::start("near", vec![ScriptStep::WriteAndReset(String::new()); 4]).await;
     let far = Server::start("far", vec![ScriptStep::Write(ok("far")); 4]).await;
-    let host = Host::with(&[&near, &far]).await;
+    let host = Host::with_servers(&[&near, &far]).await;
     host.relay.update_evacuations(&changed(5, "b", true), "test");
 
     let answer = host.call(&request("/safe/1", "")).await;
@@ -127,7 +127,7 @@
 #[tokio::test]
 async fn requests_for_a_fully_evacuated_service_are_refused() {
     let near = Server::start("near", vec![ScriptStep::Write(ok("near")); 2]).await;
-    let host = Host::with(&[&near]).await;
+    let host = Host::with_servers(&[&near]).await;
     host.relay.update_evacuations(&changed(5, "a", true), "test");
 
     let answer = host.call(&request("/unsafe/1", "")).await;
--- a/tests/relay_faults.rs
+++ b/tests/relay_faults.rs
@@ -59,7 +59,7 @@
         {
             let first = Server::start("i-1", [case.act.clone()]).await;
             let second = Server::start("i-2", [ScriptStep::Write(ok("fine"))]).await;
-            let host = Host::with(&[&first, &second]).await;
+            let host = Host::with_servers(&[&first, &second]).await;
 
             let answer = host.call(&request(path, "body")).await;
 
@@ -80,7 +80,7 @@
             Server::start("i-1", [ScriptStep::Write(answer("500 Internal Server Error", "no"))]).await;
         let second =
             Server::start("i-2", [ScriptStep::Write(answer("500 Internal Server Error", "no"))]).await;
-        let host = Host::with(&[&first, &second]).await;
+        let host = Host::with_servers(&[&first, &second]).await;
 
         let answer = host.call(&request(path, "")).await;
 
@@ -98,7 +98,7 @@
     bound.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let mut gone = Server::start("i-1", [ScriptStep::Hang]).await;
     gone.addr = bound.local_addr().unwrap();
-    let host = Host::with(&[&gone]).await;
+    let host = Host::with_servers(&[&gone]).await;
 
     let answer = host.call(&request("/unsafe/x", "")).await;
 
@@ -113,7 +113,7 @@
 async fn extra_bytes_after_an_answer_are_discarded() {
     let extra = ok("first") + &ok("extra");
     let server = Server::start("i-1", [ScriptStep::Write(extra), ScriptStep::Write(ok("second"))]).await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
 
     let first = host.call(&request("/unsafe/x", "")).await;
     let second = host.call(&request("/unsafe/x", "").replace("r1", "r2")).await;
@@ -127,7 +127,7 @@
 #[tokio::test]
 async fn a_closed_idle_connection_fails_no_request() {
     let server = Server::start("i-1", [ScriptStep::WriteAndClose(ok("a")), ScriptStep::Write(ok("b"))]).await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     host.call(&request("/unsafe/x", "")).await;
     wire::until("the close", || host.relay.idle_connections() == 0).await;
 
@@ -144,7 +144,7 @@
     let rest = stream_head() + &chunk(&event(3)) + &chunk(&event(4)) + "0\r\n\r\n";
     let first = Server::start("i-1", [ScriptStep::WriteAndReset(begun)]).await;
     let second = Server::start("i-2", [ScriptStep::Write(rest)]).await;
-    let host = Host::with(&[&first, &second]).await;
+    let host = Host::with_servers(&[&first, &second]).await;
 
     let answer = host.call(&request("/stream/x", "")).await;
 
@@ -162,7 +162,7 @@
         let rest = stream_head() + &chunk(&event(number)) + "0\r\n\r\n";
         let first = Server::start("i-1", [ScriptStep::WriteAndReset(begun)]).await;
         let second = Server::start("i-2", [ScriptStep::Write(rest)]).await;
-        let host = Host::with(&[&first, &second]).await;
+        let host = Host::with_servers(&[&first, &second]).await;
 
         let answer = host.call(&request("/stream/x", "")).await;
 
@@ -178,7 +178,7 @@
     let begun = stream_head() + &chunk(&event(1)) + &chunk("id: 2\n");
     let first = Server::start("i-1", [ScriptStep::WriteAndClose(begun)]).await;
     let second = Server::start("i-2", [ScriptStep::Write(ok("fine"))]).await;
-    let host = Host::with(&[&first, &second]).await;
+    let host = Host::with_servers(&[&first, &second]).await;
 
     let answer = host.call(&request("/once/x", "")).await;
 
@@ -192,7 +192,7 @@
 #[tokio::test]
 async fn the_server_connection_closes_when_the_caller_disconnects() {
     let server = Server::start("i-1", [ScriptStep::Hang]).await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     let mut caller = host.connect().await;
     caller.send(&request("/once/x", "")).await;
     wire::until("the request", || server.requests().len() == 1).await;
@@ -210,7 +210,7 @@
     for i in 0..5 {
         servers.push(Server::start(&format!("i-{i}"), [ScriptStep::Crash]).await);
     }
-    let host = Host::with(&servers.iter().collect::<Vec<_>>()).await;
+    let host = Host::with_servers(&servers.iter().collect::<Vec<_>>()).await;
 
     let mut statuses = Vec::new();
     for _ in 0..4 {
@@ -232,7 +232,7 @@
 #[tokio::test]
 async fn a_caller_that_found_all_servers_full_is_asked_to_retry_late() {
     let server = Server::start("i-1", [ScriptStep::Write(not_run())]).await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     let begun = Instant::now();
 
     let answer = host.call(&request("/unsafe/x", "")).await;
--- a/tests/relay_input.rs
+++ b/tests/relay_input.rs
@@ -19,7 +19,7 @@
 #[tokio::test]
 async fn invalid_requests_reach_no_server() {
     let server = server().await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     let good = request("/unsafe/x", "body");
     let long = format!("X-Long: {}\r\nAttempt-Id", "x".repeat(9_000));
     let cases = [
@@ -50,7 +50,7 @@
 #[tokio::test]
 async fn a_truncated_body_does_not_run() {
     let server = server().await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     let mut caller = host.connect().await;
     caller.send(&request("/unsafe/x", "whole body")[..request("/unsafe/x", "whole body").len() - 4]).await;
     drop(caller);
@@ -66,7 +66,7 @@
 #[tokio::test]
 async fn a_smuggled_request_does_not_run() {
     let server = server().await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     let hidden =
         "POST /unsafe/hidden HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: h1\r\nContent-Length: 0\r\n\r\n";
     let both = request("/unsafe/x", hidden).replace("Key: k1", "Transfer-Encoding: chunked\r\nKey: k1");
@@ -83,7 +83,7 @@
 #[tokio::test]
 async fn callers_cannot_set_internal_headers() {
     let server = server().await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     let forged = "Tenant: other\r\nExpected-Instance: i-9\r\nKv-Hold: h\r\nPin-Duration: 9\r\nKv-Backup: b\r\n\
                   Kv-From: f\r\nKv-Fetch: f\r\nRequest-Priority: 0\r\nConnection: x-hop\r\nX-Hop: 1\r\n";
     let req =
@@ -131,7 +131,7 @@
 #[tokio::test]
 async fn a_leaving_host_sends_callers_elsewhere() {
     let server = server().await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     assert!(host.relay.is_ready());
 
     host.relay.leave();
@@ -149,7 +149,7 @@
 #[tokio::test]
 async fn a_server_with_an_invalid_address_is_ignored() {
     let server = server().await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     let bad = cranberrytally::schema::fleet::Backend {
         id: "bad".into(),
         service: "app".into(),
@@ -179,7 +179,7 @@
 #[tokio::test]
 async fn a_start_time_in_the_far_future_is_rejected() {
     let server = server().await;
-    let host = Host::with(&[]).await;
+    let host = Host::with_servers(&[]).await;
     let entry = |born| cranberrytally::schema::fleet::Backend {
         id: "i-1".into(),
         service: "app".into(),
@@ -205,7 +205,7 @@
 #[tokio::test]
 async fn a_resumed_stream_is_not_rejected() {
     let server = Server::start("i-1", [ScriptStep::Hang]).await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     let again = request("/once/x", "").replace("\r\n\r\n", "\r\nLast-Event-Id: 2\r\n\r\n");
     let mut callers = Vec::new();
     // Ten times the slots.
--- a/tests/relay_told.rs
+++ b/tests/relay_told.rs
@@ -32,7 +32,7 @@
     let second =
         Server::start("i-2", [ScriptStep::Write(if path == "/stream/x" { stream() } else { ok("fine") })])
             .await;
-    let host = Host::with(&[&first, &second]).await;
+    let host = Host::with_servers(&[&first, &second]).await;
     host.call(&request(path, "")).await;
     assert_eq!(first.requests().len(), 1, "the first request reaches the first server");
 
@@ -86,7 +86,7 @@
     let server =
         Server::start("i-1", [with_header(&not_run(), "Retry-After", "30"), ScriptStep::Write(ok("fine"))])
             .await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
 
     let answers = [host.call(&request("/unsafe/x", "")).await, host.call(&request("/safe/x", "")).await];
 
@@ -147,7 +147,7 @@
 async fn only_a_later_start_ends_the_leaving_of_a_server() {
     let first = Server::start("i-1", [with_header(&ok("fine"), "Server-Leaving", "1")]).await;
     let second = Server::start("i-2", [ScriptStep::Write(ok("fine"))]).await;
-    let host = Host::with(&[&first, &second]).await;
+    let host = Host::with_servers(&[&first, &second]).await;
     let entry = |born| Backend {
         id: "i-1".into(),
         service: "app".into(),
--- a/tests/relay_warmup.rs
+++ b/tests/relay_warmup.rs
@@ -184,7 +184,7 @@
 async fn a_cold_server_gets_no_requests_while_another_has_room() {
     let near = Server::start("near", vec![ScriptStep::Write(ok("near")); 4]).await;
     let far = Server::start("far", vec![ScriptStep::Write(ok("far")); 4]).await;
-    let host = Host::with(&[&near, &far]).await;
+    let host = Host::with_servers(&[&near, &far]).await;
     host.relay.set_configuration(cold_configuration(600), "test");
 
     let before = host.call(&request("/safe/1", "")).await;
@@ -200,7 +200,7 @@
     use cranberrytally::relay::evacuations::Update;
     let near = Server::start("near", vec![ScriptStep::Write(ok("near")); 4]).await;
     let far = Server::start("far", vec![ScriptStep::Write(ok("far")); 4]).await;
-    let host = Host::with(&[&near, &far]).await;
+    let host = Host::with_servers(&[&near, &far]).await;
     host.relay.set_configuration(cold_configuration(600), "test");
 
     for (revision, evacuated) in [(5, true), (6, false)] {
@@ -216,7 +216,7 @@
 #[tokio::test]
 async fn requests_are_refused_while_all_servers_are_cold() {
     let near = Server::start("near", vec![ScriptStep::Write(ok("near")); 4]).await;
-    let host = Host::with(&[&near]).await;
+    let host = Host::with_servers(&[&near]).await;
     host.relay.set_configuration(cold_configuration(0), "test");
     report_cold(&host, &near, "a");
 
@@ -235,7 +235,7 @@
 async fn an_unreachable_server_counts_as_cold() {
     let near = Server::start("near", vec![ScriptStep::Crash]).await;
     let far = Server::start("far", vec![ScriptStep::Write(ok("far")); 8]).await;
-    let host = Host::with(&[&near, &far]).await;
+    let host = Host::with_servers(&[&near, &far]).await;
     let mut cfg = cold_configuration(600);
     cfg.services[0].cold_ms = 60_000;
     host.relay.set_configuration(cfg, "test");
