--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -59,11 +59,11 @@
         Host::with_servers(&[&sick, &sicker]).await.call(&named(request("/safe/x", ""), "error-1")).await,
     ];
     let told = |id: &str| output.lines().iter().any(|l| l.contains(id));
-    wire::until("the lines", || {
+    wire::wait_until("the lines", || {
         ["refused-1", "cut-1", "unknown-1", "path-1", "error-1"].into_iter().all(told)
     })
     .await;
-    wire::until("the last lines", || output.lines().iter().any(|l| l.contains("\"status\":500"))).await;
+    wire::wait_until("the last lines", || output.lines().iter().any(|l| l.contains("\"status\":500"))).await;
 
     let story = |id| explain(id, output.lines()).unwrap();
 
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -55,5 +55,5 @@
     }
     output.release();
 
-    wire::until("the count of dropped lines", || output.text().contains("\"lines_dropped\"")).await;
+    wire::wait_until("the count of dropped lines", || output.text().contains("\"lines_dropped\"")).await;
 }
--- a/tests/relay_faults.rs
+++ b/tests/relay_faults.rs
@@ -129,7 +129,7 @@
     let server = Server::start("i-1", [ScriptStep::WriteAndClose(ok("a")), ScriptStep::Write(ok("b"))]).await;
     let host = Host::with_servers(&[&server]).await;
     host.call(&request("/unsafe/x", "")).await;
-    wire::until("the close", || host.relay.idle_connections() == 0).await;
+    wire::wait_until("the close", || host.relay.idle_connections() == 0).await;
 
     let answer = host.call(&request("/unsafe/x", "")).await;
 
@@ -195,11 +195,11 @@
     let host = Host::with_servers(&[&server]).await;
     let mut caller = host.connect().await;
     caller.send(&request("/once/x", "")).await;
-    wire::until("the request", || server.requests().len() == 1).await;
+    wire::wait_until("the request", || server.requests().len() == 1).await;
 
     drop(caller);
 
-    wire::until("the close of the server's connection", || server.closed_connections() == 1).await;
+    wire::wait_until("the close of the server's connection", || server.closed_connections() == 1).await;
 }
 
 /// A content crashes every server that starts to run it, and its caller keeps sending it. It is refused, as not
--- a/tests/relay_input.rs
+++ b/tests/relay_input.rs
@@ -142,7 +142,7 @@
     assert_eq!(header(&answer, "connection").as_deref(), Some("close"));
     assert!(!host.relay.is_ready());
     assert!(!host.relay.accepts(Duration::ZERO));
-    wire::until("all connections are closed", || host.relay.connections() == 0).await;
+    wire::wait_until("all connections are closed", || host.relay.connections() == 0).await;
 }
 
 /// The store lists a server with an invalid address; the others stay in use.
@@ -213,7 +213,7 @@
         let mut caller = host.connect().await;
         caller.send(&again).await;
         callers.push(caller);
-        wire::until("it is sent", || server.requests().len() == n).await;
+        wire::wait_until("it is sent", || server.requests().len() == n).await;
     }
 
     let refused = host.call(&request("/once/x", "")).await;
--- a/tests/relay_peers.rs
+++ b/tests/relay_peers.rs
@@ -485,14 +485,14 @@
     let list = Backends { revision: 3, items: vec![server(false)], ..Backends::default() };
     first.update_backends(BackendsUpdate::List(list), None, "test");
 
-    wire::until("all are handed out", || third.addresses(64).len() == 3).await;
-    wire::until("all are ready", || second.is_ready() && third.is_ready()).await;
+    wire::wait_until("all are handed out", || third.addresses(64).len() == 3).await;
+    wire::wait_until("all are ready", || second.is_ready() && third.is_ready()).await;
     first.set_configuration(Configuration { version: 2, ..wire::configuration() }, "test");
     let change = BackendsUpdate::Changes { revision: rev(4), puts: vec![server(true)], removed: Vec::new() };
     first.update_backends(change, None, "test");
 
-    wire::until("the change", || third.routes().is_some_and(|r| r.version() == 2)).await;
-    wire::until("the leaving server", || third.server_count("app") == 0).await;
+    wire::wait_until("the change", || third.routes().is_some_and(|r| r.version() == 2)).await;
+    wire::wait_until("the leaving server", || third.server_count("app") == 0).await;
     assert_eq!(first.server_count("app"), 0);
 }
 
@@ -543,7 +543,7 @@
     let newer = Configuration { version: 2, ..wire::configuration() };
     first.set_configuration(newer.clone(), "test");
 
-    wire::until("the newer one", || second.routes().is_some_and(|r| **r.source() == newer)).await;
+    wire::wait_until("the newer one", || second.routes().is_some_and(|r| **r.source() == newer)).await;
 }
 
 /// All hosts of a data centre start at once and ask the first one that has the list. If it answered all of them
--- a/tests/support/wire.rs
+++ b/tests/support/wire.rs
@@ -362,7 +362,7 @@
 }
 
 /// Waits until something holds.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let waiting = async {
         while !holds() {
             tokio::time::sleep(Duration::from_millis(5)).await;
