--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -24,7 +24,7 @@
 #[path = "../tests/support/leases.rs"]
 mod leases;
 
-use leases::{Process, Shelf, TTL};
+use leases::{LeaseStore, Process, TTL};
 use model::{Model, Setup, pool};
 
 const SIZES: [usize; 4] = [8, 22, 100, 330];
@@ -143,7 +143,7 @@
     let hour = Duration::from_secs(3600);
     let step = Duration::from_millis(100);
     let start = Duration::from_secs(100);
-    let mut shelf = Shelf::default();
+    let mut shelf = LeaseStore::default();
     let mut both = [Process::new("a", 1, start), Process::new("b", 2, start)];
     for i in 0..(hour.as_millis() / step.as_millis()) as u32 {
         both.iter_mut().for_each(|p| p.step(start + step * i, &mut shelf, step, 0.0));
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -12,7 +12,7 @@
 #[path = "support/leases.rs"]
 mod leases;
 
-use leases::{Process, Shelf, TTL};
+use leases::{LeaseStore, Process, TTL};
 
 const STEP: Duration = Duration::from_millis(100);
 
@@ -24,14 +24,14 @@
     LeaseConfig::new("pool-a", holder, TTL)
 }
 
-fn acquiring(shelf: &Shelf, holder: &str, now: Instant) -> Acquiring {
+fn acquiring(shelf: &LeaseStore, holder: &str, now: Instant) -> Acquiring {
     match Candidate::new(config(holder)).observe(now, shelf.get().as_ref(), "first") {
         Observed::Free(acquiring) => acquiring,
         Observed::HeldByOther(_) => panic!("another process holds the lease"),
     }
 }
 
-fn held(shelf: &mut Shelf, holder: &str, now: Instant) -> Held {
+fn held(shelf: &mut LeaseStore, holder: &str, now: Instant) -> Held {
     let mut acquiring = acquiring(shelf, holder, now);
     let write = shelf.put(acquiring.attempt(now));
     match acquiring.answered(now, write) {
@@ -41,7 +41,7 @@
 }
 
 /// Acquires the lease as early as a candidate that reads it every period can.
-fn take_over(shelf: &mut Shelf, holder: &str, from: f64) -> (Held, f64) {
+fn take_over(shelf: &mut LeaseStore, holder: &str, from: f64) -> (Held, f64) {
     let mut candidate = Candidate::new(config(holder));
     for i in 0..10 {
         let after = from + f64::from(i) * 3.0;
@@ -63,7 +63,7 @@
 /// of another process, nobody would hold the lease until it expired.
 #[test]
 fn a_lost_response_to_an_acquiring_write() {
-    let mut shelf = Shelf::default();
+    let mut shelf = LeaseStore::default();
     let mut acquiring = acquiring(&shelf, "a", at(0.0));
     let _lost = shelf.put(acquiring.attempt(at(0.0)));
 
@@ -79,7 +79,7 @@
 /// kept running, so its first check must fail; the new holder must have a higher fencing token.
 #[test]
 fn a_pause_longer_than_the_ttl() {
-    let mut shelf = Shelf::default();
+    let mut shelf = LeaseStore::default();
     let mut old = held(&mut shelf, "a", at(0.0));
 
     let (mut new, acquired_s) = take_over(&mut shelf, "b", 0.0);
@@ -96,7 +96,7 @@
 /// must not take the lease from a live holder.
 #[test]
 fn a_candidates_clock_jumps_ahead() {
-    let mut shelf = Shelf::default();
+    let mut shelf = LeaseStore::default();
     let _held = held(&mut shelf, "a", at(0.0));
 
     let mut candidate = Candidate::new(config("b"));
@@ -112,7 +112,7 @@
 /// than candidates wait.
 #[test]
 fn a_holders_clock_goes_backwards() {
-    let mut shelf = Shelf::default();
+    let mut shelf = LeaseStore::default();
     let mut held = held(&mut shelf, "a", at(0.0));
     assert_eq!(held.check(at(5.0), Duration::ZERO), Some(1));
 
@@ -128,7 +128,7 @@
 /// next renewal.
 #[test]
 fn a_response_slower_than_the_ttl() {
-    let mut shelf = Shelf::default();
+    let mut shelf = LeaseStore::default();
     let mut acquiring = acquiring(&shelf, "a", at(0.0));
     let write = shelf.put(acquiring.attempt(at(0.0)));
 
@@ -143,7 +143,7 @@
 /// A holder that stops releases its lease, so that the next one does not have to wait until it expires.
 #[test]
 fn a_released_lease_is_free_at_once() {
-    let mut shelf = Shelf::default();
+    let mut shelf = LeaseStore::default();
     let old = held(&mut shelf, "a", at(0.0));
     shelf.put(old.release("second"));
 
@@ -160,7 +160,7 @@
 fn at_most_one_holder_in_any_order_of_events() {
     let (mut changes, mut held_steps) = (0, 0);
     for seed in 0..100 {
-        let mut shelf = Shelf::default();
+        let mut shelf = LeaseStore::default();
         let start = at(0.0);
         // Fast calls minimize the gap between one holder and the next.
         let max_latency = Duration::from_millis(if seed % 2 == 0 { 200 } else { 4000 });
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -14,7 +14,7 @@
 #[path = "support/leases.rs"]
 mod leases;
 
-use leases::{Process, Shelf, TTL};
+use leases::{LeaseStore, Process, TTL};
 
 const STEP: Duration = Duration::from_millis(100);
 const SECOND: Duration = Duration::from_secs(1);
@@ -65,7 +65,7 @@
 }
 
 /// Runs both processes until the first of them holds the lease; returns the time and which one.
-fn until_held(all: &mut [Process], shelf: &mut Shelf, mut now: Instant) -> (Instant, usize) {
+fn until_held(all: &mut [Process], shelf: &mut LeaseStore, mut now: Instant) -> (Instant, usize) {
     loop {
         now += STEP;
         for p in all.iter_mut() {
@@ -87,7 +87,7 @@
 
 struct Pause {
     now: Instant,
-    shelf: Shelf,
+    shelf: LeaseStore,
     old: Process,
     new: Process,
     /// An order that the old holder had fenced just before it was paused.
@@ -97,7 +97,7 @@
 /// The old holder fences an order and is paused before it sends it; another router acquires the lease.
 fn paused_holder(guard: LeaseGuard) -> Pause {
     let start = Duration::from_secs(100);
-    let mut shelf = Shelf::default();
+    let mut shelf = LeaseStore::default();
     let mut all = vec![Process::new("old", 1, start)];
     let (mut now, _) = until_held(&mut all, &mut shelf, start);
     // If engines ignore the number, a new holder waits until the last order of the previous holder has timed out.
@@ -159,7 +159,7 @@
 #[test]
 fn no_order_is_fenced_near_the_end_of_a_lease() {
     let start = Duration::from_secs(100);
-    let mut shelf = Shelf::default();
+    let mut shelf = LeaseStore::default();
     let mut all = vec![Process::new("a", 1, start)];
     let (now, _) = until_held(&mut all, &mut shelf, start);
 
@@ -181,7 +181,7 @@
     let (mut orders, mut holders) = (0, 0);
     for seed in 0..60 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut shelf = Shelf::default();
+        let mut shelf = LeaseStore::default();
         let start = Duration::from_secs(1000);
         let mut all: Vec<_> =
             (0..3).map(|i| Process::new(&format!("router-{i}"), seed * 10 + i, start)).collect();
--- a/tests/support/leases.rs
+++ b/tests/support/leases.rs
@@ -14,14 +14,14 @@
 
 /// The lease's object.
 #[derive(Default)]
-pub struct Shelf {
+pub struct LeaseStore {
     /// Reads and writes so far.
     pub calls: (u64, u64),
     version: u64,
     object: Option<AnyObject>,
 }
 
-impl Shelf {
+impl LeaseStore {
     pub fn get(&self) -> Option<AnyObject> {
         self.object.clone()
     }
@@ -75,7 +75,7 @@
     }
 
     /// Advances the process and its call; `slow` is the longest one-way time, `loss` the share of answers lost.
-    pub fn step(&mut self, now: Instant, shelf: &mut Shelf, slow: Duration, loss: f64) {
+    pub fn step(&mut self, now: Instant, shelf: &mut LeaseStore, slow: Duration, loss: f64) {
         match self.call.take() {
             Some(Call::Out(at, action)) if now >= at => self.arrive(now, action, shelf, slow, loss),
             Some(Call::Read(at, answer)) if now >= at && now >= self.paused_until => {
@@ -98,7 +98,7 @@
         }
     }
 
-    fn arrive(&mut self, now: Instant, action: Action, shelf: &mut Shelf, slow: Duration, loss: f64) {
+    fn arrive(&mut self, now: Instant, action: Action, shelf: &mut LeaseStore, slow: Duration, loss: f64) {
         let back = now + slow.mul_f64(self.rng.random());
         let lost = self.rng.random_bool(loss);
         self.call = Some(match action {
