--- a/tests/order.rs
+++ b/tests/order.rs
@@ -80,7 +80,7 @@
 
 fn fence(p: &mut Process, guard: LeaseGuard, now: Instant, name: &str) -> Option<(Fencing, Order)> {
     let clock = p.clock(now);
-    let held: &mut Held = p.keeper.held()?;
+    let held: &mut Held = p.driver.held()?;
     let fenced = guard.fence(clock, held, engine_order(name))?;
     Some((fenced.fencing(), fenced.engine_order().order.clone()))
 }
--- a/tests/support/leases.rs
+++ b/tests/support/leases.rs
@@ -48,7 +48,7 @@
 
 /// One process with its own clock.
 pub struct Process {
-    pub keeper: LeaseDriver,
+    pub driver: LeaseDriver,
     pub paused_until: Instant,
     /// Speed of its clock.
     pub speed: f64,
@@ -61,8 +61,8 @@
     pub fn new(name: &str, seed: u64, now: Instant) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let offset = Duration::from_secs(rng.random_range(0..100_000));
-        let keeper = LeaseDriver::new(LeaseConfig::new("pool-a", name, TTL), now + offset);
-        Self { keeper, paused_until: Instant::ZERO, speed: 1.0, offset, call: None, rng }
+        let driver = LeaseDriver::new(LeaseConfig::new("pool-a", name, TTL), now + offset);
+        Self { driver, paused_until: Instant::ZERO, speed: 1.0, offset, call: None, rng }
     }
 
     pub fn clock(&self, now: Instant) -> Instant {
@@ -71,7 +71,7 @@
 
     pub fn fencing(&mut self, now: Instant) -> Option<Fencing> {
         let clock = self.clock(now);
-        self.keeper.check(clock, Duration::ZERO)
+        self.driver.check(clock, Duration::ZERO)
     }
 
     /// Advances the process and its call; `slow` is the longest one-way time, `loss` the share of answers lost.
@@ -80,11 +80,11 @@
             Some(Call::Out(at, action)) if now >= at => self.arrive(now, action, shelf, slow, loss),
             Some(Call::Read(at, answer)) if now >= at && now >= self.paused_until => {
                 let clock = self.clock(now);
-                self.keeper.read(clock, answer, &mut self.rng);
+                self.driver.read(clock, answer, &mut self.rng);
             }
             Some(Call::Written(at, write)) if now >= at && now >= self.paused_until => {
                 let clock = self.clock(now);
-                self.keeper.written(clock, write, &mut self.rng);
+                self.driver.written(clock, write, &mut self.rng);
             }
             call => self.call = call,
         }
@@ -92,7 +92,7 @@
             return;
         }
         let clock = self.clock(now);
-        if let Some(action) = self.keeper.tick(clock, &mut self.rng) {
+        if let Some(action) = self.driver.tick(clock, &mut self.rng) {
             let at = now + slow.mul_f64(self.rng.random());
             self.call = Some(Call::Out(at, action));
         }
