--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -167,7 +167,7 @@
         let mut all: Vec<_> =
             (0..3).map(|i| Process::new(&format!("router-{i}"), seed * 10 + i, start)).collect();
         for p in &mut all {
-            p.speed = p.rng.random_range(0.98..1.02);
+            p.clock_speed = p.rng.random_range(0.98..1.02);
         }
         let (mut last, mut highest) = (None, 0);
         for step in 0..6000 {
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -186,7 +186,7 @@
         let mut all: Vec<_> =
             (0..3).map(|i| Process::new(&format!("router-{i}"), seed * 10 + i, start)).collect();
         for p in &mut all {
-            p.speed = rng.random_range(0.98..1.02);
+            p.clock_speed = rng.random_range(0.98..1.02);
         }
         let (mut in_flight, mut engine) = (Vec::new(), Engine::default());
         for step in 0..6000 {
--- a/tests/support/leases.rs
+++ b/tests/support/leases.rs
@@ -51,7 +51,7 @@
     pub driver: LeaseDriver,
     pub paused_until: Instant,
     /// Speed of its clock.
-    pub speed: f64,
+    pub clock_speed: f64,
     pub offset: Duration,
     call: Option<Call>,
     pub rng: StdRng,
@@ -62,11 +62,11 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let offset = Duration::from_secs(rng.random_range(0..100_000));
         let driver = LeaseDriver::new(LeaseConfig::new("pool-a", name, TTL), now + offset);
-        Self { driver, paused_until: Instant::ZERO, speed: 1.0, offset, call: None, rng }
+        Self { driver, paused_until: Instant::ZERO, clock_speed: 1.0, offset, call: None, rng }
     }
 
     pub fn clock(&self, now: Instant) -> Instant {
-        self.offset + now.mul_f64(self.speed)
+        self.offset + now.mul_f64(self.clock_speed)
     }
 
     pub fn fencing(&mut self, now: Instant) -> Option<Fencing> {
