--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -6,7 +6,7 @@
 use std::{sync::Arc, time::Duration};
 
 use cranberrytally::relay::admission::{Admission, AdmissionRequest, Refused, ReportedLoad, ServiceLoad};
-use load::{Load, Second};
+use load::{Second, Simulation};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
@@ -15,8 +15,8 @@
 }
 
 /// Model engines behind six hosts, with three times the load that they can handle for ten seconds.
-fn engines() -> Load {
-    Load {
+fn engines() -> Simulation {
+    Simulation {
         hosts: 6,
         servers: 12,
         places: 32,
@@ -34,8 +34,8 @@
 }
 
 /// A plain service of three servers with six slots each, behind 75 hosts.
-fn tiny() -> Load {
-    Load {
+fn tiny() -> Simulation {
+    Simulation {
         hosts: 75,
         servers: 3,
         places: 6,
@@ -64,7 +64,7 @@
         let load = engines();
 
         let admitted = goodput(&load.play(15, seed));
-        let all = goodput(&Load { admits: false, ..load.clone() }.play(15, seed));
+        let all = goodput(&Simulation { admits: false, ..load.clone() }.play(15, seed));
 
         assert!(admitted >= 0.75 * load.capacity(0), "{admitted} of {}, seed {seed}", load.capacity(0));
         assert!(all <= 0.3 * load.capacity(0), "{all} of {}, seed {seed}", load.capacity(0));
@@ -76,7 +76,7 @@
 #[test]
 fn goodput_drops_only_to_the_capacity_of_the_remaining_servers() {
     for seed in SEEDS {
-        let load = Load { lost: (4, 5_000), ..engines() };
+        let load = Simulation { lost: (4, 5_000), ..engines() };
 
         let admitted = goodput(&load.play(15, seed));
 
@@ -104,7 +104,7 @@
 #[test]
 fn urgent_requests_are_served_more_often_and_no_rank_starves() {
     for seed in SEEDS {
-        let load = Load { ranks: vec![0, 1, 2], surge: (2.0, 3_000, 13_000), ..engines() };
+        let load = Simulation { ranks: vec![0, 1, 2], surge: (2.0, 3_000, 13_000), ..engines() };
 
         let seconds = load.play(15, seed);
 
@@ -123,7 +123,7 @@
 #[test]
 fn no_request_is_rejected_below_the_capacity() {
     for (load, least) in [(engines(), 0.99), (tiny(), 0.97)] {
-        let load = Load { surge: (0.8, 3_000, 13_000), ..load };
+        let load = Simulation { surge: (0.8, 3_000, 13_000), ..load };
 
         let seconds = load.play(15, 1);
 
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -12,7 +12,7 @@
 
 /// What is played; times in milliseconds.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct Simulation {
     /// Hosts.
     pub hosts: usize,
     /// Servers, and requests that each runs at once.
@@ -71,7 +71,7 @@
     }
 }
 
-impl Load {
+impl Simulation {
     /// Requests a second that all servers finish when all places are taken, `lost` of them not counted.
     pub fn capacity(&self, lost: usize) -> f64 {
         let together = self.work * (1.0 + self.slowdown * (self.places - 1) as f64);
@@ -89,7 +89,7 @@
 }
 
 struct Play<'a> {
-    load: &'a Load,
+    load: &'a Simulation,
     rng: SmallRng,
     hosts: Vec<Admission>,
     servers: Vec<Server>,
@@ -106,7 +106,7 @@
 const QUEUE: usize = 3;
 
 impl<'a> Play<'a> {
-    fn new(load: &'a Load, seconds: u64, seed: u64) -> Self {
+    fn new(load: &'a Simulation, seconds: u64, seed: u64) -> Self {
         Self {
             load,
             rng: SmallRng::seed_from_u64(seed),
