--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -63,8 +63,8 @@
     for seed in SEEDS {
         let load = engines();
 
-        let admitted = goodput(&load.play(15, seed));
-        let all = goodput(&Simulation { admits: false, ..load.clone() }.play(15, seed));
+        let admitted = goodput(&load.run(15, seed));
+        let all = goodput(&Simulation { admits: false, ..load.clone() }.run(15, seed));
 
         assert!(admitted >= 0.75 * load.capacity(0), "{admitted} of {}, seed {seed}", load.capacity(0));
         assert!(all <= 0.3 * load.capacity(0), "{all} of {}, seed {seed}", load.capacity(0));
@@ -78,7 +78,7 @@
     for seed in SEEDS {
         let load = Simulation { lost: (4, 5_000), ..engines() };
 
-        let admitted = goodput(&load.play(15, seed));
+        let admitted = goodput(&load.run(15, seed));
 
         assert!(admitted >= 0.75 * load.capacity(4), "{admitted} of {}, seed {seed}", load.capacity(4));
     }
@@ -93,7 +93,7 @@
     for seed in SEEDS {
         let load = tiny();
 
-        let admitted = goodput(&load.play(15, seed));
+        let admitted = goodput(&load.run(15, seed));
 
         assert!(admitted >= 0.85 * load.capacity(0), "{admitted} of {}, seed {seed}", load.capacity(0));
     }
@@ -106,7 +106,7 @@
     for seed in SEEDS {
         let load = Simulation { ranks: vec![0, 1, 2], surge: (2.0, 3_000, 13_000), ..engines() };
 
-        let seconds = load.play(15, seed);
+        let seconds = load.run(15, seed);
 
         let share = |rank: u32| {
             let ranks = seconds.iter().map(|s| s.by_rank.get(&rank).copied().unwrap_or_default());
@@ -125,7 +125,7 @@
     for (load, least) in [(engines(), 0.99), (tiny(), 0.97)] {
         let load = Simulation { surge: (0.8, 3_000, 13_000), ..load };
 
-        let seconds = load.play(15, 1);
+        let seconds = load.run(15, 1);
 
         let asked: u32 = seconds[..13].iter().map(|s| s.asked).sum();
         let in_time: u32 = seconds[..13].iter().map(|s| s.in_time).sum();
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -79,12 +79,12 @@
     }
 
     /// Plays so many seconds.
-    pub fn play(&self, seconds: u64, seed: u64) -> Vec<Second> {
-        let mut play = Play::new(self, seconds, seed);
+    pub fn run(&self, seconds: u64, seed: u64) -> Vec<Second> {
+        let mut run = Play::new(self, seconds, seed);
         for now in 0..seconds * 1_000 {
-            play.tick(now);
+            run.tick(now);
         }
-        play.seconds
+        run.seconds
     }
 }
 
