--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -6,7 +6,7 @@
 use std::{sync::Arc, time::Duration};
 
 use cranberrytally::relay::admission::{Admission, AdmissionRequest, Refused, ReportedLoad, ServiceLoad};
-use load::{Second, Simulation};
+use load::{SecondStats, Simulation};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
@@ -51,7 +51,7 @@
 }
 
 /// Requests a second that were begun on time, over the seconds after the capacity is exceeded.
-fn goodput(seconds: &[Second]) -> f64 {
+fn goodput(seconds: &[SecondStats]) -> f64 {
     let over = &seconds[5..13];
     f64::from(over.iter().map(|s| s.in_time).sum::<u32>()) / over.len() as f64
 }
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -40,7 +40,7 @@
 
 /// What became of the requests that were asked in one second.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Second {
+pub struct SecondStats {
     /// Asked for the first time.
     pub asked: u32,
     /// Begun in time, in the second in which they began.
@@ -79,7 +79,7 @@
     }
 
     /// Plays so many seconds.
-    pub fn run(&self, seconds: u64, seed: u64) -> Vec<Second> {
+    pub fn run(&self, seconds: u64, seed: u64) -> Vec<SecondStats> {
         let mut run = Play::new(self, seconds, seed);
         for now in 0..seconds * 1_000 {
             run.tick(now);
@@ -98,7 +98,7 @@
     returns: BTreeMap<u64, Vec<(u64, u32)>>,
     due: f64,
     asked: usize,
-    seconds: Vec<Second>,
+    seconds: Vec<SecondStats>,
 }
 
 const SERVICE: &str = "s";
@@ -116,7 +116,7 @@
             returns: BTreeMap::new(),
             due: 0.0,
             asked: 0,
-            seconds: vec![Second::default(); seconds as usize],
+            seconds: vec![SecondStats::default(); seconds as usize],
         }
     }
 
