--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -19,7 +19,7 @@
     Simulation {
         hosts: 6,
         servers: 12,
-        places: 32,
+        slots_per_server: 32,
         work: 400.0,
         slowdown: 0.06,
         objective: 600,
@@ -38,7 +38,7 @@
     Simulation {
         hosts: 75,
         servers: 3,
-        places: 6,
+        slots_per_server: 6,
         work: 15.0,
         slowdown: 0.0,
         objective: 120,
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -17,7 +17,7 @@
     pub hosts: usize,
     /// Servers, and requests that each runs at once.
     pub servers: usize,
-    pub places: usize,
+    pub slots_per_server: usize,
     /// Time of a request that runs alone, and the part of it that each other request adds.
     pub work: f64,
     pub slowdown: f64,
@@ -74,8 +74,8 @@
 impl Simulation {
     /// Requests a second that all servers finish when all places are taken, `lost` of them not counted.
     pub fn capacity(&self, lost: usize) -> f64 {
-        let together = self.work * (1.0 + self.slowdown * (self.places - 1) as f64);
-        ((self.servers - lost) * self.places) as f64 / together * 1_000.0
+        let together = self.work * (1.0 + self.slowdown * (self.slots_per_server - 1) as f64);
+        ((self.servers - lost) * self.slots_per_server) as f64 / together * 1_000.0
     }
 
     /// Plays so many seconds.
@@ -162,7 +162,7 @@
             load: ServiceLoad {
                 own: own as u32,
                 all: others as u32,
-                slots: (self.servers.len() * self.load.places) as u32,
+                slots: (self.servers.len() * self.load.slots_per_server) as u32,
             },
         };
         let draws = [self.rng.random(), self.rng.random()];
@@ -178,7 +178,7 @@
         }
         let at = self.rng.random_range(0..self.servers.len());
         let work = self.load.work * self.rng.random_range(0.5..1.5);
-        if self.servers[at].queue.len() >= QUEUE * self.load.places {
+        if self.servers[at].queue.len() >= QUEUE * self.load.slots_per_server {
             return;
         }
         self.servers[at].queue.push_back(Job { host, rank, asked, sent: now, left: work });
@@ -188,7 +188,7 @@
         let (load, service): (_, Arc<str>) = (self.load, SERVICE.into());
         let server = &mut self.servers[at];
         server.queue.retain(|job| job.asked + load.deadline > now);
-        while server.running.len() < load.places {
+        while server.running.len() < load.slots_per_server {
             let Some(job) = server.queue.pop_front() else { break };
             server.running.push(job);
             let host = &mut self.hosts[job.host];
@@ -198,7 +198,7 @@
                 host.record_load(
                     ms(now),
                     &service,
-                    ReportedLoad { running, waiting, slots: load.places as u32 },
+                    ReportedLoad { running, waiting, slots: load.slots_per_server as u32 },
                 );
             }
             if now <= job.asked + load.objective {
