--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -25,7 +25,7 @@
         objective: 600,
         deadline: 10_000,
         lag: 300,
-        tells: true,
+        reports_load: true,
         admits: true,
         surge: (3.0, 3_000, 13_000),
         lost: (0, 0),
@@ -44,7 +44,7 @@
         objective: 120,
         deadline: 1_500,
         lag: 500,
-        tells: false,
+        reports_load: false,
         surge: (2.0, 3_000, 13_000),
         ..engines()
     }
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -27,7 +27,7 @@
     /// Age of what hosts know of each other's requests.
     pub lag: u64,
     /// Whether servers tell what waits at them.
-    pub tells: bool,
+    pub reports_load: bool,
     /// Whether requests are admitted by the decision that is tested, or all.
     pub admits: bool,
     /// Requests a second at most at all servers, as often as which callers ask, from and until when.
@@ -193,7 +193,7 @@
             server.running.push(job);
             let host = &mut self.hosts[job.host];
             host.record_wait(ms(now), &service, ms(load.objective), ms(now - job.sent));
-            if load.tells {
+            if load.reports_load {
                 let (running, waiting) = (server.running.len() as u32, server.queue.len() as u32);
                 host.record_load(
                     ms(now),
