--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -26,7 +26,7 @@
         deadline: 10_000,
         lag: 300,
         reports_load: true,
-        admits: true,
+        uses_admission: true,
         surge: (3.0, 3_000, 13_000),
         lost: (0, 0),
         ranks: vec![1],
@@ -64,7 +64,7 @@
         let load = engines();
 
         let admitted = goodput(&load.run(15, seed));
-        let all = goodput(&Simulation { admits: false, ..load.clone() }.run(15, seed));
+        let all = goodput(&Simulation { uses_admission: false, ..load.clone() }.run(15, seed));
 
         assert!(admitted >= 0.75 * load.capacity(0), "{admitted} of {}, seed {seed}", load.capacity(0));
         assert!(all <= 0.3 * load.capacity(0), "{all} of {}, seed {seed}", load.capacity(0));
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -29,7 +29,7 @@
     /// Whether servers tell what waits at them.
     pub reports_load: bool,
     /// Whether requests are admitted by the decision that is tested, or all.
-    pub admits: bool,
+    pub uses_admission: bool,
     /// Requests a second at most at all servers, as often as which callers ask, from and until when.
     pub surge: (f64, u64, u64),
     /// Servers that are lost while the surge goes on, and when.
@@ -168,7 +168,7 @@
         let draws = [self.rng.random(), self.rng.random()];
         let service: Arc<str> = SERVICE.into();
         let refused =
-            self.hosts[host].admit(ms(now), &service, ask, draws).err().filter(|_| self.load.admits);
+            self.hosts[host].admit(ms(now), &service, ask, draws).err().filter(|_| self.load.uses_admission);
         if let Some(refused) = refused {
             if asked == now {
                 let back = now + 1 + refused.after.as_millis() as u64;
