--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -24,7 +24,7 @@
         slowdown: 0.06,
         objective: 600,
         deadline: 10_000,
-        lag: 300,
+        state_lag_ms: 300,
         reports_load: true,
         uses_admission: true,
         surge: (3.0, 3_000, 13_000),
@@ -43,7 +43,7 @@
         slowdown: 0.0,
         objective: 120,
         deadline: 1_500,
-        lag: 500,
+        state_lag_ms: 500,
         reports_load: false,
         surge: (2.0, 3_000, 13_000),
         ..engines()
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -25,7 +25,7 @@
     pub objective: u64,
     pub deadline: u64,
     /// Age of what hosts know of each other's requests.
-    pub lag: u64,
+    pub state_lag_ms: u64,
     /// Whether servers tell what waits at them.
     pub reports_load: bool,
     /// Whether requests are admitted by the decision that is tested, or all.
@@ -125,7 +125,7 @@
             self.servers.truncate(self.load.servers - self.load.lost.0);
         }
         self.told.push_back(self.servers.iter().map(|s| s.running.len() + s.queue.len()).collect());
-        if self.told.len() as u64 > self.load.lag {
+        if self.told.len() as u64 > self.load.state_lag_ms {
             self.told.pop_front();
         }
         for (asked, rank) in self.returns.remove(&now).unwrap_or_default() {
