--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -28,7 +28,7 @@
         reports_load: true,
         uses_admission: true,
         surge: (3.0, 3_000, 13_000),
-        lost: (0, 0),
+        lost_servers: (0, 0),
         ranks: vec![1],
     }
 }
@@ -76,7 +76,7 @@
 #[test]
 fn goodput_drops_only_to_the_capacity_of_the_remaining_servers() {
     for seed in SEEDS {
-        let load = Simulation { lost: (4, 5_000), ..engines() };
+        let load = Simulation { lost_servers: (4, 5_000), ..engines() };
 
         let admitted = goodput(&load.run(15, seed));
 
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -33,7 +33,7 @@
     /// Requests a second at most at all servers, as often as which callers ask, from and until when.
     pub surge: (f64, u64, u64),
     /// Servers that are lost while the surge goes on, and when.
-    pub lost: (usize, u64),
+    pub lost_servers: (usize, u64),
     /// Ranks of the requests, by turns.
     pub ranks: Vec<u32>,
 }
@@ -72,10 +72,10 @@
 }
 
 impl Simulation {
-    /// Requests a second that all servers finish when all places are taken, `lost` of them not counted.
-    pub fn capacity(&self, lost: usize) -> f64 {
+    /// Requests a second that all servers finish when all places are taken, `lost_servers` of them not counted.
+    pub fn capacity(&self, lost_servers: usize) -> f64 {
         let together = self.work * (1.0 + self.slowdown * (self.slots_per_server - 1) as f64);
-        ((self.servers - lost) * self.slots_per_server) as f64 / together * 1_000.0
+        ((self.servers - lost_servers) * self.slots_per_server) as f64 / together * 1_000.0
     }
 
     /// Plays so many seconds.
@@ -121,8 +121,8 @@
     }
 
     fn tick(&mut self, now: u64) {
-        if now == self.load.lost.1 {
-            self.servers.truncate(self.load.servers - self.load.lost.0);
+        if now == self.load.lost_servers.1 {
+            self.servers.truncate(self.load.servers - self.load.lost_servers.0);
         }
         self.told.push_back(self.servers.iter().map(|s| s.running.len() + s.queue.len()).collect());
         if self.told.len() as u64 > self.load.state_lag_ms {
