--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -19,7 +19,7 @@
     pub servers: usize,
     pub slots_per_server: usize,
     /// Time of a request that runs alone, and the part of it that each other request adds.
-    pub work: f64,
+    pub service_time_ms: f64,
     pub slowdown: f64,
     /// Time within which an answer must begin, and which callers wait.
     pub objective: u64,
@@ -74,7 +74,7 @@
 impl Simulation {
     /// Requests a second that all servers finish when all places are taken, `lost_servers` of them not counted.
     pub fn capacity(&self, lost_servers: usize) -> f64 {
-        let together = self.work * (1.0 + self.slowdown * (self.slots_per_server - 1) as f64);
+        let together = self.service_time_ms * (1.0 + self.slowdown * (self.slots_per_server - 1) as f64);
         ((self.servers - lost_servers) * self.slots_per_server) as f64 / together * 1_000.0
     }
 
@@ -177,11 +177,11 @@
             return;
         }
         let at = self.rng.random_range(0..self.servers.len());
-        let work = self.load.work * self.rng.random_range(0.5..1.5);
+        let service_time_ms = self.load.service_time_ms * self.rng.random_range(0.5..1.5);
         if self.servers[at].queue.len() >= QUEUE * self.load.slots_per_server {
             return;
         }
-        self.servers[at].queue.push_back(Job { host, rank, asked, sent: now, left: work });
+        self.servers[at].queue.push_back(Job { host, rank, asked, sent: now, left: service_time_ms });
     }
 
     fn serve(&mut self, now: u64, at: usize) {
