--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -23,7 +23,7 @@
     pub slowdown: f64,
     /// Time within which an answer must begin, and which callers wait.
     pub objective: u64,
-    pub deadline: u64,
+    pub deadline_ms: u64,
     /// Age of what hosts know of each other's requests.
     pub state_lag_ms: u64,
     /// Whether servers tell what waits at them.
@@ -158,7 +158,7 @@
             rank,
             route_rank: rank,
             objective: ms(self.load.objective),
-            left: ms((asked + self.load.deadline).saturating_sub(now)),
+            left: ms((asked + self.load.deadline_ms).saturating_sub(now)),
             load: ServiceLoad {
                 own: own as u32,
                 all: others as u32,
@@ -187,7 +187,7 @@
     fn serve(&mut self, now: u64, at: usize) {
         let (load, service): (_, Arc<str>) = (self.load, SERVICE.into());
         let server = &mut self.servers[at];
-        server.queue.retain(|job| job.asked + load.deadline > now);
+        server.queue.retain(|job| job.asked + load.deadline_ms > now);
         while server.running.len() < load.slots_per_server {
             let Some(job) = server.queue.pop_front() else { break };
             server.running.push(job);
