--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -22,7 +22,7 @@
     pub service_time_ms: f64,
     pub slowdown: f64,
     /// Time within which an answer must begin, and which callers wait.
-    pub objective: u64,
+    pub objective_ms: u64,
     pub deadline_ms: u64,
     /// Age of what hosts know of each other's requests.
     pub state_lag_ms: u64,
@@ -157,7 +157,7 @@
             route: u64::from(rank),
             rank,
             route_rank: rank,
-            objective: ms(self.load.objective),
+            objective: ms(self.load.objective_ms),
             left: ms((asked + self.load.deadline_ms).saturating_sub(now)),
             load: ServiceLoad {
                 own: own as u32,
@@ -192,7 +192,7 @@
             let Some(job) = server.queue.pop_front() else { break };
             server.running.push(job);
             let host = &mut self.hosts[job.host];
-            host.record_wait(ms(now), &service, ms(load.objective), ms(now - job.sent));
+            host.record_wait(ms(now), &service, ms(load.objective_ms), ms(now - job.sent));
             if load.reports_load {
                 let (running, waiting) = (server.running.len() as u32, server.queue.len() as u32);
                 host.record_load(
@@ -201,7 +201,7 @@
                     ReportedLoad { running, waiting, slots: load.slots_per_server as u32 },
                 );
             }
-            if now <= job.asked + load.objective {
+            if now <= job.asked + load.objective_ms {
                 self.seconds[now as usize / 1_000].in_time += 1;
                 self.seconds[job.asked as usize / 1_000].by_rank.entry(job.rank).or_default().0 += 1;
             }
