--- a/tests/support/wire.rs
+++ b/tests/support/wire.rs
@@ -264,7 +264,7 @@
 
     /// A host with the fixture's configuration and these servers; the first one is asked first.
     pub async fn with_servers(servers: &[&Server]) -> Self {
-        let host = Self::empty().await;
+        let host = Self::without_configuration().await;
         host.relay.set_configuration(configuration(), "test");
         host.set_servers(servers);
         host
