--- a/tests/platform_contract.rs
+++ b/tests/platform_contract.rs
@@ -1,4 +1,5 @@
-//! Contract of the platform's object API: each file in `contract/platform` is a case of calls, faults and answers.
+//! Contract tests of the platform's object API: each file in `contract/platform` is a sequence of calls, faults and
+//! expected answers.
 
 use std::{net::TcpListener, path::Path, sync::Arc, time::Duration};
 
@@ -15,14 +16,14 @@
 use rand::{SeedableRng, rngs::StdRng};
 use serde::Deserialize;
 
-const EVENT_WAIT: Duration = Duration::from_secs(5);
-/// Time after which a watch that is told nothing counts as silent.
-const SILENT: Duration = Duration::from_millis(100);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time without an event after which a watch counts as silent.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(100);
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Case {
-    #[allow(dead_code, reason = "for the reader of the file")]
+    #[allow(dead_code, reason = "documentation for readers of the file")]
     story: String,
     #[serde(default)]
     reads_per_second: Option<f64>,
@@ -37,12 +38,12 @@
     name: String,
     version: String,
     value: String,
-    /// Repeats `value` so often.
+    /// Number of repetitions of `value`.
     repeat: usize,
     times: usize,
     from: Version,
     faults: Faults,
-    /// What the call shall give.
+    /// Expected outcome of the call.
     expect: String,
     expect_value: Option<String>,
     expect_names: Option<Vec<String>>,
@@ -79,27 +80,27 @@
     }
 }
 
-async fn events(step: &Step, platform: &Platform) -> Option<Vec<Event>> {
+async fn read_events(step: &Step, platform: &Platform) -> Option<Vec<Event>> {
     let Watched::Open(mut watch) = platform.watch(step.from).await.unwrap() else { return None };
     let want = step.expect_names.as_ref().map_or(0, Vec::len);
     let mut events = Vec::new();
     while events.len() < want {
-        match watch.next_within(EVENT_WAIT).await.unwrap() {
+        match watch.next_within(EVENT_TIMEOUT).await.unwrap() {
             Next::Changed(event) => events.push(event),
-            other => panic!("no event within the time: {other:?}"),
+            other => panic!("no event arrived in time: {other:?}"),
         }
     }
     watch.close();
     Some(events)
 }
 
-struct Bed {
+struct Fixture {
     platform: Platform,
     standin: Arc<PlatformStandin>,
     rng: StdRng,
 }
 
-impl Bed {
+impl Fixture {
     async fn run(&mut self, step: &Step) {
         match step.call.as_str() {
             "faults" => self.standin.set_faults(step.faults.clone()),
@@ -111,33 +112,33 @@
                 check_write(step, self.platform.put_resolved(object(step), &mut self.rng).await);
             }
             "delete" => check_write(step, self.platform.delete(&object(step)).await),
-            "get" => self.get(step).await,
-            "list" => self.list(step).await,
-            "watch" => self.watch(step).await,
-            "deaf watch" => self.deaf_watch(step).await,
-            "dropped watch" => self.dropped_watch().await,
-            "count limited" => self.count(step, Outcome::Limited),
-            "count held" => self.count(step, Outcome::Held),
-            other => panic!("no such call: {other}"),
+            "get" => self.check_get(step).await,
+            "list" => self.check_list(step).await,
+            "watch" => self.check_watch(step).await,
+            "deaf watch" => self.check_silent_watch(step).await,
+            "dropped watch" => self.check_closed_watch().await,
+            "count limited" => self.check_count(step, Outcome::Limited),
+            "count held" => self.check_count(step, Outcome::Held),
+            other => panic!("unknown call: {other}"),
         }
     }
 
-    async fn get(&self, step: &Step) {
+    async fn check_get(&self, step: &Step) {
         for _ in 0..step.times.max(1) {
             let got = self.platform.get(&step.kind, &step.name).await;
-            let word = match &got {
+            let outcome = match &got {
                 Ok(Some(_)) => "found",
                 Ok(None) => "absent",
                 Err(_) => "no answer",
             };
-            assert_eq!(word, step.expect, "{got:?}");
+            assert_eq!(outcome, step.expect, "{got:?}");
             if let Ok(Some(obj)) = &got {
                 check_object(step, obj);
             }
         }
     }
 
-    async fn list(&self, step: &Step) {
+    async fn check_list(&self, step: &Step) {
         let list = match step.kind.as_str() {
             "" => self.platform.list().await,
             kind => self.platform.list_kind(kind).await,
@@ -150,36 +151,38 @@
         }
     }
 
-    async fn watch(&self, step: &Step) {
-        let events = events(step, &self.platform).await;
+    async fn check_watch(&self, step: &Step) {
+        let events = read_events(step, &self.platform).await;
         let Some(events) = events else { return assert_eq!(step.expect, "too old") };
-        let mark = |e: &Event| format!("{}{}", if e.deleted { "-" } else { "+" }, e.object.metadata.name);
-        let names: Vec<_> = events.iter().map(mark).collect();
+        let signed_name =
+            |e: &Event| format!("{}{}", if e.deleted { "-" } else { "+" }, e.object.metadata.name);
+        let names: Vec<_> = events.iter().map(signed_name).collect();
         assert_eq!(Some(&names), step.expect_names.as_ref());
         assert!(events.iter().is_sorted_by(|a, b| a.version < b.version));
     }
 
-    async fn dropped_watch(&self) {
+    async fn check_closed_watch(&self) {
         let from = self.platform.list().await.unwrap().version;
         let Watched::Open(mut watch) = self.platform.watch(from).await.unwrap() else { panic!("too old") };
         self.standin.close_watches();
-        assert_eq!(watch.next_within(EVENT_WAIT).await.unwrap(), Next::Ended);
+        assert_eq!(watch.next_within(EVENT_TIMEOUT).await.unwrap(), Next::Ended);
     }
 
-    /// A watch that is open while a change is made that it is not told; another one is told on opening.
-    async fn deaf_watch(&self, step: &Step) {
+    /// Checks that an open watch counts as silent if the platform does not send it a change. A later step of the case
+    /// checks that a new watch gets the change on opening.
+    async fn check_silent_watch(&self, step: &Step) {
         let from = self.platform.list().await.unwrap().version;
         let Watched::Open(mut watch) = self.platform.watch(from).await.unwrap() else { panic!("too old") };
         self.standin.set_faults(Faults { deaf: true, ..Faults::default() });
         check_write(step, self.platform.put(&object(step)).await);
-        assert_eq!(watch.next_within(SILENT).await.unwrap(), Next::Silent);
+        assert_eq!(watch.next_within(SILENCE_TIMEOUT).await.unwrap(), Next::Silent);
         watch.close();
     }
 
-    fn count(&self, step: &Step, outcome: Outcome) {
+    fn check_count(&self, step: &Step, outcome: Outcome) {
         let counts = self.platform.counts().all();
         let n = counts.get(&(Class::Read, outcome)).copied().unwrap_or(0);
-        assert!(n >= step.times as u64, "{n} calls");
+        assert!(n >= step.times as u64, "only {n} calls");
     }
 }
 
@@ -194,9 +197,9 @@
             rates = rates.with_reads(Rate { rate, burst: 1.0 });
         }
         let platform = Platform::with_rates(server.addr(), rates);
-        let mut bed = Bed { platform, standin, rng: StdRng::seed_from_u64(7) };
+        let mut fixture = Fixture { platform, standin, rng: StdRng::seed_from_u64(7) };
         for step in &case.steps {
-            bed.run(step).await;
+            fixture.run(step).await;
         }
         server.close();
         Ok(())
--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -127,7 +127,7 @@
 
         let seconds = load.run(15, 1);
 
-        let asked: u32 = seconds[..13].iter().map(|s| s.asked).sum();
+        let asked: u32 = seconds[..13].iter().map(|s| s.new_requests).sum();
         let in_time: u32 = seconds[..13].iter().map(|s| s.in_time).sum();
         assert!(f64::from(in_time) >= least * f64::from(asked), "{in_time} of {asked}");
     }
--- a/tests/support/leases.rs
+++ b/tests/support/leases.rs
@@ -1,4 +1,4 @@
-//! A platform that keeps one lease, and processes whose calls to it are slow, lost or paused.
+//! Simulated platform that stores one lease, and processes with slow or lost calls, pauses and clocks of their own.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 
 pub const TTL: Duration = Duration::from_secs(9);
 
-/// The lease's object.
+/// Versioned store of the lease object.
 #[derive(Default)]
 pub struct LeaseStore {
-    /// Reads and writes so far.
+    /// Numbers of reads and of writes so far.
     pub calls: (u64, u64),
     version: u64,
     object: Option<AnyObject>,
@@ -28,8 +28,8 @@
 
     pub fn put(&mut self, mut obj: AnyObject) -> Write {
         self.calls.1 += 1;
-        let have = self.object.as_ref().map_or("", |o| o.metadata.resource_version.as_str());
-        if have != obj.metadata.resource_version {
+        let current_version = self.object.as_ref().map_or("", |o| o.metadata.resource_version.as_str());
+        if current_version != obj.metadata.resource_version {
             return Write::Conflict(self.object.clone());
         }
         self.version += 1;
@@ -39,18 +39,18 @@
     }
 }
 
-/// A call on its way to the platform or back.
+/// Call in transit, with its time of arrival: to the platform, or back with an answer.
 enum Call {
-    Out(Instant, Action),
-    Read(Instant, Option<Option<AnyObject>>),
-    Written(Instant, Write),
+    Sent(Instant, Action),
+    ReadAnswer(Instant, Option<Option<AnyObject>>),
+    WriteAnswer(Instant, Write),
 }
 
-/// One process with its own clock.
+/// Process that takes part in the lease, with a clock of its own.
 pub struct Process {
     pub driver: LeaseDriver,
     pub paused_until: Instant,
-    /// Speed of its clock.
+    /// Speed of the process's clock relative to real time.
     pub clock_speed: f64,
     pub offset: Duration,
     call: Option<Call>,
@@ -74,15 +74,18 @@
         self.driver.check(clock, Duration::ZERO)
     }
 
-    /// Advances the process and its call; `slow` is the longest one-way time, `loss` the share of answers lost.
-    pub fn step(&mut self, now: Instant, shelf: &mut LeaseStore, slow: Duration, loss: f64) {
+    /// Advances the process and its call; `max_latency` is the maximum one-way latency, `loss_rate` the fraction of lost
+    /// answers.
+    pub fn step(&mut self, now: Instant, store: &mut LeaseStore, max_latency: Duration, loss_rate: f64) {
         match self.call.take() {
-            Some(Call::Out(at, action)) if now >= at => self.arrive(now, action, shelf, slow, loss),
-            Some(Call::Read(at, answer)) if now >= at && now >= self.paused_until => {
+            Some(Call::Sent(at, action)) if now >= at => {
+                self.deliver(now, action, store, max_latency, loss_rate)
+            }
+            Some(Call::ReadAnswer(at, answer)) if now >= at && now >= self.paused_until => {
                 let clock = self.clock(now);
                 self.driver.read(clock, answer, &mut self.rng);
             }
-            Some(Call::Written(at, write)) if now >= at && now >= self.paused_until => {
+            Some(Call::WriteAnswer(at, write)) if now >= at && now >= self.paused_until => {
                 let clock = self.clock(now);
                 self.driver.written(clock, write, &mut self.rng);
             }
@@ -93,22 +96,29 @@
         }
         let clock = self.clock(now);
         if let Some(action) = self.driver.tick(clock, &mut self.rng) {
-            let at = now + slow.mul_f64(self.rng.random());
-            self.call = Some(Call::Out(at, action));
+            let at = now + max_latency.mul_f64(self.rng.random());
+            self.call = Some(Call::Sent(at, action));
         }
     }
 
-    fn arrive(&mut self, now: Instant, action: Action, shelf: &mut LeaseStore, slow: Duration, loss: f64) {
-        let back = now + slow.mul_f64(self.rng.random());
-        let lost = self.rng.random_bool(loss);
+    fn deliver(
+        &mut self,
+        now: Instant,
+        action: Action,
+        store: &mut LeaseStore,
+        max_latency: Duration,
+        loss_rate: f64,
+    ) {
+        let answer_at = now + max_latency.mul_f64(self.rng.random());
+        let lost = self.rng.random_bool(loss_rate);
         self.call = Some(match action {
             Action::Read => {
-                shelf.calls.0 += 1;
-                Call::Read(back, (!lost).then(|| shelf.get()))
+                store.calls.0 += 1;
+                Call::ReadAnswer(answer_at, (!lost).then(|| store.get()))
             }
             Action::Write(obj) => {
-                let write = shelf.put(obj);
-                Call::Written(back, if lost { Write::Unknown } else { write })
+                let write = store.put(obj);
+                Call::WriteAnswer(answer_at, if lost { Write::Unknown } else { write })
             }
         });
     }
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -1,4 +1,4 @@
-//! Routers as processes, started from settings files on ports that the system chooses.
+//! Router processes, started from settings files on free ports.
 
 #![allow(dead_code, reason = "each test that includes this module uses a part of it")]
 
@@ -14,7 +14,7 @@
 
 use cranberrytally::standin::outside::settings;
 
-/// A router process; dropping it kills it.
+/// Router process; dropping it kills the process.
 pub struct Router {
     pub addr: SocketAddr,
     pub peer: SocketAddr,
@@ -23,12 +23,13 @@
 }
 
 impl Router {
-    /// Starts a router and waits until it has told its addresses.
+    /// Starts a router and waits until it has printed its addresses.
     pub fn start(name: &str, platform: SocketAddr, seeds: &[SocketAddr]) -> Self {
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
         let file = dir.join(format!("{name}-{}-{:x}.yaml", std::process::id(), platform.port()));
-        // A router that leaves serves for as long as callers keep entry answers; tests need not wait half a minute.
+        // A router that shuts down serves until the cached entry responses have expired. The default of half a minute
+        // would slow the tests down.
         let text = settings(name, any, any, platform, seeds) + "drain: { answer_keep_ms: 1000 }\n";
         fs::write(&file, text).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_cranberrytally"))
@@ -40,8 +41,8 @@
         let mut line = String::new();
         BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
         let mut addrs = line.split_whitespace().filter_map(|word| word.parse().ok());
-        let addr = addrs.next().unwrap_or_else(|| panic!("{name} told no address: {line:?}"));
-        let peer = addrs.next().unwrap_or_else(|| panic!("{name} told no peer address: {line:?}"));
+        let addr = addrs.next().unwrap_or_else(|| panic!("{name} printed no address: {line:?}"));
+        let peer = addrs.next().unwrap_or_else(|| panic!("{name} printed no peer address: {line:?}"));
         Self { addr, peer, file, child }
     }
 
@@ -50,13 +51,13 @@
         self.child.id()
     }
 
-    /// Sends the process a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let pid = Pid::from_child(&self.child);
         kill_process(pid, signal).unwrap();
     }
 
-    /// Kills the process at once, as when its host fails.
+    /// Kills the process immediately, like a failure of its host.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -70,7 +71,7 @@
         self.file.to_str().unwrap()
     }
 
-    /// Waits until the process ends by itself; returns its exit code, `None` when a signal ended it.
+    /// Waits for the process to exit; returns its exit code, or `None` if a signal ended it.
     pub fn wait(&mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
@@ -83,7 +84,7 @@
     }
 }
 
-/// Runs an operator's command to its end.
+/// Runs an operator command and returns its output.
 pub fn command(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_cranberrytally")).args(args).output().unwrap()
 }
--- a/tests/support/relay.rs
+++ b/tests/support/relay.rs
@@ -1,4 +1,4 @@
-//! Fixtures of relaying hosts. Each test uses a part of them.
+//! Fixtures for relay hosts. Each test uses a part of them.
 
 #![allow(dead_code)]
 
@@ -14,7 +14,7 @@
 };
 use tokio::net::UdpSocket;
 
-/// Settings of a host that knows no other.
+/// Configuration of a host without seeds.
 pub fn relay_config(name: &str) -> RelayConfig {
     let addr = "127.0.0.1:1".parse().unwrap();
     RelayConfig {
@@ -34,21 +34,21 @@
     }
 }
 
-/// A backend server of the service `s` as the store lists it; its start is not told.
+/// Backend server of the service `s` as the store lists it, with an unknown start time.
 pub fn listed(id: &str, leaving: bool) -> Backend {
     let addr = format!("10.0.0.1:{}", 1_000 + id.len());
     let (service, data_centre) = ("s".into(), "a".into());
     Backend { id: id.into(), service, addr, data_centre, slots: 6, leaving, ..Backend::default() }
 }
 
-/// A revision of a store that was never restored and tells no epoch.
+/// Revision of a store without an epoch, which was never restored.
 pub fn rev(number: u64) -> Revision {
     Revision::new(0, number)
 }
 
-/// A host on loopback with its sockets between hosts.
+/// Starts a host on loopback that exchanges heartbeats and fetches with its peers.
 pub async fn host(name: &str, seeds: &[SocketAddr]) -> (Arc<Relay<PlatformWire>>, SocketAddr) {
-    // TCP and UDP need the same port.
+    // TCP and UDP must use the same port.
     let (listener, socket) = loop {
         let listener = inbound::listen("127.0.0.1:0".parse().unwrap()).await.unwrap();
         if let Ok(socket) = UdpSocket::bind(listener.local_addr().unwrap()).await {
--- a/tests/support/wire.rs
+++ b/tests/support/wire.rs
@@ -1,5 +1,5 @@
-//! Fixtures that speak the platform's wire over loopback: a host in this process, scripted backend servers, and a caller
-//! that reads raw bytes. Each test uses a part of them.
+//! Fixtures that use the platform's wire protocol over loopback: a relay host in this process, scripted backend
+//! servers, and a caller that reads raw bytes. Each test uses a part of them.
 
 #![allow(dead_code)]
 
@@ -25,59 +25,59 @@
 
 use crate::relay_support::{relay_config, rev};
 
-/// Longest wait for anything on loopback; reached only when a test fails.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout of each wait on loopback; reached only when a test fails.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a scripted server does with one request.
+/// Reaction of a scripted server to one request.
 #[derive(Clone, Debug)]
 pub enum ScriptStep {
-    /// Writes these bytes and keeps the connection.
+    /// Writes these bytes and keeps the connection open.
     Write(String),
-    /// Writes these bytes and closes.
+    /// Writes these bytes and closes the connection.
     WriteAndClose(String),
     /// Writes these bytes and resets the connection.
     WriteAndReset(String),
-    /// Says nothing until the caller closes.
+    /// Sends nothing until the other side closes the connection.
     Hang,
-    /// Resets the connection and takes no more.
+    /// Resets the connection and accepts no further ones.
     Crash,
 }
 
-/// A backend server that follows a script, one act a request; the last act goes on.
+/// Backend server that follows a script, one step per request; the last step is repeated.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Its identifier.
+    /// Identifier.
     pub id: String,
-    /// Its address.
+    /// Address.
     pub addr: SocketAddr,
-    seen: Arc<Mutex<Vec<String>>>,
-    closed: Arc<Mutex<usize>>,
+    requests: Arc<Mutex<Vec<String>>>,
+    closed_connections: Arc<Mutex<usize>>,
 }
 
 impl Server {
-    /// Starts a server with a script; `{id}` in it stands for the request's identifier.
+    /// Starts a server with a script, in which `{id}` is replaced by the request's attempt identifier.
     pub async fn start(id: &str, script: impl Into<Vec<ScriptStep>>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let server = Self {
             id: id.into(),
             addr: listener.local_addr().unwrap(),
-            seen: Arc::default(),
-            closed: Arc::default(),
+            requests: Arc::default(),
+            closed_connections: Arc::default(),
         };
-        let (copy, script) = (server.clone(), Arc::new(script.into()));
+        let (serving, script) = (server.clone(), Arc::new(script.into()));
         tokio::spawn(async move {
             let (crash, mut crashed) = mpsc::channel(1);
             loop {
                 tokio::select! {
                     biased;
                     Some(stream) = crashed.recv() => {
-                        // The listener goes first, so that whoever sees the reset finds nobody there.
+                        // The listener is closed first, so that whoever sees the reset can no longer connect.
                         drop(listener);
                         reset(stream);
                         return;
                     }
                     Ok((stream, _)) = listener.accept() => {
-                        tokio::spawn(copy.clone().serve(stream, script.clone(), crash.clone()));
+                        tokio::spawn(serving.clone().serve(stream, script.clone(), crash.clone()));
                     }
                 }
             }
@@ -92,15 +92,15 @@
         crash: mpsc::Sender<TcpStream>,
     ) {
         while let Some(req) = read_request(&mut stream).await {
-            let at = {
-                let mut seen = self.seen.lock().unwrap();
-                seen.push(req.clone());
-                seen.len() - 1
+            let index = {
+                let mut requests = self.requests.lock().unwrap();
+                requests.push(req.clone());
+                requests.len() - 1
             };
-            let act = script.get(at).or(script.last()).unwrap().clone();
+            let step = script.get(index).or(script.last()).unwrap().clone();
             let id = header(&req, "attempt-id").unwrap_or_default();
             let write = |text: &str| text.replace("{id}", &id).into_bytes();
-            match act {
+            match step {
                 ScriptStep::Write(text) => stream.write_all(&write(&text)).await.unwrap(),
                 ScriptStep::WriteAndClose(text) => {
                     stream.write_all(&write(&text)).await.unwrap();
@@ -117,25 +117,25 @@
                 }
                 ScriptStep::Hang => {
                     let _ = stream.read(&mut [0]).await;
-                    *self.closed.lock().unwrap() += 1;
+                    *self.closed_connections.lock().unwrap() += 1;
                     return;
                 }
             }
         }
     }
 
-    /// Requests that have arrived, each as its head and body.
+    /// Received requests, each as its head and body.
     pub fn requests(&self) -> Vec<String> {
-        self.seen.lock().unwrap().clone()
+        self.requests.lock().unwrap().clone()
     }
 
-    /// Connections that the other side closed while this server said nothing.
+    /// Number of connections that the other side closed during [`ScriptStep::Hang`].
     pub fn closed_connections(&self) -> usize {
-        *self.closed.lock().unwrap()
+        *self.closed_connections.lock().unwrap()
     }
 }
 
-/// Ends a connection by a reset.
+/// Closes a connection with a reset.
 fn reset(stream: TcpStream) {
     stream.set_zero_linger().unwrap();
 }
@@ -147,7 +147,7 @@
     Some(line.split_once(':')?.1.trim().to_owned())
 }
 
-/// Reads a request with a length; `None` where the connection ends first.
+/// Reads a request with a `Content-Length` body; `None` if the connection ends first.
 pub async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut buf = Vec::new();
     loop {
@@ -165,12 +165,12 @@
     }
 }
 
-/// A whole answer of a backend server.
+/// Raw answer of a backend server with status 200.
 pub fn ok(body: &str) -> String {
     answer("200 OK", body)
 }
 
-/// An answer of a backend server with a status.
+/// Raw answer of a backend server with the given status.
 pub fn answer(status: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -178,35 +178,36 @@
     )
 }
 
-/// A refusal that proves that the request did not run.
+/// Raw rejection that proves that the request did not run.
 pub fn not_run() -> String {
     "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
         .into()
 }
 
-/// Head of a stream of events.
+/// Head of an event stream.
 pub fn stream_head() -> String {
     let head =
         "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nResponse-Seal: s1\r\nContent-Type: text/event-stream\r\n";
     format!("{head}Transfer-Encoding: chunked\r\n\r\n")
 }
 
-/// One chunk of a body.
+/// Chunk of a chunked body.
 pub fn chunk(data: &str) -> String {
     format!("{:x}\r\n{data}\r\n", data.len())
 }
 
-/// One event.
+/// Event with default data.
 pub fn event(number: u32) -> String {
     event_with_data(number, &format!("e{number}"))
 }
 
-/// One event with data of its own.
+/// Event with the given data.
 pub fn event_with_data(number: u32, data: &str) -> String {
     format!("id: {number}\ndata: {data}\n\n")
 }
 
-/// Routes `/safe/`, `/unsafe/`, `/stream/` (resumable) and `/once/` (a stream that is not), all to the service `app`.
+/// Configuration with the routes `/safe/`, `/unsafe/`, `/stream/` (resumable) and `/once/` (a stream that is not
+/// resumable), all to the service `app`.
 pub fn configuration() -> Configuration {
     let route = |prefix: &str, repeat: Repeat, resumable| Route {
         name: prefix.trim_matches('/').into(),
@@ -241,28 +242,28 @@
     }
 }
 
-/// A host that serves callers in this process.
+/// Relay host that serves callers in this process.
 pub struct Host {
     /// The relay.
     pub relay: Arc<Relay<PlatformWire>>,
-    /// Where callers connect.
+    /// Address for callers.
     pub addr: SocketAddr,
 }
 
 impl Host {
-    /// A host without configuration.
+    /// Starts a host without configuration.
     pub async fn without_configuration() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let mut cfg = relay_config("host-1");
-        // So many that the part of a host that has just started suffices.
+        // High enough that even the share of a host that has just started allows every retry.
         cfg.budget.extra = 1e9;
         let relay = Arc::new(Relay::new(cfg, PlatformWire).unwrap());
         tokio::spawn(inbound::accept(relay.clone(), listener));
         Self { relay, addr }
     }
 
-    /// A host with the fixture's configuration and these servers; the first one is asked first.
+    /// Starts a host with the fixture's configuration and these servers; the first one is preferred.
     pub async fn with_servers(servers: &[&Server]) -> Self {
         let host = Self::without_configuration().await;
         host.relay.set_configuration(configuration(), "test");
@@ -270,7 +271,7 @@
         host
     }
 
-    /// Lists the backend servers. Only the first one stands in the host's data centre and is preferred.
+    /// Sets the list of backend servers. Only the first one is in the host's data centre and therefore preferred.
     pub fn set_servers(&self, servers: &[&Server]) {
         let items = servers.iter().enumerate().map(|(i, s)| Backend {
             id: s.id.clone(),
@@ -284,7 +285,7 @@
         self.relay.update_backends(BackendsUpdate::List(list), None, "test");
     }
 
-    /// Lists one more server, which stands in the host's data centre.
+    /// Adds a server in the host's data centre to the list.
     pub fn add_server(&self, server: &Server) {
         let put = Backend {
             id: server.id.clone(),
@@ -303,7 +304,7 @@
         Caller(TcpStream::connect(self.addr).await.unwrap())
     }
 
-    /// Sends one request on a connection of its own and reads the answer to its end.
+    /// Sends a request on a new connection and reads the complete answer.
     pub async fn call(&self, request: &str) -> String {
         let mut caller = self.connect().await;
         caller.send(request).await;
@@ -311,7 +312,7 @@
     }
 }
 
-/// A caller's connection.
+/// Connection of a caller.
 pub struct Caller(TcpStream);
 
 impl Caller {
@@ -320,10 +321,10 @@
         self.0.write_all(bytes.as_bytes()).await.unwrap();
     }
 
-    /// Reads one answer: to the end of its body, or to the end of the connection.
+    /// Reads one answer up to the end of its body or of the connection.
     pub async fn answer(&mut self) -> String {
         let mut buf = Vec::new();
-        let reading = async {
+        let read_answer = async {
             loop {
                 let text = String::from_utf8_lossy(&buf).into_owned();
                 if is_complete(&text) || !matches!(self.0.read_buf(&mut buf).await, Ok(n) if n > 0) {
@@ -331,7 +332,7 @@
                 }
             }
         };
-        timeout(PATIENCE, reading).await.expect("an answer comes")
+        timeout(WAIT_TIMEOUT, read_answer).await.expect("no answer arrived")
     }
 }
 
@@ -344,7 +345,7 @@
     }
 }
 
-/// The events' data in a raw answer.
+/// Data of the events in a raw answer.
 pub fn events(text: &str) -> Vec<&str> {
     text.lines().filter_map(|l| l.strip_prefix("data: ")).collect()
 }
@@ -354,19 +355,19 @@
     text.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
 }
 
-/// A request under a path with the fixture's key.
+/// Raw request for a path, with the fixture's API key.
 pub fn request(path: &str, body: &str) -> String {
     let length = body.len();
     let head = format!("POST {path} HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: r1\r\nKey: k1\r\n");
     format!("{head}Request-Deadline: 3000\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// Waits until something holds.
-pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let waiting = async {
-        while !holds() {
+/// Waits until the condition holds; fails with `what` after a timeout.
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let wait = async {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, waiting).await.unwrap_or_else(|_| panic!("{what} did not come about"));
+    timeout(WAIT_TIMEOUT, wait).await.unwrap_or_else(|_| panic!("timed out waiting for {what}"));
 }
