--- a/src/standin/caller.rs
+++ b/src/standin/caller.rs
@@ -63,8 +63,8 @@
         self.addresses = addresses;
     }
 
-    /// Replaces the addresses by those in the entry response of the first router that answers, followed by that router's
-    /// own address.
+    /// Replaces the addresses by those in the entry response of the first router that answers, followed by that
+    /// router's own address.
     ///
     /// # Errors
     /// If no router answers.
--- a/tests/support/leases.rs
+++ b/tests/support/leases.rs
@@ -74,8 +74,8 @@
         self.driver.check(clock, Duration::ZERO)
     }
 
-    /// Advances the process and its call; `max_latency` is the maximum one-way latency, `loss_rate` the fraction of lost
-    /// answers.
+    /// Advances the process and its call; `max_latency` is the maximum one-way latency, `loss_rate` the fraction of
+    /// lost answers.
     pub fn step(&mut self, now: Instant, store: &mut LeaseStore, max_latency: Duration, loss_rate: f64) {
         match self.call.take() {
             Some(Call::Sent(at, action)) if now >= at => {
