--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -15,7 +15,7 @@
     http::{Limits, Server},
     standin::{
         engine::EngineStandin,
-        outside::{MODEL, Outside, Plan, WORKSPACES, loopback, object},
+        outside::{MODEL, StandinConfig, Standins, WORKSPACES, loopback_listener, object},
     },
 };
 use hdrhistogram::Histogram;
@@ -126,10 +126,10 @@
 }
 
 async fn overhead() {
-    let plan = Plan::default().with_engines(0).with_tokens(TOKENS, Duration::ZERO);
-    let outside = Outside::start(plan).await.unwrap();
+    let plan = StandinConfig::default().with_engines(0).with_tokens(TOKENS, Duration::ZERO);
+    let outside = Standins::start(plan).await.unwrap();
     let engine = Arc::new(EngineStandin::new(TOKENS, Duration::ZERO, 64));
-    let server = Server::start(loopback().unwrap(), 2, Limits::default(), engine).unwrap();
+    let server = Server::start(loopback_listener().unwrap(), 2, Limits::default(), engine).unwrap();
     register(&outside, server.addr());
     let router = Router::start("overhead", outside.platform_addr(), &[]);
     ready(router.addr).await;
@@ -154,16 +154,16 @@
     outside.close();
 }
 
-fn register(outside: &Outside, addr: SocketAddr) {
+fn register(outside: &Standins, addr: SocketAddr) {
     let spec = serde_json::json!({ "address": addr.to_string(), "dataCentre": "poa-a", "capacity": 100_000 });
     outside.put(object("Engine", "engine-0", &[("role", "model")], spec)).unwrap();
 }
 
 async fn memory() {
-    let plan = Plan::default().with_engines(0).with_tokens(2, Duration::ZERO);
-    let outside = Outside::start(plan).await.unwrap();
+    let plan = StandinConfig::default().with_engines(0).with_tokens(2, Duration::ZERO);
+    let outside = Standins::start(plan).await.unwrap();
     let engine = Arc::new(EngineStandin::new(1_000, Duration::from_secs(30), 64));
-    let server = Server::start(loopback().unwrap(), 2, Limits::default(), engine).unwrap();
+    let server = Server::start(loopback_listener().unwrap(), 2, Limits::default(), engine).unwrap();
     register(&outside, server.addr());
     let router = Router::start("memory", outside.platform_addr(), &[]);
     ready(router.addr).await;
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -22,7 +22,7 @@
     standin::{
         caller::Caller,
         gate::Mode,
-        outside::{Outside, Plan, WORKSPACES, loopback, settings},
+        outside::{StandinConfig, Standins, WORKSPACES, loopback_listener, settings},
     },
     util::hash,
 };
@@ -82,8 +82,8 @@
 
 async fn run_demo(chats: usize) -> Result<ExitCode> {
     print_flushed(&format!("starting {ROUTERS} routers, 9 engines, 3 backend servers of a plain service\n"));
-    let mut outside = Outside::start(
-        Plan::default().with_tokens(TOKENS_PER_ANSWER, TOKEN_INTERVAL).with_capacity(ENGINE_CAPACITY),
+    let mut outside =
+        Standins::start(StandinConfig::default().with_tokens(TOKENS_PER_ANSWER, TOKEN_INTERVAL).with_capacity(ENGINE_CAPACITY),
     )
     .await?;
     let routers = start_routers(&outside)?;
@@ -100,9 +100,9 @@
     for task in tasks {
         let (part, refused) = task.await?;
         results.add(part);
-        results.false_not_run += refused.iter().filter(|key| outside.ran(key)).count() as u32;
+        results.false_not_run += refused.iter().filter(|key| outside.has_run(key)).count() as u32;
     }
-    let doubled = outside.doubled().len();
+    let doubled = outside.duplicate_runs().len();
     print_flushed(&report(&outside, &routers, results, doubled, started.elapsed()));
     routers.into_iter().for_each(RunningRouter::close);
     outside.close();
@@ -110,8 +110,9 @@
     Ok(if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn start_routers(outside: &Outside) -> Result<Vec<RunningRouter>> {
-    let listeners = (0..ROUTERS).map(|_| Ok((loopback()?, loopback()?))).collect::<Result<Vec<_>>>()?;
+fn start_routers(outside: &Standins) -> Result<Vec<RunningRouter>> {
+    let listeners =
+        (0..ROUTERS).map(|_| Ok((loopback_listener()?, loopback_listener()?))).collect::<Result<Vec<_>>>()?;
     let seeds = listeners.iter().map(|(_, peer)| Ok(peer.local_addr()?)).collect::<Result<Vec<_>>>()?;
     let mut routers = Vec::new();
     for (i, (listener, peer)) in listeners.into_iter().enumerate() {
@@ -134,12 +135,12 @@
 }
 
 /// Makes one engine flap, one leave permanently and one join while the chats run.
-async fn churn(outside: &mut Outside) -> Result<()> {
+async fn churn(outside: &mut Standins) -> Result<()> {
     for mode in [Mode::Refuse, Mode::Open, Mode::Refuse, Mode::Open] {
         tokio::time::sleep(CHURN_PAUSE).await;
-        outside.gates[0].set(mode).await?;
+        outside.engine_proxies[0].set_mode(mode).await?;
     }
-    outside.gates[1].set(Mode::Refuse).await?;
+    outside.engine_proxies[1].set_mode(Mode::Refuse).await?;
     outside.add_engine().await
 }
 
@@ -147,14 +148,14 @@
     let mut caller = Caller::new(WORKSPACES[i % WORKSPACES.len()], &format!("chat-{i}"), addresses);
     let mut results = Results::default();
     let mut refused = Vec::new();
-    if caller.enter().await.is_err() {
+    if caller.fetch_addresses().await.is_err() {
         results.failed += 1;
         return (results, refused);
     }
     tokio::time::sleep(turn_pause(i, TURNS_PER_CHAT)).await;
     for turn in 0..TURNS_PER_CHAT {
-        match caller.turn(ATTEMPTS_PER_TURN).await {
-            Ok(answer) if caller.whole(&answer, tokens) => results.answered += 1,
+        match caller.send_turn(ATTEMPTS_PER_TURN).await {
+            Ok(answer) if caller.is_complete(&answer, tokens) => results.answered += 1,
             Ok(_) => results.wrong += 1,
             Err(e) => {
                 spdlog::warn!("chat-{i}: {e:#}");
@@ -184,13 +185,13 @@
 }
 
 fn report(
-    outside: &Outside,
+    outside: &Standins,
     routers: &[RunningRouter],
     results: Results,
     doubled: usize,
     took: Duration,
 ) -> String {
-    let (reuse, skew) = outside.reuse_and_skew();
+    let (reuse, skew) = outside.hit_rate_and_skew();
     let mut text = String::new();
     let mut row = |name: &str, value: String| {
         let _ = writeln!(text, "{name:44} {value}");
--- a/tests/bookings.rs
+++ b/tests/bookings.rs
@@ -11,12 +11,12 @@
     http::{Limits, Server},
     serve::RunningRouter,
     standin::{
-        gate::{Gate, Mode},
+        gate::{FaultProxy, Mode},
         platform::{Faults as PlatformFaults, PlatformStandin},
         service::{Faults, ServiceStandin},
     },
 };
-use fixture::{loopback, object};
+use fixture::{loopback_listener, object};
 use http::Request;
 use http_body_util::{BodyExt, Full};
 
@@ -25,7 +25,7 @@
 struct Fleet {
     platform: Arc<PlatformStandin>,
     service: Arc<ServiceStandin>,
-    gate: Gate,
+    gate: FaultProxy,
     routers: Vec<RunningRouter>,
     addrs: Vec<std::net::SocketAddr>,
     servers: Vec<Server>,
@@ -43,8 +43,8 @@
 impl Fleet {
     async fn start() -> Self {
         let service = Arc::new(ServiceStandin::default());
-        let backend = Server::start(loopback(), 1, Limits::default(), service.clone()).unwrap();
-        let gate = Gate::start(backend.addr(), None).await.unwrap();
+        let backend = Server::start(loopback_listener(), 1, Limits::default(), service.clone()).unwrap();
+        let gate = FaultProxy::start(backend.addr(), None).await.unwrap();
         let select = serde_json::json!({ "matchLabels": { "role": "app" } });
         let calls =
             |key| serde_json::json!({ "engines": select, "nonIdempotent": ["/hold"], "requireKey": key });
@@ -226,10 +226,10 @@
 #[tokio::test]
 async fn a_claim_that_did_not_run_is_released() {
     let fleet = Fleet::start().await;
-    fleet.gate.set(Mode::Refuse).await.unwrap();
+    fleet.gate.set_mode(Mode::Refuse).await.unwrap();
 
     let refused = fleet.call(0, "bookings", "k3", "tour", true).await;
-    fleet.gate.set(Mode::Open).await.unwrap();
+    fleet.gate.set_mode(Mode::Open).await.unwrap();
     let again = fleet.until_settled(1, "k3", "tour").await;
 
     assert_eq!((refused.status, refused.outcome.as_str()), (503, "not-run"), "{refused:?}");
--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -11,7 +11,7 @@
     client::Client,
     config::Settings,
     serve::RunningRouter,
-    standin::outside::{Outside, Plan, WORKSPACES, loopback, settings},
+    standin::outside::{StandinConfig, Standins, WORKSPACES, loopback_listener, settings},
 };
 use http::{HeaderMap, Request};
 use http_body_util::{BodyExt, Full};
@@ -204,8 +204,8 @@
     }
 }
 
-fn router(outside: &Outside) -> RunningRouter {
-    let listener = loopback().unwrap();
+fn router(outside: &Standins) -> RunningRouter {
+    let listener = loopback_listener().unwrap();
     let peer: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let text = settings("router-0", listener.local_addr().unwrap(), peer, outside.platform_addr(), &[]);
     RunningRouter::start_on(&Settings::parse(&text).unwrap(), listener).unwrap()
@@ -223,7 +223,7 @@
 #[tokio::test]
 async fn every_example_gets_the_documented_response() {
     let page = std::fs::read_to_string("docs/CALLERS.md").unwrap();
-    let outside = Outside::start(Plan::default().with_engines(2)).await.unwrap();
+    let outside = Standins::start(StandinConfig::default().with_engines(2)).await.unwrap();
     let router = router(&outside);
     ready(&router).await;
     let mut vars = Variables::from([("ROUTER".to_owned(), router.addr().to_string())]);
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -10,7 +10,7 @@
     schema::engine::Order,
     standin::{
         engine::{EngineStandin, Faults},
-        gate::{Gate, Mode},
+        gate::{FaultProxy, Mode},
     },
     stream::{EventAction, StreamTracker},
 };
@@ -26,7 +26,7 @@
 struct Fixture {
     engine: Arc<EngineStandin>,
     server: Server,
-    gate: Gate,
+    gate: FaultProxy,
     client: EngineClient,
 }
 
@@ -36,7 +36,7 @@
         engine.set_faults(faults);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let server = Server::start(listener, 1, Limits::default(), engine.clone()).unwrap();
-        let gate = Gate::start(server.addr(), Some(engine.crashes())).await.unwrap();
+        let gate = FaultProxy::start(server.addr(), Some(engine.subscribe_crashes())).await.unwrap();
         let client = EngineClient::new(Client::default(), gate.addr());
         Self { engine, server, gate, client }
     }
@@ -146,7 +146,7 @@
     block_on(async {
         for case in table::<AnswerCase>(path) {
             let fixture = Fixture::start(case.faults).await;
-            fixture.gate.set(case.mode).await.unwrap();
+            fixture.gate.set_mode(case.mode).await.unwrap();
 
             let res = fixture.chat().await;
 
@@ -311,7 +311,7 @@
 
             drop(fixture.client.chat(&call).await);
 
-            assert_eq!(fixture.engine.counts(), (i as u64 + 1, i as u64 + 1, hits), "turn {i}");
+            assert_eq!(fixture.engine.request_counts(), (i as u64 + 1, i as u64 + 1, hits), "turn {i}");
         }
         fixture.close();
     })
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -11,7 +11,7 @@
 };
 
 use cranberrytally::logs::{explain::explain, lines};
-use wire::{Act, Host, Server, answer, chunk, event, not_run, request, status, stream_head};
+use wire::{Host, ScriptStep, Server, answer, chunk, event, not_run, request, status, stream_head};
 
 /// Log output shared with the test.
 #[derive(Clone, Default)]
@@ -45,25 +45,25 @@
     let output = LogOutput::default();
     lines::start(output.clone(), 1 << 20).unwrap();
     lines::set_host("host-1");
-    let full = Server::start("i-full", [Act::Write(not_run())]).await;
+    let full = Server::start("i-full", [ScriptStep::Write(not_run())]).await;
     let begun = stream_head() + &chunk(&event(1)) + &chunk(&event(2));
-    let cut = Server::start("i-cut", [Act::WriteAndReset(begun)]).await;
-    let lost = Server::start("i-lost", [Act::WriteAndReset(String::new())]).await;
-    let error = Act::Write(answer("500 Internal Server Error", ""));
+    let cut = Server::start("i-cut", [ScriptStep::WriteAndReset(begun)]).await;
+    let lost = Server::start("i-lost", [ScriptStep::WriteAndReset(String::new())]).await;
+    let error = ScriptStep::Write(answer("500 Internal Server Error", ""));
     let (sick, sicker) = (Server::start("i-5", [error.clone()]).await, Server::start("i-6", [error]).await);
     let answers = [
-        Host::with(&[&full]).await.call(&named(request("/unsafe/x", ""), "refused-1")).await,
-        Host::with(&[&cut]).await.call(&named(request("/once/x", ""), "cut-1")).await,
-        Host::with(&[&lost]).await.call(&named(request("/unsafe/x", ""), "unknown-1")).await,
-        Host::with(&[&lost]).await.call(&named(request("/nowhere/x", ""), "path-1")).await,
-        Host::with(&[&sick, &sicker]).await.call(&named(request("/safe/x", ""), "error-1")).await,
+        Host::with_servers(&[&full]).await.call(&named(request("/unsafe/x", ""), "refused-1")).await,
+        Host::with_servers(&[&cut]).await.call(&named(request("/once/x", ""), "cut-1")).await,
+        Host::with_servers(&[&lost]).await.call(&named(request("/unsafe/x", ""), "unknown-1")).await,
+        Host::with_servers(&[&lost]).await.call(&named(request("/nowhere/x", ""), "path-1")).await,
+        Host::with_servers(&[&sick, &sicker]).await.call(&named(request("/safe/x", ""), "error-1")).await,
     ];
     let is_logged = |id: &str| output.lines().iter().any(|l| l.contains(id));
-    wire::until("the lines", || {
+    wire::wait_until("the lines", || {
         ["refused-1", "cut-1", "unknown-1", "path-1", "error-1"].into_iter().all(is_logged)
     })
     .await;
-    wire::until("the last lines", || output.lines().iter().any(|l| l.contains("\"status\":500"))).await;
+    wire::wait_until("the last lines", || output.lines().iter().any(|l| l.contains("\"status\":500"))).await;
 
     let story = |id| explain(id, output.lines()).unwrap();
 
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -11,7 +11,7 @@
 };
 
 use cranberrytally::logs::lines;
-use wire::{Act, Host, Server, ok, request, status};
+use wire::{Host, ScriptStep, Server, ok, request, status};
 
 /// Output that blocks all writes until `release` is called.
 #[derive(Clone, Default)]
@@ -47,13 +47,13 @@
 async fn a_stopped_reader_delays_no_request() {
     let output = BlockedOutput::default();
     lines::start(output.clone(), u32::MAX).unwrap();
-    let server = Server::start("i-1", [Act::Write(ok("fine"))]).await;
-    let host = Host::with(&[&server]).await;
+    let server = Server::start("i-1", [ScriptStep::Write(ok("fine"))]).await;
+    let host = Host::with_servers(&[&server]).await;
 
     for _ in 0..1_500 {
         assert_eq!(status(&host.call(&request("/unsafe/x", "")).await), 200);
     }
     output.release();
 
-    wire::until("the count of dropped lines", || output.text().contains("\"lines_dropped\"")).await;
+    wire::wait_until("the count of dropped lines", || output.text().contains("\"lines_dropped\"")).await;
 }
--- a/tests/place_links.rs
+++ b/tests/place_links.rs
@@ -11,7 +11,7 @@
     metrics::Counter,
     place::members::Member,
     serve::RunningRouter,
-    standin::outside::{MODEL, Outside, Plan, WORKSPACES, loopback, settings},
+    standin::outside::{MODEL, StandinConfig, Standins, WORKSPACES, loopback_listener, settings},
 };
 use http::Request;
 use http_body_util::{BodyExt, Full};
@@ -30,8 +30,8 @@
     tokio::time::timeout(READY_TIME, waiting).await.expect("not met in time");
 }
 
-fn router(i: usize, outside: &Outside) -> RunningRouter {
-    let listener = loopback().unwrap();
+fn router(i: usize, outside: &Standins) -> RunningRouter {
+    let listener = loopback_listener().unwrap();
     let addr = listener.local_addr().unwrap();
     let peer = "127.0.0.1:0".parse().unwrap();
     let text = settings(&format!("router-{i}"), addr, peer, outside.platform_addr(), &[]);
@@ -49,14 +49,14 @@
     routers.iter().enumerate().map(member).collect()
 }
 
-async fn start(count: usize, plan: Plan) -> (Outside, Vec<RunningRouter>) {
-    let outside = Outside::start(plan).await.unwrap();
+async fn start(count: usize, plan: StandinConfig) -> (Standins, Vec<RunningRouter>) {
+    let outside = Standins::start(plan).await.unwrap();
     let routers: Vec<_> = (0..count).map(|i| router(i, &outside)).collect();
     until(|| routers.iter().all(|r| r.gateway().catalog().has_workspace(WORKSPACES[2]))).await;
     (outside, routers)
 }
 
-fn close(outside: Outside, routers: Vec<RunningRouter>) {
+fn close(outside: Standins, routers: Vec<RunningRouter>) {
     routers.into_iter().for_each(RunningRouter::close);
     outside.close();
 }
@@ -97,7 +97,7 @@
 /// remain counted after the callers disconnect.
 #[tokio::test]
 async fn work_that_runs_is_counted_once_through_a_change_of_owner() {
-    let plan = Plan::default().with_tokens(1_000, Duration::from_millis(20));
+    let plan = StandinConfig::default().with_tokens(1_000, Duration::from_millis(20));
     let (outside, routers) = start(3, plan).await;
     for r in &routers[..2] {
         r.gateway().set_members(members(&routers[..2])).await;
@@ -123,18 +123,18 @@
 /// tokens is faster than recomputing it.
 #[tokio::test]
 async fn a_moving_chat_transfers_its_context() {
-    let (outside, routers) = start(1, Plan::default()).await;
+    let (outside, routers) = start(1, StandinConfig::default()).await;
     let (status, hint, _) = ask(&routers[0], "chat", "").await;
     assert_eq!(status, 200);
-    let first = outside.engines.iter().position(|e| e.counts().0 == 1).unwrap();
+    let first = outside.engines.iter().position(|e| e.request_counts().0 == 1).unwrap();
 
     routers[0].gateway().mark_engine_leaving(&format!("engine-{first}"));
     let (status, _, _) = ask(&routers[0], "chat", &hint).await;
 
     assert_eq!(status, 200);
-    assert_eq!(outside.engines[first].counts().0, 1, "a leaving engine gets no new work");
+    assert_eq!(outside.engines[first].request_counts().0, 1, "a leaving engine gets no new work");
     assert_eq!(routers[0].metrics().totals(Counter::Placements).get("kv_moved"), Some(&1));
-    let second = outside.engines.iter().map(|e| e.counts()).find(|c| c.0 == 1 && c.2 == 1);
+    let second = outside.engines.iter().map(|e| e.request_counts()).find(|c| c.0 == 1 && c.2 == 1);
     assert!(second.is_some(), "the second engine found the context");
     close(outside, routers);
 }
@@ -143,9 +143,9 @@
 /// owner.
 #[tokio::test]
 async fn a_chat_is_answered_while_an_owner_is_down() {
-    let (outside, routers) = start(1, Plan::default()).await;
+    let (outside, routers) = start(1, StandinConfig::default()).await;
     let mut list = members(&routers);
-    let down = loopback().unwrap().local_addr().unwrap();
+    let down = loopback_listener().unwrap().local_addr().unwrap();
     list.push(Member { id: Id::of("gone"), peer: down, addr: down, ..list[0].clone() });
     routers[0].gateway().set_members(list).await;
 
@@ -160,10 +160,10 @@
 /// needs no message between routers; through another router it would need a reservation.
 #[tokio::test]
 async fn an_entry_answer_for_a_chat_names_the_owner_of_its_engine() {
-    let plan = Plan::default().with_engines(18).with_tokens(2, Duration::ZERO);
+    let plan = StandinConfig::default().with_engines(18).with_tokens(2, Duration::ZERO);
     let (outside, mut routers) = start(1, plan).await;
     let seeds = [routers[0].peer_addr()];
-    let listener = loopback().unwrap();
+    let listener = loopback_listener().unwrap();
     let peer = "127.0.0.1:0".parse().unwrap();
     let text = settings("router-1", listener.local_addr().unwrap(), peer, outside.platform_addr(), &seeds);
     routers.push(RunningRouter::start_on(&Settings::parse(&text).unwrap(), listener).unwrap());
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -16,7 +16,7 @@
     standin::{
         caller::{Answer, Caller},
         engine,
-        outside::{Outside, Plan, WORKSPACES},
+        outside::{StandinConfig, Standins, WORKSPACES},
         platform::Faults,
         service,
     },
@@ -60,7 +60,7 @@
 /// Addresses in a router's entry answer.
 async fn entry_addresses(router: SocketAddr) -> Vec<SocketAddr> {
     let mut asker = Caller::new(WORKSPACES[0], "asker", vec![router]).with_timeout(WAIT_TIMEOUT);
-    match asker.enter().await {
+    match asker.fetch_addresses().await {
         Ok(()) => asker.addresses()[..asker.addresses().len() - 1].to_vec(),
         Err(_) => Vec::new(),
     }
@@ -87,7 +87,7 @@
 
 /// Returns the next response of a chat, retried at other routers as needed.
 async fn turn(caller: &mut Caller) -> Answer {
-    caller.turn(MAX_TRIES).await.unwrap()
+    caller.send_turn(MAX_TRIES).await.unwrap()
 }
 
 /// Concurrent callers that each save under one new key after another until they are stopped.
@@ -178,7 +178,7 @@
     let (mut first, mut last) = (true, String::new());
     for i in 0..MAX_TRIES {
         let addrs = current_addresses.borrow().clone();
-        let answer = caller.try_save(addrs[(n + i) % addrs.len()], key, first).await;
+        let answer = caller.save_attempt(addrs[(n + i) % addrs.len()], key, first).await;
         attempts.fetch_add(1, Ordering::Relaxed);
         let body = answer.as_ref().map_or("", |a| a.body.as_str());
         let is_final = body.contains("key_unknown") || body.contains("key_expired");
@@ -194,14 +194,14 @@
 
 /// Makes the services cut some responses after the save has run, and delay all of them so that faults coincide with
 /// saves that have run.
-fn set_service_faults(outside: &Outside) {
+fn set_service_faults(outside: &Standins) {
     for s in &outside.services {
         s.set_faults(service::Faults { late_ms: 30, cut_answers: 3, ..service::Faults::default() });
     }
 }
 
 /// Compares the outcomes that callers received with the runs that the backend servers recorded.
-fn assert_at_most_once(outside: &Outside, outcomes: &BTreeMap<String, String>) {
+fn assert_at_most_once(outside: &Standins, outcomes: &BTreeMap<String, String>) {
     let count = |outcome: &str| outcomes.values().filter(|o| *o == outcome).count();
     println!(
         "{} keys: {} ran, {} not-run, {} unknown",
@@ -210,7 +210,7 @@
         count("not-run"),
         count("unknown")
     );
-    assert_eq!(outside.doubled(), [""; 0]);
+    assert_eq!(outside.duplicate_runs(), [""; 0]);
     let ran: BTreeSet<_> = outside.services.iter().flat_map(|s| s.runs().into_keys()).collect();
     let has_wrong_outcome = |(key, outcome): &(&String, &String)| match outcome.as_str() {
         "not-run" => ran.contains(*key),
@@ -226,7 +226,7 @@
 /// attempts between two faults. Callers resend every save with an unknown outcome to other routers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_save_runs_at_most_once_while_routers_die_and_the_platform_flaps() {
-    let outside = Outside::start(Plan::default().with_engines(1)).await.unwrap();
+    let outside = Standins::start(StandinConfig::default().with_engines(1)).await.unwrap();
     let platform = outside.platform_addr();
     let mut routers = start_three(platform);
     wait_until_converged(&routers).await;
@@ -244,7 +244,7 @@
         savers.addresses.send_replace(addresses(&routers));
         savers.wait_for_progress().await;
         outside.platform.set_faults(Faults { down: true, ..Faults::default() });
-        outside.platform.drop_watches();
+        outside.platform.close_watches();
         savers.wait_for_progress().await;
         savers.wait_for_refusal().await;
         outside.platform.set_faults(Faults { lose_answers: 5, ..Faults::default() });
@@ -279,9 +279,9 @@
                     Caller::new(WORKSPACES[0], &format!("chat-{i}"), addrs).with_timeout(WAIT_TIMEOUT);
                 let mut turns = 0;
                 while !*stopped.borrow() {
-                    caller.enter().await.unwrap();
-                    let answer = caller.turn(1).await.unwrap();
-                    assert!(caller.whole(&answer, tokens), "{answer:?}");
+                    caller.fetch_addresses().await.unwrap();
+                    let answer = caller.send_turn(1).await.unwrap();
+                    assert!(caller.is_complete(&answer, tokens), "{answer:?}");
                     answered.fetch_add(1, Ordering::Relaxed);
                     turns += 1;
                 }
@@ -321,8 +321,8 @@
 /// through it, or while other routers or cached entry answers still name it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn routers_leave_under_load_and_cut_nothing() {
-    let plan = Plan::default().with_tokens(LONG_RESPONSE_TOKENS, Duration::from_millis(10));
-    let outside = Outside::start(plan).await.unwrap();
+    let plan = StandinConfig::default().with_tokens(LONG_RESPONSE_TOKENS, Duration::from_millis(10));
+    let outside = Standins::start(plan).await.unwrap();
     let mut routers = start_three(outside.platform_addr());
     wait_until_converged(&routers).await;
     let chats = Chats::start(LONG_RESPONSE_TOKENS, &routers);
@@ -351,8 +351,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_leaving_engine_finishes_its_streams_and_gets_no_more() {
     const TOKENS: usize = 100;
-    let plan = Plan::default().with_tokens(TOKENS, Duration::from_millis(10));
-    let outside = Outside::start(plan).await.unwrap();
+    let plan = StandinConfig::default().with_tokens(TOKENS, Duration::from_millis(10));
+    let outside = Standins::start(plan).await.unwrap();
     let routers = start_three(outside.platform_addr());
     wait_until_converged(&routers).await;
     let chats = Chats::start(TOKENS, &routers);
@@ -361,31 +361,31 @@
 
     leaving.set_faults(engine::Faults { leaving: true, ..engine::Faults::default() });
     wait_until("the end of the engine's responses", async || {
-        let (before, was_idle) = (leaving.counts().0, leaving.running() == 0);
+        let (before, was_idle) = (leaving.request_counts().0, leaving.running() == 0);
         chats.wait_for_progress().await;
-        was_idle && leaving.counts().0 == before && leaving.running() == 0
+        was_idle && leaving.request_counts().0 == before && leaving.running() == 0
     })
     .await;
-    let chats_before = leaving.counts().0;
+    let chats_before = leaving.request_counts().0;
     for _ in 0..TURNS {
         chats.wait_for_progress().await;
     }
 
-    assert_eq!(leaving.counts().0, chats_before, "a leaving engine got new work");
+    assert_eq!(leaving.request_counts().0, chats_before, "a leaving engine got new work");
     println!("{} responses, all complete", chats.finish().await);
     drop(routers);
     outside.close();
 }
 
 /// Sets the model that the pool's engines must load.
-async fn set_model(outside: &Outside, model: &str) {
+async fn set_model(outside: &Standins, model: &str) {
     let mut pool = Platform::new(outside.platform_addr()).get("EnginePool", "models").await.unwrap().unwrap();
     pool.spec["models"] = serde_json::json!([model]);
     outside.platform.put(pool).unwrap();
 }
 
 /// Waits until the last order to each engine names only this model.
-async fn wait_until_ordered(outside: &Outside, model: &str) {
+async fn wait_until_ordered(outside: &Standins, model: &str) {
     wait_until("the orders for the model", async || {
         outside.engines.iter().all(|e| e.orders().last().is_some_and(|(_, order)| order.models == [model]))
     })
@@ -393,7 +393,7 @@
 }
 
 /// Index of the router that holds the orders lease on the platform.
-async fn lease_holder(outside: &Outside) -> usize {
+async fn lease_holder(outside: &Standins) -> usize {
     let lease = Platform::new(outside.platform_addr()).get("Lease", "pool-models").await.unwrap().unwrap();
     let name = lease.spec["holder"].as_str().unwrap().split('/').next().unwrap().to_owned();
     name.trim_start_matches('r').parse().unwrap()
@@ -405,7 +405,7 @@
 /// check fencing tokens.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_suspended_router_resumes_without_acting_on_stale_state() {
-    let outside = Outside::start(Plan::default().with_engines(3)).await.unwrap();
+    let outside = Standins::start(StandinConfig::default().with_engines(3)).await.unwrap();
     let routers = start_three(outside.platform_addr());
     wait_until_converged(&routers).await;
     set_model(&outside, "m@1").await;
@@ -440,8 +440,8 @@
 /// callers must get complete responses from the next address.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn every_chat_is_answered_after_a_router_is_killed() {
-    let plan = Plan::default().with_tokens(8, Duration::from_millis(2));
-    let outside = Outside::start(plan).await.unwrap();
+    let plan = StandinConfig::default().with_tokens(8, Duration::from_millis(2));
+    let outside = Standins::start(plan).await.unwrap();
     let mut routers = start_three(outside.platform_addr());
     let addresses = addresses(&routers);
     let (first_answered, mut first_answers) = tokio::sync::mpsc::channel(CHATS);
@@ -462,7 +462,7 @@
                 for _ in 2..TURNS {
                     answers.push(turn(&mut caller).await);
                 }
-                answers.iter().filter(|a| caller.whole(a, 8)).count()
+                answers.iter().filter(|a| caller.is_complete(a, 8)).count()
             })
         })
         .collect();
--- a/tests/relay_evacuations.rs
+++ b/tests/relay_evacuations.rs
@@ -16,7 +16,7 @@
 };
 use proptest::prelude::*;
 use relay_support::rev;
-use wire::{Act, Host, Server, header, ok, request, status};
+use wire::{Host, ScriptStep, Server, header, ok, request, status};
 
 const NOW: Duration = Duration::from_secs(100);
 
@@ -92,9 +92,9 @@
 /// from then on, and by the near one again once it is taken back.
 #[tokio::test]
 async fn an_evacuated_data_centre_gets_no_new_requests() {
-    let near = Server::start("near", vec![Act::Write(ok("near")); 4]).await;
-    let far = Server::start("far", vec![Act::Write(ok("far")); 4]).await;
-    let host = Host::with(&[&near, &far]).await;
+    let near = Server::start("near", vec![ScriptStep::Write(ok("near")); 4]).await;
+    let far = Server::start("far", vec![ScriptStep::Write(ok("far")); 4]).await;
+    let host = Host::with_servers(&[&near, &far]).await;
 
     let before = host.call(&request("/safe/1", "")).await;
     host.relay.update_evacuations(&changed(5, "a", true), "test");
@@ -104,30 +104,30 @@
 
     assert!(before.ends_with("near") && after.ends_with("near"), "{before} {after}");
     assert!(during.iter().all(|answer| answer.ends_with("far")), "{during:?}");
-    assert_eq!(near.seen().len(), 2);
+    assert_eq!(near.requests().len(), 2);
 }
 
 /// The only other server is in an evacuated data centre. A request that fails at the first server must not be retried
 /// there.
 #[tokio::test]
 async fn a_retry_avoids_an_evacuated_data_centre() {
-    let near = Server::start("near", vec![Act::WriteAndReset(String::new()); 4]).await;
-    let far = Server::start("far", vec![Act::Write(ok("far")); 4]).await;
-    let host = Host::with(&[&near, &far]).await;
+    let near = Server::start("near", vec![ScriptStep::WriteAndReset(String::new()); 4]).await;
+    let far = Server::start("far", vec![ScriptStep::Write(ok("far")); 4]).await;
+    let host = Host::with_servers(&[&near, &far]).await;
     host.relay.update_evacuations(&changed(5, "b", true), "test");
 
     let answer = host.call(&request("/safe/1", "")).await;
 
     assert_ne!(status(&answer), 200, "{answer}");
-    assert_eq!(far.seen().len(), 0);
+    assert_eq!(far.requests().len(), 0);
 }
 
 /// All data centres with servers of a service are evacuated at once. Callers must get an immediate refusal that says
 /// that nothing ran and when to retry, and no server may be asked.
 #[tokio::test]
 async fn requests_for_a_fully_evacuated_service_are_refused() {
-    let near = Server::start("near", vec![Act::Write(ok("near")); 2]).await;
-    let host = Host::with(&[&near]).await;
+    let near = Server::start("near", vec![ScriptStep::Write(ok("near")); 2]).await;
+    let host = Host::with_servers(&[&near]).await;
     host.relay.update_evacuations(&changed(5, "a", true), "test");
 
     let answer = host.call(&request("/unsafe/1", "")).await;
@@ -136,7 +136,7 @@
     assert!(answer.contains("evacuated"), "{answer}");
     let after: f64 = header(&answer, "retry-after").unwrap().parse().unwrap();
     assert!(after > 0.2, "{after}");
-    assert_eq!(near.seen().len(), 0);
+    assert_eq!(near.requests().len(), 0);
 }
 
 /// The store is restored to a state before an operator evacuated a data centre. Guards against requests that go there
--- a/tests/relay_faults.rs
+++ b/tests/relay_faults.rs
@@ -11,13 +11,14 @@
 use cranberrytally::metrics::Counter;
 use tokio::net::TcpSocket;
 use wire::{
-    Act, Host, Server, answer, chunk, event, events, is_whole, not_run, ok, request, status, stream_head,
+    Host, ScriptStep, Server, answer, chunk, event, events, is_complete, not_run, ok, request, status,
+    stream_head,
 };
 
 /// A fault of the server that is asked first.
 struct Case {
     name: &'static str,
-    act: Act,
+    act: ScriptStep,
     /// Whether a non-idempotent request is sent to the second server.
     unsafe_is_retried: bool,
     /// Status of a non-idempotent request.
@@ -31,14 +32,19 @@
     let unsigned = ok("unsigned").replace("Response-Seal: s1\r\n", "");
     let moved = "HTTP/1.1 421 Misdirected Request\r\nInstance-Id: i-x\r\nContent-Length: 0\r\n\r\n";
     vec![
-        case("says that it did not run the request", Act::Write(not_run()), true, 200),
-        case("is another server", Act::Write(moved.into()), true, 200),
-        case("resets before an answer", Act::WriteAndReset(String::new()), false, 502),
-        case("closes before an answer", Act::WriteAndClose(String::new()), false, 502),
-        case("cuts the body", Act::WriteAndClose(ok("whole").replace("whole", "wh")), false, 502),
-        case("answers another request", Act::Write(foreign), false, 502),
-        case("answers without its signature", Act::Write(unsigned), false, 502),
-        case("writes bytes that are no answer", Act::WriteAndClose("garbage\r\n\r\n".into()), false, 502),
+        case("says that it did not run the request", ScriptStep::Write(not_run()), true, 200),
+        case("is another server", ScriptStep::Write(moved.into()), true, 200),
+        case("resets before an answer", ScriptStep::WriteAndReset(String::new()), false, 502),
+        case("closes before an answer", ScriptStep::WriteAndClose(String::new()), false, 502),
+        case("cuts the body", ScriptStep::WriteAndClose(ok("whole").replace("whole", "wh")), false, 502),
+        case("answers another request", ScriptStep::Write(foreign), false, 502),
+        case("answers without its signature", ScriptStep::Write(unsigned), false, 502),
+        case(
+            "writes bytes that are no answer",
+            ScriptStep::WriteAndClose("garbage\r\n\r\n".into()),
+            false,
+            502,
+        ),
     ]
 }
 
@@ -52,15 +58,15 @@
             [("/safe/x", true, 200), ("/unsafe/x", case.unsafe_is_retried, case.unsafe_status)]
         {
             let first = Server::start("i-1", [case.act.clone()]).await;
-            let second = Server::start("i-2", [Act::Write(ok("fine"))]).await;
-            let host = Host::with(&[&first, &second]).await;
+            let second = Server::start("i-2", [ScriptStep::Write(ok("fine"))]).await;
+            let host = Host::with_servers(&[&first, &second]).await;
 
             let answer = host.call(&request(path, "body")).await;
 
             let name = format!("{path}: a server that {}", case.name);
             assert_eq!(status(&answer), expected, "{name}: {answer}");
-            assert_eq!(first.seen().len(), 1, "{name}");
-            assert_eq!(second.seen().len(), usize::from(is_retried), "{name}");
+            assert_eq!(first.requests().len(), 1, "{name}");
+            assert_eq!(second.requests().len(), usize::from(is_retried), "{name}");
         }
     }
 }
@@ -70,15 +76,17 @@
 #[tokio::test]
 async fn an_error_of_the_server_is_passed_on_unchanged() {
     for (path, attempts) in [("/unsafe/x", 1), ("/safe/x", 2)] {
-        let first = Server::start("i-1", [Act::Write(answer("500 Internal Server Error", "no"))]).await;
-        let second = Server::start("i-2", [Act::Write(answer("500 Internal Server Error", "no"))]).await;
-        let host = Host::with(&[&first, &second]).await;
+        let first =
+            Server::start("i-1", [ScriptStep::Write(answer("500 Internal Server Error", "no"))]).await;
+        let second =
+            Server::start("i-2", [ScriptStep::Write(answer("500 Internal Server Error", "no"))]).await;
+        let host = Host::with_servers(&[&first, &second]).await;
 
         let answer = host.call(&request(path, "")).await;
 
         assert_eq!(status(&answer), 500);
         assert_eq!(wire::header(&answer, "response-seal").as_deref(), Some("s1"));
-        assert_eq!(first.seen().len() + second.seen().len(), attempts, "{path}");
+        assert_eq!(first.requests().len() + second.requests().len(), attempts, "{path}");
     }
 }
 
@@ -88,9 +96,9 @@
     // The port stays bound without accepting connections, so that no other test can get it.
     let bound = TcpSocket::new_v4().unwrap();
     bound.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    let mut gone = Server::start("i-1", [Act::Hang]).await;
+    let mut gone = Server::start("i-1", [ScriptStep::Hang]).await;
     gone.addr = bound.local_addr().unwrap();
-    let host = Host::with(&[&gone]).await;
+    let host = Host::with_servers(&[&gone]).await;
 
     let answer = host.call(&request("/unsafe/x", "")).await;
 
@@ -104,8 +112,8 @@
 #[tokio::test]
 async fn extra_bytes_after_an_answer_are_discarded() {
     let extra = ok("first") + &ok("extra");
-    let server = Server::start("i-1", [Act::Write(extra), Act::Write(ok("second"))]).await;
-    let host = Host::with(&[&server]).await;
+    let server = Server::start("i-1", [ScriptStep::Write(extra), ScriptStep::Write(ok("second"))]).await;
+    let host = Host::with_servers(&[&server]).await;
 
     let first = host.call(&request("/unsafe/x", "")).await;
     let second = host.call(&request("/unsafe/x", "").replace("r1", "r2")).await;
@@ -118,10 +126,10 @@
 /// on a new connection, even if it is not idempotent.
 #[tokio::test]
 async fn a_closed_idle_connection_fails_no_request() {
-    let server = Server::start("i-1", [Act::WriteAndClose(ok("a")), Act::Write(ok("b"))]).await;
-    let host = Host::with(&[&server]).await;
+    let server = Server::start("i-1", [ScriptStep::WriteAndClose(ok("a")), ScriptStep::Write(ok("b"))]).await;
+    let host = Host::with_servers(&[&server]).await;
     host.call(&request("/unsafe/x", "")).await;
-    wire::until("the close", || host.relay.idle_connections() == 0).await;
+    wire::wait_until("the close", || host.relay.idle_connections() == 0).await;
 
     let answer = host.call(&request("/unsafe/x", "")).await;
 
@@ -134,15 +142,15 @@
 async fn a_resumable_stream_continues_after_its_last_complete_event() {
     let begun = stream_head() + &chunk(&event(1)) + &chunk(&event(2)) + &chunk("id: 3\nda");
     let rest = stream_head() + &chunk(&event(3)) + &chunk(&event(4)) + "0\r\n\r\n";
-    let first = Server::start("i-1", [Act::WriteAndReset(begun)]).await;
-    let second = Server::start("i-2", [Act::Write(rest)]).await;
-    let host = Host::with(&[&first, &second]).await;
+    let first = Server::start("i-1", [ScriptStep::WriteAndReset(begun)]).await;
+    let second = Server::start("i-2", [ScriptStep::Write(rest)]).await;
+    let host = Host::with_servers(&[&first, &second]).await;
 
     let answer = host.call(&request("/stream/x", "")).await;
 
     assert_eq!(events(&answer), ["e1", "e2", "e3", "e4"]);
-    assert!(is_whole(&answer), "{answer}");
-    assert_eq!(wire::header(&second.seen()[0], "last-event-id").as_deref(), Some("2"));
+    assert!(is_complete(&answer), "{answer}");
+    assert_eq!(wire::header(&second.requests()[0], "last-event-id").as_deref(), Some("2"));
 }
 
 /// The server that takes over a stream resumes it at a different event than requested. The caller must not miss
@@ -152,14 +160,14 @@
     for number in [2, 4] {
         let begun = stream_head() + &chunk(&event(1)) + &chunk(&event(2));
         let rest = stream_head() + &chunk(&event(number)) + "0\r\n\r\n";
-        let first = Server::start("i-1", [Act::WriteAndReset(begun)]).await;
-        let second = Server::start("i-2", [Act::Write(rest)]).await;
-        let host = Host::with(&[&first, &second]).await;
+        let first = Server::start("i-1", [ScriptStep::WriteAndReset(begun)]).await;
+        let second = Server::start("i-2", [ScriptStep::Write(rest)]).await;
+        let host = Host::with_servers(&[&first, &second]).await;
 
         let answer = host.call(&request("/stream/x", "")).await;
 
         assert_eq!(events(&answer), ["e1", "e2"], "{number}");
-        assert!(!is_whole(&answer), "{number}");
+        assert!(!is_complete(&answer), "{number}");
     }
 }
 
@@ -168,30 +176,30 @@
 #[tokio::test]
 async fn a_stream_that_is_not_resumable_is_visibly_truncated() {
     let begun = stream_head() + &chunk(&event(1)) + &chunk("id: 2\n");
-    let first = Server::start("i-1", [Act::WriteAndClose(begun)]).await;
-    let second = Server::start("i-2", [Act::Write(ok("fine"))]).await;
-    let host = Host::with(&[&first, &second]).await;
+    let first = Server::start("i-1", [ScriptStep::WriteAndClose(begun)]).await;
+    let second = Server::start("i-2", [ScriptStep::Write(ok("fine"))]).await;
+    let host = Host::with_servers(&[&first, &second]).await;
 
     let answer = host.call(&request("/once/x", "")).await;
 
     assert_eq!(events(&answer), ["e1"]);
-    assert!(!is_whole(&answer), "{answer}");
-    assert_eq!(second.seen().len(), 0);
+    assert!(!is_complete(&answer), "{answer}");
+    assert_eq!(second.requests().len(), 0);
 }
 
 /// A caller disconnects while its answer is pending. The server's connection is closed, so that it stops working on
 /// the request.
 #[tokio::test]
 async fn the_server_connection_closes_when_the_caller_disconnects() {
-    let server = Server::start("i-1", [Act::Hang]).await;
-    let host = Host::with(&[&server]).await;
+    let server = Server::start("i-1", [ScriptStep::Hang]).await;
+    let host = Host::with_servers(&[&server]).await;
     let mut caller = host.connect().await;
     caller.send(&request("/once/x", "")).await;
-    wire::until("the request", || server.seen().len() == 1).await;
+    wire::wait_until("the request", || server.requests().len() == 1).await;
 
     drop(caller);
 
-    wire::until("the close of the server's connection", || server.closed() == 1).await;
+    wire::wait_until("the close of the server's connection", || server.closed_connections() == 1).await;
 }
 
 /// A content crashes every server that starts to run it, and its caller keeps sending it. It is refused, as not
@@ -200,17 +208,17 @@
 async fn a_content_that_crashes_servers_is_quarantined() {
     let mut servers = Vec::new();
     for i in 0..5 {
-        servers.push(Server::start(&format!("i-{i}"), [Act::Crash]).await);
+        servers.push(Server::start(&format!("i-{i}"), [ScriptStep::Crash]).await);
     }
-    let host = Host::with(&servers.iter().collect::<Vec<_>>()).await;
+    let host = Host::with_servers(&servers.iter().collect::<Vec<_>>()).await;
 
     let mut statuses = Vec::new();
     for _ in 0..4 {
         statuses.push(status(&host.call(&request("/unsafe/x", "crash")).await));
     }
-    let runs: usize = servers.iter().map(|s| s.seen().len()).sum();
-    let healthy = Server::start("i-9", [Act::Write(ok("fine"))]).await;
-    host.list_more(&healthy);
+    let runs: usize = servers.iter().map(|s| s.requests().len()).sum();
+    let healthy = Server::start("i-9", [ScriptStep::Write(ok("fine"))]).await;
+    host.add_server(&healthy);
     let other = host.call(&request("/unsafe/x", "harmless")).await;
 
     assert_eq!(statuses, [502, 502, 502, 503]);
@@ -223,8 +231,8 @@
 /// together; they are now asked to retry later, but not after more than a third of their time.
 #[tokio::test]
 async fn a_caller_that_found_all_servers_full_is_asked_to_retry_late() {
-    let server = Server::start("i-1", [Act::Write(not_run())]).await;
-    let host = Host::with(&[&server]).await;
+    let server = Server::start("i-1", [ScriptStep::Write(not_run())]).await;
+    let host = Host::with_servers(&[&server]).await;
     let begun = Instant::now();
 
     let answer = host.call(&request("/unsafe/x", "")).await;
--- a/tests/relay_input.rs
+++ b/tests/relay_input.rs
@@ -9,17 +9,17 @@
 
 use cranberrytally::{platform::settings::Settings, relay::follow::BackendsUpdate, schema::fleet::Backends};
 use relay_support::rev;
-use wire::{Act, Host, Server, header, ok, request, status};
+use wire::{Host, ScriptStep, Server, header, ok, request, status};
 
 async fn server() -> Server {
-    Server::start("i-1", [Act::Write(ok("fine"))]).await
+    Server::start("i-1", [ScriptStep::Write(ok("fine"))]).await
 }
 
 /// Each of these is answered with its own error and reaches no server.
 #[tokio::test]
 async fn invalid_requests_reach_no_server() {
     let server = server().await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     let good = request("/unsafe/x", "body");
     let long = format!("X-Long: {}\r\nAttempt-Id", "x".repeat(9_000));
     let cases = [
@@ -38,7 +38,7 @@
         let answer = host.call(&req).await;
 
         assert_eq!(status(&answer), expected, "{name}: {answer}");
-        assert_eq!(server.seen().len(), 0, "{name}");
+        assert_eq!(server.requests().len(), 0, "{name}");
     }
 }
 
@@ -50,7 +50,7 @@
 #[tokio::test]
 async fn a_truncated_body_does_not_run() {
     let server = server().await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     let mut caller = host.connect().await;
     caller.send(&request("/unsafe/x", "whole body")[..request("/unsafe/x", "whole body").len() - 4]).await;
     drop(caller);
@@ -58,7 +58,7 @@
     // Once a later request has been answered, the truncated one would have run.
     host.call(&request("/unsafe/y", "")).await;
 
-    assert!(server.seen().iter().all(|req| !req.contains("/unsafe/x")), "{:?}", server.seen());
+    assert!(server.requests().iter().all(|req| !req.contains("/unsafe/x")), "{:?}", server.requests());
 }
 
 /// A request hides another one in its body, by means of two conflicting lengths. A server must never see the hidden
@@ -66,7 +66,7 @@
 #[tokio::test]
 async fn a_smuggled_request_does_not_run() {
     let server = server().await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     let hidden =
         "POST /unsafe/hidden HTTP/1.1\r\nHost: shop.example\r\nAttempt-Id: h1\r\nContent-Length: 0\r\n\r\n";
     let both = request("/unsafe/x", hidden).replace("Key: k1", "Transfer-Encoding: chunked\r\nKey: k1");
@@ -74,7 +74,8 @@
     host.call(&both).await;
     host.call(&request("/unsafe/x", hidden)).await;
 
-    let heads: Vec<_> = server.seen().iter().filter_map(|r| r.lines().next().map(str::to_owned)).collect();
+    let heads: Vec<_> =
+        server.requests().iter().filter_map(|r| r.lines().next().map(str::to_owned)).collect();
     assert!(heads.iter().all(|head| !head.contains("hidden")), "{heads:?}");
 }
 
@@ -82,7 +83,7 @@
 #[tokio::test]
 async fn callers_cannot_set_internal_headers() {
     let server = server().await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     let forged = "Tenant: other\r\nExpected-Instance: i-9\r\nKv-Hold: h\r\nPin-Duration: 9\r\nKv-Backup: b\r\n\
                   Kv-From: f\r\nKv-Fetch: f\r\nRequest-Priority: 0\r\nConnection: x-hop\r\nX-Hop: 1\r\n";
     let req =
@@ -90,7 +91,7 @@
 
     host.call(&req).await;
 
-    let seen = server.seen().remove(0);
+    let seen = server.requests().remove(0);
     assert_eq!(header(&seen, "tenant").as_deref(), Some("travel"));
     assert_eq!(header(&seen, "expected-instance").as_deref(), Some("i-1"));
     assert_eq!(header(&seen, "attempt-id").as_deref(), Some("r1"));
@@ -111,7 +112,7 @@
 /// to retry in a second, since their only retry would fail the same way.
 #[tokio::test]
 async fn a_host_without_configuration_reports_not_run() {
-    let host = Host::empty().await;
+    let host = Host::without_configuration().await;
 
     let mut told = Vec::new();
     while told.last().map(String::as_str) != Some("1.000") && told.len() < 10_000 {
@@ -130,7 +131,7 @@
 #[tokio::test]
 async fn a_leaving_host_sends_callers_elsewhere() {
     let server = server().await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     assert!(host.relay.is_ready());
 
     host.relay.leave();
@@ -141,14 +142,14 @@
     assert_eq!(header(&answer, "connection").as_deref(), Some("close"));
     assert!(!host.relay.is_ready());
     assert!(!host.relay.accepts(Duration::ZERO));
-    wire::until("all connections are closed", || host.relay.connections() == 0).await;
+    wire::wait_until("all connections are closed", || host.relay.connections() == 0).await;
 }
 
 /// The store lists a server with an invalid address; the others stay in use.
 #[tokio::test]
 async fn a_server_with_an_invalid_address_is_ignored() {
     let server = server().await;
-    let host = Host::with(&[&server]).await;
+    let host = Host::with_servers(&[&server]).await;
     let bad = cranberrytally::schema::fleet::Backend {
         id: "bad".into(),
         service: "app".into(),
@@ -178,7 +179,7 @@
 #[tokio::test]
 async fn a_start_time_in_the_far_future_is_rejected() {
     let server = server().await;
-    let host = Host::with(&[]).await;
+    let host = Host::with_servers(&[]).await;
     let entry = |born| cranberrytally::schema::fleet::Backend {
         id: "i-1".into(),
         service: "app".into(),
@@ -203,8 +204,8 @@
 /// broke off resumes it: this is never refused, since the work already done for it would be lost.
 #[tokio::test]
 async fn a_resumed_stream_is_not_refused() {
-    let server = Server::start("i-1", [Act::Hang]).await;
-    let host = Host::with(&[&server]).await;
+    let server = Server::start("i-1", [ScriptStep::Hang]).await;
+    let host = Host::with_servers(&[&server]).await;
     let again = request("/once/x", "").replace("\r\n\r\n", "\r\nLast-Event-Id: 2\r\n\r\n");
     let mut callers = Vec::new();
     // Ten times the slots.
@@ -212,14 +213,14 @@
         let mut caller = host.connect().await;
         caller.send(&again).await;
         callers.push(caller);
-        wire::until("it is sent", || server.seen().len() == n).await;
+        wire::wait_until("it is sent", || server.requests().len() == n).await;
     }
 
     let refused = host.call(&request("/once/x", "")).await;
 
     assert_eq!(status(&refused), 503, "{refused}");
     assert!(refused.contains("overloaded"), "{refused}");
-    assert_eq!(server.seen().len(), 60);
+    assert_eq!(server.requests().len(), 60);
 }
 
 const SETTINGS: &str = r#"{
--- a/tests/relay_overload.rs
+++ b/tests/relay_overload.rs
@@ -6,7 +6,7 @@
 use std::{sync::Arc, time::Duration};
 
 use cranberrytally::relay::admission::{Admission, AdmissionRequest, Refused, ReportedLoad, ServiceLoad};
-use load::{Load, Second};
+use load::{SecondStats, Simulation};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
@@ -15,43 +15,43 @@
 }
 
 /// Model engines behind six hosts, with three times the load that they can handle for ten seconds.
-fn engines() -> Load {
-    Load {
+fn engines() -> Simulation {
+    Simulation {
         hosts: 6,
         servers: 12,
-        places: 32,
-        work: 400.0,
+        slots_per_server: 32,
+        service_time_ms: 400.0,
         slowdown: 0.06,
-        objective: 600,
-        deadline: 10_000,
-        lag: 300,
-        tells: true,
-        admits: true,
+        objective_ms: 600,
+        deadline_ms: 10_000,
+        state_lag_ms: 300,
+        reports_load: true,
+        uses_admission: true,
         surge: (3.0, 3_000, 13_000),
-        lost: (0, 0),
+        lost_servers: (0, 0),
         ranks: vec![1],
     }
 }
 
 /// A plain service of three servers with six slots each, behind 75 hosts.
-fn tiny() -> Load {
-    Load {
+fn tiny() -> Simulation {
+    Simulation {
         hosts: 75,
         servers: 3,
-        places: 6,
-        work: 15.0,
+        slots_per_server: 6,
+        service_time_ms: 15.0,
         slowdown: 0.0,
-        objective: 120,
-        deadline: 1_500,
-        lag: 500,
-        tells: false,
+        objective_ms: 120,
+        deadline_ms: 1_500,
+        state_lag_ms: 500,
+        reports_load: false,
         surge: (2.0, 3_000, 13_000),
         ..engines()
     }
 }
 
 /// Requests a second that were begun on time, over the seconds after the capacity is exceeded.
-fn goodput(seconds: &[Second]) -> f64 {
+fn goodput(seconds: &[SecondStats]) -> f64 {
     let over = &seconds[5..13];
     f64::from(over.iter().map(|s| s.in_time).sum::<u32>()) / over.len() as f64
 }
@@ -63,8 +63,8 @@
     for seed in SEEDS {
         let load = engines();
 
-        let admitted = goodput(&load.play(15, seed));
-        let all = goodput(&Load { admits: false, ..load.clone() }.play(15, seed));
+        let admitted = goodput(&load.run(15, seed));
+        let all = goodput(&Simulation { uses_admission: false, ..load.clone() }.run(15, seed));
 
         assert!(admitted >= 0.75 * load.capacity(0), "{admitted} of {}, seed {seed}", load.capacity(0));
         assert!(all <= 0.3 * load.capacity(0), "{all} of {}, seed {seed}", load.capacity(0));
@@ -76,9 +76,9 @@
 #[test]
 fn goodput_drops_only_to_the_capacity_of_the_remaining_servers() {
     for seed in SEEDS {
-        let load = Load { lost: (4, 5_000), ..engines() };
+        let load = Simulation { lost_servers: (4, 5_000), ..engines() };
 
-        let admitted = goodput(&load.play(15, seed));
+        let admitted = goodput(&load.run(15, seed));
 
         assert!(admitted >= 0.75 * load.capacity(4), "{admitted} of {}, seed {seed}", load.capacity(4));
     }
@@ -93,7 +93,7 @@
     for seed in SEEDS {
         let load = tiny();
 
-        let admitted = goodput(&load.play(15, seed));
+        let admitted = goodput(&load.run(15, seed));
 
         assert!(admitted >= 0.85 * load.capacity(0), "{admitted} of {}, seed {seed}", load.capacity(0));
     }
@@ -104,9 +104,9 @@
 #[test]
 fn urgent_requests_are_served_more_often_and_no_rank_starves() {
     for seed in SEEDS {
-        let load = Load { ranks: vec![0, 1, 2], surge: (2.0, 3_000, 13_000), ..engines() };
+        let load = Simulation { ranks: vec![0, 1, 2], surge: (2.0, 3_000, 13_000), ..engines() };
 
-        let seconds = load.play(15, seed);
+        let seconds = load.run(15, seed);
 
         let share = |rank: u32| {
             let ranks = seconds.iter().map(|s| s.by_rank.get(&rank).copied().unwrap_or_default());
@@ -123,11 +123,11 @@
 #[test]
 fn no_request_is_refused_below_the_capacity() {
     for (load, least) in [(engines(), 0.99), (tiny(), 0.97)] {
-        let load = Load { surge: (0.8, 3_000, 13_000), ..load };
+        let load = Simulation { surge: (0.8, 3_000, 13_000), ..load };
 
-        let seconds = load.play(15, 1);
+        let seconds = load.run(15, 1);
 
-        let asked: u32 = seconds[..13].iter().map(|s| s.asked).sum();
+        let asked: u32 = seconds[..13].iter().map(|s| s.new_requests).sum();
         let in_time: u32 = seconds[..13].iter().map(|s| s.in_time).sum();
         assert!(f64::from(in_time) >= least * f64::from(asked), "{in_time} of {asked}");
     }
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -20,7 +20,7 @@
     standin::{
         engine::Faults,
         gate::Mode,
-        outside::{MODEL, Outside, Plan, WORKSPACES, loopback, object, settings},
+        outside::{MODEL, StandinConfig, Standins, WORKSPACES, loopback_listener, object, settings},
     },
 };
 use http::{HeaderMap, Request};
@@ -30,7 +30,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Fleet {
-    outside: Outside,
+    outside: Standins,
     routers: Vec<RunningRouter>,
     client: Client,
     chats: AtomicU32,
@@ -61,8 +61,8 @@
 }
 
 impl Fleet {
-    async fn start(routers: usize, plan: Plan) -> Self {
-        let outside = Outside::start(plan).await.unwrap();
+    async fn start(routers: usize, plan: StandinConfig) -> Self {
+        let outside = Standins::start(plan).await.unwrap();
         let routers: Vec<_> = (0..routers).map(|i| router(i, &outside)).collect();
         let waiting = async {
             while routers.iter().any(|r| !r.gateway().catalog().has_workspace(WORKSPACES[2])) {
@@ -105,7 +105,7 @@
     }
 
     fn crashes(&self) -> u64 {
-        self.outside.engines.iter().map(|e| *e.crashes().borrow()).sum()
+        self.outside.engines.iter().map(|e| *e.subscribe_crashes().borrow()).sum()
     }
 
     fn close(self) {
@@ -114,8 +114,8 @@
     }
 }
 
-fn router(i: usize, outside: &Outside) -> RunningRouter {
-    let listener = loopback().unwrap();
+fn router(i: usize, outside: &Standins) -> RunningRouter {
+    let listener = loopback_listener().unwrap();
     let peer: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let addr = listener.local_addr().unwrap();
     let text = settings(&format!("router-{i}"), addr, peer, outside.platform_addr(), &[]);
@@ -134,7 +134,7 @@
 
 #[tokio::test]
 async fn an_invalid_header_value_is_a_clear_error() {
-    let fleet = Fleet::start(1, Plan::default().with_engines(2)).await;
+    let fleet = Fleet::start(1, StandinConfig::default().with_engines(2)).await;
     let long = "x".repeat(300);
     let table = [
         ("x-priority", "urgent", "high, normal, low", "not-run"),
@@ -159,7 +159,7 @@
 /// header, and another workspace is served.
 #[tokio::test]
 async fn a_workspace_at_its_limit_is_refused_and_others_are_served() {
-    let plan = Plan::default().with_engines(2).with_tokens(40, Duration::from_millis(50));
+    let plan = StandinConfig::default().with_engines(2).with_tokens(40, Duration::from_millis(50));
     let fleet = Fleet::start(1, plan).await;
     let limited = object("Workspace", "limited", &[], serde_json::json!({ "maxRunning": 1 }));
     fleet.outside.put(limited).unwrap();
@@ -195,7 +195,7 @@
 async fn a_full_pool_queues_and_a_small_workspace_goes_first() {
     const CAPACITY: u32 = 16;
     const SURGE: u32 = 48;
-    let plan = Plan::default().with_engines(2).with_tokens(10, Duration::from_millis(100));
+    let plan = StandinConfig::default().with_engines(2).with_tokens(10, Duration::from_millis(100));
     let fleet = Arc::new(Fleet::start(1, plan).await);
     let done = Arc::new(AtomicU32::new(0));
     let surge: Vec<_> = (0..SURGE)
@@ -238,7 +238,7 @@
 /// `retry-after` header, while a chat with a later deadline waits and is answered.
 #[tokio::test]
 async fn a_request_that_misses_its_deadline_in_the_queue_is_refused() {
-    let plan = Plan::default().with_engines(1).with_tokens(20, Duration::from_millis(50));
+    let plan = StandinConfig::default().with_engines(1).with_tokens(20, Duration::from_millis(50));
     let fleet = Arc::new(Fleet::start(1, plan).await);
     let running: Vec<_> = (0..8)
         .map(|i| {
@@ -266,8 +266,8 @@
 /// number of attempts in the response. A caller that has used up its attempts is refused.
 #[tokio::test]
 async fn attempts_are_counted_over_all_hops() {
-    let fleet = Fleet::start(2, Plan::default().with_engines(2)).await;
-    fleet.outside.gates[0].set(Mode::Refuse).await.unwrap();
+    let fleet = Fleet::start(2, StandinConfig::default().with_engines(2)).await;
+    fleet.outside.engine_proxies[0].set_mode(Mode::Refuse).await.unwrap();
 
     let mut max_attempts = 0;
     for i in 0..8 {
@@ -289,7 +289,7 @@
 /// that each chat fails with "not run" after one attempt.
 #[tokio::test]
 async fn retries_stop_when_the_budget_is_used_up() {
-    let fleet = Fleet::start(1, Plan::default().with_engines(3)).await;
+    let fleet = Fleet::start(1, StandinConfig::default().with_engines(3)).await;
     for engine in &fleet.outside.engines {
         engine.set_faults(Faults { refuse: true, ..Faults::default() });
     }
@@ -311,7 +311,7 @@
 /// Without protection each retry would crash one more engine; at most two may crash. Other chats are served meanwhile.
 #[tokio::test]
 async fn a_crashing_chat_crashes_at_most_two_engines() {
-    let plan = Plan::default().with_engines(6).with_tokens(4, Duration::from_millis(5));
+    let plan = StandinConfig::default().with_engines(6).with_tokens(4, Duration::from_millis(5));
     let fleet = Fleet::start(3, plan).await;
     for engine in &fleet.outside.engines {
         engine.set_faults(Faults { crash_on: Some("poison".into()), ..Faults::default() });
@@ -336,7 +336,7 @@
 /// and its retry is answered.
 #[tokio::test]
 async fn a_failed_connection_quarantines_no_chat() {
-    let fleet = Fleet::start(1, Plan::default().with_engines(3)).await;
+    let fleet = Fleet::start(1, StandinConfig::default().with_engines(3)).await;
     for _ in 0..4 {
         let cut = Faults { cut_after: Some(1), connections: 1, ..Faults::default() };
         fleet.outside.engines.iter().for_each(|e| e.set_faults(cut.clone()));
@@ -355,13 +355,13 @@
 /// chat may be quarantined as the cause.
 #[tokio::test]
 async fn a_flapping_engine_quarantines_no_chat() {
-    let plan = Plan::default().with_engines(3).with_tokens(10, Duration::from_millis(20));
+    let plan = StandinConfig::default().with_engines(3).with_tokens(10, Duration::from_millis(20));
     let fleet = Arc::new(Fleet::start(1, plan).await);
     let tasks: Vec<_> =
         (0..12).map(|i| tokio::spawn(retry_until_complete(fleet.clone(), format!("text {i}")))).collect();
     for mode in [Mode::Refuse, Mode::Open, Mode::Refuse, Mode::Open, Mode::Refuse, Mode::Open] {
         tokio::time::sleep(Duration::from_millis(60)).await;
-        fleet.outside.gates[0].set(mode).await.unwrap();
+        fleet.outside.engine_proxies[0].set_mode(mode).await.unwrap();
     }
 
     for task in tasks {
@@ -387,7 +387,7 @@
 #[tokio::test]
 async fn a_non_idempotent_call_is_sent_once() {
     const ROUTERS: usize = 4;
-    let fleet = Fleet::start(ROUTERS, Plan::default().with_engines(1)).await;
+    let fleet = Fleet::start(ROUTERS, StandinConfig::default().with_engines(1)).await;
     let server = ClosingServer::start().await;
     fleet.outside.put(server.engine()).unwrap();
     let select = serde_json::json!({ "matchLabels": { "role": "breaking" } });
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -14,10 +14,10 @@
     serve::RunningRouter,
     standin::{
         engine::{EngineStandin, Faults},
-        gate::Gate,
+        gate::FaultProxy,
     },
 };
-use fixture::{loopback, object};
+use fixture::{loopback_listener, object};
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -26,7 +26,7 @@
 
 struct Fleet {
     engine: Arc<EngineStandin>,
-    gate: Gate,
+    gate: FaultProxy,
     routers: Vec<RunningRouter>,
     servers: Vec<Server>,
     client: Client,
@@ -67,8 +67,8 @@
     async fn start_with(engine: EngineStandin, faults: Faults) -> Self {
         let engine = Arc::new(engine);
         engine.set_faults(faults);
-        let server = Server::start(loopback(), 1, Limits::default(), engine.clone()).unwrap();
-        let gate = Gate::start(server.addr(), Some(engine.crashes())).await.unwrap();
+        let server = Server::start(loopback_listener(), 1, Limits::default(), engine.clone()).unwrap();
+        let gate = FaultProxy::start(server.addr(), Some(engine.subscribe_crashes())).await.unwrap();
         let select = serde_json::json!({ "matchLabels": { "role": "model" } });
         let (_, store) = fixture::platform([
             object("Workspace", "phrasebook", "", serde_json::json!({})),
@@ -295,7 +295,7 @@
         let mut before = 0;
         loop {
             tokio::time::sleep(Duration::from_millis(500)).await;
-            let sent = fleet.engine.sent();
+            let sent = fleet.engine.events_sent();
             if sent > 0 && sent == before {
                 return sent;
             }
--- a/tests/support/soak/engine.rs
+++ b/tests/support/soak/engine.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use cranberrytally::standin::gate::{Gate, Mode};
+use cranberrytally::standin::gate::{FaultProxy, Mode};
 use tokio::{
     io::AsyncWriteExt,
     net::{TcpListener, TcpStream},
@@ -21,7 +21,7 @@
     disturbed,
     store::{Store, server},
 };
-use crate::wire::{chunk, event_of, header, read_request};
+use crate::wire::{chunk, event_with_data, header, read_request};
 
 /// Servers at any time.
 pub const SERVERS: usize = 4;
@@ -53,7 +53,7 @@
 struct Engine {
     id: String,
     leaving: Arc<AtomicBool>,
-    gate: Gate,
+    gate: FaultProxy,
     task: JoinHandle<()>,
     crash: watch::Sender<u64>,
 }
@@ -88,7 +88,7 @@
         let id = format!("i-{}", self.started.fetch_add(1, Ordering::Relaxed));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let crash = watch::Sender::new(0);
-        let gate = Gate::start(listener.local_addr().unwrap(), Some(crash.subscribe())).await.unwrap();
+        let gate = FaultProxy::start(listener.local_addr().unwrap(), Some(crash.subscribe())).await.unwrap();
         let leaving = Arc::<AtomicBool>::default();
         let serving = Serving {
             id: id.clone(),
@@ -115,7 +115,7 @@
     /// A server dies with all that it runs; another one takes its place, and its entry lapses later.
     pub async fn crash(&self, n: usize) {
         let (engine, from) = (self.take(n), Instant::now());
-        engine.gate.set(Mode::Refuse).await.unwrap();
+        engine.gate.set_mode(Mode::Refuse).await.unwrap();
         engine.crash.send_modify(|n| *n += 1);
         engine.task.abort();
         disturbed(&self.record, &engine.id, from);
@@ -127,9 +127,9 @@
     /// A server accepts connections and passes no byte on new ones.
     pub async fn stall(&self, n: usize, time: Duration) {
         let (engine, from) = (self.nth(n), Instant::now());
-        engine.gate.set(Mode::Stall).await.unwrap();
+        engine.gate.set_mode(Mode::Stall).await.unwrap();
         tokio::time::sleep(time).await;
-        engine.gate.set(Mode::Open).await.unwrap();
+        engine.gate.set_mode(Mode::Open).await.unwrap();
         disturbed(&self.record, &engine.id, from);
     }
 
@@ -145,7 +145,7 @@
             tokio::time::sleep(SERVES_ON).await;
             store.remove("servers", &engine.id);
             let from = Instant::now();
-            engine.gate.set(Mode::Refuse).await.unwrap();
+            engine.gate.set_mode(Mode::Refuse).await.unwrap();
             engine.task.abort();
             disturbed(&record, &engine.id, from);
         });
@@ -266,7 +266,7 @@
     );
     stream.write_all(head.as_bytes()).await?;
     for n in after + 1..=EVENTS {
-        stream.write_all(chunk(&event_of(n, &format!("own {n} {id}"))).as_bytes()).await?;
+        stream.write_all(chunk(&event_with_data(n, &format!("own {n} {id}"))).as_bytes()).await?;
         tokio::time::sleep(GAP).await;
     }
     stream.write_all(b"0\r\n\r\n").await
