--- a/benches/soak.rs
+++ b/benches/soak.rs
@@ -17,7 +17,7 @@
     time::Duration,
 };
 
-use soak::{Soak, What, checks::Record, hosts::Hosts, store, store::Store};
+use soak::{Soak, What, checks::History, hosts::Hosts, store, store::Store};
 
 /// Seed, seeds, hosts and faults of a run without arguments.
 const DEFAULTS: [usize; 4] = [1, 3, 6, 20];
@@ -69,7 +69,7 @@
 }
 
 async fn recover(count: usize) {
-    let (record, store) = (Arc::new(Record::default()), Store::start().await);
+    let (record, store) = (Arc::new(History::default()), Store::start().await);
     store.put("config", "main", store::configuration(1, false));
     for n in 0..count * SERVERS_A_HOST {
         store.put("servers", &format!("i-{n:08x}"), store::server(NOWHERE, "ready"));
--- a/tests/relay_confirmed.rs
+++ b/tests/relay_confirmed.rs
@@ -7,7 +7,7 @@
 
 use soak::{
     caller::{KEY, call},
-    checks::{End, Kind, Record},
+    checks::{End, History, Kind},
     hosts::Hosts,
     store::{self, Store},
 };
@@ -25,7 +25,7 @@
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(7);
 
 /// Waits until a host serves a newly added route; returns whether it does.
-async fn serves_added(hosts: &Hosts, n: usize, record: &Record) -> bool {
+async fn serves_added(hosts: &Hosts, n: usize, record: &History) -> bool {
     let until = Instant::now() + CHANGE_TIMEOUT;
     while Instant::now() < until {
         let end = call(hosts.addresses()[n], Kind::Safe, KEY, store::ADDED, record).await;
@@ -41,7 +41,7 @@
 /// Guards against a configuration that takes 15 s to take effect on a host without peers whose watch is never answered.
 #[tokio::test]
 async fn a_change_takes_effect_although_its_watch_is_never_answered() {
-    let (record, store) = (Arc::new(Record::default()), Store::start().await);
+    let (record, store) = (Arc::new(History::default()), Store::start().await);
     store.put("config", "main", store::configuration(1, false));
     let hosts = Hosts::start(1, store.addr(), record.clone());
     hosts.until_ready(START_TIMEOUT).await;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -13,7 +13,7 @@
 
 use soak::{
     Soak, What,
-    checks::{self, EVENTS, End, Kind, Met, Record, Seen},
+    checks::{self, EVENTS, End, History, Kind, Met, Seen},
 };
 
 /// Runs use the same addresses, so that one waits for the other.
@@ -66,7 +66,7 @@
 fn requests_handled_by_an_old_version_are_seen() {
     let start = Instant::now() - Duration::from_secs(20);
     let looked = |status| {
-        let record = Record::default();
+        let record = History::default();
         for (version, at) in [(4, 0), (5, 3)] {
             let at = start + Duration::from_secs(at);
             record.note(Seen::Changed { version, sent: at, acked: at });
@@ -103,7 +103,7 @@
 /// Requests at a server that had told their host that it leaves, or asked it for a pause, are seen.
 #[test]
 fn requests_against_a_servers_own_word_are_seen() {
-    let met = |record: &Record, id: &str, what| {
+    let met = |record: &History, id: &str, what| {
         record.note(Seen::Met { id: id.into(), engine: "i-1".into(), what });
     };
     let told = record(Kind::Safe, &[], whole(200, &["own"]));
@@ -123,8 +123,8 @@
     assert_eq!(told.violations(), Vec::<String>::new());
 }
 
-fn record(kind: Kind, runs: &[&str], end: End) -> Record {
-    let (record, at) = (Record::default(), Instant::now());
+fn record(kind: Kind, runs: &[&str], end: End) -> History {
+    let (record, at) = (History::default(), Instant::now());
     let (id, target) = ("r1".to_owned(), format!("{}r1", kind.path()));
     let host = "127.0.0.1".into();
     record.note(Seen::Sent { id: id.clone(), kind, target: target.clone(), proper: true, host, at });
--- a/tests/support/soak.rs
+++ b/tests/support/soak.rs
@@ -30,7 +30,7 @@
 use tokio::task::JoinSet;
 
 use caller::{KEY, KEY_TO_REVOKE, call, resolve};
-use checks::{End, Kind, Record, Seen};
+use checks::{End, History, Kind, Seen};
 use engine::Engines;
 use hosts::Hosts;
 use store::Store;
@@ -94,7 +94,7 @@
     /// Plays the run; returns what was seen and which promises were broken.
     pub async fn run(self) -> Report {
         let mut rng = StdRng::seed_from_u64(self.seed);
-        let record = Arc::new(Record::default());
+        let record = Arc::new(History::default());
         let store = Store::start().await;
         store.put("config", "main", store::configuration(1, false));
         let engines = Arc::new(Engines::start(store.clone(), record.clone()).await);
@@ -141,7 +141,7 @@
 }
 
 /// After the last fault every host answers every kind of request again.
-async fn serves_again(hosts: &Hosts, record: &Record) -> Vec<String> {
+async fn serves_again(hosts: &Hosts, record: &History) -> Vec<String> {
     let mut unserved = Vec::new();
     for addr in hosts.addresses() {
         for kind in Kind::ALL {
@@ -155,7 +155,7 @@
 }
 
 /// A change of the configuration is in force at every host: a new route is served, and a revoked key is refused.
-async fn changes_take_effect(hosts: &Hosts, store: &Store, record: &Record) -> Vec<String> {
+async fn changes_take_effect(hosts: &Hosts, store: &Store, record: &History) -> Vec<String> {
     store.put("config", "main", store::configuration(LAST_VERSION, true));
     let mut missing = Vec::new();
     for addr in hosts.addresses() {
@@ -203,6 +203,6 @@
 }
 
 /// Notes a disturbance for its length.
-fn disturbed(record: &Record, what: &str, from: Instant) {
+fn disturbed(record: &History, what: &str, from: Instant) {
     record.note(Seen::Disturbed { what: what.into(), from, to: Instant::now() });
 }
--- a/tests/support/soak/caller.rs
+++ b/tests/support/soak/caller.rs
@@ -18,7 +18,7 @@
 
 use super::{
     THINKS_MS, addresses,
-    checks::{End, Kind, Record, Seen},
+    checks::{End, History, Kind, Seen},
     hosts::Hosts,
 };
 use crate::wire::{events, is_whole, status};
@@ -37,7 +37,7 @@
 static NEXT: AtomicU64 = AtomicU64::new(0);
 
 /// Sends requests of all kinds until the task is ended.
-pub async fn keep_calling(n: usize, hosts: Arc<Hosts>, record: Arc<Record>, mut rng: StdRng) {
+pub async fn keep_calling(n: usize, hosts: Arc<Hosts>, record: Arc<History>, mut rng: StdRng) {
     let mut known = hosts.addresses();
     let mut asked = Instant::now();
     loop {
@@ -54,7 +54,7 @@
 }
 
 /// Sends one request and notes its end.
-pub async fn call(addr: SocketAddr, kind: Kind, key: &str, path: &str, record: &Record) -> End {
+pub async fn call(addr: SocketAddr, kind: Kind, key: &str, path: &str, record: &History) -> End {
     let id = format!("r{:06}", NEXT.fetch_add(1, Ordering::Relaxed));
     let target = format!("{path}{id}");
     let host = addr.ip().to_string();
--- a/tests/support/soak/checks.rs
+++ b/tests/support/soak/checks.rs
@@ -126,7 +126,7 @@
 
 /// All observations of a run.
 #[derive(Debug, Default)]
-pub struct Record(Mutex<Vec<Seen>>);
+pub struct History(Mutex<Vec<Seen>>);
 
 /// One request, put together.
 #[derive(Debug, Default)]
@@ -156,7 +156,7 @@
     at: Instant,
 }
 
-impl Record {
+impl History {
     /// Adds an observation.
     pub fn note(&self, seen: Seen) {
         self.0.lock().unwrap().push(seen);
--- a/tests/support/soak/engine.rs
+++ b/tests/support/soak/engine.rs
@@ -17,7 +17,7 @@
 };
 
 use super::{
-    checks::{EVENTS, Met, Record, STORE, Seen},
+    checks::{EVENTS, History, Met, STORE, Seen},
     disturbed,
     store::{Store, server},
 };
@@ -61,7 +61,7 @@
 /// The servers.
 pub struct Engines {
     store: Store,
-    record: Arc<Record>,
+    record: Arc<History>,
     faults: Arc<Faults>,
     started: AtomicU64,
     running: Mutex<Vec<Arc<Engine>>>,
@@ -69,7 +69,7 @@
 
 impl Engines {
     /// Starts the servers and lists them in the store.
-    pub async fn start(store: Store, record: Arc<Record>) -> Self {
+    pub async fn start(store: Store, record: Arc<History>) -> Self {
         let engines = Self {
             store,
             record,
@@ -182,7 +182,7 @@
 struct Serving {
     id: String,
     leaving: Arc<AtomicBool>,
-    record: Arc<Record>,
+    record: Arc<History>,
     faults: Arc<Faults>,
 }
 
--- a/tests/support/soak/hosts.rs
+++ b/tests/support/soak/hosts.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 
 use super::{
-    checks::{Record, Seen},
+    checks::{History, Seen},
     disturbed,
 };
 
@@ -45,14 +45,14 @@
 /// The hosts of a run; dropping them kills the processes.
 pub struct Hosts {
     hosts: Vec<Host>,
-    record: Arc<Record>,
+    record: Arc<History>,
     ended: Mutex<Vec<String>>,
     keep_logs: AtomicBool,
 }
 
 impl Hosts {
     /// Starts so many hosts in three data centres, the first three of which are seeds.
-    pub fn start(count: usize, store: SocketAddr, record: Arc<Record>) -> Self {
+    pub fn start(count: usize, store: SocketAddr, record: Arc<History>) -> Self {
         let net = free_net();
         let ip = |n: usize| {
             IpAddr::from(Ipv4Addr::new(127, net, (n / HOSTS_A_NET) as u8, (n % HOSTS_A_NET + 1) as u8))
--- a/tests/support/soak/operator.rs
+++ b/tests/support/soak/operator.rs
@@ -14,7 +14,7 @@
 use super::{
     KEY,
     caller::call,
-    checks::{Kind, Record, Seen},
+    checks::{History, Kind, Seen},
     hosts::Hosts,
     store::{self, MARK, Store},
 };
@@ -29,7 +29,7 @@
 const COPY_BEHIND: usize = 3;
 
 /// Writes one version after the other until the task is ended.
-pub async fn keep_changing(store: Store, record: Arc<Record>, newest: Arc<AtomicU64>, mut rng: StdRng) {
+pub async fn keep_changing(store: Store, record: Arc<History>, newest: Arc<AtomicU64>, mut rng: StdRng) {
     let mut copies = VecDeque::new();
     loop {
         tokio::time::sleep(Duration::from_millis(rng.random_range(CHANGES_MS))).await;
@@ -46,7 +46,7 @@
 }
 
 /// Asks hosts for routes that one version has, the newest and those before, until the task is ended.
-pub async fn keep_looking(hosts: Arc<Hosts>, record: Arc<Record>, newest: Arc<AtomicU64>, mut rng: StdRng) {
+pub async fn keep_looking(hosts: Arc<Hosts>, record: Arc<History>, newest: Arc<AtomicU64>, mut rng: StdRng) {
     let addresses = hosts.addresses();
     loop {
         let back = rng.random_range(0..=LOOKS_BACK);
