--- a/benches/soak.rs
+++ b/benches/soak.rs
@@ -69,12 +69,12 @@
 }
 
 async fn recover(count: usize) {
-    let (record, store) = (Arc::new(History::default()), Store::start().await);
+    let (history, store) = (Arc::new(History::default()), Store::start().await);
     store.put("config", "main", store::configuration(1, false));
     for n in 0..count * SERVERS_A_HOST {
         store.put("servers", &format!("i-{n:08x}"), store::server(NOWHERE, "ready"));
     }
-    let hosts = Hosts::start(count, store.addr(), record);
+    let hosts = Hosts::start(count, store.addr(), history);
     let first = hosts.until_ready(PATIENCE).await;
     tokio::time::sleep(CALM).await;
     let calm = hosts.peaks_kb();
--- a/tests/relay_confirmed.rs
+++ b/tests/relay_confirmed.rs
@@ -25,10 +25,10 @@
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(7);
 
 /// Waits until a host serves a newly added route; returns whether it does.
-async fn serves_added(hosts: &Hosts, n: usize, record: &History) -> bool {
+async fn serves_added(hosts: &Hosts, n: usize, history: &History) -> bool {
     let until = Instant::now() + CHANGE_TIMEOUT;
     while Instant::now() < until {
-        let end = call(hosts.addresses()[n], Kind::Safe, KEY, store::ADDED, record).await;
+        let end = call(hosts.addresses()[n], Kind::Safe, KEY, store::ADDED, history).await;
         // There are no servers, so a request on a known route is refused as unavailable instead of not found.
         if matches!(end, End::Whole { status: 503, .. }) {
             return true;
@@ -41,13 +41,13 @@
 /// Guards against a configuration that takes 15 s to take effect on a host without peers whose watch is never answered.
 #[tokio::test]
 async fn a_change_takes_effect_although_its_watch_is_never_answered() {
-    let (record, store) = (Arc::new(History::default()), Store::start().await);
+    let (history, store) = (Arc::new(History::default()), Store::start().await);
     store.put("config", "main", store::configuration(1, false));
-    let hosts = Hosts::start(1, store.addr(), record.clone());
+    let hosts = Hosts::start(1, store.addr(), history.clone());
     hosts.until_ready(START_TIMEOUT).await;
 
     store.set_deaf(true);
     store.put("config", "main", store::configuration(2, true));
 
-    assert!(serves_added(&hosts, 0, &record).await);
+    assert!(serves_added(&hosts, 0, &history).await);
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -66,31 +66,31 @@
 fn requests_handled_by_an_old_version_are_seen() {
     let start = Instant::now() - Duration::from_secs(20);
     let looked = |status| {
-        let record = History::default();
+        let history = History::default();
         for (version, at) in [(4, 0), (5, 3)] {
             let at = start + Duration::from_secs(at);
-            record.note(Seen::Changed { version, sent: at, acked: at });
+            history.note(Seen::Changed { version, sent: at, acked: at });
         }
         let at = start + Duration::from_millis(if status == 200 { 5_100 } else { 2_100 });
         let (host, target) = ("127.0.0.1".to_owned(), "/mark-4/r1".to_owned());
-        record.note(Seen::Sent { id: "r1".into(), kind: Kind::Safe, target, proper: false, host, at });
-        record.note(Seen::Ended { id: "r1".into(), end: whole(status, &["own"]), at });
-        record
+        history.note(Seen::Sent { id: "r1".into(), kind: Kind::Safe, target, proper: false, host, at });
+        history.note(Seen::Ended { id: "r1".into(), end: whole(status, &["own"]), at });
+        history
     };
 
     for status in [200, 404] {
-        let record = looked(status);
-        assert_eq!(record.violations().len(), 1, "{status}");
+        let history = looked(status);
+        assert_eq!(history.violations().len(), 1, "{status}");
         let (from, to) = (start, start + Duration::from_secs(5));
-        record.note(Seen::Disturbed { what: "127.0.0.1".into(), from, to });
-        assert_eq!(record.violations(), Vec::<String>::new(), "{status}");
+        history.note(Seen::Disturbed { what: "127.0.0.1".into(), from, to });
+        assert_eq!(history.violations(), Vec::<String>::new(), "{status}");
     }
 }
 
 /// Work for a server that has left is seen, unless the host or the store was out of touch.
 #[test]
 fn work_for_a_server_that_has_left_is_seen() {
-    let late = record(Kind::Safe, &["i-1"], whole(200, &["own"]));
+    let late = history(Kind::Safe, &["i-1"], whole(200, &["own"]));
     let long_before = Instant::now() - Duration::from_millis(2_500);
     late.note(Seen::Left { engine: "i-1".into(), at: long_before });
 
@@ -103,10 +103,10 @@
 /// Requests at a server that had told their host that it leaves, or asked it for a pause, are seen.
 #[test]
 fn requests_against_a_servers_own_word_are_seen() {
-    let met = |record: &History, id: &str, what| {
-        record.note(Seen::Met { id: id.into(), engine: "i-1".into(), what });
+    let met = |history: &History, id: &str, what| {
+        history.note(Seen::Met { id: id.into(), engine: "i-1".into(), what });
     };
-    let told = record(Kind::Safe, &[], whole(200, &["own"]));
+    let told = history(Kind::Safe, &[], whole(200, &["own"]));
     let start = Instant::now() - Duration::from_secs(4);
     let (host, target) = ("127.0.0.1".to_owned(), "/safe/r0".to_owned());
     let sent = Seen::Sent { id: "r0".into(), kind: Kind::Safe, target, proper: true, host, at: start };
@@ -123,13 +123,13 @@
     assert_eq!(told.violations(), Vec::<String>::new());
 }
 
-fn record(kind: Kind, runs: &[&str], end: End) -> History {
-    let (record, at) = (History::default(), Instant::now());
+fn history(kind: Kind, runs: &[&str], end: End) -> History {
+    let (history, at) = (History::default(), Instant::now());
     let (id, target) = ("r1".to_owned(), format!("{}r1", kind.path()));
     let host = "127.0.0.1".into();
-    record.note(Seen::Sent { id: id.clone(), kind, target: target.clone(), proper: true, host, at });
+    history.note(Seen::Sent { id: id.clone(), kind, target: target.clone(), proper: true, host, at });
     for engine in runs {
-        record.note(Seen::Ran {
+        history.note(Seen::Ran {
             id: id.clone(),
             target: target.clone(),
             workspace: "travel".into(),
@@ -138,8 +138,8 @@
             at,
         });
     }
-    record.note(Seen::Ended { id, end, at: at + Duration::from_millis(10) });
-    record
+    history.note(Seen::Ended { id, end, at: at + Duration::from_millis(10) });
+    history
 }
 
 fn whole(status: u16, data: &[&str]) -> End {
@@ -161,7 +161,7 @@
         ("denied", Kind::Safe, vec![], whole(404, &[""])),
     ];
     for (name, kind, runs, end) in cases {
-        let violations = record(kind, &runs, end).violations();
+        let violations = history(kind, &runs, end).violations();
 
         assert_eq!(violations.len(), 1, "{name}: {violations:?}");
     }
@@ -171,7 +171,7 @@
 /// or the server was disturbed then.
 #[test]
 fn an_answer_that_was_ready_must_arrive_unless_a_fault_explains_it() {
-    let lost = record(Kind::Unsafe, &["i-1"], End::Broken(Vec::new()));
+    let lost = history(Kind::Unsafe, &["i-1"], End::Broken(Vec::new()));
     lost.note(Seen::Served { id: "r1".into(), engine: "i-1".into() });
 
     assert_eq!(lost.violations().len(), 1);
--- a/tests/support/soak.rs
+++ b/tests/support/soak.rs
@@ -94,36 +94,36 @@
     /// Plays the run; returns what was seen and which promises were broken.
     pub async fn run(self) -> Report {
         let mut rng = StdRng::seed_from_u64(self.seed);
-        let record = Arc::new(History::default());
+        let history = Arc::new(History::default());
         let store = Store::start().await;
         store.put("config", "main", store::configuration(1, false));
-        let engines = Arc::new(Engines::start(store.clone(), record.clone()).await);
-        let hosts = Arc::new(Hosts::start(self.hosts, store.addr(), record.clone()));
+        let engines = Arc::new(Engines::start(store.clone(), history.clone()).await);
+        let hosts = Arc::new(Hosts::start(self.hosts, store.addr(), history.clone()));
         hosts.until_ready(PATIENCE).await;
 
         let mut callers = JoinSet::new();
         for n in 0..self.callers {
             let rng = StdRng::seed_from_u64(rng.random());
-            callers.spawn(caller::keep_calling(n, hosts.clone(), record.clone(), rng));
+            callers.spawn(caller::keep_calling(n, hosts.clone(), history.clone(), rng));
         }
         if self.what == What::Changes {
             let newest = Arc::new(AtomicU64::new(1));
             let mut seeded = || StdRng::seed_from_u64(rng.random());
-            let looking = operator::keep_looking(hosts.clone(), record.clone(), newest.clone(), seeded());
+            let looking = operator::keep_looking(hosts.clone(), history.clone(), newest.clone(), seeded());
             callers.spawn(looking);
-            callers.spawn(operator::keep_changing(store.clone(), record.clone(), newest, seeded()));
+            callers.spawn(operator::keep_changing(store.clone(), history.clone(), newest, seeded()));
         }
         let played = faults::play(self.faults, self.what, &mut rng, &hosts, &engines, &store).await;
-        let unserved = serves_again(&hosts, &record).await;
+        let unserved = serves_again(&hosts, &history).await;
         callers.shutdown().await;
-        let not_in_force = changes_take_effect(&hosts, &store, &record).await;
+        let not_in_force = changes_take_effect(&hosts, &store, &history).await;
 
-        let mut broken = record.violations();
+        let mut broken = history.violations();
         broken.extend(unserved.into_iter().chain(not_in_force).chain(hosts.ended_by_themselves()));
         if !broken.is_empty() {
             hosts.keep_logs();
         }
-        Report { seed: self.seed, faults: played, seen: record.summary(), broken }
+        Report { seed: self.seed, faults: played, seen: history.summary(), broken }
     }
 }
 
@@ -141,11 +141,11 @@
 }
 
 /// After the last fault every host answers every kind of request again.
-async fn serves_again(hosts: &Hosts, record: &History) -> Vec<String> {
+async fn serves_again(hosts: &Hosts, history: &History) -> Vec<String> {
     let mut unserved = Vec::new();
     for addr in hosts.addresses() {
         for kind in Kind::ALL {
-            let is_served = || async { is_answered(call(addr, kind, KEY, kind.path(), record).await) };
+            let is_served = || async { is_answered(call(addr, kind, KEY, kind.path(), history).await) };
             if !comes_about(is_served).await {
                 unserved.push(format!("{addr} does not serve {} requests again", kind.as_str()));
             }
@@ -155,17 +155,17 @@
 }
 
 /// A change of the configuration is in force at every host: a new route is served, and a revoked key is refused.
-async fn changes_take_effect(hosts: &Hosts, store: &Store, record: &History) -> Vec<String> {
+async fn changes_take_effect(hosts: &Hosts, store: &Store, history: &History) -> Vec<String> {
     store.put("config", "main", store::configuration(LAST_VERSION, true));
     let mut missing = Vec::new();
     for addr in hosts.addresses() {
-        let route = || async { is_answered(call(addr, Kind::Safe, KEY, store::ADDED, record).await) };
+        let route = || async { is_answered(call(addr, Kind::Safe, KEY, store::ADDED, history).await) };
         if !comes_about(route).await {
             missing.push(format!("{addr} does not serve an added route"));
         }
         let key = || async {
             matches!(
-                call(addr, Kind::Safe, KEY_TO_REVOKE, "/safe/", record).await,
+                call(addr, Kind::Safe, KEY_TO_REVOKE, "/safe/", history).await,
                 End::Whole { status: 401, .. }
             )
         };
@@ -203,6 +203,6 @@
 }
 
 /// Notes a disturbance for its length.
-fn disturbed(record: &History, what: &str, from: Instant) {
-    record.note(Seen::Disturbed { what: what.into(), from, to: Instant::now() });
+fn disturbed(history: &History, what: &str, from: Instant) {
+    history.note(Seen::Disturbed { what: what.into(), from, to: Instant::now() });
 }
--- a/tests/support/soak/caller.rs
+++ b/tests/support/soak/caller.rs
@@ -37,7 +37,7 @@
 static NEXT: AtomicU64 = AtomicU64::new(0);
 
 /// Sends requests of all kinds until the task is ended.
-pub async fn keep_calling(n: usize, hosts: Arc<Hosts>, record: Arc<History>, mut rng: StdRng) {
+pub async fn keep_calling(n: usize, hosts: Arc<Hosts>, history: Arc<History>, mut rng: StdRng) {
     let mut known = hosts.addresses();
     let mut asked = Instant::now();
     loop {
@@ -48,18 +48,18 @@
         let addr = known[rng.random_range(0..known.len())];
         let kind = Kind::ALL[rng.random_range(0..Kind::ALL.len())];
         let key = if n.is_multiple_of(2) { KEY } else { KEY_TO_REVOKE };
-        call(addr, kind, key, kind.path(), &record).await;
+        call(addr, kind, key, kind.path(), &history).await;
         tokio::time::sleep(Duration::from_millis(rng.random_range(THINKS_MS))).await;
     }
 }
 
 /// Sends one request and notes its end.
-pub async fn call(addr: SocketAddr, kind: Kind, key: &str, path: &str, record: &History) -> End {
+pub async fn call(addr: SocketAddr, kind: Kind, key: &str, path: &str, history: &History) -> End {
     let id = format!("r{:06}", NEXT.fetch_add(1, Ordering::Relaxed));
     let target = format!("{path}{id}");
     let host = addr.ip().to_string();
     let proper = key == KEY && path == kind.path();
-    record.note(Seen::Sent {
+    history.note(Seen::Sent {
         id: id.clone(),
         kind,
         target: target.clone(),
@@ -78,7 +78,7 @@
         Ok(end) => end,
         Err(_) => End::TimedOut,
     };
-    record.note(Seen::Ended { id, end: end.clone(), at: Instant::now() });
+    history.note(Seen::Ended { id, end: end.clone(), at: Instant::now() });
     end
 }
 
--- a/tests/support/soak/engine.rs
+++ b/tests/support/soak/engine.rs
@@ -61,7 +61,7 @@
 /// The servers.
 pub struct Engines {
     store: Store,
-    record: Arc<History>,
+    history: Arc<History>,
     faults: Arc<Faults>,
     started: AtomicU64,
     running: Mutex<Vec<Arc<Engine>>>,
@@ -69,10 +69,10 @@
 
 impl Engines {
     /// Starts the servers and lists them in the store.
-    pub async fn start(store: Store, record: Arc<History>) -> Self {
+    pub async fn start(store: Store, history: Arc<History>) -> Self {
         let engines = Self {
             store,
-            record,
+            history,
             faults: Arc::default(),
             started: AtomicU64::new(0),
             running: Mutex::default(),
@@ -93,7 +93,7 @@
         let serving = Serving {
             id: id.clone(),
             leaving: leaving.clone(),
-            record: self.record.clone(),
+            history: self.history.clone(),
             faults: self.faults.clone(),
         };
         let task = tokio::spawn(accept(listener, serving, crash.subscribe()));
@@ -118,7 +118,7 @@
         engine.gate.set(Mode::Refuse).await.unwrap();
         engine.crash.send_modify(|n| *n += 1);
         engine.task.abort();
-        disturbed(&self.record, &engine.id, from);
+        disturbed(&self.history, &engine.id, from);
         self.add().await;
         tokio::time::sleep(Duration::from_secs(1)).await;
         self.store.remove("servers", &engine.id);
@@ -130,7 +130,7 @@
         engine.gate.set(Mode::Stall).await.unwrap();
         tokio::time::sleep(time).await;
         engine.gate.set(Mode::Open).await.unwrap();
-        disturbed(&self.record, &engine.id, from);
+        disturbed(&self.history, &engine.id, from);
     }
 
     /// A server says that it leaves, serves on, and is gone.
@@ -139,21 +139,21 @@
         self.add().await;
         engine.leaving.store(true, Ordering::Relaxed);
         self.store.put("servers", &engine.id, server(engine.gate.addr(), "draining"));
-        self.record.note(Seen::Left { engine: engine.id.clone(), at: Instant::now() });
-        let (store, record) = (self.store.clone(), self.record.clone());
+        self.history.note(Seen::Left { engine: engine.id.clone(), at: Instant::now() });
+        let (store, history) = (self.store.clone(), self.history.clone());
         tokio::spawn(async move {
             tokio::time::sleep(SERVES_ON).await;
             store.remove("servers", &engine.id);
             let from = Instant::now();
             engine.gate.set(Mode::Refuse).await.unwrap();
             engine.task.abort();
-            disturbed(&record, &engine.id, from);
+            disturbed(&history, &engine.id, from);
         });
     }
 
     /// Notes that the store was disturbed since a time.
     pub fn note_store(&self, from: Instant) {
-        disturbed(&self.record, STORE, from);
+        disturbed(&self.history, STORE, from);
     }
 
     /// All servers refuse everything for a while.
@@ -182,7 +182,7 @@
 struct Serving {
     id: String,
     leaving: Arc<AtomicBool>,
-    record: Arc<History>,
+    history: Arc<History>,
     faults: Arc<Faults>,
 }
 
@@ -205,7 +205,7 @@
             let leaves = self.leaving.load(Ordering::Relaxed);
             let word = if leaves { "Server-Leaving: 1\r\n" } else { "" };
             let head = format!("Attempt-Id: {id}\r\nResponse-Seal: s1\r\n{word}");
-            let note = |what| self.record.note(Seen::Met { id: id.clone(), engine: self.id.clone(), what });
+            let note = |what| self.history.note(Seen::Met { id: id.clone(), engine: self.id.clone(), what });
             note(Met::Reached(Instant::now()));
             if leaves {
                 note(Met::SaysLeaving);
@@ -223,7 +223,7 @@
                 return refuse(&mut stream, "503 Service Unavailable", &id, &word).await;
             }
             let target = req.split(' ').nth(1).unwrap_or_default().to_owned();
-            self.record.note(Seen::Ran {
+            self.history.note(Seen::Ran {
                 id: id.clone(),
                 target: target.clone(),
                 workspace: header(&req, "tenant").unwrap_or_default(),
@@ -247,7 +247,7 @@
             if written.is_err() {
                 return;
             }
-            self.record.note(Seen::Served { id, engine: self.id.clone() });
+            self.history.note(Seen::Served { id, engine: self.id.clone() });
         }
     }
 }
--- a/tests/support/soak/hosts.rs
+++ b/tests/support/soak/hosts.rs
@@ -45,14 +45,14 @@
 /// The hosts of a run; dropping them kills the processes.
 pub struct Hosts {
     hosts: Vec<Host>,
-    record: Arc<History>,
+    history: Arc<History>,
     ended: Mutex<Vec<String>>,
     keep_logs: AtomicBool,
 }
 
 impl Hosts {
     /// Starts so many hosts in three data centres, the first three of which are seeds.
-    pub fn start(count: usize, store: SocketAddr, record: Arc<History>) -> Self {
+    pub fn start(count: usize, store: SocketAddr, history: Arc<History>) -> Self {
         let net = free_net();
         let ip = |n: usize| {
             IpAddr::from(Ipv4Addr::new(127, net, (n / HOSTS_A_NET) as u8, (n % HOSTS_A_NET + 1) as u8))
@@ -67,7 +67,7 @@
         });
         let hosts = Self {
             hosts: hosts.collect(),
-            record,
+            history,
             ended: Mutex::default(),
             keep_logs: AtomicBool::new(false),
         };
@@ -113,7 +113,7 @@
         host.kill();
         tokio::time::sleep(down).await;
         host.start();
-        disturbed(&self.record, &host.ip.to_string(), from);
+        disturbed(&self.history, &host.ip.to_string(), from);
     }
 
     /// Kills all hosts at the same moment and starts them again.
@@ -122,7 +122,7 @@
         self.hosts.iter().for_each(Host::kill);
         tokio::time::sleep(down).await;
         self.hosts.iter().for_each(Host::start);
-        self.hosts.iter().for_each(|h| disturbed(&self.record, &h.ip.to_string(), from));
+        self.hosts.iter().for_each(|h| disturbed(&self.history, &h.ip.to_string(), from));
     }
 
     /// Suspends a host.
@@ -131,7 +131,7 @@
         host.signal(Signal::STOP);
         tokio::time::sleep(time).await;
         host.signal(Signal::CONT);
-        disturbed(&self.record, &host.ip.to_string(), from);
+        disturbed(&self.history, &host.ip.to_string(), from);
     }
 
     /// Tells a host to stop, and starts it again once it has ended. That is no disturbance: its answers must arrive.
@@ -157,7 +157,7 @@
             self.ended.lock().unwrap().push(told);
         }
         host.start();
-        self.record.note(Seen::Restarted { host: host.ip.to_string(), at: Instant::now() });
+        self.history.note(Seen::Restarted { host: host.ip.to_string(), at: Instant::now() });
     }
 
     /// Tells a host that its settings have changed.
--- a/tests/support/soak/operator.rs
+++ b/tests/support/soak/operator.rs
@@ -29,7 +29,7 @@
 const COPY_BEHIND: usize = 3;
 
 /// Writes one version after the other until the task is ended.
-pub async fn keep_changing(store: Store, record: Arc<History>, newest: Arc<AtomicU64>, mut rng: StdRng) {
+pub async fn keep_changing(store: Store, history: Arc<History>, newest: Arc<AtomicU64>, mut rng: StdRng) {
     let mut copies = VecDeque::new();
     loop {
         tokio::time::sleep(Duration::from_millis(rng.random_range(CHANGES_MS))).await;
@@ -41,18 +41,18 @@
         let sent = Instant::now();
         store.put("config", "main", store::configuration(version, false));
         newest.store(version, Ordering::Relaxed);
-        record.note(Seen::Changed { version, sent, acked: Instant::now() });
+        history.note(Seen::Changed { version, sent, acked: Instant::now() });
     }
 }
 
 /// Asks hosts for routes that one version has, the newest and those before, until the task is ended.
-pub async fn keep_looking(hosts: Arc<Hosts>, record: Arc<History>, newest: Arc<AtomicU64>, mut rng: StdRng) {
+pub async fn keep_looking(hosts: Arc<Hosts>, history: Arc<History>, newest: Arc<AtomicU64>, mut rng: StdRng) {
     let addresses = hosts.addresses();
     loop {
         let back = rng.random_range(0..=LOOKS_BACK);
         let version = newest.load(Ordering::Relaxed).saturating_sub(back).max(1);
         let addr = addresses[rng.random_range(0..addresses.len())];
-        call(addr, Kind::Safe, KEY, &format!("{MARK}{version}/"), &record).await;
+        call(addr, Kind::Safe, KEY, &format!("{MARK}{version}/"), &history).await;
         tokio::time::sleep(Duration::from_millis(rng.random_range(LOOKS_MS))).await;
     }
 }
