--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -69,12 +69,12 @@
         let history = History::default();
         for (version, at) in [(4, 0), (5, 3)] {
             let at = start + Duration::from_secs(at);
-            history.note(Seen::Changed { version, sent: at, acked: at });
+            history.record(Seen::Changed { version, sent: at, acked: at });
         }
         let at = start + Duration::from_millis(if status == 200 { 5_100 } else { 2_100 });
         let (host, target) = ("127.0.0.1".to_owned(), "/mark-4/r1".to_owned());
-        history.note(Seen::Sent { id: "r1".into(), kind: Kind::Safe, target, proper: false, host, at });
-        history.note(Seen::Ended { id: "r1".into(), end: whole(status, &["own"]), at });
+        history.record(Seen::Sent { id: "r1".into(), kind: Kind::Safe, target, proper: false, host, at });
+        history.record(Seen::Ended { id: "r1".into(), end: whole(status, &["own"]), at });
         history
     };
 
@@ -82,7 +82,7 @@
         let history = looked(status);
         assert_eq!(history.violations().len(), 1, "{status}");
         let (from, to) = (start, start + Duration::from_secs(5));
-        history.note(Seen::Disturbed { what: "127.0.0.1".into(), from, to });
+        history.record(Seen::Disturbed { what: "127.0.0.1".into(), from, to });
         assert_eq!(history.violations(), Vec::<String>::new(), "{status}");
     }
 }
@@ -92,11 +92,11 @@
 fn work_for_a_server_that_has_left_is_seen() {
     let late = history(Kind::Safe, &["i-1"], whole(200, &["own"]));
     let long_before = Instant::now() - Duration::from_millis(2_500);
-    late.note(Seen::Left { engine: "i-1".into(), at: long_before });
+    late.record(Seen::Left { engine: "i-1".into(), at: long_before });
 
     assert_eq!(late.violations().len(), 1);
     let (from, to) = (Instant::now() - Duration::from_secs(1), Instant::now());
-    late.note(Seen::Disturbed { what: checks::STORE.into(), from, to });
+    late.record(Seen::Disturbed { what: checks::STORE.into(), from, to });
     assert_eq!(late.violations().len(), 0);
 }
 
@@ -104,20 +104,20 @@
 #[test]
 fn requests_against_a_servers_own_word_are_seen() {
     let met = |history: &History, id: &str, what| {
-        history.note(Seen::Met { id: id.into(), engine: "i-1".into(), what });
+        history.record(Seen::Met { id: id.into(), engine: "i-1".into(), what });
     };
     let told = history(Kind::Safe, &[], whole(200, &["own"]));
     let start = Instant::now() - Duration::from_secs(4);
     let (host, target) = ("127.0.0.1".to_owned(), "/safe/r0".to_owned());
     let sent = Seen::Sent { id: "r0".into(), kind: Kind::Safe, target, proper: true, host, at: start };
-    told.note(sent);
-    told.note(Seen::Ended { id: "r0".into(), end: whole(200, &["own"]), at: start });
+    told.record(sent);
+    told.record(Seen::Ended { id: "r0".into(), end: whole(200, &["own"]), at: start });
     met(&told, "r0", Met::SaysLeaving);
     met(&told, "r0", Met::AsksPause(start, Duration::from_secs(5)));
     (0..3).for_each(|_| met(&told, "r1", Met::Reached(Instant::now())));
 
     let broken = told.violations();
-    told.note(Seen::Restarted { host: "127.0.0.1".into(), at: start + Duration::from_secs(1) });
+    told.record(Seen::Restarted { host: "127.0.0.1".into(), at: start + Duration::from_secs(1) });
 
     assert_eq!(broken.len(), 4, "{broken:?}");
     assert_eq!(told.violations(), Vec::<String>::new());
@@ -127,9 +127,9 @@
     let (history, at) = (History::default(), Instant::now());
     let (id, target) = ("r1".to_owned(), format!("{}r1", kind.path()));
     let host = "127.0.0.1".into();
-    history.note(Seen::Sent { id: id.clone(), kind, target: target.clone(), proper: true, host, at });
+    history.record(Seen::Sent { id: id.clone(), kind, target: target.clone(), proper: true, host, at });
     for engine in runs {
-        history.note(Seen::Ran {
+        history.record(Seen::Ran {
             id: id.clone(),
             target: target.clone(),
             workspace: "travel".into(),
@@ -138,7 +138,7 @@
             at,
         });
     }
-    history.note(Seen::Ended { id, end, at: at + Duration::from_millis(10) });
+    history.record(Seen::Ended { id, end, at: at + Duration::from_millis(10) });
     history
 }
 
@@ -172,10 +172,10 @@
 #[test]
 fn an_answer_that_was_ready_must_arrive_unless_a_fault_explains_it() {
     let lost = history(Kind::Unsafe, &["i-1"], End::Broken(Vec::new()));
-    lost.note(Seen::Served { id: "r1".into(), engine: "i-1".into() });
+    lost.record(Seen::Served { id: "r1".into(), engine: "i-1".into() });
 
     assert_eq!(lost.violations().len(), 1);
     let (from, to) = (Instant::now(), Instant::now());
-    lost.note(Seen::Disturbed { what: "127.0.0.1".into(), from, to });
+    lost.record(Seen::Disturbed { what: "127.0.0.1".into(), from, to });
     assert_eq!(lost.violations().len(), 0);
 }
--- a/tests/support/soak.rs
+++ b/tests/support/soak.rs
@@ -204,5 +204,5 @@
 
 /// Notes a disturbance for its length.
 fn disturbed(history: &History, what: &str, from: Instant) {
-    history.note(Seen::Disturbed { what: what.into(), from, to: Instant::now() });
+    history.record(Seen::Disturbed { what: what.into(), from, to: Instant::now() });
 }
--- a/tests/support/soak/caller.rs
+++ b/tests/support/soak/caller.rs
@@ -59,7 +59,7 @@
     let target = format!("{path}{id}");
     let host = addr.ip().to_string();
     let proper = key == KEY && path == kind.path();
-    history.note(Seen::Sent {
+    history.record(Seen::Sent {
         id: id.clone(),
         kind,
         target: target.clone(),
@@ -78,7 +78,7 @@
         Ok(end) => end,
         Err(_) => End::TimedOut,
     };
-    history.note(Seen::Ended { id, end: end.clone(), at: Instant::now() });
+    history.record(Seen::Ended { id, end: end.clone(), at: Instant::now() });
     end
 }
 
--- a/tests/support/soak/checks.rs
+++ b/tests/support/soak/checks.rs
@@ -158,7 +158,7 @@
 
 impl History {
     /// Adds an observation.
-    pub fn note(&self, seen: Seen) {
+    pub fn record(&self, seen: Seen) {
         self.0.lock().unwrap().push(seen);
     }
 
--- a/tests/support/soak/engine.rs
+++ b/tests/support/soak/engine.rs
@@ -139,7 +139,7 @@
         self.add().await;
         engine.leaving.store(true, Ordering::Relaxed);
         self.store.put("servers", &engine.id, server(engine.gate.addr(), "draining"));
-        self.history.note(Seen::Left { engine: engine.id.clone(), at: Instant::now() });
+        self.history.record(Seen::Left { engine: engine.id.clone(), at: Instant::now() });
         let (store, history) = (self.store.clone(), self.history.clone());
         tokio::spawn(async move {
             tokio::time::sleep(SERVES_ON).await;
@@ -205,10 +205,10 @@
             let leaves = self.leaving.load(Ordering::Relaxed);
             let word = if leaves { "Server-Leaving: 1\r\n" } else { "" };
             let head = format!("Attempt-Id: {id}\r\nResponse-Seal: s1\r\n{word}");
-            let note = |what| self.history.note(Seen::Met { id: id.clone(), engine: self.id.clone(), what });
-            note(Met::Reached(Instant::now()));
+            let record = |what| self.history.record(Seen::Met { id: id.clone(), engine: self.id.clone(), what });
+            record(Met::Reached(Instant::now()));
             if leaves {
-                note(Met::SaysLeaving);
+                record(Met::SaysLeaving);
             }
             if header(&req, "expected-instance").as_deref() != Some(&self.id) {
                 return refuse(&mut stream, "421 Misdirected Request", &id, "").await;
@@ -218,12 +218,12 @@
             }
             let luck = id.bytes().fold(7u64, |sum, b| sum.wrapping_mul(31).wrapping_add(b.into()));
             if self.faults.pause.load(Ordering::Relaxed) && luck.is_multiple_of(PAUSES_ONE_OF) {
-                note(Met::AsksPause(Instant::now(), PAUSE));
+                record(Met::AsksPause(Instant::now(), PAUSE));
                 let word = format!("{word}Retry-After: {}\r\n", PAUSE.as_secs_f64());
                 return refuse(&mut stream, "503 Service Unavailable", &id, &word).await;
             }
             let target = req.split(' ').nth(1).unwrap_or_default().to_owned();
-            self.history.note(Seen::Ran {
+            self.history.record(Seen::Ran {
                 id: id.clone(),
                 target: target.clone(),
                 workspace: header(&req, "tenant").unwrap_or_default(),
@@ -247,7 +247,7 @@
             if written.is_err() {
                 return;
             }
-            self.history.note(Seen::Served { id, engine: self.id.clone() });
+            self.history.record(Seen::Served { id, engine: self.id.clone() });
         }
     }
 }
--- a/tests/support/soak/hosts.rs
+++ b/tests/support/soak/hosts.rs
@@ -157,7 +157,7 @@
             self.ended.lock().unwrap().push(told);
         }
         host.start();
-        self.history.note(Seen::Restarted { host: host.ip.to_string(), at: Instant::now() });
+        self.history.record(Seen::Restarted { host: host.ip.to_string(), at: Instant::now() });
     }
 
     /// Tells a host that its settings have changed.
--- a/tests/support/soak/operator.rs
+++ b/tests/support/soak/operator.rs
@@ -41,7 +41,7 @@
         let sent = Instant::now();
         store.put("config", "main", store::configuration(version, false));
         newest.store(version, Ordering::Relaxed);
-        history.note(Seen::Changed { version, sent, acked: Instant::now() });
+        history.record(Seen::Changed { version, sent, acked: Instant::now() });
     }
 }
 
