--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -13,7 +13,7 @@
 
 use soak::{
     Soak, What,
-    checks::{self, EVENTS, End, History, Kind, Met, Seen},
+    checks::{self, EVENTS, History, Kind, Met, Outcome, Seen},
 };
 
 /// Runs use the same addresses, so that one waits for the other.
@@ -123,7 +123,7 @@
     assert_eq!(told.violations(), Vec::<String>::new());
 }
 
-fn history(kind: Kind, runs: &[&str], end: End) -> History {
+fn history(kind: Kind, runs: &[&str], end: Outcome) -> History {
     let (history, at) = (History::default(), Instant::now());
     let (id, target) = ("r1".to_owned(), format!("{}r1", kind.path()));
     let host = "127.0.0.1".into();
@@ -142,8 +142,8 @@
     history
 }
 
-fn whole(status: u16, data: &[&str]) -> End {
-    End::Whole { status, data: data.iter().map(|d| (*d).into()).collect() }
+fn whole(status: u16, data: &[&str]) -> Outcome {
+    Outcome::Whole { status, data: data.iter().map(|d| (*d).into()).collect() }
 }
 
 /// The soak's own checks see each promise that is broken, or a run would pass for the wrong reason.
@@ -156,8 +156,8 @@
         ("refused and ran", Kind::Unsafe, vec!["i-1"], whole(503, &[""])),
         ("another's answer", Kind::Safe, vec!["i-1"], whole(200, &["own r2"])),
         ("cut and looks whole", Kind::Stream, vec!["i-1"], whole(200, &part)),
-        ("an event twice", Kind::Stream, vec!["i-1"], End::Broken(vec!["own 1".into(), "own 1".into()])),
-        ("an event missing", Kind::Stream, vec!["i-1"], End::Broken(vec!["own 2".into()])),
+        ("an event twice", Kind::Stream, vec!["i-1"], Outcome::Broken(vec!["own 1".into(), "own 1".into()])),
+        ("an event missing", Kind::Stream, vec!["i-1"], Outcome::Broken(vec!["own 2".into()])),
         ("denied", Kind::Safe, vec![], whole(404, &[""])),
     ];
     for (name, kind, runs, end) in cases {
@@ -171,7 +171,7 @@
 /// or the server was disturbed then.
 #[test]
 fn an_answer_that_was_ready_must_arrive_unless_a_fault_explains_it() {
-    let lost = history(Kind::Unsafe, &["i-1"], End::Broken(Vec::new()));
+    let lost = history(Kind::Unsafe, &["i-1"], Outcome::Broken(Vec::new()));
     lost.record(Seen::Served { id: "r1".into(), engine: "i-1".into() });
 
     assert_eq!(lost.violations().len(), 1);
--- a/tests/support/soak.rs
+++ b/tests/support/soak.rs
@@ -30,7 +30,7 @@
 use tokio::task::JoinSet;
 
 use caller::{KEY, KEY_TO_REVOKE, call, resolve};
-use checks::{End, History, Kind, Seen};
+use checks::{History, Kind, Outcome, Seen};
 use engine::Engines;
 use hosts::Hosts;
 use store::Store;
@@ -166,7 +166,7 @@
         let key = || async {
             matches!(
                 call(addr, Kind::Safe, KEY_TO_REVOKE, "/safe/", history).await,
-                End::Whole { status: 401, .. }
+                Outcome::Whole { status: 401, .. }
             )
         };
         if !comes_about(key).await {
@@ -176,8 +176,8 @@
     missing
 }
 
-fn is_answered(end: End) -> bool {
-    matches!(end, End::Whole { status: 200, .. })
+fn is_answered(end: Outcome) -> bool {
+    matches!(end, Outcome::Whole { status: 200, .. })
 }
 
 async fn comes_about<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) -> bool {
--- a/tests/support/soak/caller.rs
+++ b/tests/support/soak/caller.rs
@@ -18,7 +18,7 @@
 
 use super::{
     THINKS_MS, addresses,
-    checks::{End, History, Kind, Seen},
+    checks::{History, Kind, Outcome, Seen},
     hosts::Hosts,
 };
 use crate::wire::{events, is_whole, status};
@@ -54,7 +54,7 @@
 }
 
 /// Sends one request and notes its end.
-pub async fn call(addr: SocketAddr, kind: Kind, key: &str, path: &str, history: &History) -> End {
+pub async fn call(addr: SocketAddr, kind: Kind, key: &str, path: &str, history: &History) -> Outcome {
     let id = format!("r{:06}", NEXT.fetch_add(1, Ordering::Relaxed));
     let target = format!("{path}{id}");
     let host = addr.ip().to_string();
@@ -76,26 +76,28 @@
     );
     let end = match timeout(DEADLINE + SLACK, exchange(addr, &req, kind, &id)).await {
         Ok(end) => end,
-        Err(_) => End::TimedOut,
+        Err(_) => Outcome::TimedOut,
     };
     history.record(Seen::Ended { id, end: end.clone(), at: Instant::now() });
     end
 }
 
-async fn exchange(addr: SocketAddr, req: &str, kind: Kind, id: &str) -> End {
-    let Ok(Ok(mut stream)) = timeout(SHORT, TcpStream::connect(addr)).await else { return End::NoConnection };
+async fn exchange(addr: SocketAddr, req: &str, kind: Kind, id: &str) -> Outcome {
+    let Ok(Ok(mut stream)) = timeout(SHORT, TcpStream::connect(addr)).await else {
+        return Outcome::NoConnection;
+    };
     if stream.write_all(req.as_bytes()).await.is_err() {
-        return End::Broken(Vec::new());
+        return Outcome::Broken(Vec::new());
     }
     let mut buf = Vec::new();
     loop {
         let text = String::from_utf8_lossy(&buf).into_owned();
         if is_whole(&text) {
-            return End::Whole { status: status(&text), data: data(&text, kind, id) };
+            return Outcome::Whole { status: status(&text), data: data(&text, kind, id) };
         }
         match stream.read_buf(&mut buf).await {
             Ok(n) if n > 0 => {}
-            _ => return End::Broken(if kind.streams() { data(&text, kind, id) } else { Vec::new() }),
+            _ => return Outcome::Broken(if kind.streams() { data(&text, kind, id) } else { Vec::new() }),
         }
     }
 }
--- a/tests/support/soak/checks.rs
+++ b/tests/support/soak/checks.rs
@@ -74,7 +74,7 @@
 
 /// How a request ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     /// A whole answer came.
     Whole {
         /// Its status.
@@ -96,7 +96,7 @@
     /// A caller sent a request; a proper one is allowed by every configuration.
     Sent { id: String, kind: Kind, target: String, proper: bool, host: String, at: Instant },
     /// Its request ended.
-    Ended { id: String, end: End, at: Instant },
+    Ended { id: String, end: Outcome, at: Instant },
     /// A backend server began to run a request.
     Ran { id: String, target: String, workspace: String, with_key: bool, engine: String, at: Instant },
     /// A backend server has told the store that it leaves.
@@ -132,7 +132,7 @@
 #[derive(Debug, Default)]
 struct Story {
     sent: Option<Sent>,
-    end: Option<(End, Instant)>,
+    end: Option<(Outcome, Instant)>,
     runs: Vec<Run>,
     served: Vec<String>,
     met: Vec<(String, Met)>,
@@ -231,7 +231,7 @@
         // When a host passed on the first answer of a server that says so.
         let mut told: BTreeMap<(&str, &str), Instant> = BTreeMap::new();
         for story in stories.values() {
-            let (Some(sent), Some((End::Whole { .. }, at))) = (&story.sent, &story.end) else { continue };
+            let (Some(sent), Some((Outcome::Whole { .. }, at))) = (&story.sent, &story.end) else { continue };
             for (engine, _) in story.met.iter().filter(|(_, met)| matches!(met, Met::SaysLeaving)) {
                 let first = told.entry((&sent.host, engine)).or_insert(*at);
                 *first = (*first).min(*at);
@@ -294,7 +294,7 @@
         let versions = self.versions();
         let mut broken = Vec::new();
         for (id, story) in stories {
-            let (Some(sent), Some((End::Whole { status, .. }, ended))) = (&story.sent, &story.end) else {
+            let (Some(sent), Some((Outcome::Whole { status, .. }, ended))) = (&story.sent, &story.end) else {
                 continue;
             };
             let Some(version) = marked(&sent.target) else { continue };
@@ -352,7 +352,7 @@
         let Some((end, ended)) = &story.end else { return broken };
         broken.extend(judge_end(story, sent, end));
         let calm = |engine: &String| !self.was_disturbed(engine, sent.at, *ended);
-        let is_lost = matches!(end, End::Broken(_) | End::TimedOut) && story.served.iter().any(calm);
+        let is_lost = matches!(end, Outcome::Broken(_) | Outcome::TimedOut) && story.served.iter().any(calm);
         if is_lost && !self.was_disturbed(&sent.host, sent.at, *ended) {
             broken.push(format!("a whole answer was ready and did not arrive: {end:?}"));
         }
@@ -365,10 +365,10 @@
         for story in self.stories().into_values() {
             let Some(Sent { kind, .. }) = story.sent else { continue };
             let end = match story.end {
-                Some((End::Whole { status, .. }, _)) => status.to_string(),
-                Some((End::Broken(_), _)) => "broken".into(),
-                Some((End::NoConnection, _)) => "no connection".into(),
-                Some((End::TimedOut, _)) => "timed out".into(),
+                Some((Outcome::Whole { status, .. }, _)) => status.to_string(),
+                Some((Outcome::Broken(_), _)) => "broken".into(),
+                Some((Outcome::NoConnection, _)) => "no connection".into(),
+                Some((Outcome::TimedOut, _)) => "timed out".into(),
                 None => "left".into(),
             };
             *counts.entry(format!("{} {end}", kind.as_str())).or_default() += 1;
@@ -382,25 +382,25 @@
     target.strip_prefix(MARK)?.split('/').next()?.parse().ok()
 }
 
-fn judge_end(story: &Story, sent: &Sent, end: &End) -> Vec<String> {
+fn judge_end(story: &Story, sent: &Sent, end: &Outcome) -> Vec<String> {
     let mut broken = Vec::new();
     match end {
-        End::Whole { status: 200, data } if sent.kind.streams() => {
+        Outcome::Whole { status: 200, data } if sent.kind.streams() => {
             broken.extend(judge_events(data));
             if data.len() != EVENTS as usize {
                 broken.push(format!("a stream of {} events looks complete", data.len()));
             }
         }
-        End::Whole { status: 200, data } if data.len() != 1 || data[0] != "own" => {
+        Outcome::Whole { status: 200, data } if data.len() != 1 || data[0] != "own" => {
             broken.push(format!("the answer is not its own: {data:?}"));
         }
-        End::Whole { status: 408 | 421 | 429 | 503, .. } if !story.runs.is_empty() => {
+        Outcome::Whole { status: 408 | 421 | 429 | 503, .. } if !story.runs.is_empty() => {
             broken.push("it was refused as not run, and has run".into());
         }
-        End::Whole { status: status @ (400 | 401 | 403 | 404 | 413 | 431), .. } if sent.proper => {
+        Outcome::Whole { status: status @ (400 | 401 | 403 | 404 | 413 | 431), .. } if sent.proper => {
             broken.push(format!("a proper request was answered {status}"));
         }
-        End::Broken(data) => broken.extend(judge_events(data)),
+        Outcome::Broken(data) => broken.extend(judge_events(data)),
         _ => {}
     }
     broken
--- a/tests/support/soak/engine.rs
+++ b/tests/support/soak/engine.rs
@@ -205,7 +205,8 @@
             let leaves = self.leaving.load(Ordering::Relaxed);
             let word = if leaves { "Server-Leaving: 1\r\n" } else { "" };
             let head = format!("Attempt-Id: {id}\r\nResponse-Seal: s1\r\n{word}");
-            let record = |what| self.history.record(Seen::Met { id: id.clone(), engine: self.id.clone(), what });
+            let record =
+                |what| self.history.record(Seen::Met { id: id.clone(), engine: self.id.clone(), what });
             record(Met::Reached(Instant::now()));
             if leaves {
                 record(Met::SaysLeaving);
