--- a/tests/relay_confirmed.rs
+++ b/tests/relay_confirmed.rs
@@ -30,7 +30,7 @@
     while Instant::now() < until {
         let end = call(hosts.addresses()[n], Kind::Safe, KEY, store::ADDED, history).await;
         // There are no servers, so a request on a known route is refused as unavailable instead of not found.
-        if matches!(end, Outcome::Whole { status: 503, .. }) {
+        if matches!(end, Outcome::Complete { status: 503, .. }) {
             return true;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -143,7 +143,7 @@
 }
 
 fn whole(status: u16, data: &[&str]) -> Outcome {
-    Outcome::Whole { status, data: data.iter().map(|d| (*d).into()).collect() }
+    Outcome::Complete { status, data: data.iter().map(|d| (*d).into()).collect() }
 }
 
 /// The soak's own checks see each promise that is broken, or a run would pass for the wrong reason.
--- a/tests/support/soak.rs
+++ b/tests/support/soak.rs
@@ -166,7 +166,7 @@
         let key = || async {
             matches!(
                 call(addr, Kind::Safe, KEY_TO_REVOKE, "/safe/", history).await,
-                Outcome::Whole { status: 401, .. }
+                Outcome::Complete { status: 401, .. }
             )
         };
         if !comes_about(key).await {
@@ -177,7 +177,7 @@
 }
 
 fn is_answered(end: Outcome) -> bool {
-    matches!(end, Outcome::Whole { status: 200, .. })
+    matches!(end, Outcome::Complete { status: 200, .. })
 }
 
 async fn comes_about<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) -> bool {
--- a/tests/support/soak/caller.rs
+++ b/tests/support/soak/caller.rs
@@ -93,7 +93,7 @@
     loop {
         let text = String::from_utf8_lossy(&buf).into_owned();
         if is_whole(&text) {
-            return Outcome::Whole { status: status(&text), data: data(&text, kind, id) };
+            return Outcome::Complete { status: status(&text), data: data(&text, kind, id) };
         }
         match stream.read_buf(&mut buf).await {
             Ok(n) if n > 0 => {}
--- a/tests/support/soak/checks.rs
+++ b/tests/support/soak/checks.rs
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// A whole answer came.
-    Whole {
+    Complete {
         /// Its status.
         status: u16,
         /// Its body; of a stream, the data of the events.
@@ -231,7 +231,9 @@
         // When a host passed on the first answer of a server that says so.
         let mut told: BTreeMap<(&str, &str), Instant> = BTreeMap::new();
         for story in stories.values() {
-            let (Some(sent), Some((Outcome::Whole { .. }, at))) = (&story.sent, &story.end) else { continue };
+            let (Some(sent), Some((Outcome::Complete { .. }, at))) = (&story.sent, &story.end) else {
+                continue;
+            };
             for (engine, _) in story.met.iter().filter(|(_, met)| matches!(met, Met::SaysLeaving)) {
                 let first = told.entry((&sent.host, engine)).or_insert(*at);
                 *first = (*first).min(*at);
@@ -294,7 +296,8 @@
         let versions = self.versions();
         let mut broken = Vec::new();
         for (id, story) in stories {
-            let (Some(sent), Some((Outcome::Whole { status, .. }, ended))) = (&story.sent, &story.end) else {
+            let (Some(sent), Some((Outcome::Complete { status, .. }, ended))) = (&story.sent, &story.end)
+            else {
                 continue;
             };
             let Some(version) = marked(&sent.target) else { continue };
@@ -365,7 +368,7 @@
         for story in self.stories().into_values() {
             let Some(Sent { kind, .. }) = story.sent else { continue };
             let end = match story.end {
-                Some((Outcome::Whole { status, .. }, _)) => status.to_string(),
+                Some((Outcome::Complete { status, .. }, _)) => status.to_string(),
                 Some((Outcome::Broken(_), _)) => "broken".into(),
                 Some((Outcome::NoConnection, _)) => "no connection".into(),
                 Some((Outcome::TimedOut, _)) => "timed out".into(),
@@ -385,19 +388,19 @@
 fn judge_end(story: &Story, sent: &Sent, end: &Outcome) -> Vec<String> {
     let mut broken = Vec::new();
     match end {
-        Outcome::Whole { status: 200, data } if sent.kind.streams() => {
+        Outcome::Complete { status: 200, data } if sent.kind.streams() => {
             broken.extend(judge_events(data));
             if data.len() != EVENTS as usize {
                 broken.push(format!("a stream of {} events looks complete", data.len()));
             }
         }
-        Outcome::Whole { status: 200, data } if data.len() != 1 || data[0] != "own" => {
+        Outcome::Complete { status: 200, data } if data.len() != 1 || data[0] != "own" => {
             broken.push(format!("the answer is not its own: {data:?}"));
         }
-        Outcome::Whole { status: 408 | 421 | 429 | 503, .. } if !story.runs.is_empty() => {
+        Outcome::Complete { status: 408 | 421 | 429 | 503, .. } if !story.runs.is_empty() => {
             broken.push("it was refused as not run, and has run".into());
         }
-        Outcome::Whole { status: status @ (400 | 401 | 403 | 404 | 413 | 431), .. } if sent.proper => {
+        Outcome::Complete { status: status @ (400 | 401 | 403 | 404 | 413 | 431), .. } if sent.proper => {
             broken.push(format!("a proper request was answered {status}"));
         }
         Outcome::Broken(data) => broken.extend(judge_events(data)),
