--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -73,7 +73,14 @@
         }
         let at = start + Duration::from_millis(if status == 200 { 5_100 } else { 2_100 });
         let (host, target) = ("127.0.0.1".to_owned(), "/mark-4/r1".to_owned());
-        history.record(Seen::Sent { id: "r1".into(), kind: Kind::Safe, target, proper: false, host, at });
+        history.record(Seen::Sent {
+            id: "r1".into(),
+            kind: Kind::Idempotent,
+            target,
+            proper: false,
+            host,
+            at,
+        });
         history.record(Seen::Ended { id: "r1".into(), end: whole(status, &["own"]), at });
         history
     };
@@ -90,7 +97,7 @@
 /// Work for a server that has left is seen, unless the host or the store was out of touch.
 #[test]
 fn work_for_a_server_that_has_left_is_seen() {
-    let late = history(Kind::Safe, &["i-1"], whole(200, &["own"]));
+    let late = history(Kind::Idempotent, &["i-1"], whole(200, &["own"]));
     let long_before = Instant::now() - Duration::from_millis(2_500);
     late.record(Seen::Left { engine: "i-1".into(), at: long_before });
 
@@ -106,10 +113,10 @@
     let met = |history: &History, id: &str, what| {
         history.record(Seen::Met { id: id.into(), engine: "i-1".into(), what });
     };
-    let told = history(Kind::Safe, &[], whole(200, &["own"]));
+    let told = history(Kind::Idempotent, &[], whole(200, &["own"]));
     let start = Instant::now() - Duration::from_secs(4);
     let (host, target) = ("127.0.0.1".to_owned(), "/safe/r0".to_owned());
-    let sent = Seen::Sent { id: "r0".into(), kind: Kind::Safe, target, proper: true, host, at: start };
+    let sent = Seen::Sent { id: "r0".into(), kind: Kind::Idempotent, target, proper: true, host, at: start };
     told.record(sent);
     told.record(Seen::Ended { id: "r0".into(), end: whole(200, &["own"]), at: start });
     met(&told, "r0", Met::SaysLeaving);
@@ -154,11 +161,11 @@
     let cases = [
         ("ran twice", Kind::Unsafe, vec!["i-1", "i-2"], whole(200, &["own"])),
         ("refused and ran", Kind::Unsafe, vec!["i-1"], whole(503, &[""])),
-        ("another's answer", Kind::Safe, vec!["i-1"], whole(200, &["own r2"])),
+        ("another's answer", Kind::Idempotent, vec!["i-1"], whole(200, &["own r2"])),
         ("cut and looks whole", Kind::Stream, vec!["i-1"], whole(200, &part)),
         ("an event twice", Kind::Stream, vec!["i-1"], Outcome::Broken(vec!["own 1".into(), "own 1".into()])),
         ("an event missing", Kind::Stream, vec!["i-1"], Outcome::Broken(vec!["own 2".into()])),
-        ("denied", Kind::Safe, vec![], whole(404, &[""])),
+        ("denied", Kind::Idempotent, vec![], whole(404, &[""])),
     ];
     for (name, kind, runs, end) in cases {
         let violations = history(kind, &runs, end).violations();
--- a/tests/support/soak/checks.rs
+++ b/tests/support/soak/checks.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// May run more than once.
-    Safe,
+    Idempotent,
     /// Runs once at most.
     Unsafe,
     /// A stream that may go on elsewhere.
@@ -40,12 +40,12 @@
 
 impl Kind {
     /// All kinds.
-    pub const ALL: [Kind; 4] = [Kind::Safe, Kind::Unsafe, Kind::Stream, Kind::Once];
+    pub const ALL: [Kind; 4] = [Kind::Idempotent, Kind::Unsafe, Kind::Stream, Kind::Once];
 
     /// Name in reports.
     pub fn as_str(self) -> &'static str {
         match self {
-            Kind::Safe => "safe",
+            Kind::Idempotent => "safe",
             Kind::Unsafe => "unsafe",
             Kind::Stream => "stream",
             Kind::Once => "once",
@@ -55,7 +55,7 @@
     /// Path of its route.
     pub fn path(self) -> &'static str {
         match self {
-            Kind::Safe => "/safe/",
+            Kind::Idempotent => "/safe/",
             Kind::Unsafe => "/unsafe/",
             Kind::Stream => "/stream/",
             Kind::Once => "/once/",
--- a/tests/support/soak/operator.rs
+++ b/tests/support/soak/operator.rs
@@ -52,7 +52,7 @@
         let back = rng.random_range(0..=LOOKS_BACK);
         let version = newest.load(Ordering::Relaxed).saturating_sub(back).max(1);
         let addr = addresses[rng.random_range(0..addresses.len())];
-        call(addr, Kind::Safe, KEY, &format!("{MARK}{version}/"), &history).await;
+        call(addr, Kind::Idempotent, KEY, &format!("{MARK}{version}/"), &history).await;
         tokio::time::sleep(Duration::from_millis(rng.random_range(LOOKS_MS))).await;
     }
 }
