--- a/tests/relay_confirmed.rs
+++ b/tests/relay_confirmed.rs
@@ -28,7 +28,7 @@
 async fn serves_added(hosts: &Hosts, n: usize, history: &History) -> bool {
     let until = Instant::now() + CHANGE_TIMEOUT;
     while Instant::now() < until {
-        let end = call(hosts.addresses()[n], Kind::Idempotent, KEY, store::ADDED, history).await;
+        let end = call(hosts.addresses()[n], Kind::Idempotent, KEY, store::ADDED_ROUTE, history).await;
         // There are no servers, so a request on a known route is refused as unavailable instead of not found.
         if matches!(end, Outcome::Complete { status: 503, .. }) {
             return true;
--- a/tests/support/soak.rs
+++ b/tests/support/soak.rs
@@ -159,7 +159,8 @@
     store.put("config", "main", store::configuration(LAST_VERSION, true));
     let mut missing = Vec::new();
     for addr in hosts.addresses() {
-        let route = || async { is_answered(call(addr, Kind::Idempotent, KEY, store::ADDED, history).await) };
+        let route =
+            || async { is_answered(call(addr, Kind::Idempotent, KEY, store::ADDED_ROUTE, history).await) };
         if !comes_about(route).await {
             missing.push(format!("{addr} does not serve an added route"));
         }
--- a/tests/support/soak/store.rs
+++ b/tests/support/soak/store.rs
@@ -23,7 +23,7 @@
 use tokio::{net::TcpListener, sync::watch, time::timeout};
 
 /// Path of the route that the last configuration adds.
-pub const ADDED: &str = "/added/";
+pub const ADDED_ROUTE: &str = "/added/";
 /// Begins the path of the route that only one version has; the version follows.
 pub const MARK: &str = "/mark-";
 
@@ -349,7 +349,7 @@
     routes.push(route(&format!("{MARK}{version}/"), "idempotent", false));
     let mut keys = vec![super::KEY];
     match changed {
-        true => routes.push(route(ADDED, "idempotent", false)),
+        true => routes.push(route(ADDED_ROUTE, "idempotent", false)),
         false => keys.push(super::KEY_TO_REVOKE),
     }
     json!({ "version": version, "routes": routes,
