--- a/benches/soak.rs
+++ b/benches/soak.rs
@@ -75,11 +75,11 @@
         store.put("servers", &format!("i-{n:08x}"), store::server(NOWHERE, "ready"));
     }
     let hosts = Hosts::start(count, store.addr(), history);
-    let first = hosts.until_ready(PATIENCE).await;
+    let first = hosts.wait_until_ready(PATIENCE).await;
     tokio::time::sleep(CALM).await;
     let calm = hosts.peaks_kb();
     hosts.kill_all(Duration::ZERO).await;
-    let again = hosts.until_ready(PATIENCE).await;
+    let again = hosts.wait_until_ready(PATIENCE).await;
     tokio::time::sleep(CALM).await;
     let peaks = hosts.peaks_kb();
     let most = |kb: &[u64]| kb.iter().max().copied().unwrap_or(0) / 1_000;
--- a/tests/relay_confirmed.rs
+++ b/tests/relay_confirmed.rs
@@ -44,7 +44,7 @@
     let (history, store) = (Arc::new(History::default()), Store::start().await);
     store.put("config", "main", store::configuration(1, false));
     let hosts = Hosts::start(1, store.addr(), history.clone());
-    hosts.until_ready(START_TIMEOUT).await;
+    hosts.wait_until_ready(START_TIMEOUT).await;
 
     store.set_deaf(true);
     store.put("config", "main", store::configuration(2, true));
--- a/tests/support/soak.rs
+++ b/tests/support/soak.rs
@@ -99,7 +99,7 @@
         store.put("config", "main", store::configuration(1, false));
         let engines = Arc::new(Engines::start(store.clone(), history.clone()).await);
         let hosts = Arc::new(Hosts::start(self.hosts, store.addr(), history.clone()));
-        hosts.until_ready(PATIENCE).await;
+        hosts.wait_until_ready(PATIENCE).await;
 
         let mut callers = JoinSet::new();
         for n in 0..self.callers {
--- a/tests/support/soak/hosts.rs
+++ b/tests/support/soak/hosts.rs
@@ -91,7 +91,7 @@
     }
 
     /// Waits until all are ready; returns how long that took.
-    pub async fn until_ready(&self, patience: Duration) -> Duration {
+    pub async fn wait_until_ready(&self, patience: Duration) -> Duration {
         let from = Instant::now();
         for host in &self.hosts {
             while !host.is_ready().await {
