--- a/tests/relay_confirmed.rs
+++ b/tests/relay_confirmed.rs
@@ -46,7 +46,7 @@
     let hosts = Hosts::start(1, store.addr(), history.clone());
     hosts.wait_until_ready(START_TIMEOUT).await;
 
-    store.set_deaf(true);
+    store.set_watches_unanswered(true);
     store.put("config", "main", store::configuration(2, true));
 
     assert!(serves_added(&hosts, 0, &history).await);
--- a/tests/support/soak/faults.rs
+++ b/tests/support/soak/faults.rs
@@ -210,9 +210,9 @@
             store.set_busy(false);
         }
         Fault::WatchesDeaf => {
-            store.set_deaf(true);
+            store.set_watches_unanswered(true);
             tokio::time::sleep(length).await;
-            store.set_deaf(false);
+            store.set_watches_unanswered(false);
         }
         Fault::EngineCrash => engines.crash(n).await,
         Fault::EngineStall => engines.stall(n, length).await,
--- a/tests/support/soak/store.rs
+++ b/tests/support/soak/store.rs
@@ -122,7 +122,7 @@
     }
 
     /// Leaves watches that wait without an answer for good, on connections that live, or stops doing so to new ones.
-    pub fn set_deaf(&self, deaf: bool) {
+    pub fn set_watches_unanswered(&self, deaf: bool) {
         self.deaf.store(deaf, Ordering::Relaxed);
     }
 
