--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -171,7 +171,7 @@
 async fn a_wrong_epoch_in_the_first_answer_does_not_hide_what_follows() {
     let store = Store::start().await;
     put(&store, "i-1", "ready");
-    store.tell_epoch_once(9_000_000);
+    store.send_epoch_once(9_000_000);
     let host = Follower::start(&store);
     host.until_servers(1).await;
 
--- a/tests/support/soak/store.rs
+++ b/tests/support/soak/store.rs
@@ -127,7 +127,7 @@
     }
 
     /// Tells a wrong epoch with the next answer.
-    pub fn tell_epoch_once(&self, epoch: u64) {
+    pub fn send_epoch_once(&self, epoch: u64) {
         self.wrong_epoch.store(epoch, Ordering::Relaxed);
     }
 
