--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -127,7 +127,7 @@
     put(&store, "i-2", "ready");
     let backup = store.copy();
     consume_revisions(&store, 20);
-    store.answer_old_data_from(store.copy());
+    store.serve_stale_reads_from(store.copy());
     store.restore(&backup);
 
     let host = Follower::start(&store);
--- a/tests/support/soak/operator.rs
+++ b/tests/support/soak/operator.rs
@@ -35,7 +35,7 @@
         tokio::time::sleep(Duration::from_millis(rng.random_range(CHANGES_MS))).await;
         copies.push_back(store.copy());
         if copies.len() > COPY_BEHIND {
-            store.answer_old_data_from(copies.pop_front().unwrap());
+            store.serve_stale_reads_from(copies.pop_front().unwrap());
         }
         let version = newest.load(Ordering::Relaxed) + 1;
         let sent = Instant::now();
--- a/tests/support/soak/store.rs
+++ b/tests/support/soak/store.rs
@@ -178,7 +178,7 @@
     }
 
     /// Answers calls that take old data from a copy, whatever epoch it is of.
-    pub fn answer_old_data_from(&self, copy: Copy) {
+    pub fn serve_stale_reads_from(&self, copy: Copy) {
         *self.stale.lock().unwrap() = Some(copy);
     }
 
