--- a/tests/support/soak/store.rs
+++ b/tests/support/soak/store.rs
@@ -65,7 +65,7 @@
 
 /// The store's objects as of some time.
 #[derive(Clone, Debug)]
-pub struct Copy(Objects);
+pub struct Backup(Objects);
 
 /// A write that a restore has undone: kind, name, and the spec unless it was a removal.
 pub type Undone = (String, String, Option<Value>);
@@ -81,7 +81,7 @@
     other: Arc<Mutex<Option<Box<Store>>>>,
     calls: Arc<AtomicU64>,
     /// What calls are answered from that take old data.
-    stale: Arc<Mutex<Option<Copy>>>,
+    stale: Arc<Mutex<Option<Backup>>>,
     /// Whether watches that wait are never answered.
     deaf: Arc<AtomicBool>,
     /// Epoch that the next answer tells, unless it is 0.
@@ -138,13 +138,13 @@
     }
 
     /// What it holds now, to be restored later.
-    pub fn copy(&self) -> Copy {
-        Copy(self.objects.lock().unwrap().clone())
+    pub fn copy(&self) -> Backup {
+        Backup(self.objects.lock().unwrap().clone())
     }
 
     /// Goes back to a copy, as a new epoch; returns what that has undone, the last write of each object. Watches from
     /// a revision that it does not have any more end.
-    pub fn restore(&self, copy: &Copy) -> Vec<Undone> {
+    pub fn restore(&self, copy: &Backup) -> Vec<Undone> {
         let mut objects = self.objects.lock().unwrap();
         let before = std::mem::replace(&mut *objects, copy.0.clone());
         objects.epoch = before.epoch + 1;
@@ -159,7 +159,7 @@
     }
 
     /// Writes something again that a restore from the copy has undone, unless it was written since.
-    pub fn write_again(&self, copy: &Copy, (kind, name, spec): Undone) {
+    pub fn write_again(&self, copy: &Backup, (kind, name, spec): Undone) {
         let kept = copy.0.log.len();
         let is_newer =
             self.objects.lock().unwrap().log[kept..].iter().any(|e| e.kind == kind && e.name == name);
@@ -169,8 +169,8 @@
     }
 
     /// Answers every other call as it was before a restore, or stops doing so.
-    pub fn answer_also_from(&self, before: Option<Copy>) {
-        let other = before.map(|Copy(objects)| {
+    pub fn answer_also_from(&self, before: Option<Backup>) {
+        let other = before.map(|Backup(objects)| {
             let revision = watch::Sender::new(objects.revision());
             Box::new(Self { objects: Arc::new(Mutex::new(objects)), revision, ..self.clone() })
         });
@@ -178,7 +178,7 @@
     }
 
     /// Answers calls that take old data from a copy, whatever epoch it is of.
-    pub fn serve_stale_reads_from(&self, copy: Copy) {
+    pub fn serve_stale_reads_from(&self, copy: Backup) {
         *self.stale.lock().unwrap() = Some(copy);
     }
 
@@ -283,7 +283,7 @@
 
     fn list(&self, kind: &str, query: &str) -> Response<Full<Bytes>> {
         let stale = self.stale.lock().unwrap().clone().filter(|_| query.contains("staleOk=1"));
-        let objects = stale.map_or_else(|| self.objects.lock().unwrap().clone(), |Copy(objects)| objects);
+        let objects = stale.map_or_else(|| self.objects.lock().unwrap().clone(), |Backup(objects)| objects);
         let revision = objects.revision();
         let after = query.split('&').find_map(|pair| pair.strip_prefix("after=")).unwrap_or_default();
         let from = Bound::Excluded((kind.to_owned(), after.to_owned()));
