--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -83,7 +83,7 @@
     let store = Store::start().await;
     put(&store, "i-1", "ready");
     put(&store, "i-2", "ready");
-    let backup = store.copy();
+    let backup = store.backup();
     consume_revisions(&store, 20);
     let host = Follower::start(&store);
     host.until_servers(2).await;
@@ -101,7 +101,7 @@
     let store = Store::start().await;
     put(&store, "i-1", "ready");
     put(&store, "i-2", "ready");
-    let backup = store.copy();
+    let backup = store.backup();
     consume_revisions(&store, 20);
     let last_known = store.last_revision();
     let host = Follower::start(&store);
@@ -125,9 +125,9 @@
     let store = Store::start().await;
     put(&store, "i-1", "ready");
     put(&store, "i-2", "ready");
-    let backup = store.copy();
+    let backup = store.backup();
     consume_revisions(&store, 20);
-    store.serve_stale_reads_from(store.copy());
+    store.serve_stale_reads_from(store.backup());
     store.restore(&backup);
 
     let host = Follower::start(&store);
@@ -145,7 +145,7 @@
 async fn a_configuration_in_force_survives_a_restore_until_the_next_one() {
     let store = Store::start().await;
     store.put("config", "main", configuration(3, false));
-    let backup = store.copy();
+    let backup = store.backup();
     consume_revisions(&store, 20);
     store.put("config", "main", configuration(5, true));
     let host = Follower::start(&store);
@@ -186,7 +186,7 @@
 async fn hosts_are_registered_again_after_a_restore() {
     let store = Store::start().await;
     put(&store, "i-1", "ready");
-    let backup = store.copy();
+    let backup = store.backup();
     let (first, seed) = host("host-1", &[]).await;
     let (_second, _) = host("host-2", &[seed]).await;
     let following = tokio::spawn(follow::follow_backends(first.clone(), StoreClient::new(store.addr())));
--- a/tests/support/soak/faults.rs
+++ b/tests/support/soak/faults.rs
@@ -228,20 +228,20 @@
 /// The store goes on for a while, is away for a moment, and comes back from a copy of before. What callers of the store had
 /// written since is written again, in another order and not at once, but for what the hosts had written.
 async fn restore(store: &Store, engines: &Engines, length: Duration, both: bool, mut rng: StdRng) {
-    let copy = store.copy();
+    let backup = store.backup();
     tokio::time::sleep(length).await;
     let from = Instant::now();
     store.set_gate(Mode::Refuse).await;
     tokio::time::sleep(AWAY).await;
-    let before = store.copy();
-    let mut undone = store.restore(&copy);
+    let before = store.backup();
+    let mut undone = store.restore(&backup);
     store.answer_also_from(both.then_some(before));
     store.set_gate(Mode::Open).await;
     undone.retain(|(kind, ..)| kind != "hosts");
     undone.shuffle(&mut rng);
     for write in undone {
         tokio::time::sleep(Duration::from_millis(rng.random_range(WRITES_AGAIN_MS))).await;
-        store.write_again(&copy, write);
+        store.write_again(&backup, write);
     }
     store.answer_also_from(None);
     engines.note_store(from);
--- a/tests/support/soak/operator.rs
+++ b/tests/support/soak/operator.rs
@@ -33,7 +33,7 @@
     let mut copies = VecDeque::new();
     loop {
         tokio::time::sleep(Duration::from_millis(rng.random_range(CHANGES_MS))).await;
-        copies.push_back(store.copy());
+        copies.push_back(store.backup());
         if copies.len() > COPY_BEHIND {
             store.serve_stale_reads_from(copies.pop_front().unwrap());
         }
--- a/tests/support/soak/store.rs
+++ b/tests/support/soak/store.rs
@@ -138,15 +138,15 @@
     }
 
     /// What it holds now, to be restored later.
-    pub fn copy(&self) -> Backup {
+    pub fn backup(&self) -> Backup {
         Backup(self.objects.lock().unwrap().clone())
     }
 
     /// Goes back to a copy, as a new epoch; returns what that has undone, the last write of each object. Watches from
     /// a revision that it does not have any more end.
-    pub fn restore(&self, copy: &Backup) -> Vec<Undone> {
+    pub fn restore(&self, backup: &Backup) -> Vec<Undone> {
         let mut objects = self.objects.lock().unwrap();
-        let before = std::mem::replace(&mut *objects, copy.0.clone());
+        let before = std::mem::replace(&mut *objects, backup.0.clone());
         objects.epoch = before.epoch + 1;
         let kept = objects.log.len();
         drop(objects);
@@ -159,8 +159,8 @@
     }
 
     /// Writes something again that a restore from the copy has undone, unless it was written since.
-    pub fn write_again(&self, copy: &Backup, (kind, name, spec): Undone) {
-        let kept = copy.0.log.len();
+    pub fn write_again(&self, backup: &Backup, (kind, name, spec): Undone) {
+        let kept = backup.0.log.len();
         let is_newer =
             self.objects.lock().unwrap().log[kept..].iter().any(|e| e.kind == kind && e.name == name);
         if !is_newer {
@@ -178,8 +178,8 @@
     }
 
     /// Answers calls that take old data from a copy, whatever epoch it is of.
-    pub fn serve_stale_reads_from(&self, copy: Backup) {
-        *self.stale.lock().unwrap() = Some(copy);
+    pub fn serve_stale_reads_from(&self, backup: Backup) {
+        *self.stale.lock().unwrap() = Some(backup);
     }
 
     /// What answers the next call.
