--- a/benches/soak.rs
+++ b/benches/soak.rs
@@ -1,7 +1,9 @@
-//! A long fault soak, and how soon a fleet serves again after all of its hosts were killed.
+//! Long fault soak, and measurement of the time that a fleet takes to recover after all of its hosts were killed.
 //!
-//! `-- soak SEED [SEEDS [HOSTS [FAULTS]]]` plays so many seeds and prints what came of each; it fails when a promise was
-//! broken. `-- restores ...` does the same while the store is restored from copies, `-- changes ...` while the configuration changes. `-- recover HOSTS...` starts that many hosts, kills all, starts them again and prints times and memory.
+//! `-- soak SEED [SEEDS [HOSTS [FAULTS]]]` runs SEEDS seeds from SEED on and prints the result of each; it fails if there are
+//! violations. `-- restores ...` does the same while the store is restored from backups, `-- changes ...` while the
+//! configuration changes. `-- recover HOSTS...` starts fleets of the given sizes, kills all hosts of each, starts them again
+//! and prints times and memory.
 
 #[path = "../tests/support/relay.rs"]
 mod relay_support;
@@ -17,50 +19,60 @@
     time::Duration,
 };
 
-use soak::{Soak, What, checks::History, hosts::Hosts, store, store::Store};
+use soak::{Scenario, Soak, checks::History, hosts::Hosts, store, store::Store};
 
-/// Seed, seeds, hosts and faults of a run without arguments.
-const DEFAULTS: [usize; 4] = [1, 3, 6, 20];
-/// Callers for each host.
-const CALLERS: usize = 4;
-/// Fleets whose recovery is measured unless others are named.
-const FLEETS: [usize; 3] = [8, 30, 100];
-/// Longest wait for a fleet.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Backend servers that are listed for each host: at the target size there are 33.
-const SERVERS_A_HOST: usize = 33;
-/// Where they stand; nothing is sent there.
-const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 0, 1)), 9);
-/// Calm before the fault: members and configuration have spread.
-const CALM: Duration = Duration::from_secs(5);
+/// Defaults of the arguments: first seed, number of seeds, hosts and faults.
+const DEFAULT_ARGS: [usize; 4] = [1, 3, 6, 20];
+/// Number of callers for each host.
+const CALLERS_PER_HOST: usize = 4;
+/// Numbers of hosts for which recovery is measured by default.
+const FLEET_SIZES: [usize; 3] = [8, 30, 100];
+/// Timeout for all hosts of a fleet to get ready.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of backend servers registered for each host, 33 at the target size.
+const SERVERS_PER_HOST: usize = 33;
+/// Address of these servers, which receive no requests.
+const UNUSED_ADDR: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 0, 1)), 9);
+/// Time without faults for membership and configuration to propagate.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
 
 #[tokio::main]
 async fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().skip(1).filter(|a| a != "--bench").collect();
     let numbers: Vec<usize> = args.iter().filter_map(|a| a.parse().ok()).collect();
     if args.first().is_some_and(|a| a == "recover") {
-        let fleets = if numbers.is_empty() { FLEETS.to_vec() } else { numbers };
-        for hosts in fleets {
+        let sizes = if numbers.is_empty() { FLEET_SIZES.to_vec() } else { numbers };
+        for hosts in sizes {
             recover(hosts).await;
         }
         return ExitCode::SUCCESS;
     }
-    let option = |n: usize| numbers.get(n).copied().unwrap_or(DEFAULTS[n]);
-    let what = match args.first().map(String::as_str) {
-        Some("restores") => What::Restores,
-        Some("changes") => What::Changes,
-        _ => What::Failures,
+    let option = |n: usize| numbers.get(n).copied().unwrap_or(DEFAULT_ARGS[n]);
+    let scenario = match args.first().map(String::as_str) {
+        Some("restores") => Scenario::Restores,
+        Some("changes") => Scenario::Changes,
+        _ => Scenario::Failures,
     };
-    play(option(0) as u64, option(1) as u64, option(2), option(3), what).await
+    run_seeds(option(0) as u64, option(1) as u64, option(2), option(3), scenario).await
 }
 
-async fn play(first: u64, seeds: u64, hosts: usize, faults: usize, what: What) -> ExitCode {
+/// Runs a scenario with consecutive seeds and prints the results; fails if there are violations.
+async fn run_seeds(
+    first_seed: u64,
+    seed_count: u64,
+    hosts: usize,
+    faults: usize,
+    scenario: Scenario,
+) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
-    for seed in first..first + seeds {
-        let soak = Soak::with_seed(seed).with_hosts(hosts).with_callers(CALLERS * hosts).with_faults(faults);
-        let report = soak.with_what(what).run().await;
-        println!("seed {seed}: {} broken; {}", report.broken.len(), report.seen);
-        if !report.broken.is_empty() {
+    for seed in first_seed..first_seed + seed_count {
+        let soak = Soak::with_seed(seed)
+            .with_hosts(hosts)
+            .with_callers(CALLERS_PER_HOST * hosts)
+            .with_faults(faults);
+        let report = soak.with_scenario(scenario).run().await;
+        println!("seed {seed}: {} violations; {}", report.violations.len(), report.outcomes);
+        if !report.violations.is_empty() {
             println!("{report:#?}");
             code = ExitCode::FAILURE;
         }
@@ -68,26 +80,27 @@
     code
 }
 
+/// Measures how soon a fleet is ready again after all of its hosts were killed.
 async fn recover(count: usize) {
     let (history, store) = (Arc::new(History::default()), Store::start().await);
     store.put("config", "main", store::configuration(1, false));
-    for n in 0..count * SERVERS_A_HOST {
-        store.put("servers", &format!("i-{n:08x}"), store::server(NOWHERE, "ready"));
+    for n in 0..count * SERVERS_PER_HOST {
+        store.put("servers", &format!("i-{n:08x}"), store::server(UNUSED_ADDR, "ready"));
     }
     let hosts = Hosts::start(count, store.addr(), history);
-    let first = hosts.wait_until_ready(PATIENCE).await;
-    tokio::time::sleep(CALM).await;
-    let calm = hosts.peaks_kb();
+    let start_time = hosts.wait_until_ready(START_TIMEOUT).await;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let peaks_before = hosts.peak_memory_kb();
     hosts.kill_all(Duration::ZERO).await;
-    let again = hosts.wait_until_ready(PATIENCE).await;
-    tokio::time::sleep(CALM).await;
-    let peaks = hosts.peaks_kb();
-    let most = |kb: &[u64]| kb.iter().max().copied().unwrap_or(0) / 1_000;
+    let restart_time = hosts.wait_until_ready(START_TIMEOUT).await;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let peaks_after = hosts.peak_memory_kb();
+    let max_mb = |kb: &[u64]| kb.iter().max().copied().unwrap_or(0) / 1_000;
     println!(
-        "{count} hosts: ready after {} ms, again {} ms after all were killed; largest {} MB, then {} MB",
-        first.as_millis(),
-        again.as_millis(),
-        most(&calm),
-        most(&peaks)
+        "{count} hosts: ready after {} ms, again {} ms after all were killed; peak memory {} MB before, {} MB after",
+        start_time.as_millis(),
+        restart_time.as_millis(),
+        max_mb(&peaks_before),
+        max_mb(&peaks_after)
     );
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short fault soak with fixed seeds: hosts as processes, faults from outside, promises checked from both ends.
+//! Short fault soak with fixed seeds, and tests of the checks that it relies on.
 
 #[path = "support/relay.rs"]
 mod relay_support;
@@ -12,131 +12,150 @@
 use tokio::sync::Mutex;
 
 use soak::{
-    Soak, What,
-    checks::{self, EVENTS, History, Kind, Met, Outcome, Seen},
+    Scenario, Soak,
+    checks::{self, History, Kind, Observation, Outcome, STREAM_EVENTS, ServerEvent},
 };
 
-/// Runs use the same addresses, so that one waits for the other.
-static ALONE: Mutex<()> = Mutex::const_new(());
+/// Held by each run, since runs use the same addresses.
+static RUN_LOCK: Mutex<()> = Mutex::const_new(());
 
-/// Hosts are killed, suspended and stopped, the store is away, servers crash, stall, refuse and lose answers. No request
-/// runs twice that must not, none that was refused as not run has run, no answer is another's or looks whole when it is
-/// cut, and afterwards every host serves everything again and has a change in force.
+/// Guards against violations while hosts are killed, suspended and stopped, the store is unavailable, and servers crash,
+/// stall, refuse requests and lose answers: a request that is repeated though it must not be, one that is executed though
+/// it was refused as not executed, an answer to another request, a truncated answer that looks complete, and a host that
+/// does not serve all requests or apply a configuration change afterwards.
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_while_hosts_store_and_servers_fail() {
-    let _alone = ALONE.lock().await;
+async fn guarantees_hold_while_hosts_store_and_servers_fail() {
+    let _guard = RUN_LOCK.lock().await;
     for seed in [1, 2] {
         let report = Soak::with_seed(seed).run().await;
 
-        assert!(report.broken.is_empty(), "{report:#?}");
-        assert!(report.seen.contains("unsafe 200"), "{report:#?}");
+        assert!(report.violations.is_empty(), "{report:#?}");
+        assert!(report.outcomes.contains("unsafe 200"), "{report:#?}");
     }
 }
 
-/// The store is restored from copies while servers leave and hosts are killed, suspended and stopped. No host in touch sends
-/// anything to a server two seconds after it has said that it leaves, and all promises hold.
+/// Guards against violations while the store is restored from backups, servers drain, and hosts are killed, suspended and
+/// stopped; in particular, against requests to a server two seconds after it announced that it is draining, from a host in
+/// contact.
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_while_the_store_is_restored() {
-    let _alone = ALONE.lock().await;
+async fn guarantees_hold_while_the_store_is_restored() {
+    let _guard = RUN_LOCK.lock().await;
     for seed in [1, 2] {
-        let report = Soak::with_seed(seed).with_faults(10).with_what(What::Restores).run().await;
+        let report = Soak::with_seed(seed).with_faults(10).with_scenario(Scenario::Restores).run().await;
 
-        assert!(report.broken.is_empty(), "{report:#?}");
-        assert!(report.seen.contains("unsafe 200"), "{report:#?}");
+        assert!(report.violations.is_empty(), "{report:#?}");
+        assert!(report.outcomes.contains("unsafe 200"), "{report:#?}");
     }
 }
 
-/// The configuration changes again and again, in quick succession too, while waiting calls are never answered, the store is away,
-/// refuses, is restored, gives old copies, and hosts are killed, suspended and stopped. Whoever looks finds no host in touch that
-/// handles a request by a version two seconds after a later one was acknowledged.
+/// Guards against violations while the configuration keeps changing, sometimes in quick succession, watches are never answered,
+/// the store is unavailable, refuses calls, is restored and serves stale reads, and hosts are killed, suspended and stopped; in
+/// particular, against a host in contact that applies a version two seconds after a later one was acknowledged.
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_while_the_configuration_changes() {
-    let _alone = ALONE.lock().await;
+async fn guarantees_hold_while_the_configuration_changes() {
+    let _guard = RUN_LOCK.lock().await;
     for seed in [1, 2] {
-        let soak = Soak::with_seed(seed).with_hosts(5).with_faults(12).with_what(What::Changes);
+        let soak = Soak::with_seed(seed).with_hosts(5).with_faults(12).with_scenario(Scenario::Changes);
         let report = soak.run().await;
 
-        assert!(report.broken.is_empty(), "{report:#?}");
-        assert!(report.seen.contains("unsafe 200"), "{report:#?}");
+        assert!(report.violations.is_empty(), "{report:#?}");
+        assert!(report.outcomes.contains("unsafe 200"), "{report:#?}");
     }
 }
 
-/// Requests handled by a version that can't be in force any more are seen, unless the host or the store was out of touch.
+/// Guards against a check that misses requests handled by an outdated version, or reports them although the host was out of
+/// contact.
 #[test]
-fn requests_handled_by_an_old_version_are_seen() {
+fn requests_handled_by_an_old_version_are_violations() {
     let start = Instant::now() - Duration::from_secs(20);
-    let looked = |status| {
+    let history_with_status = |status| {
         let history = History::default();
         for (version, at) in [(4, 0), (5, 3)] {
             let at = start + Duration::from_secs(at);
-            history.record(Seen::Changed { version, sent: at, acked: at });
+            history.record(Observation::ConfigWritten { version, sent: at, acked: at });
         }
         let at = start + Duration::from_millis(if status == 200 { 5_100 } else { 2_100 });
         let (host, target) = ("127.0.0.1".to_owned(), "/mark-4/r1".to_owned());
-        history.record(Seen::Sent {
+        history.record(Observation::Sent {
             id: "r1".into(),
             kind: Kind::Idempotent,
             target,
-            proper: false,
+            always_allowed: false,
             host,
             at,
         });
-        history.record(Seen::Ended { id: "r1".into(), end: whole(status, &["own"]), at });
+        history.record(Observation::Finished { id: "r1".into(), outcome: complete(status, &["own"]), at });
         history
     };
 
     for status in [200, 404] {
-        let history = looked(status);
+        let history = history_with_status(status);
         assert_eq!(history.violations().len(), 1, "{status}");
         let (from, to) = (start, start + Duration::from_secs(5));
-        history.record(Seen::Disturbed { what: "127.0.0.1".into(), from, to });
+        history.record(Observation::Fault { subject: "127.0.0.1".into(), from, to });
         assert_eq!(history.violations(), Vec::<String>::new(), "{status}");
     }
 }
 
-/// Work for a server that has left is seen, unless the host or the store was out of touch.
+/// Guards against a check that misses requests to a draining server, or reports them although the store was out of contact.
 #[test]
-fn work_for_a_server_that_has_left_is_seen() {
-    let late = history(Kind::Idempotent, &["i-1"], whole(200, &["own"]));
+fn requests_to_a_draining_server_are_violations() {
+    let history = history(Kind::Idempotent, &["i-1"], complete(200, &["own"]));
     let long_before = Instant::now() - Duration::from_millis(2_500);
-    late.record(Seen::Left { engine: "i-1".into(), at: long_before });
+    history.record(Observation::DrainAnnounced { engine: "i-1".into(), at: long_before });
 
-    assert_eq!(late.violations().len(), 1);
+    assert_eq!(history.violations().len(), 1);
     let (from, to) = (Instant::now() - Duration::from_secs(1), Instant::now());
-    late.record(Seen::Disturbed { what: checks::STORE.into(), from, to });
-    assert_eq!(late.violations().len(), 0);
+    history.record(Observation::Fault { subject: checks::STORE.into(), from, to });
+    assert_eq!(history.violations().len(), 0);
 }
 
-/// Requests at a server that had told their host that it leaves, or asked it for a pause, are seen.
+/// Guards against a check that misses requests to a server that announced to their host that it is draining or requested a
+/// pause, or reports them although the host was restarted since.
 #[test]
-fn requests_against_a_servers_own_word_are_seen() {
-    let met = |history: &History, id: &str, what| {
-        history.record(Seen::Met { id: id.into(), engine: "i-1".into(), what });
+fn requests_against_a_servers_announcement_are_violations() {
+    let add = |history: &History, id: &str, event| {
+        history.record(Observation::AtServer { id: id.into(), engine: "i-1".into(), event });
     };
-    let told = history(Kind::Idempotent, &[], whole(200, &["own"]));
+    let history = history(Kind::Idempotent, &[], complete(200, &["own"]));
     let start = Instant::now() - Duration::from_secs(4);
     let (host, target) = ("127.0.0.1".to_owned(), "/safe/r0".to_owned());
-    let sent = Seen::Sent { id: "r0".into(), kind: Kind::Idempotent, target, proper: true, host, at: start };
-    told.record(sent);
-    told.record(Seen::Ended { id: "r0".into(), end: whole(200, &["own"]), at: start });
-    met(&told, "r0", Met::SaysLeaving);
-    met(&told, "r0", Met::AsksPause(start, Duration::from_secs(5)));
-    (0..3).for_each(|_| met(&told, "r1", Met::Reached(Instant::now())));
-
-    let broken = told.violations();
-    told.record(Seen::Restarted { host: "127.0.0.1".into(), at: start + Duration::from_secs(1) });
-
-    assert_eq!(broken.len(), 4, "{broken:?}");
-    assert_eq!(told.violations(), Vec::<String>::new());
+    let sent = Observation::Sent {
+        id: "r0".into(),
+        kind: Kind::Idempotent,
+        target,
+        always_allowed: true,
+        host,
+        at: start,
+    };
+    history.record(sent);
+    history.record(Observation::Finished { id: "r0".into(), outcome: complete(200, &["own"]), at: start });
+    add(&history, "r0", ServerEvent::AnnouncedDrain);
+    add(&history, "r0", ServerEvent::RequestedPause(start, Duration::from_secs(5)));
+    (0..3).for_each(|_| add(&history, "r1", ServerEvent::Arrived(Instant::now())));
+
+    let violations = history.violations();
+    history.record(Observation::Restarted { host: "127.0.0.1".into(), at: start + Duration::from_secs(1) });
+
+    assert_eq!(violations.len(), 4, "{violations:?}");
+    assert_eq!(history.violations(), Vec::<String>::new());
 }
 
-fn history(kind: Kind, runs: &[&str], end: Outcome) -> History {
+/// History of one request with its executions and its outcome.
+fn history(kind: Kind, executions: &[&str], outcome: Outcome) -> History {
     let (history, at) = (History::default(), Instant::now());
     let (id, target) = ("r1".to_owned(), format!("{}r1", kind.path()));
     let host = "127.0.0.1".into();
-    history.record(Seen::Sent { id: id.clone(), kind, target: target.clone(), proper: true, host, at });
-    for engine in runs {
-        history.record(Seen::Ran {
+    history.record(Observation::Sent {
+        id: id.clone(),
+        kind,
+        target: target.clone(),
+        always_allowed: true,
+        host,
+        at,
+    });
+    for engine in executions {
+        history.record(Observation::Executed {
             id: id.clone(),
             target: target.clone(),
             workspace: "travel".into(),
@@ -145,44 +164,50 @@
             at,
         });
     }
-    history.record(Seen::Ended { id, end, at: at + Duration::from_millis(10) });
+    history.record(Observation::Finished { id, outcome, at: at + Duration::from_millis(10) });
     history
 }
 
-fn whole(status: u16, data: &[&str]) -> Outcome {
+/// Outcome of a complete answer.
+fn complete(status: u16, data: &[&str]) -> Outcome {
     Outcome::Complete { status, data: data.iter().map(|d| (*d).into()).collect() }
 }
 
-/// The soak's own checks see each promise that is broken, or a run would pass for the wrong reason.
+/// Guards against checks that miss a violation, so that a run would pass for the wrong reason.
 #[test]
-fn broken_promises_are_seen() {
-    let part: Vec<_> = (1..EVENTS).map(|n| format!("own {n}")).collect();
-    let part: Vec<_> = part.iter().map(String::as_str).collect();
+fn violations_of_single_requests_are_found() {
+    let truncated: Vec<_> = (1..STREAM_EVENTS).map(|n| format!("own {n}")).collect();
+    let truncated: Vec<_> = truncated.iter().map(String::as_str).collect();
     let cases = [
-        ("ran twice", Kind::Unsafe, vec!["i-1", "i-2"], whole(200, &["own"])),
-        ("refused and ran", Kind::Unsafe, vec!["i-1"], whole(503, &[""])),
-        ("another's answer", Kind::Idempotent, vec!["i-1"], whole(200, &["own r2"])),
-        ("cut and looks whole", Kind::Stream, vec!["i-1"], whole(200, &part)),
-        ("an event twice", Kind::Stream, vec!["i-1"], Outcome::Broken(vec!["own 1".into(), "own 1".into()])),
-        ("an event missing", Kind::Stream, vec!["i-1"], Outcome::Broken(vec!["own 2".into()])),
-        ("denied", Kind::Idempotent, vec![], whole(404, &[""])),
+        ("executed twice", Kind::NonIdempotent, vec!["i-1", "i-2"], complete(200, &["own"])),
+        ("refused but executed", Kind::NonIdempotent, vec!["i-1"], complete(503, &[""])),
+        ("answer to another request", Kind::Idempotent, vec!["i-1"], complete(200, &["own r2"])),
+        ("truncated but complete", Kind::ResumableStream, vec!["i-1"], complete(200, &truncated)),
+        (
+            "repeated event",
+            Kind::ResumableStream,
+            vec!["i-1"],
+            Outcome::Disconnected(vec!["own 1".into(), "own 1".into()]),
+        ),
+        ("missing event", Kind::ResumableStream, vec!["i-1"], Outcome::Disconnected(vec!["own 2".into()])),
+        ("denied", Kind::Idempotent, vec![], complete(404, &[""])),
     ];
-    for (name, kind, runs, end) in cases {
-        let violations = history(kind, &runs, end).violations();
+    for (name, kind, executions, outcome) in cases {
+        let violations = history(kind, &executions, outcome).violations();
 
         assert_eq!(violations.len(), 1, "{name}: {violations:?}");
     }
 }
 
-/// A server had written its whole answer, and the caller's connection broke: a fault of the host, unless the host itself
-/// or the server was disturbed then.
+/// Guards against a check that misses an answer that a server wrote completely and the host lost, or reports it although the
+/// host itself had a fault then.
 #[test]
-fn an_answer_that_was_ready_must_arrive_unless_a_fault_explains_it() {
-    let lost = history(Kind::Unsafe, &["i-1"], Outcome::Broken(Vec::new()));
-    lost.record(Seen::Served { id: "r1".into(), engine: "i-1".into() });
+fn a_written_answer_must_arrive_unless_a_fault_accounts_for_it() {
+    let history = history(Kind::NonIdempotent, &["i-1"], Outcome::Disconnected(Vec::new()));
+    history.record(Observation::AnswerWritten { id: "r1".into(), engine: "i-1".into() });
 
-    assert_eq!(lost.violations().len(), 1);
+    assert_eq!(history.violations().len(), 1);
     let (from, to) = (Instant::now(), Instant::now());
-    lost.record(Seen::Disturbed { what: "127.0.0.1".into(), from, to });
-    assert_eq!(lost.violations().len(), 0);
+    history.record(Observation::Fault { subject: "127.0.0.1".into(), from, to });
+    assert_eq!(history.violations().len(), 0);
 }
--- a/tests/support/soak.rs
+++ b/tests/support/soak.rs
@@ -1,8 +1,8 @@
-//! A fault soak: relaying hosts as processes of their own before stand-ins of the store and of the backend servers, faults
-//! from outside, and the promises checked from what callers and backend servers have seen.
+//! Fault soak: relay hosts run as separate processes with stand-ins for the store and the backend servers, faults are injected
+//! from outside, and the guarantees are checked against what callers and backend servers have observed.
 //!
-//! A run has a seed, which draws the callers' requests and the faults. Its verdict does not depend on timing: what is
-//! checked while faults go on must hold at any moment, and what must come about afterwards is waited for.
+//! The seed of a run determines the callers' requests and the faults. The result does not depend on timing: checks of the
+//! time during faults must hold at any moment, and conditions that must be reached afterwards are waited for.
 
 #![allow(dead_code, reason = "the test and the bench use a part each")]
 
@@ -30,18 +30,18 @@
 use tokio::task::JoinSet;
 
 use caller::{KEY, KEY_TO_REVOKE, call, resolve};
-use checks::{History, Kind, Outcome, Seen};
+use checks::{History, Kind, Observation, Outcome};
 use engine::Engines;
 use hosts::Hosts;
 use store::Store;
 
-/// Longest wait for what must come about; reached only when it does not.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Pause of a caller between two requests, in milliseconds.
-const THINKS_MS: std::ops::Range<u64> = 5..40;
+/// Timeout for hosts to start or to recover, exceeded only if they fail to.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time between two requests of a caller.
+const THINK_TIME_MS: std::ops::Range<u64> = 5..40;
 
-/// Version of the configuration that ends a run.
-const LAST_VERSION: u64 = 1_000_000;
+/// Configuration version written at the end of a run, above all others.
+const FINAL_VERSION: u64 = 1_000_000;
 
 /// Options of a run.
 #[derive(Clone, Copy, Debug)]
@@ -50,25 +50,25 @@
     hosts: usize,
     callers: usize,
     faults: usize,
-    what: What,
+    scenario: Scenario,
 }
 
-/// What happens in a run beside what always does.
+/// Scenario of a run, which determines the faults and other events during it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum What {
+pub enum Scenario {
     /// Hosts, the store and backend servers fail.
     #[default]
     Failures,
-    /// The store is restored from copies while servers leave.
+    /// The store is restored from backups while servers drain.
     Restores,
-    /// The configuration changes again and again, and waiting calls go unanswered.
+    /// The configuration keeps changing, and watches are left unanswered.
     Changes,
 }
 
 impl Soak {
-    /// A short run of one seed.
+    /// Options of a short run with a seed.
     pub fn with_seed(seed: u64) -> Self {
-        Self { seed, hosts: 3, callers: 12, faults: 6, what: What::Failures }
+        Self { seed, hosts: 3, callers: 12, faults: 6, scenario: Scenario::Failures }
     }
 
     /// Sets the number of hosts.
@@ -76,22 +76,22 @@
         Self { hosts, ..self }
     }
 
-    /// Sets the number of callers that send at the same time.
+    /// Sets the number of concurrent callers.
     pub fn with_callers(self, callers: usize) -> Self {
         Self { callers, ..self }
     }
 
-    /// Sets the number of faults, one after the other with overlaps.
+    /// Sets the number of faults.
     pub fn with_faults(self, faults: usize) -> Self {
         Self { faults, ..self }
     }
 
-    /// Sets what happens beside.
-    pub fn with_what(self, what: What) -> Self {
-        Self { what, ..self }
+    /// Sets the scenario.
+    pub fn with_scenario(self, scenario: Scenario) -> Self {
+        Self { scenario, ..self }
     }
 
-    /// Plays the run; returns what was seen and which promises were broken.
+    /// Executes the run; returns the outcomes of its requests and the violations found.
     pub async fn run(self) -> Report {
         let mut rng = StdRng::seed_from_u64(self.seed);
         let history = Arc::new(History::default());
@@ -99,70 +99,71 @@
         store.put("config", "main", store::configuration(1, false));
         let engines = Arc::new(Engines::start(store.clone(), history.clone()).await);
         let hosts = Arc::new(Hosts::start(self.hosts, store.addr(), history.clone()));
-        hosts.wait_until_ready(PATIENCE).await;
+        hosts.wait_until_ready(RECOVERY_TIMEOUT).await;
 
         let mut callers = JoinSet::new();
         for n in 0..self.callers {
             let rng = StdRng::seed_from_u64(rng.random());
-            callers.spawn(caller::keep_calling(n, hosts.clone(), history.clone(), rng));
+            callers.spawn(caller::send_requests(n, hosts.clone(), history.clone(), rng));
         }
-        if self.what == What::Changes {
+        if self.scenario == Scenario::Changes {
             let newest = Arc::new(AtomicU64::new(1));
-            let mut seeded = || StdRng::seed_from_u64(rng.random());
-            let looking = operator::keep_looking(hosts.clone(), history.clone(), newest.clone(), seeded());
-            callers.spawn(looking);
-            callers.spawn(operator::keep_changing(store.clone(), history.clone(), newest, seeded()));
+            let mut next_rng = || StdRng::seed_from_u64(rng.random());
+            let probing =
+                operator::probe_versions(hosts.clone(), history.clone(), newest.clone(), next_rng());
+            callers.spawn(probing);
+            callers.spawn(operator::change_config(store.clone(), history.clone(), newest, next_rng()));
         }
-        let played = faults::play(self.faults, self.what, &mut rng, &hosts, &engines, &store).await;
-        let unserved = serves_again(&hosts, &history).await;
+        let injected =
+            faults::inject_all(self.faults, self.scenario, &mut rng, &hosts, &engines, &store).await;
+        let not_recovered = check_recovery(&hosts, &history).await;
         callers.shutdown().await;
-        let not_in_force = changes_take_effect(&hosts, &store, &history).await;
+        let not_applied = check_config_applied(&hosts, &store, &history).await;
 
-        let mut broken = history.violations();
-        broken.extend(unserved.into_iter().chain(not_in_force).chain(hosts.ended_by_themselves()));
-        if !broken.is_empty() {
+        let mut violations = history.violations();
+        violations.extend(not_recovered.into_iter().chain(not_applied).chain(hosts.unexpected_exits()));
+        if !violations.is_empty() {
             hosts.keep_logs();
         }
-        Report { seed: self.seed, faults: played, seen: history.summary(), broken }
+        Report { seed: self.seed, faults: injected, outcomes: history.summary(), violations }
     }
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
     /// Seed of the run.
     pub seed: u64,
-    /// Faults in the order in which they were played.
+    /// Faults in the order of injection.
     pub faults: Vec<String>,
-    /// How the callers' requests ended, with counts.
-    pub seen: String,
-    /// Promises that were broken.
-    pub broken: Vec<String>,
+    /// Number of the callers' requests by kind and outcome.
+    pub outcomes: String,
+    /// Violations of the guarantees.
+    pub violations: Vec<String>,
 }
 
-/// After the last fault every host answers every kind of request again.
-async fn serves_again(hosts: &Hosts, history: &History) -> Vec<String> {
-    let mut unserved = Vec::new();
+/// Checks that every host answers every kind of request again after the last fault.
+async fn check_recovery(hosts: &Hosts, history: &History) -> Vec<String> {
+    let mut not_recovered = Vec::new();
     for addr in hosts.addresses() {
         for kind in Kind::ALL {
-            let is_served = || async { is_answered(call(addr, kind, KEY, kind.path(), history).await) };
-            if !comes_about(is_served).await {
-                unserved.push(format!("{addr} does not serve {} requests again", kind.as_str()));
+            let is_served = || async { is_ok(call(addr, kind, KEY, kind.path(), history).await) };
+            if !eventually(is_served).await {
+                not_recovered.push(format!("{addr} does not serve {} requests again", kind.as_str()));
             }
         }
     }
-    unserved
+    not_recovered
 }
 
-/// A change of the configuration is in force at every host: a new route is served, and a revoked key is refused.
-async fn changes_take_effect(hosts: &Hosts, store: &Store, history: &History) -> Vec<String> {
-    store.put("config", "main", store::configuration(LAST_VERSION, true));
-    let mut missing = Vec::new();
+/// Checks that a configuration change takes effect on every host: an added route is served, and a revoked key is refused.
+async fn check_config_applied(hosts: &Hosts, store: &Store, history: &History) -> Vec<String> {
+    store.put("config", "main", store::configuration(FINAL_VERSION, true));
+    let mut not_applied = Vec::new();
     for addr in hosts.addresses() {
-        let route =
-            || async { is_answered(call(addr, Kind::Idempotent, KEY, store::ADDED_ROUTE, history).await) };
-        if !comes_about(route).await {
-            missing.push(format!("{addr} does not serve an added route"));
+        let route = || async { is_ok(call(addr, Kind::Idempotent, KEY, store::ADDED_ROUTE, history).await) };
+        if !eventually(route).await {
+            not_applied.push(format!("{addr} does not serve an added route"));
         }
         let key = || async {
             matches!(
@@ -170,21 +171,23 @@
                 Outcome::Complete { status: 401, .. }
             )
         };
-        if !comes_about(key).await {
-            missing.push(format!("{addr} does not refuse a revoked key"));
+        if !eventually(key).await {
+            not_applied.push(format!("{addr} does not refuse a revoked key"));
         }
     }
-    missing
+    not_applied
 }
 
-fn is_answered(end: Outcome) -> bool {
-    matches!(end, Outcome::Complete { status: 200, .. })
+/// Whether the complete answer has status 200.
+fn is_ok(outcome: Outcome) -> bool {
+    matches!(outcome, Outcome::Complete { status: 200, .. })
 }
 
-async fn comes_about<F: Future<Output = bool>>(mut holds: impl FnMut() -> F) -> bool {
-    let until = Instant::now() + PATIENCE;
-    while Instant::now() < until {
-        if holds().await {
+/// Waits until a condition holds; returns whether it does within the timeout.
+async fn eventually<F: Future<Output = bool>>(mut condition: impl FnMut() -> F) -> bool {
+    let deadline = Instant::now() + RECOVERY_TIMEOUT;
+    while Instant::now() < deadline {
+        if condition().await {
             return true;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -192,8 +195,8 @@
     false
 }
 
-/// Addresses for a caller, from any of the hosts.
-async fn addresses(hosts: &Hosts, rng: &mut StdRng) -> Vec<std::net::SocketAddr> {
+/// Looks up addresses for callers at a random host, with up to three attempts; falls back to all hosts.
+async fn look_up_addresses(hosts: &Hosts, rng: &mut StdRng) -> Vec<std::net::SocketAddr> {
     for _ in 0..3 {
         let found = resolve(hosts.directory(rng.random_range(0..hosts.len()))).await;
         if !found.is_empty() {
@@ -203,7 +206,7 @@
     hosts.addresses()
 }
 
-/// Notes a disturbance for its length.
-fn disturbed(history: &History, what: &str, from: Instant) {
-    history.record(Seen::Disturbed { what: what.into(), from, to: Instant::now() });
+/// Records a fault that began at a time and ends now.
+fn record_fault(history: &History, subject: &str, from: Instant) {
+    history.record(Observation::Fault { subject: subject.into(), from, to: Instant::now() });
 }
--- a/tests/support/soak/caller.rs
+++ b/tests/support/soak/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: they ask where to connect, send requests over connections of their own, and note what comes back.
+//! Callers, which look up addresses of hosts, send each request over a new connection and record its outcome.
 
 use std::{
     net::SocketAddr,
@@ -17,53 +17,55 @@
 };
 
 use super::{
-    THINKS_MS, addresses,
-    checks::{History, Kind, Outcome, Seen},
+    THINK_TIME_MS,
+    checks::{History, Kind, Observation, Outcome},
     hosts::Hosts,
+    look_up_addresses,
 };
 use crate::wire::{events, is_whole, status};
 
-/// A key that stays.
+/// API key that stays valid.
 pub const KEY: &str = "k1";
-/// A key that is taken away in the end.
+/// API key that the final configuration revokes.
 pub const KEY_TO_REVOKE: &str = "k2";
-/// How long a caller waits, as it says.
-const DEADLINE: Duration = Duration::from_secs(4);
-/// What it waits longer than that before it gives up.
-const SLACK: Duration = Duration::from_secs(2);
-/// Time for a connection or for an answer with addresses.
-const SHORT: Duration = Duration::from_secs(1);
+/// Deadline that callers send with each request.
+const REQUEST_DEADLINE: Duration = Duration::from_secs(4);
+/// Additional time after the deadline until a caller gives up.
+const DEADLINE_SLACK: Duration = Duration::from_secs(2);
+/// Timeout for connecting and for short calls, and interval between lookups of addresses.
+const SHORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-static NEXT: AtomicU64 = AtomicU64::new(0);
+/// Counter for unique request identifiers.
+static NEXT_ID: AtomicU64 = AtomicU64::new(0);
 
-/// Sends requests of all kinds until the task is ended.
-pub async fn keep_calling(n: usize, hosts: Arc<Hosts>, history: Arc<History>, mut rng: StdRng) {
-    let mut known = hosts.addresses();
-    let mut asked = Instant::now();
+/// Sends requests of all kinds until the task is aborted.
+pub async fn send_requests(n: usize, hosts: Arc<Hosts>, history: Arc<History>, mut rng: StdRng) {
+    let mut host_addrs = hosts.addresses();
+    let mut resolved_at = Instant::now();
     loop {
-        if asked.elapsed() >= SHORT {
-            known = addresses(&hosts, &mut rng).await;
-            asked = Instant::now();
+        if resolved_at.elapsed() >= SHORT_TIMEOUT {
+            host_addrs = look_up_addresses(&hosts, &mut rng).await;
+            resolved_at = Instant::now();
         }
-        let addr = known[rng.random_range(0..known.len())];
+        let addr = host_addrs[rng.random_range(0..host_addrs.len())];
         let kind = Kind::ALL[rng.random_range(0..Kind::ALL.len())];
         let key = if n.is_multiple_of(2) { KEY } else { KEY_TO_REVOKE };
         call(addr, kind, key, kind.path(), &history).await;
-        tokio::time::sleep(Duration::from_millis(rng.random_range(THINKS_MS))).await;
+        tokio::time::sleep(Duration::from_millis(rng.random_range(THINK_TIME_MS))).await;
     }
 }
 
-/// Sends one request and notes its end.
+/// Sends one request and records its outcome.
 pub async fn call(addr: SocketAddr, kind: Kind, key: &str, path: &str, history: &History) -> Outcome {
-    let id = format!("r{:06}", NEXT.fetch_add(1, Ordering::Relaxed));
+    let id = format!("r{:06}", NEXT_ID.fetch_add(1, Ordering::Relaxed));
     let target = format!("{path}{id}");
     let host = addr.ip().to_string();
-    let proper = key == KEY && path == kind.path();
-    history.record(Seen::Sent {
+    let always_allowed = key == KEY && path == kind.path();
+    history.record(Observation::Sent {
         id: id.clone(),
         kind,
         target: target.clone(),
-        proper,
+        always_allowed,
         host,
         at: Instant::now(),
     });
@@ -71,47 +73,56 @@
     let body = "x".repeat(200);
     let req = format!(
         "{head}Request-Deadline: {}\r\nContent-Length: {}\r\n\r\n{body}",
-        DEADLINE.as_millis(),
+        REQUEST_DEADLINE.as_millis(),
         body.len()
     );
-    let end = match timeout(DEADLINE + SLACK, exchange(addr, &req, kind, &id)).await {
-        Ok(end) => end,
+    let outcome = match timeout(REQUEST_DEADLINE + DEADLINE_SLACK, exchange(addr, &req, kind, &id)).await {
+        Ok(outcome) => outcome,
         Err(_) => Outcome::TimedOut,
     };
-    history.record(Seen::Ended { id, end: end.clone(), at: Instant::now() });
-    end
+    history.record(Observation::Finished { id, outcome: outcome.clone(), at: Instant::now() });
+    outcome
 }
 
+/// Sends a raw request over a new connection and reads the answer.
 async fn exchange(addr: SocketAddr, req: &str, kind: Kind, id: &str) -> Outcome {
-    let Ok(Ok(mut stream)) = timeout(SHORT, TcpStream::connect(addr)).await else {
-        return Outcome::NoConnection;
+    let Ok(Ok(mut stream)) = timeout(SHORT_TIMEOUT, TcpStream::connect(addr)).await else {
+        return Outcome::ConnectFailed;
     };
     if stream.write_all(req.as_bytes()).await.is_err() {
-        return Outcome::Broken(Vec::new());
+        return Outcome::Disconnected(Vec::new());
     }
     let mut buf = Vec::new();
     loop {
         let text = String::from_utf8_lossy(&buf).into_owned();
         if is_whole(&text) {
-            return Outcome::Complete { status: status(&text), data: data(&text, kind, id) };
+            return Outcome::Complete { status: status(&text), data: answer_data(&text, kind, id) };
         }
         match stream.read_buf(&mut buf).await {
             Ok(n) if n > 0 => {}
-            _ => return Outcome::Broken(if kind.streams() { data(&text, kind, id) } else { Vec::new() }),
+            _ => {
+                return Outcome::Disconnected(if kind.is_stream() {
+                    answer_data(&text, kind, id)
+                } else {
+                    Vec::new()
+                });
+            }
         }
     }
 }
 
-/// The answer's data with the own identifier taken out, so that another one shows.
-fn data(text: &str, kind: Kind, id: &str) -> Vec<String> {
-    let own = |data: &str| data.strip_suffix(id).map_or_else(|| data.to_owned(), |d| d.trim_end().to_owned());
-    match kind.streams() {
+/// Data of an answer without the request's own identifier, so that only an identifier of another request remains.
+fn answer_data(text: &str, kind: Kind, id: &str) -> Vec<String> {
+    let own = |answer_data: &str| {
+        answer_data.strip_suffix(id).map_or_else(|| answer_data.to_owned(), |d| d.trim_end().to_owned())
+    };
+    match kind.is_stream() {
         true => events(text).into_iter().map(own).collect(),
         false => vec![own(text.split_once("\r\n\r\n").map_or("", |(_, body)| body))],
     }
 }
 
-/// Asks a host where callers may connect.
+/// Asks a host's directory for the addresses to which callers may connect.
 pub async fn resolve(directory: SocketAddr) -> Vec<SocketAddr> {
     let parse = |text: String| {
         let body: serde_json::Value = serde_json::from_str(text.split_once("\r\n\r\n")?.1).ok()?;
@@ -121,9 +132,9 @@
     get(directory, "/resolve?name=shop.example&zone=a").await.and_then(parse).unwrap_or_default()
 }
 
-/// Makes a small call; `None` where no whole answer comes soon.
+/// Sends a GET request; returns `None` unless the complete answer arrives within the timeout.
 pub async fn get(addr: SocketAddr, target: &str) -> Option<String> {
-    let asking = async {
+    let response = async {
         let mut stream = TcpStream::connect(addr).await.ok()?;
         let req = format!("GET {target} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
         stream.write_all(req.as_bytes()).await.ok()?;
@@ -131,5 +142,5 @@
         stream.read_to_string(&mut text).await.ok()?;
         Some(text)
     };
-    timeout(SHORT, asking).await.ok().flatten()
+    timeout(SHORT_TIMEOUT, response).await.ok().flatten()
 }
--- a/tests/support/soak/checks.rs
+++ b/tests/support/soak/checks.rs
@@ -1,4 +1,4 @@
-//! What callers and backend servers have seen, and the promises that it is held against. No I/O.
+//! History of a run, as observed by callers and backend servers, and checks of the guarantees against it. No I/O.
 
 use std::{
     collections::BTreeMap,
@@ -6,149 +6,151 @@
     time::{Duration, Instant},
 };
 
-use super::{hosts::APPLY_MS, store::MARK};
-
-/// Events of a whole stream.
-pub const EVENTS: u32 = 12;
-/// A disturbance this long before or after still explains an answer that does not arrive.
-const AFTERMATH: Duration = Duration::from_millis(1_500);
-
-/// Time after which a server that has said it leaves gets no new work, from a host that is in touch.
-const LEAVES: Duration = Duration::from_secs(2);
-/// Time after which a version is in force, at a host that is in touch.
-const APPLIES: Duration = Duration::from_millis(APPLY_MS);
-/// Time without a disturbance after which a host is in touch.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Time after which a pause that a server has asked for holds, and requests that may reach it until it is over.
-const PAUSE_BEGINS: Duration = Duration::from_millis(500);
-const MOST_IN_PAUSE: usize = 2;
-/// Name under which disturbances of the store are noted.
+use super::{hosts::CONFIG_APPLY_MS, store::VERSION_ROUTE};
+
+/// Number of events in a complete stream.
+pub const STREAM_EVENTS: u32 = 12;
+/// Time before and after a fault within which the fault still accounts for a lost answer.
+const FAULT_MARGIN: Duration = Duration::from_millis(1_500);
+
+/// Time after a server announces that it is draining until hosts in contact must send it no new requests.
+const DRAIN_NOTICE_DEADLINE: Duration = Duration::from_secs(2);
+/// Time after a configuration version is acknowledged until it must be in force on hosts in contact.
+const CONFIG_APPLY_DEADLINE: Duration = Duration::from_millis(CONFIG_APPLY_MS);
+/// Time after a fault until its subject counts as in contact again.
+const RECONNECT_TIME: Duration = Duration::from_secs(3);
+/// Time after a server requests a pause until the host must honour it.
+const PAUSE_GRACE: Duration = Duration::from_millis(500);
+/// Number of a host's requests that may still arrive during a pause.
+const MAX_REQUESTS_IN_PAUSE: usize = 2;
+/// Subject of faults of the store.
 pub const STORE: &str = "store";
 
-/// What may be done with a request.
+/// Kind of a request, which determines whether it may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// May run more than once.
+    /// May be executed more than once.
     Idempotent,
-    /// Runs once at most.
-    Unsafe,
-    /// A stream that may go on elsewhere.
-    Stream,
-    /// A stream that may not.
-    Once,
+    /// Must be executed at most once.
+    NonIdempotent,
+    /// A stream that may be resumed on another server.
+    ResumableStream,
+    /// A stream that can't be resumed and must be executed at most once.
+    PlainStream,
 }
 
 impl Kind {
-    /// All kinds.
-    pub const ALL: [Kind; 4] = [Kind::Idempotent, Kind::Unsafe, Kind::Stream, Kind::Once];
+    /// All kinds, in the order in which a random index picks them.
+    pub const ALL: [Kind; 4] =
+        [Kind::Idempotent, Kind::NonIdempotent, Kind::ResumableStream, Kind::PlainStream];
 
-    /// Name in reports.
+    /// Label in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Idempotent => "safe",
-            Kind::Unsafe => "unsafe",
-            Kind::Stream => "stream",
-            Kind::Once => "once",
+            Kind::NonIdempotent => "unsafe",
+            Kind::ResumableStream => "stream",
+            Kind::PlainStream => "once",
         }
     }
 
-    /// Path of its route.
+    /// Path prefix of the route for this kind.
     pub fn path(self) -> &'static str {
         match self {
             Kind::Idempotent => "/safe/",
-            Kind::Unsafe => "/unsafe/",
-            Kind::Stream => "/stream/",
-            Kind::Once => "/once/",
+            Kind::NonIdempotent => "/unsafe/",
+            Kind::ResumableStream => "/stream/",
+            Kind::PlainStream => "/once/",
         }
     }
 
     /// Whether the answer is a stream.
-    pub fn streams(self) -> bool {
-        matches!(self, Kind::Stream | Kind::Once)
+    pub fn is_stream(self) -> bool {
+        matches!(self, Kind::ResumableStream | Kind::PlainStream)
     }
 
-    fn runs_once(self) -> bool {
-        matches!(self, Kind::Unsafe | Kind::Once)
+    fn runs_at_most_once(self) -> bool {
+        matches!(self, Kind::NonIdempotent | Kind::PlainStream)
     }
 }
 
-/// How a request ended for its caller.
+/// Outcome of a request as seen by its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer came.
+    /// The complete answer arrived.
     Complete {
-        /// Its status.
+        /// Status code.
         status: u16,
-        /// Its body; of a stream, the data of the events.
+        /// Body, or the data of each event if it is a stream.
         data: Vec<String>,
     },
-    /// The connection ended before the answer did; of a stream, these events had come.
-    Broken(Vec<String>),
-    /// No connection was made.
-    NoConnection,
-    /// Nothing came in time.
+    /// The connection closed before the answer was complete; holds the stream events received until then.
+    Disconnected(Vec<String>),
+    /// The connection could not be established.
+    ConnectFailed,
+    /// The answer was not complete within the deadline.
     TimedOut,
 }
 
-/// One observation.
+/// One observation by a caller, a backend server or the fault injection.
 #[derive(Clone, Debug)]
-pub enum Seen {
-    /// A caller sent a request; a proper one is allowed by every configuration.
-    Sent { id: String, kind: Kind, target: String, proper: bool, host: String, at: Instant },
-    /// Its request ended.
-    Ended { id: String, end: Outcome, at: Instant },
-    /// A backend server began to run a request.
-    Ran { id: String, target: String, workspace: String, with_key: bool, engine: String, at: Instant },
-    /// A backend server has told the store that it leaves.
-    Left { engine: String, at: Instant },
-    /// A request met a backend server.
-    Met { id: String, engine: String, what: Met },
-    /// A host has started again, though it was not disturbed.
+pub enum Observation {
+    /// A caller sent a request; `always_allowed` says that every configuration version allows it.
+    Sent { id: String, kind: Kind, target: String, always_allowed: bool, host: String, at: Instant },
+    /// A request ended for its caller.
+    Finished { id: String, outcome: Outcome, at: Instant },
+    /// A backend server started to execute a request.
+    Executed { id: String, target: String, workspace: String, with_key: bool, engine: String, at: Instant },
+    /// A backend server's entry in the store was set to draining.
+    DrainAnnounced { engine: String, at: Instant },
+    /// A backend server received or answered a request.
+    AtServer { id: String, engine: String, event: ServerEvent },
+    /// A host was restarted after a graceful stop.
     Restarted { host: String, at: Instant },
-    /// It has written the whole answer.
-    Served { id: String, engine: String },
-    /// A host or a backend server was disturbed.
-    Disturbed { what: String, from: Instant, to: Instant },
+    /// A backend server wrote the complete answer.
+    AnswerWritten { id: String, engine: String },
+    /// A host, a backend server or the store was subject to a fault.
+    Fault { subject: String, from: Instant, to: Instant },
     /// A version of the configuration was written.
-    Changed { version: u64, sent: Instant, acked: Instant },
+    ConfigWritten { version: u64, sent: Instant, acked: Instant },
 }
 
-/// How a request met a backend server.
+/// Event of a request at a backend server.
 #[derive(Clone, Copy, Debug)]
-pub enum Met {
-    /// It arrived.
-    Reached(Instant),
-    /// Its answer says that the server leaves.
-    SaysLeaving,
-    /// It was refused, and its host was asked for a pause.
-    AsksPause(Instant, Duration),
+pub enum ServerEvent {
+    /// The request arrived.
+    Arrived(Instant),
+    /// The answer announces that the server is draining.
+    AnnouncedDrain,
+    /// The server refused the request and asked the host to pause for the given time.
+    RequestedPause(Instant, Duration),
 }
 
-/// All observations of a run.
+/// All observations of a run, in the order in which they were recorded.
 #[derive(Debug, Default)]
-pub struct History(Mutex<Vec<Seen>>);
+pub struct History(Mutex<Vec<Observation>>);
 
-/// One request, put together.
+/// All observations of one request.
 #[derive(Debug, Default)]
-struct Story {
+struct RequestTrace {
     sent: Option<Sent>,
-    end: Option<(Outcome, Instant)>,
-    runs: Vec<Run>,
-    served: Vec<String>,
-    met: Vec<(String, Met)>,
+    outcome: Option<(Outcome, Instant)>,
+    executions: Vec<Execution>,
+    answered_by: Vec<String>,
+    server_events: Vec<(String, ServerEvent)>,
 }
 
 #[derive(Clone, Debug)]
 struct Sent {
     kind: Kind,
     target: String,
-    proper: bool,
+    always_allowed: bool,
     host: String,
     at: Instant,
 }
 
 #[derive(Clone, Debug)]
-struct Run {
+struct Execution {
     target: String,
     workspace: String,
     with_key: bool,
@@ -158,259 +160,303 @@
 
 impl History {
     /// Adds an observation.
-    pub fn record(&self, seen: Seen) {
-        self.0.lock().unwrap().push(seen);
+    pub fn record(&self, observation: Observation) {
+        self.0.lock().unwrap().push(observation);
     }
 
-    fn stories(&self) -> BTreeMap<String, Story> {
-        let mut stories: BTreeMap<String, Story> = BTreeMap::new();
-        for seen in self.0.lock().unwrap().iter().cloned() {
-            match seen {
-                Seen::Sent { id, kind, target, proper, host, at } => {
-                    stories.entry(id).or_default().sent = Some(Sent { kind, target, proper, host, at });
+    /// Groups the observations by request.
+    fn traces(&self) -> BTreeMap<String, RequestTrace> {
+        let mut traces: BTreeMap<String, RequestTrace> = BTreeMap::new();
+        for observation in self.0.lock().unwrap().iter().cloned() {
+            match observation {
+                Observation::Sent { id, kind, target, always_allowed, host, at } => {
+                    traces.entry(id).or_default().sent =
+                        Some(Sent { kind, target, always_allowed, host, at });
                 }
-                Seen::Ended { id, end, at } => stories.entry(id).or_default().end = Some((end, at)),
-                Seen::Ran { id, target, workspace, with_key, engine, at } => {
-                    let run = Run { target, workspace, with_key, engine, at };
-                    stories.entry(id).or_default().runs.push(run);
+                Observation::Finished { id, outcome, at } => {
+                    traces.entry(id).or_default().outcome = Some((outcome, at))
                 }
-                Seen::Served { id, engine } => stories.entry(id).or_default().served.push(engine),
-                Seen::Met { id, engine, what } => stories.entry(id).or_default().met.push((engine, what)),
-                Seen::Left { .. }
-                | Seen::Restarted { .. }
-                | Seen::Disturbed { .. }
-                | Seen::Changed { .. } => {}
+                Observation::Executed { id, target, workspace, with_key, engine, at } => {
+                    let execution = Execution { target, workspace, with_key, engine, at };
+                    traces.entry(id).or_default().executions.push(execution);
+                }
+                Observation::AnswerWritten { id, engine } => {
+                    traces.entry(id).or_default().answered_by.push(engine)
+                }
+                Observation::AtServer { id, engine, event } => {
+                    traces.entry(id).or_default().server_events.push((engine, event))
+                }
+                Observation::DrainAnnounced { .. }
+                | Observation::Restarted { .. }
+                | Observation::Fault { .. }
+                | Observation::ConfigWritten { .. } => {}
             }
         }
-        stories
+        traces
     }
 
-    fn was_disturbed(&self, what: &str, from: Instant, to: Instant) -> bool {
-        self.0.lock().unwrap().iter().any(|seen| {
-            matches!(seen, Seen::Disturbed { what: w, from: f, to: t }
-                if w == what && *f <= to + AFTERMATH && from <= *t + AFTERMATH)
+    /// Whether a subject had a fault in a time span, extended by the margin on both sides.
+    fn had_fault(&self, subject: &str, from: Instant, to: Instant) -> bool {
+        self.0.lock().unwrap().iter().any(|observation| {
+            matches!(observation, Observation::Fault { subject: s, from: f, to: t }
+                if s == subject && *f <= to + FAULT_MARGIN && from <= *t + FAULT_MARGIN)
         })
     }
 
-    /// Whether something was disturbed within the time before.
-    fn was_out_of_touch(&self, what: &str, at: Instant) -> bool {
-        self.0.lock().unwrap().iter().any(|seen| {
-            matches!(seen, Seen::Disturbed { what: w, from, to }
-                if w == what && *from <= at && at <= *to + CONTACT)
+    /// Whether a subject had a fault at a time or shortly before it.
+    fn was_out_of_contact(&self, subject: &str, at: Instant) -> bool {
+        self.0.lock().unwrap().iter().any(|observation| {
+            matches!(observation, Observation::Fault { subject: s, from, to }
+                if s == subject && *from <= at && at <= *to + RECONNECT_TIME)
         })
     }
 
-    /// When a backend server has said that it leaves, if the store was in touch then.
-    fn left_at(&self, engine: &str) -> Option<Instant> {
-        let left = self.0.lock().unwrap().iter().find_map(|seen| match seen {
-            Seen::Left { engine: e, at } if e == engine => Some(*at),
+    /// When a backend server's entry was set to draining, unless the store was out of contact then.
+    fn drain_announced_at(&self, engine: &str) -> Option<Instant> {
+        let left = self.0.lock().unwrap().iter().find_map(|observation| match observation {
+            Observation::DrainAnnounced { engine: e, at } if e == engine => Some(*at),
             _ => None,
         });
-        left.filter(|at| !self.was_out_of_touch(STORE, *at))
+        left.filter(|at| !self.was_out_of_contact(STORE, *at))
     }
 
-    /// Work for a server that had left, by a host in touch since the caller sent it.
-    fn judge_leaving(&self, sent: &Sent, run: &Run) -> Option<String> {
-        let left = self.left_at(&run.engine)?;
-        let in_touch = |what| !self.was_out_of_touch(what, sent.at) && !self.was_out_of_touch(what, run.at);
-        let late = sent.at > left + LEAVES && in_touch(STORE) && in_touch(&sent.host);
-        late.then(|| format!("{} got work {:?} after it had said that it leaves", run.engine, run.at - left))
+    /// Checks that a host in contact sends no request to a server whose entry in the store is draining.
+    fn check_store_drain(&self, sent: &Sent, execution: &Execution) -> Option<String> {
+        let left = self.drain_announced_at(&execution.engine)?;
+        let in_contact = |subject| {
+            !self.was_out_of_contact(subject, sent.at) && !self.was_out_of_contact(subject, execution.at)
+        };
+        let late = sent.at > left + DRAIN_NOTICE_DEADLINE && in_contact(STORE) && in_contact(&sent.host);
+        late.then(|| {
+            format!(
+                "{} executed the request {:?} after its entry was set to draining",
+                execution.engine,
+                execution.at - left
+            )
+        })
     }
 
-    /// Whether a host was restarted or frozen in a span, which ends what it was told.
-    fn has_forgotten(&self, host: &str, from: Instant, to: Instant) -> bool {
-        self.0.lock().unwrap().iter().any(|seen| match seen {
-            Seen::Disturbed { what, from: f, to: t } => what == host && *f <= to && from <= *t,
-            Seen::Restarted { host: h, at } => h == host && (from..=to).contains(at),
+    /// Whether a host may have lost what servers announced to it: it was restarted or had a fault in a time span.
+    fn lost_state(&self, host: &str, from: Instant, to: Instant) -> bool {
+        self.0.lock().unwrap().iter().any(|observation| match observation {
+            Observation::Fault { subject, from: f, to: t } => subject == host && *f <= to && from <= *t,
+            Observation::Restarted { host: h, at } => h == host && (from..=to).contains(at),
             _ => false,
         })
     }
 
-    /// Work for a server whose answers had told the same host that it leaves.
-    fn judge_told(&self, stories: &BTreeMap<String, Story>) -> Vec<String> {
-        // When a host passed on the first answer of a server that says so.
-        let mut told: BTreeMap<(&str, &str), Instant> = BTreeMap::new();
-        for story in stories.values() {
-            let (Some(sent), Some((Outcome::Complete { .. }, at))) = (&story.sent, &story.end) else {
+    /// Checks that a host sends no request to a server that announced in an earlier answer to it that it is draining.
+    fn check_announced_drain(&self, traces: &BTreeMap<String, RequestTrace>) -> Vec<String> {
+        // When each host relayed the first answer in which a server announces that it is draining.
+        let mut announced: BTreeMap<(&str, &str), Instant> = BTreeMap::new();
+        for trace in traces.values() {
+            let (Some(sent), Some((Outcome::Complete { .. }, at))) = (&trace.sent, &trace.outcome) else {
                 continue;
             };
-            for (engine, _) in story.met.iter().filter(|(_, met)| matches!(met, Met::SaysLeaving)) {
-                let first = told.entry((&sent.host, engine)).or_insert(*at);
+            for (engine, _) in
+                trace.server_events.iter().filter(|(_, event)| matches!(event, ServerEvent::AnnouncedDrain))
+            {
+                let first = announced.entry((&sent.host, engine)).or_insert(*at);
                 *first = (*first).min(*at);
             }
         }
-        let mut broken = Vec::new();
-        for (id, story) in stories {
-            let Some(sent) = &story.sent else { continue };
-            for (engine, met) in &story.met {
-                let (Met::Reached(at), Some(first)) = (met, told.get(&(&*sent.host, &**engine))) else {
+        let mut violations = Vec::new();
+        for (id, trace) in traces {
+            let Some(sent) = &trace.sent else { continue };
+            for (engine, event) in &trace.server_events {
+                let (ServerEvent::Arrived(at), Some(first)) =
+                    (event, announced.get(&(&*sent.host, &**engine)))
+                else {
                     continue;
                 };
-                if sent.at > *first + LEAVES && !self.has_forgotten(&sent.host, *first, *at) {
-                    broken.push(format!(
-                        "{id}: {engine} got it {:?} after its word that it leaves",
+                if sent.at > *first + DRAIN_NOTICE_DEADLINE && !self.lost_state(&sent.host, *first, *at) {
+                    violations.push(format!(
+                        "{id}: arrived at {engine} {:?} after the server announced that it is draining",
                         *at - *first
                     ));
                 }
             }
         }
-        broken
+        violations
     }
 
-    /// Requests at a server that had asked the same host for a pause.
-    fn judge_pauses(&self, stories: &BTreeMap<String, Story>) -> Vec<String> {
-        let met = |story: &'_ Story| story.sent.as_ref().map(|sent| sent.host.clone());
-        let all: Vec<_> = stories
+    /// Checks that a host honours the pauses that servers request.
+    fn check_pauses(&self, traces: &BTreeMap<String, RequestTrace>) -> Vec<String> {
+        let host = |trace: &'_ RequestTrace| trace.sent.as_ref().map(|sent| sent.host.clone());
+        let all: Vec<_> = traces
             .values()
-            .filter_map(|story| Some((met(story)?, story)))
-            .flat_map(|(host, story)| story.met.iter().map(move |(engine, met)| (host.clone(), engine, *met)))
+            .filter_map(|trace| Some((host(trace)?, trace)))
+            .flat_map(|(host, trace)| {
+                trace.server_events.iter().map(move |(engine, event)| (host.clone(), engine, *event))
+            })
             .collect();
-        let mut broken = Vec::new();
-        for (host, engine, met) in &all {
-            let Met::AsksPause(at, pause) = met else { continue };
-            let (from, to) = (*at + PAUSE_BEGINS, *at + *pause);
-            let reached = all.iter().filter(|(h, e, met)| {
-                h == host && e == engine && matches!(met, Met::Reached(at) if from < *at && *at < to)
+        let mut violations = Vec::new();
+        for (host, engine, event) in &all {
+            let ServerEvent::RequestedPause(at, pause) = event else { continue };
+            let (from, to) = (*at + PAUSE_GRACE, *at + *pause);
+            let arrived = all.iter().filter(|(h, e, event)| {
+                h == host
+                    && e == engine
+                    && matches!(event, ServerEvent::Arrived(at) if from < *at && *at < to)
             });
-            let reached = reached.count();
-            if reached > MOST_IN_PAUSE && !self.has_forgotten(host, *at, to) {
-                broken
-                    .push(format!("{engine} got {reached} requests of {host} in a pause that it asked for"));
+            let arrived = arrived.count();
+            if arrived > MAX_REQUESTS_IN_PAUSE && !self.lost_state(host, *at, to) {
+                violations.push(format!(
+                    "{engine} received {arrived} requests from {host} during a pause that it requested"
+                ));
             }
         }
-        broken
+        violations
     }
 
     /// When each version of the configuration was sent and acknowledged.
     fn versions(&self) -> BTreeMap<u64, (Instant, Instant)> {
-        let seen = self.0.lock().unwrap();
-        let changes = seen.iter().filter_map(|seen| match seen {
-            Seen::Changed { version, sent, acked } => Some((*version, (*sent, *acked))),
+        let observations = self.0.lock().unwrap();
+        let changes = observations.iter().filter_map(|observation| match observation {
+            Observation::ConfigWritten { version, sent, acked } => Some((*version, (*sent, *acked))),
             _ => None,
         });
         changes.collect()
     }
 
-    /// Requests on the route of one version, handled by a version that could not be in force any more.
-    fn judge_versions(&self, stories: &BTreeMap<String, Story>) -> Vec<String> {
+    /// Checks that hosts in contact apply a configuration version in time, and none older, by requests on the route that
+    /// only one version has.
+    fn check_versions(&self, traces: &BTreeMap<String, RequestTrace>) -> Vec<String> {
         let versions = self.versions();
-        let mut broken = Vec::new();
-        for (id, story) in stories {
-            let (Some(sent), Some((Outcome::Complete { status, .. }, ended))) = (&story.sent, &story.end)
+        let mut violations = Vec::new();
+        for (id, trace) in traces {
+            let (Some(sent), Some((Outcome::Complete { status, .. }, ended))) = (&trace.sent, &trace.outcome)
             else {
                 continue;
             };
-            let Some(version) = marked(&sent.target) else { continue };
-            let calm = |what| !self.was_out_of_touch(what, sent.at) && !self.was_out_of_touch(what, *ended);
-            if !calm(STORE) || !calm(&sent.host) || self.has_forgotten(&sent.host, sent.at - CONTACT, *ended)
+            let Some(version) = route_version(&sent.target) else { continue };
+            let in_contact = |subject| {
+                !self.was_out_of_contact(subject, sent.at) && !self.was_out_of_contact(subject, *ended)
+            };
+            if !in_contact(STORE)
+                || !in_contact(&sent.host)
+                || self.lost_state(&sent.host, sent.at - RECONNECT_TIME, *ended)
             {
                 continue;
             }
-            // Whether a version had been acknowledged for so long that none before it may be in force.
-            let rules =
-                |version: u64| versions.get(&version).is_some_and(|(_, acked)| *acked + APPLIES < sent.at);
+            // Whether a version was acknowledged early enough that no earlier one may be in force any more.
+            let must_apply = |version: u64| {
+                versions.get(&version).is_some_and(|(_, acked)| *acked + CONFIG_APPLY_DEADLINE < sent.at)
+            };
             let is_next_sent = versions.get(&(version + 1)).is_some_and(|(at, _)| at <= ended);
             match status {
-                200 if rules(version + 1) => {
-                    broken.push(format!(
-                        "{id}: handled by version {version} at {}, a later one had to be in force",
+                200 if must_apply(version + 1) => {
+                    violations.push(format!(
+                        "{id}: {} applied version {version} although a later one must be in force",
                         sent.host
                     ));
                 }
-                404 if rules(version) && !is_next_sent => {
-                    broken
-                        .push(format!("{id}: not handled by version {version} at {}, the newest", sent.host));
+                404 if must_apply(version) && !is_next_sent => {
+                    violations
+                        .push(format!("{id}: {} did not apply version {version}, the newest", sent.host));
                 }
                 _ => {}
             }
         }
-        broken
+        violations
     }
 
-    /// Promises that were broken, a line each.
+    /// Violations of the guarantees, one line each.
     pub fn violations(&self) -> Vec<String> {
-        let stories = self.stories();
-        let single = stories
-            .iter()
-            .flat_map(|(id, story)| self.judge(story).into_iter().map(move |v| format!("{id}: {v}")));
-        let told = self.judge_told(&stories).into_iter().chain(self.judge_pauses(&stories));
-        single.chain(told).chain(self.judge_versions(&stories)).collect()
+        let traces = self.traces();
+        let single = traces.iter().flat_map(|(id, trace)| {
+            self.check_request(trace).into_iter().map(move |violation| format!("{id}: {violation}"))
+        });
+        let announced = self.check_announced_drain(&traces).into_iter().chain(self.check_pauses(&traces));
+        single.chain(announced).chain(self.check_versions(&traces)).collect()
     }
 
-    fn judge(&self, story: &Story) -> Vec<String> {
-        let Some(sent) = &story.sent else {
-            return vec!["it ran and no caller sent it".into()];
+    /// Checks one request on its own.
+    fn check_request(&self, trace: &RequestTrace) -> Vec<String> {
+        let Some(sent) = &trace.sent else {
+            return vec!["executed, but no caller sent it".into()];
         };
-        let mut broken = Vec::new();
-        for run in &story.runs {
-            if run.target != sent.target || run.workspace != "travel" || run.with_key {
-                broken.push(format!("not what was sent to {} ran: {run:?}", sent.target));
+        let mut violations = Vec::new();
+        for execution in &trace.executions {
+            if execution.target != sent.target || execution.workspace != "travel" || execution.with_key {
+                violations.push(format!(
+                    "executed request differs from the one sent to {}: {execution:?}",
+                    sent.target
+                ));
             }
-            broken.extend(self.judge_leaving(sent, run));
+            violations.extend(self.check_store_drain(sent, execution));
         }
-        if sent.kind.runs_once() && story.runs.len() > 1 {
-            broken.push(format!("a request that runs once ran {} times", story.runs.len()));
+        if sent.kind.runs_at_most_once() && trace.executions.len() > 1 {
+            violations.push(format!(
+                "a request that may be executed once was executed {} times",
+                trace.executions.len()
+            ));
         }
-        // A caller whose task was ended has seen no end.
-        let Some((end, ended)) = &story.end else { return broken };
-        broken.extend(judge_end(story, sent, end));
-        let calm = |engine: &String| !self.was_disturbed(engine, sent.at, *ended);
-        let is_lost = matches!(end, Outcome::Broken(_) | Outcome::TimedOut) && story.served.iter().any(calm);
-        if is_lost && !self.was_disturbed(&sent.host, sent.at, *ended) {
-            broken.push(format!("a whole answer was ready and did not arrive: {end:?}"));
+        // The caller's task was aborted before the request ended.
+        let Some((outcome, ended)) = &trace.outcome else { return violations };
+        violations.extend(check_outcome(trace, sent, outcome));
+        let unaffected = |engine: &String| !self.had_fault(engine, sent.at, *ended);
+        let is_lost = matches!(outcome, Outcome::Disconnected(_) | Outcome::TimedOut)
+            && trace.answered_by.iter().any(unaffected);
+        if is_lost && !self.had_fault(&sent.host, sent.at, *ended) {
+            violations.push(format!("a complete answer was written but did not arrive: {outcome:?}"));
         }
-        broken
+        violations
     }
 
-    /// How requests ended, with counts.
+    /// Number of requests by kind and outcome.
     pub fn summary(&self) -> String {
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-        for story in self.stories().into_values() {
-            let Some(Sent { kind, .. }) = story.sent else { continue };
-            let end = match story.end {
+        for trace in self.traces().into_values() {
+            let Some(Sent { kind, .. }) = trace.sent else { continue };
+            let outcome = match trace.outcome {
                 Some((Outcome::Complete { status, .. }, _)) => status.to_string(),
-                Some((Outcome::Broken(_), _)) => "broken".into(),
-                Some((Outcome::NoConnection, _)) => "no connection".into(),
+                Some((Outcome::Disconnected(_), _)) => "broken".into(),
+                Some((Outcome::ConnectFailed, _)) => "no connection".into(),
                 Some((Outcome::TimedOut, _)) => "timed out".into(),
                 None => "left".into(),
             };
-            *counts.entry(format!("{} {end}", kind.as_str())).or_default() += 1;
+            *counts.entry(format!("{} {outcome}", kind.as_str())).or_default() += 1;
         }
-        counts.into_iter().map(|(what, n)| format!("{what}: {n}")).collect::<Vec<_>>().join(", ")
+        counts.into_iter().map(|(label, n)| format!("{label}: {n}")).collect::<Vec<_>>().join(", ")
     }
 }
 
-/// The version whose own route a request is for.
-fn marked(target: &str) -> Option<u64> {
-    target.strip_prefix(MARK)?.split('/').next()?.parse().ok()
+/// The version that a request's target belongs to, if its route is one that only a single version has.
+fn route_version(target: &str) -> Option<u64> {
+    target.strip_prefix(VERSION_ROUTE)?.split('/').next()?.parse().ok()
 }
 
-fn judge_end(story: &Story, sent: &Sent, end: &Outcome) -> Vec<String> {
-    let mut broken = Vec::new();
-    match end {
-        Outcome::Complete { status: 200, data } if sent.kind.streams() => {
-            broken.extend(judge_events(data));
-            if data.len() != EVENTS as usize {
-                broken.push(format!("a stream of {} events looks complete", data.len()));
+/// Checks the outcome that a caller saw against the request and its executions.
+fn check_outcome(trace: &RequestTrace, sent: &Sent, outcome: &Outcome) -> Vec<String> {
+    let mut violations = Vec::new();
+    match outcome {
+        Outcome::Complete { status: 200, data } if sent.kind.is_stream() => {
+            violations.extend(check_events(data));
+            if data.len() != STREAM_EVENTS as usize {
+                violations.push(format!("a stream ended as complete after {} events", data.len()));
             }
         }
         Outcome::Complete { status: 200, data } if data.len() != 1 || data[0] != "own" => {
-            broken.push(format!("the answer is not its own: {data:?}"));
+            violations.push(format!("the answer belongs to another request: {data:?}"));
         }
-        Outcome::Complete { status: 408 | 421 | 429 | 503, .. } if !story.runs.is_empty() => {
-            broken.push("it was refused as not run, and has run".into());
+        Outcome::Complete { status: 408 | 421 | 429 | 503, .. } if !trace.executions.is_empty() => {
+            violations.push("refused as not executed, but was executed".into());
         }
-        Outcome::Complete { status: status @ (400 | 401 | 403 | 404 | 413 | 431), .. } if sent.proper => {
-            broken.push(format!("a proper request was answered {status}"));
+        Outcome::Complete { status: status @ (400 | 401 | 403 | 404 | 413 | 431), .. }
+            if sent.always_allowed =>
+        {
+            violations.push(format!("a request that is always allowed was answered with {status}"));
         }
-        Outcome::Broken(data) => broken.extend(judge_events(data)),
+        Outcome::Disconnected(data) => violations.extend(check_events(data)),
         _ => {}
     }
-    broken
+    violations
 }
 
-fn judge_events(data: &[String]) -> Option<String> {
-    let wanted = (1..).map(|n: u32| format!("own {n}"));
-    let wrong = data.iter().zip(wanted).find(|(got, wanted)| *got != wanted);
-    wrong.map(|(got, wanted)| format!("event {got:?} stands where {wanted:?} is due"))
+/// Checks that a stream's events are its own and in order, with none missing or repeated.
+fn check_events(data: &[String]) -> Option<String> {
+    let expected = (1..).map(|n: u32| format!("own {n}"));
+    let wrong = data.iter().zip(expected).find(|(got, expected)| *got != expected);
+    wrong.map(|(got, expected)| format!("received event {got:?} instead of {expected:?}"))
 }
--- a/tests/support/soak/engine.rs
+++ b/tests/support/soak/engine.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of backend servers: they run each request for some milliseconds and note it, behind a gate each.
+//! Stand-ins for backend servers, each behind a gate: they take some milliseconds for each request and record it.
 
 use std::{
     sync::{
@@ -17,48 +17,48 @@
 };
 
 use super::{
-    checks::{EVENTS, History, Met, STORE, Seen},
-    disturbed,
+    checks::{History, Observation, STORE, STREAM_EVENTS, ServerEvent},
+    record_fault,
     store::{Store, server},
 };
 use crate::wire::{chunk, event_of, header, read_request};
 
-/// Servers at any time.
-pub const SERVERS: usize = 4;
-/// Work of a request, in milliseconds for each eighth of its identifier's hash.
-const WORK_MS: u64 = 4;
-/// Pause between two events of a stream.
-const GAP: Duration = Duration::from_millis(6);
-/// One request of so many is refused with a pause while servers ask for pauses.
-const PAUSES_ONE_OF: u64 = 7;
-/// The pause.
+/// Number of servers at any time, without those that are draining.
+pub const SERVER_COUNT: usize = 4;
+/// Unit of a request's execution time, which is 0 to 7 units by the hash of its identifier.
+const WORK_STEP_MS: u64 = 4;
+/// Time between two events of a stream.
+const EVENT_GAP: Duration = Duration::from_millis(6);
+/// While servers request pauses, one in this many requests is refused with a pause.
+const PAUSE_ONE_IN: u64 = 7;
+/// Pause that servers request.
 const PAUSE: Duration = Duration::from_millis(2_500);
-/// One answer of so many is lost while answers are lost.
-const LOSES_ONE_OF: u64 = 4;
-/// A leaving server serves for this long after the store has heard of it, so that work which it should not get shows.
-const SERVES_ON: Duration = Duration::from_millis(8_000);
+/// While answers are lost, one in this many is lost.
+const LOSE_ONE_IN: u64 = 4;
+/// Time for which a draining server keeps serving, so that requests wrongly sent to it are observed.
+const DRAIN_LINGER: Duration = Duration::from_millis(8_000);
 
-/// How the servers misbehave.
+/// Faults shared by all servers.
 #[derive(Debug, Default)]
 struct Faults {
-    /// They refuse everything, provably not run.
-    full: AtomicBool,
-    /// They refuse some requests, provably not run, and ask the host for a pause.
-    pause: AtomicBool,
-    /// They run requests and reset the connection instead of answering some of them.
-    lose: AtomicBool,
+    /// Refuse all requests, marked as not executed.
+    refuse_all: AtomicBool,
+    /// Refuse some requests, marked as not executed, and ask the host for a pause.
+    request_pauses: AtomicBool,
+    /// Execute all requests but close the connection instead of answering some of them.
+    lose_answers: AtomicBool,
 }
 
-/// One start of a server.
+/// A running server.
 struct Engine {
     id: String,
-    leaving: Arc<AtomicBool>,
+    draining: Arc<AtomicBool>,
     gate: Gate,
     task: JoinHandle<()>,
     crash: watch::Sender<u64>,
 }
 
-/// The servers.
+/// All backend servers of a run.
 pub struct Engines {
     store: Store,
     history: Arc<History>,
@@ -68,7 +68,7 @@
 }
 
 impl Engines {
-    /// Starts the servers and lists them in the store.
+    /// Starts the servers and registers them in the store.
     pub async fn start(store: Store, history: Arc<History>) -> Self {
         let engines = Self {
             store,
@@ -77,154 +77,160 @@
             started: AtomicU64::new(0),
             running: Mutex::default(),
         };
-        for _ in 0..SERVERS {
+        for _ in 0..SERVER_COUNT {
             engines.add().await;
         }
         engines
     }
 
-    /// Starts one more server.
+    /// Starts one more server and registers it in the store.
     pub async fn add(&self) {
         let id = format!("i-{}", self.started.fetch_add(1, Ordering::Relaxed));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let crash = watch::Sender::new(0);
         let gate = Gate::start(listener.local_addr().unwrap(), Some(crash.subscribe())).await.unwrap();
-        let leaving = Arc::<AtomicBool>::default();
-        let serving = Serving {
+        let draining = Arc::<AtomicBool>::default();
+        let handler = Handler {
             id: id.clone(),
-            leaving: leaving.clone(),
+            draining: draining.clone(),
             history: self.history.clone(),
             faults: self.faults.clone(),
         };
-        let task = tokio::spawn(accept(listener, serving, crash.subscribe()));
+        let task = tokio::spawn(accept(listener, handler, crash.subscribe()));
         self.store.put("servers", &id, server(gate.addr(), "ready"));
-        self.running.lock().unwrap().push(Arc::new(Engine { id, leaving, gate, task, crash }));
+        self.running.lock().unwrap().push(Arc::new(Engine { id, draining, gate, task, crash }));
     }
 
+    /// The server at an index, taken modulo the number of servers.
     fn nth(&self, n: usize) -> Arc<Engine> {
         let running = self.running.lock().unwrap();
         running[n % running.len()].clone()
     }
 
-    fn take(&self, n: usize) -> Arc<Engine> {
+    /// Removes the server at an index, taken modulo the number of servers, from the running ones.
+    fn remove(&self, n: usize) -> Arc<Engine> {
         let mut running = self.running.lock().unwrap();
         let n = n % running.len();
         running.remove(n)
     }
 
-    /// A server dies with all that it runs; another one takes its place, and its entry lapses later.
+    /// Crashes a server with all its requests. Another one replaces it at once; its entry is removed a second later.
     pub async fn crash(&self, n: usize) {
-        let (engine, from) = (self.take(n), Instant::now());
+        let (engine, from) = (self.remove(n), Instant::now());
         engine.gate.set(Mode::Refuse).await.unwrap();
         engine.crash.send_modify(|n| *n += 1);
         engine.task.abort();
-        disturbed(&self.history, &engine.id, from);
+        record_fault(&self.history, &engine.id, from);
         self.add().await;
         tokio::time::sleep(Duration::from_secs(1)).await;
         self.store.remove("servers", &engine.id);
     }
 
-    /// A server accepts connections and passes no byte on new ones.
-    pub async fn stall(&self, n: usize, time: Duration) {
+    /// Makes a server accept new connections without passing any bytes on them.
+    pub async fn stall(&self, n: usize, duration: Duration) {
         let (engine, from) = (self.nth(n), Instant::now());
         engine.gate.set(Mode::Stall).await.unwrap();
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         engine.gate.set(Mode::Open).await.unwrap();
-        disturbed(&self.history, &engine.id, from);
+        record_fault(&self.history, &engine.id, from);
     }
 
-    /// A server says that it leaves, serves on, and is gone.
-    pub async fn leave(&self, n: usize) {
-        let engine = self.take(n);
+    /// Drains a server, which keeps serving for a while before it ends. Another one replaces it at once.
+    pub async fn drain(&self, n: usize) {
+        let engine = self.remove(n);
         self.add().await;
-        engine.leaving.store(true, Ordering::Relaxed);
+        engine.draining.store(true, Ordering::Relaxed);
         self.store.put("servers", &engine.id, server(engine.gate.addr(), "draining"));
-        self.history.record(Seen::Left { engine: engine.id.clone(), at: Instant::now() });
+        self.history.record(Observation::DrainAnnounced { engine: engine.id.clone(), at: Instant::now() });
         let (store, history) = (self.store.clone(), self.history.clone());
         tokio::spawn(async move {
-            tokio::time::sleep(SERVES_ON).await;
+            tokio::time::sleep(DRAIN_LINGER).await;
             store.remove("servers", &engine.id);
             let from = Instant::now();
             engine.gate.set(Mode::Refuse).await.unwrap();
             engine.task.abort();
-            disturbed(&history, &engine.id, from);
+            record_fault(&history, &engine.id, from);
         });
     }
 
-    /// Notes that the store was disturbed since a time.
-    pub fn note_store(&self, from: Instant) {
-        disturbed(&self.history, STORE, from);
+    /// Records a fault of the store that began at a time and ends now.
+    pub fn record_store_fault(&self, from: Instant) {
+        record_fault(&self.history, STORE, from);
     }
 
-    /// All servers refuse everything for a while.
-    pub async fn be_full(&self, time: Duration) {
-        self.faults.full.store(true, Ordering::Relaxed);
-        tokio::time::sleep(time).await;
-        self.faults.full.store(false, Ordering::Relaxed);
+    /// Makes all servers refuse all requests for a while.
+    pub async fn refuse_all(&self, duration: Duration) {
+        self.faults.refuse_all.store(true, Ordering::Relaxed);
+        tokio::time::sleep(duration).await;
+        self.faults.refuse_all.store(false, Ordering::Relaxed);
     }
 
-    /// All servers refuse some requests for a while and ask for pauses.
-    pub async fn ask_pauses(&self, time: Duration) {
-        self.faults.pause.store(true, Ordering::Relaxed);
-        tokio::time::sleep(time).await;
-        self.faults.pause.store(false, Ordering::Relaxed);
+    /// Makes all servers refuse some requests for a while and ask for pauses.
+    pub async fn request_pauses(&self, duration: Duration) {
+        self.faults.request_pauses.store(true, Ordering::Relaxed);
+        tokio::time::sleep(duration).await;
+        self.faults.request_pauses.store(false, Ordering::Relaxed);
     }
 
-    /// Some answers are lost for a while, though their requests have run.
-    pub async fn lose_answers(&self, time: Duration) {
-        self.faults.lose.store(true, Ordering::Relaxed);
-        tokio::time::sleep(time).await;
-        self.faults.lose.store(false, Ordering::Relaxed);
+    /// Makes all servers lose some answers for a while after executing the requests.
+    pub async fn lose_answers(&self, duration: Duration) {
+        self.faults.lose_answers.store(true, Ordering::Relaxed);
+        tokio::time::sleep(duration).await;
+        self.faults.lose_answers.store(false, Ordering::Relaxed);
     }
 }
 
+/// Handles the connections of one server.
 #[derive(Clone)]
-struct Serving {
+struct Handler {
     id: String,
-    leaving: Arc<AtomicBool>,
+    draining: Arc<AtomicBool>,
     history: Arc<History>,
     faults: Arc<Faults>,
 }
 
-async fn accept(listener: TcpListener, serving: Serving, crash: watch::Receiver<u64>) {
+/// Serves connections until the task is aborted; a crash ends those that are open.
+async fn accept(listener: TcpListener, handler: Handler, crash: watch::Receiver<u64>) {
     while let Ok((stream, _)) = listener.accept().await {
-        let (serving, mut crash) = (serving.clone(), crash.clone());
+        let (handler, mut crash) = (handler.clone(), crash.clone());
         tokio::spawn(async move {
             tokio::select! {
-                () = serving.serve(stream) => {}
+                () = handler.serve(stream) => {}
                 _ = crash.changed() => {}
             }
         });
     }
 }
 
-impl Serving {
+impl Handler {
+    /// Serves the requests of one connection.
     async fn serve(self, mut stream: TcpStream) {
         while let Some(req) = read_request(&mut stream).await {
             let id = header(&req, "attempt-id").unwrap_or_default();
-            let leaves = self.leaving.load(Ordering::Relaxed);
-            let word = if leaves { "Server-Leaving: 1\r\n" } else { "" };
-            let head = format!("Attempt-Id: {id}\r\nResponse-Seal: s1\r\n{word}");
-            let record =
-                |what| self.history.record(Seen::Met { id: id.clone(), engine: self.id.clone(), what });
-            record(Met::Reached(Instant::now()));
-            if leaves {
-                record(Met::SaysLeaving);
+            let is_draining = self.draining.load(Ordering::Relaxed);
+            let extra_headers = if is_draining { "Server-Leaving: 1\r\n" } else { "" };
+            let head = format!("Attempt-Id: {id}\r\nResponse-Seal: s1\r\n{extra_headers}");
+            let record_event = |event| {
+                self.history.record(Observation::AtServer { id: id.clone(), engine: self.id.clone(), event })
+            };
+            record_event(ServerEvent::Arrived(Instant::now()));
+            if is_draining {
+                record_event(ServerEvent::AnnouncedDrain);
             }
             if header(&req, "expected-instance").as_deref() != Some(&self.id) {
                 return refuse(&mut stream, "421 Misdirected Request", &id, "").await;
             }
-            if self.faults.full.load(Ordering::Relaxed) {
-                return refuse(&mut stream, "503 Service Unavailable", &id, word).await;
+            if self.faults.refuse_all.load(Ordering::Relaxed) {
+                return refuse(&mut stream, "503 Service Unavailable", &id, extra_headers).await;
             }
-            let luck = id.bytes().fold(7u64, |sum, b| sum.wrapping_mul(31).wrapping_add(b.into()));
-            if self.faults.pause.load(Ordering::Relaxed) && luck.is_multiple_of(PAUSES_ONE_OF) {
-                record(Met::AsksPause(Instant::now(), PAUSE));
-                let word = format!("{word}Retry-After: {}\r\n", PAUSE.as_secs_f64());
-                return refuse(&mut stream, "503 Service Unavailable", &id, &word).await;
+            let id_hash = id.bytes().fold(7u64, |sum, b| sum.wrapping_mul(31).wrapping_add(b.into()));
+            if self.faults.request_pauses.load(Ordering::Relaxed) && id_hash.is_multiple_of(PAUSE_ONE_IN) {
+                record_event(ServerEvent::RequestedPause(Instant::now(), PAUSE));
+                let extra_headers = format!("{extra_headers}Retry-After: {}\r\n", PAUSE.as_secs_f64());
+                return refuse(&mut stream, "503 Service Unavailable", &id, &extra_headers).await;
             }
             let target = req.split(' ').nth(1).unwrap_or_default().to_owned();
-            self.history.record(Seen::Ran {
+            self.history.record(Observation::Executed {
                 id: id.clone(),
                 target: target.clone(),
                 workspace: header(&req, "tenant").unwrap_or_default(),
@@ -232,8 +238,8 @@
                 engine: self.id.clone(),
                 at: Instant::now(),
             });
-            tokio::time::sleep(Duration::from_millis(luck % 8 * WORK_MS)).await;
-            if self.faults.lose.load(Ordering::Relaxed) && luck.is_multiple_of(LOSES_ONE_OF) {
+            tokio::time::sleep(Duration::from_millis(id_hash % 8 * WORK_STEP_MS)).await;
+            if self.faults.lose_answers.load(Ordering::Relaxed) && id_hash.is_multiple_of(LOSE_ONE_IN) {
                 return;
             }
             let after = header(&req, "last-event-id").and_then(|n| n.parse().ok()).unwrap_or(0);
@@ -248,27 +254,29 @@
             if written.is_err() {
                 return;
             }
-            self.history.record(Seen::Served { id, engine: self.id.clone() });
+            self.history.record(Observation::AnswerWritten { id, engine: self.id.clone() });
         }
     }
 }
 
-async fn refuse(stream: &mut TcpStream, status: &str, id: &str, word: &str) {
+/// Refuses a request, marked as not executed.
+async fn refuse(stream: &mut TcpStream, status: &str, id: &str, extra_headers: &str) {
     let answer = format!(
-        "HTTP/1.1 {status}\r\nAttempt-Id: {id}\r\n{word}Not-Executed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+        "HTTP/1.1 {status}\r\nAttempt-Id: {id}\r\n{extra_headers}Not-Executed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
     );
-    // The caller of a refusal may be gone already.
+    // The host may have closed the connection already.
     let _ = stream.write_all(answer.as_bytes()).await;
 }
 
+/// Writes a stream's events that follow the given number.
 async fn write_events(stream: &mut TcpStream, head: &str, id: &str, after: u32) -> std::io::Result<()> {
     let head = format!(
         "HTTP/1.1 200 OK\r\n{head}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).await?;
-    for n in after + 1..=EVENTS {
+    for n in after + 1..=STREAM_EVENTS {
         stream.write_all(chunk(&event_of(n, &format!("own {n} {id}"))).as_bytes()).await?;
-        tokio::time::sleep(GAP).await;
+        tokio::time::sleep(EVENT_GAP).await;
     }
     stream.write_all(b"0\r\n\r\n").await
 }
--- a/tests/support/soak/faults.rs
+++ b/tests/support/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults from outside, drawn by a seed and played one after the other with overlaps.
+//! Fault injection: a seeded sequence of faults, which start one after the other and may overlap.
 
 use std::{
     sync::Arc,
@@ -9,246 +9,257 @@
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::SliceRandom};
 use tokio::task::JoinSet;
 
-use super::{What, engine::Engines, hosts::Hosts, store::Store};
+use super::{Scenario, engine::Engines, hosts::Hosts, store::Store};
 
-/// Pause between the starts of two faults, in milliseconds.
-const GAP_MS: std::ops::Range<u64> = 300..1_200;
-/// Length of a fault, in milliseconds.
-const LENGTH_MS: std::ops::Range<u64> = 300..2_500;
+/// Time between the starts of two faults.
+const FAULT_GAP_MS: std::ops::Range<u64> = 300..1_200;
+/// Duration of a fault.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 300..2_500;
 
-/// How long the store is away for long.
-const LONG: Duration = Duration::from_secs(5);
-/// How long the store is away before it comes back from a copy.
-const AWAY: Duration = Duration::from_millis(300);
-/// Pause before each thing that is written again, in milliseconds.
-const WRITES_AGAIN_MS: std::ops::Range<u64> = 50..500;
+/// Duration of a long stall of the store.
+const LONG_OUTAGE: Duration = Duration::from_secs(5);
+/// Time for which the store refuses connections before it is restored from a backup.
+const RESTORE_DOWNTIME: Duration = Duration::from_millis(300);
+/// Time before each write that is replayed after a restore.
+const REPLAY_GAP_MS: std::ops::Range<u64> = 50..500;
 
-/// What happens.
+/// Faults that can be injected.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// A host is killed and starts again.
+    /// A host is killed and started again.
     KillHost,
-    /// All hosts are killed at once and start again.
-    KillHosts,
-    /// A host is suspended.
-    FreezeHost,
-    /// A host is told to stop.
+    /// All hosts are killed at the same time and started again.
+    KillAllHosts,
+    /// A host's process is suspended.
+    SuspendHost,
+    /// A host is stopped gracefully.
     StopHost,
-    /// A host's settings file is said to have changed.
-    Reload,
-    /// The store accepts calls and answers none.
-    StoreSilent,
+    /// A host is signalled to reload its settings file.
+    ReloadSettings,
+    /// The store accepts connections but answers no calls.
+    StoreStall,
     /// The store refuses connections.
     StoreDown,
-    /// The store refuses calls.
+    /// The store refuses calls as busy.
     StoreBusy,
-    /// A backend server dies.
+    /// A backend server crashes.
     EngineCrash,
-    /// A backend server accepts connections and says nothing.
+    /// A backend server accepts connections but sends nothing on them.
     EngineStall,
-    /// A backend server leaves as planned.
-    EngineLeave,
-    /// All backend servers refuse for lack of room.
+    /// A backend server drains and ends as planned.
+    EngineDrain,
+    /// All backend servers refuse requests for lack of capacity.
     EnginesFull,
-    /// Answers are lost after their requests have run.
+    /// Answers are lost after their requests were executed.
     AnswersLost,
-    /// The store answers nobody for long.
-    StoreAway,
-    /// All backend servers turn some requests away and ask for pauses.
+    /// The store answers no calls for a long time.
+    LongStoreStall,
+    /// All backend servers refuse some requests and ask for pauses.
     EnginesPause,
-    /// The store comes back from a copy; what was written since is written again.
+    /// The store is restored from a backup, and writes made since the backup are replayed.
     StoreRestored,
-    /// The same, and it answers as it was before as well for a moment.
+    /// The store is restored likewise, and answers every other call with the state from before the restore at first.
     StoreInTwoEpochs,
-    /// Calls that wait at the store are never answered, on connections that live.
-    WatchesDeaf,
+    /// Watches that wait at the store are never answered, while their connections stay open.
+    WatchesUnanswered,
 }
 
 impl Fault {
+    /// Faults of runs with failures.
     const ALL: [Fault; 13] = [
         Fault::KillHost,
-        Fault::KillHosts,
-        Fault::FreezeHost,
+        Fault::KillAllHosts,
+        Fault::SuspendHost,
         Fault::StopHost,
-        Fault::Reload,
-        Fault::StoreSilent,
+        Fault::ReloadSettings,
+        Fault::StoreStall,
         Fault::StoreDown,
         Fault::StoreBusy,
         Fault::EngineCrash,
         Fault::EngineStall,
-        Fault::EngineLeave,
+        Fault::EngineDrain,
         Fault::EnginesFull,
         Fault::AnswersLost,
     ];
-    /// Those of runs in which the store is restored as well. Servers leave meanwhile.
+    /// Faults of runs in which the store is restored while servers drain; repeated entries are more likely.
     const WITH_RESTORES: [Fault; 12] = [
         Fault::KillHost,
-        Fault::FreezeHost,
+        Fault::SuspendHost,
         Fault::StopHost,
         Fault::StoreBusy,
-        Fault::EngineLeave,
-        Fault::EngineLeave,
-        Fault::EngineLeave,
+        Fault::EngineDrain,
+        Fault::EngineDrain,
+        Fault::EngineDrain,
         Fault::EnginesPause,
-        Fault::StoreAway,
+        Fault::LongStoreStall,
         Fault::StoreRestored,
         Fault::StoreRestored,
         Fault::StoreInTwoEpochs,
     ];
 
-    /// Those of runs in which the configuration changes.
+    /// Faults of runs in which the configuration changes; repeated entries are more likely.
     const WITH_CHANGES: [Fault; 12] = [
         Fault::KillHost,
-        Fault::KillHosts,
-        Fault::FreezeHost,
+        Fault::KillAllHosts,
+        Fault::SuspendHost,
         Fault::StopHost,
-        Fault::StoreSilent,
+        Fault::StoreStall,
         Fault::StoreDown,
         Fault::StoreBusy,
         Fault::StoreRestored,
         Fault::StoreInTwoEpochs,
-        Fault::WatchesDeaf,
-        Fault::WatchesDeaf,
-        Fault::WatchesDeaf,
+        Fault::WatchesUnanswered,
+        Fault::WatchesUnanswered,
+        Fault::WatchesUnanswered,
     ];
 
-    fn of(what: What) -> &'static [Fault] {
-        match what {
-            What::Failures => &Fault::ALL,
-            What::Restores => &Fault::WITH_RESTORES,
-            What::Changes => &Fault::WITH_CHANGES,
+    /// Faults of a scenario.
+    fn of(scenario: Scenario) -> &'static [Fault] {
+        match scenario {
+            Scenario::Failures => &Fault::ALL,
+            Scenario::Restores => &Fault::WITH_RESTORES,
+            Scenario::Changes => &Fault::WITH_CHANGES,
         }
     }
 
-    /// Whether it concerns one host at a time.
-    fn takes_host(self) -> bool {
+    /// Whether the fault affects hosts.
+    fn affects_host(self) -> bool {
         matches!(
             self,
-            Fault::KillHost | Fault::KillHosts | Fault::FreezeHost | Fault::StopHost | Fault::Reload
+            Fault::KillHost
+                | Fault::KillAllHosts
+                | Fault::SuspendHost
+                | Fault::StopHost
+                | Fault::ReloadSettings
         )
     }
 
-    /// Whether it concerns the store.
-    fn takes_store(self) -> bool {
+    /// Whether the fault affects the store.
+    fn affects_store(self) -> bool {
         matches!(
             self,
-            Fault::StoreSilent
+            Fault::StoreStall
                 | Fault::StoreDown
                 | Fault::StoreBusy
-                | Fault::StoreAway
+                | Fault::LongStoreStall
                 | Fault::StoreRestored
                 | Fault::StoreInTwoEpochs
-                | Fault::WatchesDeaf
+                | Fault::WatchesUnanswered
         )
     }
 }
 
-/// Plays so many faults and waits for their ends; returns what was played. Faults of hosts don't overlap each other, nor
-/// do those of the store or of the backend servers: what is asked of each is then clear.
-pub async fn play(
+/// Injects a number of faults and waits until all have ended; returns them in the order of injection. Faults of hosts don't
+/// overlap each other, nor do those of the store or of the backend servers, so that the effects of each are distinct.
+pub async fn inject_all(
     count: usize,
-    what: What,
+    scenario: Scenario,
     rng: &mut StdRng,
     hosts: &Arc<Hosts>,
     engines: &Arc<Engines>,
     store: &Store,
 ) -> Vec<String> {
-    let lanes: [Arc<tokio::sync::Mutex<()>>; 3] = Default::default();
-    let (mut tasks, mut played) = (JoinSet::new(), Vec::new());
+    let locks: [Arc<tokio::sync::Mutex<()>>; 3] = Default::default();
+    let (mut tasks, mut injected) = (JoinSet::new(), Vec::new());
     for _ in 0..count {
-        let faults = Fault::of(what);
+        let faults = Fault::of(scenario);
         let fault = faults[rng.random_range(0..faults.len())];
-        let (n, length) =
-            (rng.random_range(0..hosts.len()), Duration::from_millis(rng.random_range(LENGTH_MS)));
-        let lane = lanes[if fault.takes_host() {
+        let (n, duration) =
+            (rng.random_range(0..hosts.len()), Duration::from_millis(rng.random_range(FAULT_DURATION_MS)));
+        let lock = locks[if fault.affects_host() {
             0
-        } else if fault.takes_store() {
+        } else if fault.affects_store() {
             1
         } else {
             2
         }]
         .clone();
         let (hosts, engines, store) = (hosts.clone(), engines.clone(), store.clone());
-        played.push(format!("{fault:?} {n} {} ms", length.as_millis()));
-        let seed = if what == What::Failures { 0 } else { rng.random() };
+        injected.push(format!("{fault:?} {n} {} ms", duration.as_millis()));
+        let seed = if scenario == Scenario::Failures { 0 } else { rng.random() };
         tasks.spawn(async move {
-            let _alone = lane.lock().await;
+            let _guard = lock.lock().await;
             let from = Instant::now();
             match fault {
                 Fault::StoreRestored | Fault::StoreInTwoEpochs => {
-                    let both = matches!(fault, Fault::StoreInTwoEpochs);
-                    restore(&store, &engines, length, both, StdRng::seed_from_u64(seed)).await;
+                    let in_two_epochs = matches!(fault, Fault::StoreInTwoEpochs);
+                    restore(&store, &engines, duration, in_two_epochs, StdRng::seed_from_u64(seed)).await;
                 }
-                _ => strike(fault, n, length, &hosts, &engines, &store).await,
+                _ => inject(fault, n, duration, &hosts, &engines, &store).await,
             }
-            if matches!(fault, Fault::StoreSilent | Fault::StoreDown | Fault::StoreBusy | Fault::StoreAway) {
-                engines.note_store(from);
+            if matches!(
+                fault,
+                Fault::StoreStall | Fault::StoreDown | Fault::StoreBusy | Fault::LongStoreStall
+            ) {
+                engines.record_store_fault(from);
             }
         });
-        tokio::time::sleep(Duration::from_millis(rng.random_range(GAP_MS))).await;
+        tokio::time::sleep(Duration::from_millis(rng.random_range(FAULT_GAP_MS))).await;
     }
-    while let Some(done) = tasks.join_next().await {
-        done.unwrap();
+    while let Some(result) = tasks.join_next().await {
+        result.unwrap();
     }
-    played
+    injected
 }
 
-async fn strike(fault: Fault, n: usize, length: Duration, hosts: &Hosts, engines: &Engines, store: &Store) {
+/// Injects one fault and waits until it has ended.
+async fn inject(fault: Fault, n: usize, duration: Duration, hosts: &Hosts, engines: &Engines, store: &Store) {
     match fault {
-        Fault::KillHost => hosts.kill(n, length).await,
-        Fault::KillHosts => hosts.kill_all(length).await,
-        Fault::FreezeHost => hosts.freeze(n, length).await,
+        Fault::KillHost => hosts.kill(n, duration).await,
+        Fault::KillAllHosts => hosts.kill_all(duration).await,
+        Fault::SuspendHost => hosts.suspend(n, duration).await,
         Fault::StopHost => hosts.stop(n).await,
-        Fault::Reload => hosts.reload(n),
-        Fault::StoreSilent => gate(store, Mode::Stall, length).await,
-        Fault::StoreDown => gate(store, Mode::Refuse, length).await,
-        Fault::StoreAway => gate(store, Mode::Stall, LONG).await,
-        Fault::EnginesPause => engines.ask_pauses(length).await,
+        Fault::ReloadSettings => hosts.reload(n),
+        Fault::StoreStall => gate_store(store, Mode::Stall, duration).await,
+        Fault::StoreDown => gate_store(store, Mode::Refuse, duration).await,
+        Fault::LongStoreStall => gate_store(store, Mode::Stall, LONG_OUTAGE).await,
+        Fault::EnginesPause => engines.request_pauses(duration).await,
         Fault::StoreBusy => {
             store.set_busy(true);
-            tokio::time::sleep(length).await;
+            tokio::time::sleep(duration).await;
             store.set_busy(false);
         }
-        Fault::WatchesDeaf => {
+        Fault::WatchesUnanswered => {
             store.set_watches_unanswered(true);
-            tokio::time::sleep(length).await;
+            tokio::time::sleep(duration).await;
             store.set_watches_unanswered(false);
         }
         Fault::EngineCrash => engines.crash(n).await,
-        Fault::EngineStall => engines.stall(n, length).await,
-        Fault::EngineLeave => engines.leave(n).await,
-        Fault::EnginesFull => engines.be_full(length).await,
-        Fault::AnswersLost => engines.lose_answers(length).await,
+        Fault::EngineStall => engines.stall(n, duration).await,
+        Fault::EngineDrain => engines.drain(n).await,
+        Fault::EnginesFull => engines.refuse_all(duration).await,
+        Fault::AnswersLost => engines.lose_answers(duration).await,
         Fault::StoreRestored | Fault::StoreInTwoEpochs => {
-            unreachable!("it draws the order of what is written again")
+            unreachable!("restores are injected with a random generator for the order of the replayed writes")
         }
     }
 }
 
-/// The store goes on for a while, is away for a moment, and comes back from a copy of before. What callers of the store had
-/// written since is written again, in another order and not at once, but for what the hosts had written.
-async fn restore(store: &Store, engines: &Engines, length: Duration, both: bool, mut rng: StdRng) {
+/// Takes a backup of the store, lets it run for a while, and restores it after a short outage. Writes made since the backup
+/// are replayed one after the other in a random order, except for those of the hosts.
+async fn restore(store: &Store, engines: &Engines, duration: Duration, in_two_epochs: bool, mut rng: StdRng) {
     let backup = store.backup();
-    tokio::time::sleep(length).await;
+    tokio::time::sleep(duration).await;
     let from = Instant::now();
     store.set_gate(Mode::Refuse).await;
-    tokio::time::sleep(AWAY).await;
+    tokio::time::sleep(RESTORE_DOWNTIME).await;
     let before = store.backup();
     let mut undone = store.restore(&backup);
-    store.answer_also_from(both.then_some(before));
+    store.answer_alternately_from(in_two_epochs.then_some(before));
     store.set_gate(Mode::Open).await;
     undone.retain(|(kind, ..)| kind != "hosts");
     undone.shuffle(&mut rng);
     for write in undone {
-        tokio::time::sleep(Duration::from_millis(rng.random_range(WRITES_AGAIN_MS))).await;
-        store.write_again(&backup, write);
+        tokio::time::sleep(Duration::from_millis(rng.random_range(REPLAY_GAP_MS))).await;
+        store.replay(&backup, write);
     }
-    store.answer_also_from(None);
-    engines.note_store(from);
+    store.answer_alternately_from(None);
+    engines.record_store_fault(from);
 }
 
-async fn gate(store: &Store, mode: Mode, length: Duration) {
+/// Sets the mode of the store's gate for some time.
+async fn gate_store(store: &Store, mode: Mode, duration: Duration) {
     store.set_gate(mode).await;
-    tokio::time::sleep(length).await;
+    tokio::time::sleep(duration).await;
     store.set_gate(Mode::Open).await;
 }
--- a/tests/support/soak/hosts.rs
+++ b/tests/support/soak/hosts.rs
@@ -1,4 +1,4 @@
-//! Relaying hosts as processes, each at a loopback address of its own.
+//! Relay hosts as processes, each with its own loopback address.
 
 use std::{
     fs::{self, File},
@@ -17,27 +17,31 @@
 use tokio::net::TcpStream;
 
 use super::{
-    checks::{History, Seen},
-    disturbed,
+    checks::{History, Observation},
+    record_fault,
 };
 
-/// Ports of every host; the addresses differ.
-const CALLERS: u16 = 8_227;
-const READY: u16 = 8_220;
-const DIRECTORY: u16 = 8_224;
-const PEERS: u16 = 7_340;
-/// Time that a stop may take, in seconds.
-const GRACE_S: u64 = 8;
-/// Time after which a change is in force, in milliseconds.
-pub const APPLY_MS: u64 = 2_000;
-/// Longest wait for a process to listen.
-const BEGINS: Duration = Duration::from_secs(5);
-/// Hosts in one of the loopback networks that a run uses.
-const HOSTS_A_NET: usize = 250;
+/// Port for callers; all hosts use the same ports on different addresses.
+const CALLER_PORT: u16 = 8_227;
+/// Port of the readiness endpoint.
+const READINESS_PORT: u16 = 8_220;
+/// Port on which callers look up addresses.
+const DIRECTORY_PORT: u16 = 8_224;
+/// First port of the range for traffic between hosts.
+const PEER_PORT: u16 = 7_340;
+/// Grace period of a graceful stop.
+const STOP_GRACE_S: u64 = 8;
+/// Limit for applying a configuration change, and for taking a draining server out of use.
+pub const CONFIG_APPLY_MS: u64 = 2_000;
+/// Timeout for a process to listen.
+const START_TIMEOUT: Duration = Duration::from_secs(5);
+/// Number of hosts in each /24 network of the loopback range.
+const HOSTS_PER_NET: usize = 250;
 
+/// A host and its process, unless that was killed.
 struct Host {
     ip: IpAddr,
-    settings: PathBuf,
+    settings_path: PathBuf,
     log: PathBuf,
     child: Mutex<Option<Child>>,
 }
@@ -46,29 +50,29 @@
 pub struct Hosts {
     hosts: Vec<Host>,
     history: Arc<History>,
-    ended: Mutex<Vec<String>>,
+    failed_stops: Mutex<Vec<String>>,
     keep_logs: AtomicBool,
 }
 
 impl Hosts {
-    /// Starts so many hosts in three data centres, the first three of which are seeds.
+    /// Starts a number of hosts in three data centres; the first three hosts are seeds.
     pub fn start(count: usize, store: SocketAddr, history: Arc<History>) -> Self {
         let net = free_net();
         let ip = |n: usize| {
-            IpAddr::from(Ipv4Addr::new(127, net, (n / HOSTS_A_NET) as u8, (n % HOSTS_A_NET + 1) as u8))
+            IpAddr::from(Ipv4Addr::new(127, net, (n / HOSTS_PER_NET) as u8, (n % HOSTS_PER_NET + 1) as u8))
         };
         let seeds: Vec<_> = (0..count.min(3)).map(|n| SocketAddr::new(ip(n), 8_229)).collect();
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
         let hosts = (0..count).map(|n| {
             let stem = format!("soak-{}-{net}-{n}", std::process::id());
-            let (settings, log) = (dir.join(format!("{stem}.json")), dir.join(format!("{stem}.log")));
-            fs::write(&settings, settings_of(n, ip(n), store, &seeds)).unwrap();
-            Host { ip: ip(n), settings, log, child: Mutex::new(None) }
+            let (settings_path, log) = (dir.join(format!("{stem}.json")), dir.join(format!("{stem}.log")));
+            fs::write(&settings_path, settings_json(n, ip(n), store, &seeds)).unwrap();
+            Host { ip: ip(n), settings_path, log, child: Mutex::new(None) }
         });
         let hosts = Self {
             hosts: hosts.collect(),
             history,
-            ended: Mutex::default(),
+            failed_stops: Mutex::default(),
             keep_logs: AtomicBool::new(false),
         };
         hosts.hosts.iter().for_each(Host::start);
@@ -80,24 +84,24 @@
         self.hosts.len()
     }
 
-    /// Where callers are served.
+    /// Addresses of all hosts for callers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.hosts.iter().map(|h| SocketAddr::new(h.ip, CALLERS)).collect()
+        self.hosts.iter().map(|h| SocketAddr::new(h.ip, CALLER_PORT)).collect()
     }
 
-    /// Where a host is asked for addresses.
+    /// Address of a host's directory, which resolves names for callers.
     pub fn directory(&self, n: usize) -> SocketAddr {
-        SocketAddr::new(self.hosts[n].ip, DIRECTORY)
+        SocketAddr::new(self.hosts[n].ip, DIRECTORY_PORT)
     }
 
-    /// Waits until all are ready; returns how long that took.
-    pub async fn wait_until_ready(&self, patience: Duration) -> Duration {
+    /// Waits until all hosts are ready; returns the time that took.
+    pub async fn wait_until_ready(&self, timeout: Duration) -> Duration {
         let from = Instant::now();
         for host in &self.hosts {
             while !host.is_ready().await {
                 assert!(
-                    from.elapsed() < patience,
-                    "{} does not get ready; see {}",
+                    from.elapsed() < timeout,
+                    "{} is not ready within the timeout; see {}",
                     host.ip,
                     host.log.display()
                 );
@@ -113,31 +117,31 @@
         host.kill();
         tokio::time::sleep(down).await;
         host.start();
-        disturbed(&self.history, &host.ip.to_string(), from);
+        record_fault(&self.history, &host.ip.to_string(), from);
     }
 
-    /// Kills all hosts at the same moment and starts them again.
+    /// Kills all hosts at the same time and starts them again.
     pub async fn kill_all(&self, down: Duration) {
         let from = Instant::now();
         self.hosts.iter().for_each(Host::kill);
         tokio::time::sleep(down).await;
         self.hosts.iter().for_each(Host::start);
-        self.hosts.iter().for_each(|h| disturbed(&self.history, &h.ip.to_string(), from));
+        self.hosts.iter().for_each(|h| record_fault(&self.history, &h.ip.to_string(), from));
     }
 
-    /// Suspends a host.
-    pub async fn freeze(&self, n: usize, time: Duration) {
+    /// Suspends a host's process for some time.
+    pub async fn suspend(&self, n: usize, duration: Duration) {
         let (host, from) = (&self.hosts[n], Instant::now());
         host.signal(Signal::STOP);
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         host.signal(Signal::CONT);
-        disturbed(&self.history, &host.ip.to_string(), from);
+        record_fault(&self.history, &host.ip.to_string(), from);
     }
 
-    /// Tells a host to stop, and starts it again once it has ended. That is no disturbance: its answers must arrive.
+    /// Stops a host gracefully and starts it again. This is not recorded as a fault, since its answers must still arrive.
     pub async fn stop(&self, n: usize) {
         let host = &self.hosts[n];
-        host.has_begun().await;
+        host.wait_until_listening().await;
         host.signal(Signal::TERM);
         let from = Instant::now();
         let child = host.child.lock().unwrap().take();
@@ -145,7 +149,7 @@
         let status = loop {
             match child.try_wait().unwrap() {
                 Some(status) => break status,
-                None if from.elapsed() > Duration::from_secs(2 * GRACE_S) => {
+                None if from.elapsed() > Duration::from_secs(2 * STOP_GRACE_S) => {
                     let _ = child.kill();
                     break child.wait().unwrap();
                 }
@@ -153,37 +157,41 @@
             }
         };
         if !status.success() {
-            let told = format!("{} was told to stop and ended with {status}", host.ip);
-            self.ended.lock().unwrap().push(told);
+            let failure = format!("{} ended a graceful stop with {status}", host.ip);
+            self.failed_stops.lock().unwrap().push(failure);
         }
         host.start();
-        self.history.record(Seen::Restarted { host: host.ip.to_string(), at: Instant::now() });
+        self.history.record(Observation::Restarted { host: host.ip.to_string(), at: Instant::now() });
     }
 
-    /// Tells a host that its settings have changed.
+    /// Signals a host to reload its settings.
     pub fn reload(&self, n: usize) {
         self.hosts[n].signal(Signal::HUP);
     }
 
-    /// Hosts that ended though nobody told them, or not as they should.
-    pub fn ended_by_themselves(&self) -> Vec<String> {
-        let mut ended = self.ended.lock().unwrap().clone();
+    /// Hosts that ended unexpectedly, or whose graceful stop failed.
+    pub fn unexpected_exits(&self) -> Vec<String> {
+        let mut failed_stops = self.failed_stops.lock().unwrap().clone();
         for host in &self.hosts {
             let mut child = host.child.lock().unwrap();
             if let Some(Ok(Some(status))) = child.as_mut().map(Child::try_wait) {
-                ended.push(format!("{} ended by itself with {status}; see {}", host.ip, host.log.display()));
+                failed_stops.push(format!(
+                    "{} ended unexpectedly with {status}; see {}",
+                    host.ip,
+                    host.log.display()
+                ));
             }
         }
-        ended
+        failed_stops
     }
 
-    /// Keeps the hosts' logs, since a promise was broken.
+    /// Keeps the hosts' log files when the run ends.
     pub fn keep_logs(&self) {
         self.keep_logs.store(true, Ordering::Relaxed);
     }
 
     /// Peak memory of each process, in kilobytes.
-    pub fn peaks_kb(&self) -> Vec<u64> {
+    pub fn peak_memory_kb(&self) -> Vec<u64> {
         let pid = |h: &Host| h.child.lock().unwrap().as_ref().map(Child::id);
         let peak = |pid| {
             let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
@@ -198,7 +206,7 @@
     fn drop(&mut self) {
         for host in &self.hosts {
             host.kill();
-            let _ = fs::remove_file(&host.settings);
+            let _ = fs::remove_file(&host.settings_path);
             if !std::thread::panicking() && !self.keep_logs.load(Ordering::Relaxed) {
                 let _ = fs::remove_file(&host.log);
             }
@@ -211,7 +219,7 @@
         let log = File::options().create(true).append(true).open(&self.log).unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_cranberrytally"))
             .arg("relay")
-            .env("CRANBERRYTALLY_NODE_FILE", &self.settings)
+            .env("CRANBERRYTALLY_NODE_FILE", &self.settings_path)
             .stdout(Stdio::from(log.try_clone().unwrap()))
             .stderr(Stdio::from(log))
             .spawn()
@@ -232,35 +240,37 @@
         }
     }
 
-    /// Waits until the process listens: a signal that comes before any of its code has run ends it, whatever it does.
-    async fn has_begun(&self) {
-        let until = Instant::now() + BEGINS;
-        while TcpStream::connect((self.ip, READY)).await.is_err() && Instant::now() < until {
+    /// Waits until the process listens; before its signal handlers are installed, a signal would kill it.
+    async fn wait_until_listening(&self) {
+        let until = Instant::now() + START_TIMEOUT;
+        while TcpStream::connect((self.ip, READINESS_PORT)).await.is_err() && Instant::now() < until {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
+    /// Whether the host's readiness endpoint reports that it is ready.
     async fn is_ready(&self) -> bool {
-        let asking = super::caller::get(SocketAddr::new(self.ip, READY), "/readiness");
-        asking.await.is_some_and(|text| crate::wire::status(&text) == 200)
+        let response = super::caller::get(SocketAddr::new(self.ip, READINESS_PORT), "/readiness");
+        response.await.is_some_and(|text| crate::wire::status(&text) == 200)
     }
 }
 
-/// A loopback network in which no other run has a host.
+/// Finds a loopback network, by its second octet, that no other run uses.
 fn free_net() -> u8 {
     let first = (std::process::id() % 100) as u8;
     let mut nets = (0..100).map(|n| 100 + (first + n) % 100);
-    let is_free = |net: &u8| TcpListener::bind((Ipv4Addr::new(127, *net, 0, 1), PEERS)).is_ok();
-    nets.find(is_free).expect("a loopback network is free")
+    let is_free = |net: &u8| TcpListener::bind((Ipv4Addr::new(127, *net, 0, 1), PEER_PORT)).is_ok();
+    nets.find(is_free).expect("all loopback networks are in use")
 }
 
-fn settings_of(n: usize, ip: IpAddr, store: SocketAddr, seeds: &[SocketAddr]) -> String {
+/// Content of a host's settings file.
+fn settings_json(n: usize, ip: IpAddr, store: SocketAddr, seeds: &[SocketAddr]) -> String {
     let at = |port: u16| SocketAddr::new(ip, port).to_string();
     let zone = ["a", "b", "c"][n % 3];
     json!({ "node": format!("host-{n}"), "zone": zone, "ip": ip.to_string(), "later": {},
-        "listen": { "front": at(CALLERS), "ready": at(READY), "control": at(8_229), "directory": at(DIRECTORY) },
-        "internalPortRange": [PEERS, PEERS + 15], "seeds": seeds,
-        "bounds": { "graceS": GRACE_S, "configApplyMs": APPLY_MS, "drainMs": APPLY_MS, "retryBudgetRatio": 0.2, "budgetWindowS": 10, "retryBudgetExtra": 56 },
+        "listen": { "front": at(CALLER_PORT), "ready": at(READINESS_PORT), "control": at(8_229), "directory": at(DIRECTORY_PORT) },
+        "internalPortRange": [PEER_PORT, PEER_PORT + 15], "seeds": seeds,
+        "bounds": { "graceS": STOP_GRACE_S, "configApplyMs": CONFIG_APPLY_MS, "drainMs": CONFIG_APPLY_MS, "retryBudgetRatio": 0.2, "budgetWindowS": 10, "retryBudgetExtra": 56 },
         "platformConfig": { "address": store.to_string() } })
     .to_string()
 }
--- a/tests/support/soak/store.rs
+++ b/tests/support/soak/store.rs
@@ -1,5 +1,5 @@
-//! A stand-in of the platform's store: lists, waiting watches and conditional entries over HTTP, behind a gate. It can be
-//! restored from a copy of some time ago; what was written since is gone then, and its revisions are given out again.
+//! Stand-in for the platform's store: lists, long-polling watches and conditional writes over HTTP, behind a gate. It can be
+//! restored from an earlier backup, which loses later writes and reuses their revisions.
 
 use std::{
     collections::BTreeMap,
@@ -22,86 +22,99 @@
 use serde_json::{Value, json};
 use tokio::{net::TcpListener, sync::watch, time::timeout};
 
-/// Path of the route that the last configuration adds.
+/// Path prefix of the route that a changed configuration adds.
 pub const ADDED_ROUTE: &str = "/added/";
-/// Begins the path of the route that only one version has; the version follows.
-pub const MARK: &str = "/mark-";
+/// Path prefix of the route that only one configuration version has, followed by the version.
+pub const VERSION_ROUTE: &str = "/mark-";
 
 /// Epoch of a store that was never restored.
 const FIRST_EPOCH: u64 = 1;
 
-/// Objects in a page of a list.
-const PAGE: usize = 500;
+/// Maximum number of objects in a page of a list.
+const PAGE_SIZE: usize = 500;
 
-/// One change; without a spec the object was removed.
+/// A change of one object; without a spec, its removal.
 #[derive(Clone, Debug)]
-struct Entry {
+struct Change {
     revision: u64,
     kind: String,
     name: String,
     spec: Option<Value>,
 }
 
-impl Entry {
+impl Change {
+    /// The object as JSON, with its metadata.
     fn object(&self) -> Value {
         json!({ "metadata": { "name": self.name, "revision": self.revision }, "spec": self.spec })
     }
 }
 
-/// What the store holds, and all changes that led there.
+/// Objects of the store and the log of all changes to them.
 #[derive(Clone, Debug, Default)]
-struct Objects {
-    /// How often it was restored.
+struct State {
+    /// Number of restores.
     epoch: u64,
-    log: Vec<Arc<Entry>>,
-    present: BTreeMap<(String, String), Arc<Entry>>,
+    log: Vec<Arc<Change>>,
+    objects: BTreeMap<(String, String), Arc<Change>>,
 }
 
-impl Objects {
+impl State {
+    /// Revision of the last change; 1 before the first one.
     fn revision(&self) -> u64 {
         self.log.len() as u64 + 1
     }
 }
 
-/// The store's objects as of some time.
+/// State of the store at one time.
 #[derive(Clone, Debug)]
-pub struct Backup(Objects);
+pub struct Backup(State);
 
-/// A write that a restore has undone: kind, name, and the spec unless it was a removal.
-pub type Undone = (String, String, Option<Value>);
+/// A write that a restore has undone: the object's kind, its name, and its spec unless it was removed.
+pub type UndoneWrite = (String, String, Option<Value>);
 
-/// The store; clones share it.
+/// Handle of the store; clones share the same state.
 #[derive(Clone)]
 pub struct Store {
-    objects: Arc<Mutex<Objects>>,
+    state: Arc<Mutex<State>>,
     revision: watch::Sender<u64>,
     busy: Arc<AtomicBool>,
     gate: Arc<Gate>,
-    /// What answers every other call, while it answers in two epochs.
-    other: Arc<Mutex<Option<Box<Store>>>>,
+    /// Store with the state before a restore, which answers every other call while it is set.
+    old_epoch_store: Arc<Mutex<Option<Box<Store>>>>,
     calls: Arc<AtomicU64>,
-    /// What calls are answered from that take old data.
-    stale: Arc<Mutex<Option<Backup>>>,
-    /// Whether watches that wait are never answered.
-    deaf: Arc<AtomicBool>,
-    /// Epoch that the next answer tells, unless it is 0.
+    /// Backup from which lists that allow stale data are answered.
+    stale_backup: Arc<Mutex<Option<Backup>>>,
+    /// Whether waiting watches are left without an answer.
+    watches_unanswered: Arc<AtomicBool>,
+    /// Epoch sent with the next answer instead of the true one, unless it is 0.
     wrong_epoch: Arc<AtomicU64>,
 }
 
 impl Store {
-    /// Starts an empty store on loopback.
+    /// Starts an empty store on a loopback address.
     pub async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let gate = Arc::new(Gate::start(listener.local_addr().unwrap(), None).await.unwrap());
-        let (objects, busy) = (Arc::default(), Arc::default());
-        let (other, calls, stale) = (Arc::default(), Arc::default(), Arc::default());
-        let (revision, deaf, wrong_epoch) = (watch::Sender::new(1), Arc::default(), Arc::default());
-        let store = Self { objects, revision, busy, gate, other, calls, stale, deaf, wrong_epoch };
+        let (state, busy) = (Arc::default(), Arc::default());
+        let (old_epoch_store, calls, stale_backup) = (Arc::default(), Arc::default(), Arc::default());
+        let (revision, watches_unanswered, wrong_epoch) =
+            (watch::Sender::new(1), Arc::default(), Arc::default());
+        let store = Self {
+            state,
+            revision,
+            busy,
+            gate,
+            old_epoch_store,
+            calls,
+            stale_backup,
+            watches_unanswered,
+            wrong_epoch,
+        };
         tokio::spawn(store.clone().accept(listener));
         store
     }
 
-    /// Where hosts reach it.
+    /// Address of the store's gate, to which hosts connect.
     pub fn addr(&self) -> SocketAddr {
         self.gate.addr()
     }
@@ -116,131 +129,133 @@
         self.write(kind, name, None);
     }
 
-    /// Refuses every call with 503, or stops doing so.
+    /// Sets whether every call is refused with 503.
     pub fn set_busy(&self, busy: bool) {
         self.busy.store(busy, Ordering::Relaxed);
     }
 
-    /// Leaves watches that wait without an answer for good, on connections that live, or stops doing so to new ones.
-    pub fn set_watches_unanswered(&self, deaf: bool) {
-        self.deaf.store(deaf, Ordering::Relaxed);
+    /// Sets whether waiting watches are left without an answer while their connections stay open. Watches that were left
+    /// so are never answered, also after it is unset.
+    pub fn set_watches_unanswered(&self, unanswered: bool) {
+        self.watches_unanswered.store(unanswered, Ordering::Relaxed);
     }
 
-    /// Tells a wrong epoch with the next answer.
+    /// Sends a wrong epoch with the next answer.
     pub fn send_epoch_once(&self, epoch: u64) {
         self.wrong_epoch.store(epoch, Ordering::Relaxed);
     }
 
-    /// Cuts open connections and changes what becomes of new ones.
+    /// Sets how the gate treats new connections, and closes the open ones.
     pub async fn set_gate(&self, mode: Mode) {
         self.gate.set(mode).await.unwrap();
         self.gate.cut();
     }
 
-    /// What it holds now, to be restored later.
+    /// Takes a backup of the current state.
     pub fn backup(&self) -> Backup {
-        Backup(self.objects.lock().unwrap().clone())
+        Backup(self.state.lock().unwrap().clone())
     }
 
-    /// Goes back to a copy, as a new epoch; returns what that has undone, the last write of each object. Watches from
-    /// a revision that it does not have any more end.
-    pub fn restore(&self, backup: &Backup) -> Vec<Undone> {
-        let mut objects = self.objects.lock().unwrap();
-        let before = std::mem::replace(&mut *objects, backup.0.clone());
-        objects.epoch = before.epoch + 1;
-        let kept = objects.log.len();
-        drop(objects);
+    /// Restores a backup in a new epoch; returns the undone writes, the last one of each object. Watches from a revision
+    /// that no longer exists end.
+    pub fn restore(&self, backup: &Backup) -> Vec<UndoneWrite> {
+        let mut state = self.state.lock().unwrap();
+        let before = std::mem::replace(&mut *state, backup.0.clone());
+        state.epoch = before.epoch + 1;
+        let kept = state.log.len();
+        drop(state);
         self.revision.send_replace(kept as u64 + 1);
         let mut undone: BTreeMap<_, _> = BTreeMap::new();
-        for entry in &before.log[kept..] {
-            undone.insert((entry.kind.clone(), entry.name.clone()), entry.spec.clone());
+        for change in &before.log[kept..] {
+            undone.insert((change.kind.clone(), change.name.clone()), change.spec.clone());
         }
         undone.into_iter().map(|((kind, name), spec)| (kind, name, spec)).collect()
     }
 
-    /// Writes something again that a restore from the copy has undone, unless it was written since.
-    pub fn write_again(&self, backup: &Backup, (kind, name, spec): Undone) {
+    /// Replays a write that a restore of the backup has undone, unless the object was written since.
+    pub fn replay(&self, backup: &Backup, (kind, name, spec): UndoneWrite) {
         let kept = backup.0.log.len();
         let is_newer =
-            self.objects.lock().unwrap().log[kept..].iter().any(|e| e.kind == kind && e.name == name);
+            self.state.lock().unwrap().log[kept..].iter().any(|e| e.kind == kind && e.name == name);
         if !is_newer {
             self.write(&kind, &name, spec);
         }
     }
 
-    /// Answers every other call as it was before a restore, or stops doing so.
-    pub fn answer_also_from(&self, before: Option<Backup>) {
-        let other = before.map(|Backup(objects)| {
-            let revision = watch::Sender::new(objects.revision());
-            Box::new(Self { objects: Arc::new(Mutex::new(objects)), revision, ..self.clone() })
+    /// Answers every other call from the state before a restore; `None` ends that.
+    pub fn answer_alternately_from(&self, before: Option<Backup>) {
+        let old_epoch_store = before.map(|Backup(state)| {
+            let revision = watch::Sender::new(state.revision());
+            Box::new(Self { state: Arc::new(Mutex::new(state)), revision, ..self.clone() })
         });
-        *self.other.lock().unwrap() = other;
+        *self.old_epoch_store.lock().unwrap() = old_epoch_store;
     }
 
-    /// Answers calls that take old data from a copy, whatever epoch it is of.
+    /// Answers lists that allow stale data from a backup, whatever its epoch.
     pub fn serve_stale_reads_from(&self, backup: Backup) {
-        *self.stale.lock().unwrap() = Some(backup);
+        *self.stale_backup.lock().unwrap() = Some(backup);
     }
 
-    /// What answers the next call.
-    fn answering(&self) -> Self {
-        let odd = self.calls.fetch_add(1, Ordering::Relaxed) % 2 == 1;
-        let other = self.other.lock().unwrap().as_deref().cloned();
-        other.filter(|_| odd).unwrap_or_else(|| self.clone())
+    /// The store that answers the next call: every other one goes to the store of the old epoch, if it is set.
+    fn next_answerer(&self) -> Self {
+        let is_odd = self.calls.fetch_add(1, Ordering::Relaxed) % 2 == 1;
+        let old_epoch_store = self.old_epoch_store.lock().unwrap().as_deref().cloned();
+        old_epoch_store.filter(|_| is_odd).unwrap_or_else(|| self.clone())
     }
 
     /// Revision of the last change.
     pub fn last_revision(&self) -> u64 {
-        self.objects.lock().unwrap().revision()
+        self.state.lock().unwrap().revision()
     }
 
+    /// Appends a change to the log, applies it to the objects and notifies watches.
     fn write(&self, kind: &str, name: &str, spec: Option<Value>) {
-        let mut objects = self.objects.lock().unwrap();
-        let revision = objects.revision() + 1;
-        let entry = Arc::new(Entry { revision, kind: kind.into(), name: name.into(), spec });
-        objects.log.push(entry.clone());
-        let key = (entry.kind.clone(), entry.name.clone());
-        match entry.spec {
-            Some(_) => drop(objects.present.insert(key, entry)),
-            None => drop(objects.present.remove(&key)),
+        let mut state = self.state.lock().unwrap();
+        let revision = state.revision() + 1;
+        let change = Arc::new(Change { revision, kind: kind.into(), name: name.into(), spec });
+        state.log.push(change.clone());
+        let key = (change.kind.clone(), change.name.clone());
+        match change.spec {
+            Some(_) => drop(state.objects.insert(key, change)),
+            None => drop(state.objects.remove(&key)),
         }
-        drop(objects);
+        drop(state);
         self.revision.send_replace(revision);
     }
 
-    /// The latest changes of a kind after a revision, each name once.
-    fn latest(&self, kind: &str, after: u64) -> Vec<Arc<Entry>> {
-        let objects = self.objects.lock().unwrap();
-        let newer = objects.log.iter().rev().take_while(|e| e.revision > after).filter(|e| e.kind == kind);
-        let mut latest: BTreeMap<&str, &Arc<Entry>> = BTreeMap::new();
-        for entry in newer {
-            latest.entry(&entry.name).or_insert(entry);
+    /// The latest change of each object of a kind after a revision.
+    fn latest(&self, kind: &str, after: u64) -> Vec<Arc<Change>> {
+        let state = self.state.lock().unwrap();
+        let newer = state.log.iter().rev().take_while(|e| e.revision > after).filter(|e| e.kind == kind);
+        let mut latest: BTreeMap<&str, &Arc<Change>> = BTreeMap::new();
+        for change in newer {
+            latest.entry(&change.name).or_insert(change);
         }
         latest.into_values().cloned().collect()
     }
 
-    /// Whether an object is there.
+    /// Whether an object exists.
     pub fn is_present(&self, kind: &str, name: &str) -> bool {
-        self.objects.lock().unwrap().present.contains_key(&(kind.to_owned(), name.to_owned()))
+        self.state.lock().unwrap().objects.contains_key(&(kind.to_owned(), name.to_owned()))
     }
 
     async fn accept(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             let store = self.clone();
             let service = service_fn(move |req| {
-                let store = store.answering();
+                let store = store.next_answerer();
                 async move {
                     let mut response = store.answer(req).await;
-                    let epoch = store.objects.lock().unwrap().epoch;
-                    let told = match store.wrong_epoch.swap(0, Ordering::Relaxed) {
+                    let epoch = store.state.lock().unwrap().epoch;
+                    let sent = match store.wrong_epoch.swap(0, Ordering::Relaxed) {
                         0 => FIRST_EPOCH + epoch,
                         wrong => wrong,
                     };
-                    response.headers_mut().insert("store-era", told.into());
+                    response.headers_mut().insert("store-era", sent.into());
                     Ok::<_, Infallible>(response)
                 }
             });
-            // A caller that goes away in a call is part of every run.
+            // Connections that clients close during a call are expected in every run, so errors are ignored.
             tokio::spawn(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
         }
     }
@@ -265,9 +280,9 @@
         }
         let body = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
         let object: Value = serde_json::from_slice(&body).unwrap_or_default();
-        let named = object["metadata"]["name"].as_str().unwrap_or(name).to_owned();
-        let known = self.is_present(kind, &named);
-        match (head.method, known) {
+        let object_name = object["metadata"]["name"].as_str().unwrap_or(name).to_owned();
+        let exists = self.is_present(kind, &object_name);
+        match (head.method, exists) {
             (Method::PUT, false) => respond(404, json!({})),
             (Method::POST, true) => respond(409, json!({})),
             (Method::DELETE, _) => {
@@ -275,37 +290,37 @@
                 respond(200, json!({}))
             }
             _ => {
-                self.put(kind, &named, object["spec"].clone());
+                self.put(kind, &object_name, object["spec"].clone());
                 respond(200, json!({}))
             }
         }
     }
 
     fn list(&self, kind: &str, query: &str) -> Response<Full<Bytes>> {
-        let stale = self.stale.lock().unwrap().clone().filter(|_| query.contains("staleOk=1"));
-        let objects = stale.map_or_else(|| self.objects.lock().unwrap().clone(), |Backup(objects)| objects);
-        let revision = objects.revision();
+        let stale_backup = self.stale_backup.lock().unwrap().clone().filter(|_| query.contains("staleOk=1"));
+        let state = stale_backup.map_or_else(|| self.state.lock().unwrap().clone(), |Backup(state)| state);
+        let revision = state.revision();
         let after = query.split('&').find_map(|pair| pair.strip_prefix("after=")).unwrap_or_default();
         let from = Bound::Excluded((kind.to_owned(), after.to_owned()));
-        let listed = objects.present.range((from, Bound::Unbounded)).take_while(|((k, _), _)| k == kind);
-        let mut items: Vec<_> = listed.take(PAGE + 1).map(|(_, e)| e.object()).collect();
-        let more = items.len() > PAGE;
-        items.truncate(PAGE);
+        let listed = state.objects.range((from, Bound::Unbounded)).take_while(|((k, _), _)| k == kind);
+        let mut items: Vec<_> = listed.take(PAGE_SIZE + 1).map(|(_, e)| e.object()).collect();
+        let more = items.len() > PAGE_SIZE;
+        items.truncate(PAGE_SIZE);
         respond(200, json!({ "items": items, "hasMore": more, "currentRev": revision }))
     }
 
     async fn watch(&self, kind: &str, after: u64, wait_ms: u64) -> Response<Full<Bytes>> {
         let mut changed = self.revision.subscribe();
-        let news = async {
+        let new_changes = async {
             while after <= self.last_revision() && self.latest(kind, after).is_empty() {
                 let _ = changed.changed().await;
-                if self.deaf.load(Ordering::Relaxed) {
+                if self.watches_unanswered.load(Ordering::Relaxed) {
                     std::future::pending::<()>().await;
                 }
             }
         };
-        if timeout(Duration::from_millis(wait_ms), news).await.is_err()
-            && self.deaf.load(Ordering::Relaxed)
+        if timeout(Duration::from_millis(wait_ms), new_changes).await.is_err()
+            && self.watches_unanswered.load(Ordering::Relaxed)
             && wait_ms > 0
         {
             return std::future::pending().await;
@@ -327,13 +342,14 @@
     response
 }
 
-/// A backend server's entry.
+/// Spec of a backend server's entry.
 pub fn server(addr: SocketAddr, state: &str) -> Value {
     json!({ "service": "app", "address": addr.to_string(), "zone": "a", "version": "v1", "slots": 64,
         "state": state, "coldRemainingMs": 0, "sequence": 1 })
 }
 
-/// A configuration with a route for each kind of request and one that no other version has; `changed` adds a route and takes a key away.
+/// Spec of a configuration with a route for each kind of request and one that no other version has. `changed` adds a route
+/// and revokes a key.
 pub fn configuration(version: u64, changed: bool) -> Value {
     let route = |path: &str, kind: &str, resumes: bool| {
         json!({ "name": path.trim_matches('/'), "host": "shop.example", "pathPrefix": path, "kind": kind,
@@ -346,7 +362,7 @@
         route("/stream/", "stream", true),
         route("/once/", "stream", false),
     ];
-    routes.push(route(&format!("{MARK}{version}/"), "idempotent", false));
+    routes.push(route(&format!("{VERSION_ROUTE}{version}/"), "idempotent", false));
     let mut keys = vec![super::KEY];
     match changed {
         true => routes.push(route(ADDED_ROUTE, "idempotent", false)),
