--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The documentation shows the same tables as the code.
+//! Tests that tables in the documentation match the code.
 
 use std::{fs, path::Path};
 
@@ -9,18 +9,24 @@
 }
 
 #[test]
-fn callers_see_every_error() {
+fn the_callers_page_lists_every_error() {
     let text = page("docs/CALLERS.md");
 
     for kind in ErrorKind::ALL {
-        let a = kind.answer();
-        let retry = a.retry_after_s.map_or("no".to_owned(), |s| format!("after {s} s"));
-        let row = format!("| `{}` | {} | {} | {retry} | {} |", a.code, a.status, a.ran.as_str(), a.about);
+        let answer = kind.answer();
+        let retry = answer.retry_after_s.map_or("no".to_owned(), |s| format!("after {s} s"));
+        let row = format!(
+            "| `{}` | {} | {} | {retry} | {} |",
+            answer.code,
+            answer.status,
+            answer.ran.as_str(),
+            answer.about
+        );
         assert!(text.contains(&row), "docs/CALLERS.md lacks this row:\n{row}");
     }
     let outcomes = ["| not-run |", "| unknown |", "| ran |"];
     let rows = text.lines().filter(|l| outcomes.iter().any(|o| l.contains(o))).count();
-    assert_eq!(rows, ErrorKind::ALL.len(), "docs/CALLERS.md has rows for kinds that are gone");
+    assert_eq!(rows, ErrorKind::ALL.len(), "docs/CALLERS.md has rows for error kinds that do not exist");
 }
 
 #[test]
@@ -34,11 +40,12 @@
     }
 }
 
-/// Names of the code in the glossary: backticked words with an upper-case letter, and modules in the second column.
+/// Guards against a glossary that names types or modules which do not exist. Types are words in backticks that begin with an
+/// upper-case letter; modules are in the second column.
 #[test]
-fn the_glossary_uses_names_of_the_code() {
+fn the_glossary_names_existing_types_and_modules() {
     let text = page("docs/GLOSSARY.md");
-    let source = sources(Path::new("src"));
+    let source = source_text(Path::new("src"));
     let backticked = |cell: &str| cell.split('`').skip(1).step_by(2).map(str::to_owned).collect::<Vec<_>>();
     let is_type = |word: &String| word.starts_with(char::is_uppercase);
     let mut types = 0;
@@ -47,26 +54,29 @@
         for name in backticked(row).into_iter().filter(is_type) {
             let kinds = ["struct", "enum", "trait"].map(|kind| format!("{kind} {name}"));
             let defined = |kind: &String| {
-                let ends = [" {", "(", "<", ";", ":"].map(|end| format!("{kind}{end}"));
-                ends.iter().any(|e| source.contains(e))
+                let suffixes = [" {", "(", "<", ";", ":"].map(|suffix| format!("{kind}{suffix}"));
+                suffixes.iter().any(|suffix| source.contains(suffix))
             };
-            assert!(kinds.iter().any(defined), "docs/GLOSSARY.md: the code has no {name}");
+            assert!(
+                kinds.iter().any(defined),
+                "docs/GLOSSARY.md names {name}, which the code does not define"
+            );
             types += 1;
         }
     }
     for row in text.split("## Words of the code").nth(1).unwrap().lines().filter(|l| l.starts_with("| ")) {
         for module in backticked(row.split(" | ").nth(1).unwrap()) {
             let file = format!("src/{}.rs", module.replace("::", "/"));
-            assert!(Path::new(&file).is_file(), "docs/GLOSSARY.md: there is no {file}");
+            assert!(Path::new(&file).is_file(), "docs/GLOSSARY.md names a module without its file {file}");
         }
     }
-    assert!(types > 20, "{types} names were found");
+    assert!(types > 20, "only {types} types found in docs/GLOSSARY.md");
 }
 
-/// All text below a folder.
-fn sources(dir: &Path) -> String {
+/// Contents of all files below a folder.
+fn source_text(dir: &Path) -> String {
     let paths = fs::read_dir(dir).unwrap().map(|e| e.unwrap().path());
-    paths.map(|p| if p.is_dir() { sources(&p) } else { fs::read_to_string(p).unwrap() }).collect()
+    paths.map(|p| if p.is_dir() { source_text(&p) } else { fs::read_to_string(p).unwrap() }).collect()
 }
 
 #[test]
@@ -79,7 +89,7 @@
     for bench in &benches {
         assert!(
             text.contains(&format!("| `cargo bench --bench {bench}` | ")),
-            "README.md has no line for {bench}"
+            "README.md has no table row for {bench}"
         );
     }
     assert!(!benches.is_empty());
--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -1,4 +1,5 @@
-//! docs/OPERATIONS.md names every log line and every value of the relay's counters; docs/METRICS.md every histogram.
+//! Tests that docs/OPERATIONS.md documents every log event and every label value of the relay's counters, and docs/METRICS.md
+//! every histogram and gauge.
 
 use std::{
     collections::BTreeSet,
@@ -24,14 +25,15 @@
     fs::read_to_string(name).unwrap()
 }
 
+/// All files below a folder.
 fn sources(dir: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(dir).unwrap().map(|e| e.unwrap().path());
     let (dirs, files): (Vec<_>, Vec<_>) = entries.partition(|p| p.is_dir());
     files.into_iter().chain(dirs.iter().flat_map(|d| sources(d))).collect()
 }
 
-/// First words in quotes after each weight of a line, such as `line(Weight::Notable, "start", ..)`.
-fn events() -> BTreeSet<String> {
+/// Names of the log events in the source: the literal after each weight, as in `line(Weight::Notable, "start", ..)`.
+fn log_events() -> BTreeSet<String> {
     let mut files = sources(Path::new("src/relay"));
     files.extend(sources(Path::new("src/platform")));
     files.extend(["src/relay.rs", "src/platform.rs"].map(PathBuf::from));
@@ -46,44 +48,45 @@
     found
 }
 
-/// Backticked words in the first cells of the table below a heading.
-fn documented(text: &str, heading: &str) -> BTreeSet<String> {
+/// Names in backticks in the first column of the table below a heading.
+fn documented_names(text: &str, heading: &str) -> BTreeSet<String> {
     let section = text.split(heading).nth(1).unwrap_or_else(|| panic!("no heading {heading}"));
     let section = section.split("\n#").next().unwrap();
     let cells = section.lines().filter(|l| l.starts_with("| `")).filter_map(|l| l.split('|').nth(1));
     cells.flat_map(|cell| cell.split('`').skip(1).step_by(2)).map(str::to_owned).collect()
 }
 
-fn names<T>(all: &[T], name: impl Fn(&T) -> &'static str) -> BTreeSet<String> {
+/// Label values of all variants of a type.
+fn label_values<T>(all: &[T], name: impl Fn(&T) -> &'static str) -> BTreeSet<String> {
     all.iter().map(|t| name(t).to_owned()).collect()
 }
 
 #[test]
-fn every_log_line_is_documented() {
-    let mut written = events();
-    written.insert("lines_dropped".into());
+fn every_log_event_is_documented() {
+    let mut logged = log_events();
+    logged.insert("lines_dropped".into());
 
-    assert_eq!(documented(&page("docs/OPERATIONS.md"), "\n## Lines"), written);
+    assert_eq!(documented_names(&page("docs/OPERATIONS.md"), "\n## Lines"), logged);
 }
 
 #[test]
 fn every_value_of_the_relays_counters_is_documented() {
     let text = page("docs/OPERATIONS.md");
     let values = [
-        (Counter::RelayRequests, names(&Outcome::ALL, |o| o.as_str())),
-        (Counter::RelayRetries, names(&Failure::ALL, |f| f.as_str())),
-        (Counter::RelayStops, names(&StopReason::ALL, |s| s.as_str())),
-        (Counter::RelayPlacements, names(&Reason::ALL, |w| w.as_str())),
-        (Counter::RelayStreams, names(&StreamBreak::ALL, |a| a.as_str())),
-        (Counter::RelayStoreCalls, names(&StoreCall::ALL, |a| a.as_str())),
-        (Counter::RelayDatagrams, names(&DropReason::ALL, |f| f.as_str())),
-        (Counter::RelayTold, names(&ServerNotice::ALL, |t| t.as_str())),
-        (Counter::RelayEpochs, names(&EpochCheck::COUNTED, |h| h.as_str())),
+        (Counter::RelayRequests, label_values(&Outcome::ALL, |o| o.as_str())),
+        (Counter::RelayRetries, label_values(&Failure::ALL, |f| f.as_str())),
+        (Counter::RelayStops, label_values(&StopReason::ALL, |s| s.as_str())),
+        (Counter::RelayPlacements, label_values(&Reason::ALL, |w| w.as_str())),
+        (Counter::RelayStreams, label_values(&StreamBreak::ALL, |a| a.as_str())),
+        (Counter::RelayStoreCalls, label_values(&StoreCall::ALL, |a| a.as_str())),
+        (Counter::RelayDatagrams, label_values(&DropReason::ALL, |f| f.as_str())),
+        (Counter::RelayTold, label_values(&ServerNotice::ALL, |t| t.as_str())),
+        (Counter::RelayEpochs, label_values(&EpochCheck::COUNTED, |h| h.as_str())),
     ];
     for (counter, expected) in values {
         let heading = format!("\n### `{}_total`", counter.shown().name);
 
-        assert_eq!(documented(&text, &heading), expected, "{heading}");
+        assert_eq!(documented_names(&text, &heading), expected, "{heading}");
     }
 }
 
