--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -53,7 +53,7 @@
         ("fair, class within 8192", Order::Lane(8192)),
     ];
     for (name, order) in orders {
-        let f = surge::over(order, trouble, SURGE_SEEDS);
+        let f = surge::run_seeds(order, trouble, SURGE_SEEDS);
         print!("{name:<26}");
         for g in [f.small_high, f.small_normal, f.others_high, f.others_normal, f.loud] {
             print!(" {:>18}", show(g));
@@ -106,7 +106,7 @@
     for (name, cfg) in rows {
         let seeds = if cfg.engines > 100 { FLEET_SEEDS } else { CRASH_SEEDS };
         let runs = (seeds.end - seeds.start) as f64;
-        let f = crash::over(cfg, seeds);
+        let f = crash::run_seeds(cfg, seeds);
         println!(
             "{name:<44} {:>6} {:>5} {:>16} {:>5} {:>8} {:>7.2} {:>8.0}",
             f.sent,
--- a/benches/admission/crash.rs
+++ b/benches/admission/crash.rs
@@ -161,7 +161,7 @@
 }
 
 /// Sums over several seeds; crashes and the worst time are those of the worst seed.
-pub fn over(cfg: Scenario, seeds: std::ops::Range<u64>) -> Figures {
+pub fn run_seeds(cfg: Scenario, seeds: std::ops::Range<u64>) -> Figures {
     let mut all = Figures::default();
     for f in seeds.map(|seed| run(cfg, seed)) {
         all.crashes = all.crashes.max(f.crashes);
--- a/benches/admission/surge.rs
+++ b/benches/admission/surge.rs
@@ -107,7 +107,7 @@
 }
 
 /// Sums and worst cases over several seeds.
-pub fn over(order: Order, trouble: Trouble, seeds: std::ops::Range<u64>) -> Figures {
+pub fn run_seeds(order: Order, trouble: Trouble, seeds: std::ops::Range<u64>) -> Figures {
     let mut all = Figures::default();
     for f in seeds.map(|seed| run(order, trouble, seed)) {
         all.small_high.add(f.small_high);
--- a/tests/admission_bounds.rs
+++ b/tests/admission_bounds.rs
@@ -24,8 +24,8 @@
 #[test]
 fn a_surge_delays_the_workspace_that_surges() {
     for trouble in [Trouble::Surge, Trouble::UrgentSurge] {
-        let ours = surge::over(Order::Lane(BURST), trouble, SEEDS);
-        let fifo = surge::over(Order::BoundedFifo, trouble, SEEDS);
+        let ours = surge::run_seeds(Order::Lane(BURST), trouble, SEEDS);
+        let fifo = surge::run_seeds(Order::BoundedFifo, trouble, SEEDS);
 
         assert!(ours.small_high.worst < Duration::from_millis(1300), "{trouble:?} {ours:?}");
         assert!(ours.small_normal.worst < Duration::from_millis(3300), "{trouble:?} {ours:?}");
@@ -38,7 +38,7 @@
 /// When all workspaces send too much, translations take precedence over dialogues, also those of other workspaces.
 #[test]
 fn translations_go_before_dialogues_under_general_overload() {
-    let ours = surge::over(Order::Lane(BURST), Trouble::Overload, SEEDS);
+    let ours = surge::run_seeds(Order::Lane(BURST), Trouble::Overload, SEEDS);
 
     assert!(ours.others_high.worst < Duration::from_millis(1600), "{ours:?}");
 }
@@ -46,7 +46,7 @@
 /// Refusals are sent immediately on arrival, however long the queue is.
 #[test]
 fn a_refusal_on_arrival_takes_no_time() {
-    let ours = surge::over(Order::Lane(BURST), Trouble::Surge, SEEDS);
+    let ours = surge::run_seeds(Order::Lane(BURST), Trouble::Surge, SEEDS);
 
     assert!(ours.loud.refused_on_arrival > 1000, "{ours:?}");
     assert_eq!(ours.small_high.refused_on_arrival, 0, "{ours:?}");
@@ -61,13 +61,13 @@
         Scenario { retry: false, gap: Duration::from_millis(12), ..Scenario::new(Guard::Full) },
     ];
     for cfg in scenarios {
-        let f = crash::over(cfg, 0..20);
+        let f = crash::run_seeds(cfg, 0..20);
 
         assert!(f.crashes <= 2, "{f:?}");
         assert_eq!(f.answered, f.innocents, "{f:?}");
         assert_eq!(f.wronged, 0, "{f:?}");
     }
-    assert!(crash::over(Scenario::new(Guard::None), SEEDS).crashes > 20);
+    assert!(crash::run_seeds(Scenario::new(Guard::None), SEEDS).crashes > 20);
 }
 
 /// 30% of the engines refuse connections and no router knows it yet. Retries must stay within the budget.
