--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -21,7 +21,7 @@
 
 use crash::{Guard, Scenario};
 use storm::Bound;
-use surge::{Group, Order, Trouble};
+use surge::{Group, LoadPattern, Order};
 
 const SEED: u64 = 7;
 const SURGE_SEEDS: std::ops::Range<u64> = 0..10;
@@ -30,15 +30,15 @@
 const ROUNDS: u32 = 200_000;
 
 fn main() {
-    surge_table("one workspace surges tenfold", Trouble::Surge);
-    surge_table("one workspace surges tenfold, all of it sent as high", Trouble::UrgentSurge);
-    surge_table("every workspace sends 2.2 times as much", Trouble::Overload);
+    surge_table("one workspace surges tenfold", LoadPattern::Surge);
+    surge_table("one workspace surges tenfold, all of it sent as high", LoadPattern::UrgentSurge);
+    surge_table("every workspace sends 2.2 times as much", LoadPattern::Overload);
     crash_table();
     storm_table();
     cost_table();
 }
 
-fn surge_table(title: &str, trouble: Trouble) {
+fn surge_table(title: &str, trouble: LoadPattern) {
     println!("\n{title}; worst seconds to the end of the answer, lost/sent, over 10 seeds");
     println!(
         "{:<26} {:>18} {:>18} {:>18} {:>18} {:>18}",
--- a/benches/admission/surge.rs
+++ b/benches/admission/surge.rs
@@ -77,7 +77,7 @@
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum LoadPattern {
     /// One workspace sends ten times as much.
     Surge,
     /// One workspace sends ten times as much, all of it as urgent.
@@ -86,10 +86,10 @@
     Overload,
 }
 
-impl Trouble {
+impl LoadPattern {
     fn factor(self, workspace: usize) -> f64 {
         match self {
-            Trouble::Overload => 2.2,
+            LoadPattern::Overload => 2.2,
             _ if workspace == LOUD => 10.0,
             _ => 1.0,
         }
@@ -107,7 +107,7 @@
 }
 
 /// Sums and worst cases over several seeds.
-pub fn run_seeds(order: Order, trouble: Trouble, seeds: std::ops::Range<u64>) -> Figures {
+pub fn run_seeds(order: Order, trouble: LoadPattern, seeds: std::ops::Range<u64>) -> Figures {
     let mut all = Figures::default();
     for f in seeds.map(|seed| run(order, trouble, seed)) {
         all.small_high.add(f.small_high);
@@ -120,7 +120,7 @@
 }
 
 /// Runs the table of arrivals under one order.
-pub fn run(order: Order, trouble: Trouble, seed: u64) -> Figures {
+pub fn run(order: Order, trouble: LoadPattern, seed: u64) -> Figures {
     let arrivals = arrivals(trouble, seed);
     match order {
         Order::Fifo => fifo(&arrivals, usize::MAX),
@@ -129,7 +129,7 @@
     }
 }
 
-fn arrivals(trouble: Trouble, seed: u64) -> Vec<Arrival> {
+fn arrivals(trouble: LoadPattern, seed: u64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     // Three large workspaces, the rest small.
     let weights: [f64; WORKSPACES] = [0.2, 0.25, 0.25, 0.08, 0.06, 0.05, 0.04, 0.03, 0.02, 0.02];
@@ -148,7 +148,7 @@
             }
             let short = rng.random_bool(0.5);
             let work = if short { rng.random_range(50..250) } else { rng.random_range(250..650) };
-            let urgent = short || (workspace == LOUD && trouble == Trouble::UrgentSurge);
+            let urgent = short || (workspace == LOUD && trouble == LoadPattern::UrgentSurge);
             let priority = if urgent { Priority::High } else { Priority::Normal };
             let at = Duration::from_secs_f64(at);
             let limit = Duration::from_secs(if urgent { 8 } else { 20 });
