--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -38,7 +38,7 @@
     cost_table();
 }
 
-fn surge_table(title: &str, trouble: LoadPattern) {
+fn surge_table(title: &str, pattern: LoadPattern) {
     println!("\n{title}; worst seconds to the end of the answer, lost/sent, over 10 seeds");
     println!(
         "{:<26} {:>18} {:>18} {:>18} {:>18} {:>18}",
@@ -53,7 +53,7 @@
         ("fair, class within 8192", Order::Lane(8192)),
     ];
     for (name, order) in orders {
-        let f = surge::run_seeds(order, trouble, SURGE_SEEDS);
+        let f = surge::run_seeds(order, pattern, SURGE_SEEDS);
         print!("{name:<26}");
         for g in [f.small_high, f.small_normal, f.others_high, f.others_normal, f.loud] {
             print!(" {:>18}", show(g));
--- a/benches/admission/surge.rs
+++ b/benches/admission/surge.rs
@@ -107,9 +107,9 @@
 }
 
 /// Sums and worst cases over several seeds.
-pub fn run_seeds(order: Order, trouble: LoadPattern, seeds: std::ops::Range<u64>) -> Figures {
+pub fn run_seeds(order: Order, pattern: LoadPattern, seeds: std::ops::Range<u64>) -> Figures {
     let mut all = Figures::default();
-    for f in seeds.map(|seed| run(order, trouble, seed)) {
+    for f in seeds.map(|seed| run(order, pattern, seed)) {
         all.small_high.add(f.small_high);
         all.small_normal.add(f.small_normal);
         all.others_high.add(f.others_high);
@@ -120,8 +120,8 @@
 }
 
 /// Runs the table of arrivals under one order.
-pub fn run(order: Order, trouble: LoadPattern, seed: u64) -> Figures {
-    let arrivals = arrivals(trouble, seed);
+pub fn run(order: Order, pattern: LoadPattern, seed: u64) -> Figures {
+    let arrivals = arrivals(pattern, seed);
     match order {
         Order::Fifo => fifo(&arrivals, usize::MAX),
         Order::BoundedFifo => fifo(&arrivals, 256),
@@ -129,7 +129,7 @@
     }
 }
 
-fn arrivals(trouble: LoadPattern, seed: u64) -> Vec<Arrival> {
+fn arrivals(pattern: LoadPattern, seed: u64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     // Three large workspaces, the rest small.
     let weights: [f64; WORKSPACES] = [0.2, 0.25, 0.25, 0.08, 0.06, 0.05, 0.04, 0.03, 0.02, 0.02];
@@ -141,14 +141,14 @@
         let mut at = 0.0;
         loop {
             let surging = SURGE.contains(&Duration::from_secs_f64(at));
-            let rate = per_second * weight * if surging { trouble.factor(workspace) } else { 1.0 };
+            let rate = per_second * weight * if surging { pattern.factor(workspace) } else { 1.0 };
             at += -(1.0 - rng.random::<f64>()).ln() / rate;
             if at >= RUN.as_secs_f64() {
                 break;
             }
             let short = rng.random_bool(0.5);
             let work = if short { rng.random_range(50..250) } else { rng.random_range(250..650) };
-            let urgent = short || (workspace == LOUD && trouble == LoadPattern::UrgentSurge);
+            let urgent = short || (workspace == LOUD && pattern == LoadPattern::UrgentSurge);
             let priority = if urgent { Priority::High } else { Priority::Normal };
             let at = Duration::from_secs_f64(at);
             let limit = Duration::from_secs(if urgent { 8 } else { 20 });
--- a/tests/admission_bounds.rs
+++ b/tests/admission_bounds.rs
@@ -23,15 +23,15 @@
 /// wait behind its surge.
 #[test]
 fn a_surge_delays_the_workspace_that_surges() {
-    for trouble in [LoadPattern::Surge, LoadPattern::UrgentSurge] {
-        let ours = surge::run_seeds(Order::Lane(BURST), trouble, SEEDS);
-        let fifo = surge::run_seeds(Order::BoundedFifo, trouble, SEEDS);
-
-        assert!(ours.small_high.worst < Duration::from_millis(1300), "{trouble:?} {ours:?}");
-        assert!(ours.small_normal.worst < Duration::from_millis(3300), "{trouble:?} {ours:?}");
-        assert_eq!(ours.small_high.lost + ours.small_normal.lost, 0, "{trouble:?} {ours:?}");
-        assert_eq!(ours.others_high.lost + ours.others_normal.lost, 0, "{trouble:?} {ours:?}");
-        assert!(fifo.small_high.worst > ours.small_high.worst * 3, "{trouble:?} {fifo:?}");
+    for pattern in [LoadPattern::Surge, LoadPattern::UrgentSurge] {
+        let ours = surge::run_seeds(Order::Lane(BURST), pattern, SEEDS);
+        let fifo = surge::run_seeds(Order::BoundedFifo, pattern, SEEDS);
+
+        assert!(ours.small_high.worst < Duration::from_millis(1300), "{pattern:?} {ours:?}");
+        assert!(ours.small_normal.worst < Duration::from_millis(3300), "{pattern:?} {ours:?}");
+        assert_eq!(ours.small_high.lost + ours.small_normal.lost, 0, "{pattern:?} {ours:?}");
+        assert_eq!(ours.others_high.lost + ours.others_normal.lost, 0, "{pattern:?} {ours:?}");
+        assert!(fifo.small_high.worst > ours.small_high.worst * 3, "{pattern:?} {fifo:?}");
     }
 }
 
