--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -19,7 +19,7 @@
 #[path = "admission/surge.rs"]
 mod surge;
 
-use crash::{Guard, Scenario};
+use crash::{Protection, Scenario};
 use storm::Bound;
 use surge::{Group, LoadPattern, Order};
 
@@ -77,31 +77,35 @@
     let base = Scenario::new;
     let no_retry = |guard| Scenario { retry: false, gap: Duration::from_millis(12), ..base(guard) };
     let dc = |guard| Scenario { routers: 22, engines: 730, innocents: 1500.0, ..base(guard) };
-    let flaps =
-        |flapping, senders, steady_only| Scenario { flapping, senders, steady_only, ..base(Guard::Full) };
+    let flaps = |flapping, senders, steady_only| Scenario {
+        flapping,
+        senders,
+        steady_only,
+        ..base(Protection::Full)
+    };
     let rows = [
-        ("none", base(Guard::None)),
-        ("each router alone", base(Guard::Alone)),
-        ("gossip, own permits", base(Guard::Gossip)),
-        ("news at once, own permits", base(Guard::News)),
-        ("news at once, one router's permits", base(Guard::Full)),
-        ("caller only retries, 12 ms: none", no_retry(Guard::None)),
-        ("caller only retries, 12 ms: alone", no_retry(Guard::Alone)),
-        ("caller only retries, 12 ms: gossip", no_retry(Guard::Gossip)),
-        ("caller only retries, 12 ms: full", no_retry(Guard::Full)),
-        ("same, 20% of news lost", Scenario { lost: 0.2, ..no_retry(Guard::Full) }),
-        ("same, two routers give permits", Scenario { arbiters: 2, ..no_retry(Guard::Full) }),
-        ("full, two routers give permits", Scenario { arbiters: 2, ..base(Guard::Full) }),
+        ("none", base(Protection::None)),
+        ("each router alone", base(Protection::Alone)),
+        ("gossip, own permits", base(Protection::Gossip)),
+        ("news at once, own permits", base(Protection::News)),
+        ("news at once, one router's permits", base(Protection::Full)),
+        ("caller only retries, 12 ms: none", no_retry(Protection::None)),
+        ("caller only retries, 12 ms: alone", no_retry(Protection::Alone)),
+        ("caller only retries, 12 ms: gossip", no_retry(Protection::Gossip)),
+        ("caller only retries, 12 ms: full", no_retry(Protection::Full)),
+        ("same, 20% of news lost", Scenario { lost: 0.2, ..no_retry(Protection::Full) }),
+        ("same, two routers give permits", Scenario { arbiters: 2, ..no_retry(Protection::Full) }),
+        ("full, two routers give permits", Scenario { arbiters: 2, ..base(Protection::Full) }),
         ("none sent, 2 engines flap: any engine", flaps(2, 0, false)),
         ("none sent, 2 engines flap: full", flaps(2, 0, true)),
         ("none sent, 4 engines flap: full", flaps(4, 0, true)),
         ("sent, 2 engines flap: full", flaps(2, 1, true)),
-        ("three callers at once: none", Scenario { senders: 3, ..base(Guard::None) }),
-        ("three callers at once: news, own permits", Scenario { senders: 3, ..base(Guard::News) }),
-        ("three callers at once: full", Scenario { senders: 3, ..base(Guard::Full) }),
-        ("22 routers, 730 engines: none", dc(Guard::None)),
-        ("22 routers, 730 engines: gossip", dc(Guard::Gossip)),
-        ("22 routers, 730 engines: full", dc(Guard::Full)),
+        ("three callers at once: none", Scenario { senders: 3, ..base(Protection::None) }),
+        ("three callers at once: news, own permits", Scenario { senders: 3, ..base(Protection::News) }),
+        ("three callers at once: full", Scenario { senders: 3, ..base(Protection::Full) }),
+        ("22 routers, 730 engines: none", dc(Protection::None)),
+        ("22 routers, 730 engines: gossip", dc(Protection::Gossip)),
+        ("22 routers, 730 engines: full", dc(Protection::Full)),
     ];
     for (name, cfg) in rows {
         let seeds = if cfg.engines > 100 { FLEET_SEEDS } else { CRASH_SEEDS };
--- a/benches/admission/crash.rs
+++ b/benches/admission/crash.rs
@@ -28,7 +28,7 @@
 
 /// What guards the engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Guard {
+pub enum Protection {
     /// Every crash is retried on another engine, up to three attempts.
     None,
     /// Each router for itself: suspects, its own permits, no news.
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
     /// What guards the engines.
-    pub guard: Guard,
+    pub guard: Protection,
     /// Routers.
     pub routers: usize,
     /// Engines.
@@ -71,7 +71,7 @@
 
 impl Scenario {
     /// A data centre of today with one caller.
-    pub fn new(guard: Guard) -> Self {
+    pub fn new(guard: Protection) -> Self {
         Self {
             guard,
             routers: 8,
@@ -273,7 +273,7 @@
     fn attempt(&mut self, id: usize) {
         let (content, router) = (self.requests[id].content, self.requests[id].router);
         let standing = match self.cfg.guard {
-            Guard::None => Standing::Cleared,
+            Protection::None => Standing::Cleared,
             _ => self.routers[router].table.standing(self.now, content),
         };
         let up: Vec<_> = (0..self.cfg.engines).filter(|&e| self.up[e]).collect();
@@ -326,7 +326,7 @@
     }
 
     fn arbiter(&self, router: usize) -> usize {
-        if self.cfg.guard == Guard::Full { router % self.cfg.arbiters } else { router }
+        if self.cfg.guard == Protection::Full { router % self.cfg.arbiters } else { router }
     }
 
     fn ask(&mut self, router: usize, content: Fingerprint, engine: usize) -> Verdict {
@@ -396,7 +396,7 @@
 
     /// What each router that had requests on the engine makes of the crash.
     fn judge(&mut self, victims: &[usize], engine: usize, crash: CrashId) {
-        if self.cfg.guard == Guard::None {
+        if self.cfg.guard == Protection::None {
             return;
         }
         let mut routers: Vec<_> = victims.iter().map(|&v| self.requests[v].router).collect();
@@ -413,7 +413,7 @@
                     self.routers[router].table.mark_suspects(self.now, &contents, crash);
                 }
             }
-            if matches!(self.cfg.guard, Guard::News | Guard::Full) {
+            if matches!(self.cfg.guard, Protection::News | Protection::Full) {
                 let all = (0..self.cfg.routers).filter(|&r| r != router).collect::<Vec<_>>();
                 let news = self.routers[router].table.unsent(self.now, NEWS);
                 self.tell(news, &all);
@@ -441,7 +441,7 @@
             return;
         }
         self.after(GOSSIP, Event::Gossip);
-        if matches!(self.cfg.guard, Guard::None | Guard::Alone) {
+        if matches!(self.cfg.guard, Protection::None | Protection::Alone) {
             return;
         }
         for from in 0..self.cfg.routers {
--- a/tests/admission_bounds.rs
+++ b/tests/admission_bounds.rs
@@ -12,7 +12,7 @@
 #[path = "../benches/admission/surge.rs"]
 mod surge;
 
-use crash::{Guard, Scenario};
+use crash::{Protection, Scenario};
 use storm::Bound;
 use surge::{LoadPattern, Order};
 
@@ -57,8 +57,8 @@
 #[test]
 fn a_crashing_content_costs_two_engines_at_most() {
     let scenarios = [
-        Scenario::new(Guard::Full),
-        Scenario { retry: false, gap: Duration::from_millis(12), ..Scenario::new(Guard::Full) },
+        Scenario::new(Protection::Full),
+        Scenario { retry: false, gap: Duration::from_millis(12), ..Scenario::new(Protection::Full) },
     ];
     for cfg in scenarios {
         let f = crash::run_seeds(cfg, 0..20);
@@ -67,7 +67,7 @@
         assert_eq!(f.answered, f.innocents, "{f:?}");
         assert_eq!(f.wronged, 0, "{f:?}");
     }
-    assert!(crash::run_seeds(Scenario::new(Guard::None), SEEDS).crashes > 20);
+    assert!(crash::run_seeds(Scenario::new(Protection::None), SEEDS).crashes > 20);
 }
 
 /// 30% of the engines refuse connections and no router knows it yet. Retries must stay within the budget.
