--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -85,12 +85,12 @@
     };
     let rows = [
         ("none", base(Protection::None)),
-        ("each router alone", base(Protection::Alone)),
+        ("each router alone", base(Protection::Local)),
         ("gossip, own permits", base(Protection::Gossip)),
         ("news at once, own permits", base(Protection::News)),
         ("news at once, one router's permits", base(Protection::Full)),
         ("caller only retries, 12 ms: none", no_retry(Protection::None)),
-        ("caller only retries, 12 ms: alone", no_retry(Protection::Alone)),
+        ("caller only retries, 12 ms: alone", no_retry(Protection::Local)),
         ("caller only retries, 12 ms: gossip", no_retry(Protection::Gossip)),
         ("caller only retries, 12 ms: full", no_retry(Protection::Full)),
         ("same, 20% of news lost", Scenario { lost: 0.2, ..no_retry(Protection::Full) }),
--- a/benches/admission/crash.rs
+++ b/benches/admission/crash.rs
@@ -441,7 +441,7 @@
             return;
         }
         self.after(GOSSIP, Event::Gossip);
-        if matches!(self.cfg.guard, Protection::None | Protection::Alone) {
+        if matches!(self.cfg.guard, Protection::None | Protection::Local) {
             return;
         }
         for from in 0..self.cfg.routers {
