--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -47,10 +47,10 @@
     let orders = [
         ("FIFO, unbounded", Order::Fifo),
         ("FIFO, bounded", Order::BoundedFifo),
-        ("class first (strict)", Order::Lane(u32::MAX)),
-        ("fair, class inside only", Order::Lane(0)),
-        ("fair, class within 2048", Order::Lane(2048)),
-        ("fair, class within 8192", Order::Lane(8192)),
+        ("class first (strict)", Order::Fair(u32::MAX)),
+        ("fair, class inside only", Order::Fair(0)),
+        ("fair, class within 2048", Order::Fair(2048)),
+        ("fair, class within 8192", Order::Fair(8192)),
     ];
     for (name, order) in orders {
         let f = surge::run_seeds(order, pattern, SURGE_SEEDS);
--- a/benches/admission/surge.rs
+++ b/benches/admission/surge.rs
@@ -35,7 +35,7 @@
     /// Arrival, the queue bounded as the lane's is.
     BoundedFifo,
     /// The lane, with this burst.
-    Lane(u32),
+    Fair(u32),
 }
 
 /// What came of the requests of one group.
@@ -125,7 +125,7 @@
     match order {
         Order::Fifo => fifo(&arrivals, usize::MAX),
         Order::BoundedFifo => fifo(&arrivals, 256),
-        Order::Lane(burst) => lane(&arrivals, QueueLimits::default().with_burst(burst)),
+        Order::Fair(burst) => lane(&arrivals, QueueLimits::default().with_burst(burst)),
     }
 }
 
--- a/tests/admission_bounds.rs
+++ b/tests/admission_bounds.rs
@@ -24,7 +24,7 @@
 #[test]
 fn a_surge_delays_the_workspace_that_surges() {
     for pattern in [LoadPattern::Surge, LoadPattern::UrgentSurge] {
-        let ours = surge::run_seeds(Order::Lane(BURST), pattern, SEEDS);
+        let ours = surge::run_seeds(Order::Fair(BURST), pattern, SEEDS);
         let fifo = surge::run_seeds(Order::BoundedFifo, pattern, SEEDS);
 
         assert!(ours.small_high.worst < Duration::from_millis(1300), "{pattern:?} {ours:?}");
@@ -38,7 +38,7 @@
 /// When all workspaces send too much, translations take precedence over dialogues, also those of other workspaces.
 #[test]
 fn translations_go_before_dialogues_under_general_overload() {
-    let ours = surge::run_seeds(Order::Lane(BURST), LoadPattern::Overload, SEEDS);
+    let ours = surge::run_seeds(Order::Fair(BURST), LoadPattern::Overload, SEEDS);
 
     assert!(ours.others_high.worst < Duration::from_millis(1600), "{ours:?}");
 }
@@ -46,7 +46,7 @@
 /// Refusals are sent immediately on arrival, however long the queue is.
 #[test]
 fn a_refusal_on_arrival_takes_no_time() {
-    let ours = surge::run_seeds(Order::Lane(BURST), LoadPattern::Surge, SEEDS);
+    let ours = surge::run_seeds(Order::Fair(BURST), LoadPattern::Surge, SEEDS);
 
     assert!(ours.loud.refused_on_arrival > 1000, "{ours:?}");
     assert_eq!(ours.small_high.refused_on_arrival, 0, "{ours:?}");
