--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -55,7 +55,7 @@
     for (name, order) in orders {
         let f = surge::run_seeds(order, pattern, SURGE_SEEDS);
         print!("{name:<26}");
-        for g in [f.small_high, f.small_normal, f.others_high, f.others_normal, f.loud] {
+        for g in [f.small_high, f.small_normal, f.others_high, f.others_normal, f.surging] {
             print!(" {:>18}", show(g));
         }
         println!();
--- a/benches/admission/surge.rs
+++ b/benches/admission/surge.rs
@@ -65,7 +65,7 @@
     /// Dialogues of every other workspace but the loud one.
     pub others_normal: Group,
     /// The workspace that surges.
-    pub loud: Group,
+    pub surging: Group,
 }
 
 #[derive(Clone)]
@@ -114,7 +114,7 @@
         all.small_normal.add(f.small_normal);
         all.others_high.add(f.others_high);
         all.others_normal.add(f.others_normal);
-        all.loud.add(f.loud);
+        all.surging.add(f.surging);
     }
     all
 }
@@ -164,7 +164,7 @@
     match (a.workspace, a.demand.priority) {
         (SMALL, Priority::High) => &mut f.small_high,
         (SMALL, _) => &mut f.small_normal,
-        (LOUD, _) => &mut f.loud,
+        (LOUD, _) => &mut f.surging,
         (_, Priority::High) => &mut f.others_high,
         _ => &mut f.others_normal,
     }
--- a/tests/admission_bounds.rs
+++ b/tests/admission_bounds.rs
@@ -48,7 +48,7 @@
 fn a_refusal_on_arrival_takes_no_time() {
     let ours = surge::run_seeds(Order::Fair(BURST), LoadPattern::Surge, SEEDS);
 
-    assert!(ours.loud.refused_on_arrival > 1000, "{ours:?}");
+    assert!(ours.surging.refused_on_arrival > 1000, "{ours:?}");
     assert_eq!(ours.small_high.refused_on_arrival, 0, "{ours:?}");
 }
 
