--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -116,7 +116,7 @@
             f.sent,
             f.crashes,
             format!("{}/{}", f.answered, f.innocents),
-            f.hit,
+            f.interrupted,
             f.wronged,
             f.worst.as_secs_f64(),
             f.bytes as f64 / runs / 60.0 / cfg.routers as f64
--- a/benches/admission/crash.rs
+++ b/benches/admission/crash.rs
@@ -102,7 +102,7 @@
     /// Of these, answered.
     pub answered: u32,
     /// Innocent requests whose engine crashed under them.
-    pub hit: u32,
+    pub interrupted: u32,
     /// Innocent contents quarantined at some router at the end.
     pub wronged: u32,
     /// Longest time of an innocent request to its answer.
@@ -169,7 +169,7 @@
         all.sent += f.sent;
         all.innocents += f.innocents;
         all.answered += f.answered;
-        all.hit += f.hit;
+        all.interrupted += f.interrupted;
         all.wronged += f.wronged;
         all.worst = all.worst.max(f.worst);
         all.bytes += f.bytes;
@@ -453,7 +453,7 @@
 
     fn broken(&mut self, id: usize) {
         let r = &self.requests[id];
-        self.figures.hit += u32::from(!r.guilty);
+        self.figures.interrupted += u32::from(!r.guilty);
         if (self.cfg.retry || !r.guilty) && r.attempt < 3 {
             self.after(Duration::from_millis(10), Event::Try(id));
         } else {
