--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -117,7 +117,7 @@
             f.crashes,
             format!("{}/{}", f.answered, f.innocents),
             f.interrupted,
-            f.wronged,
+            f.falsely_quarantined,
             f.worst.as_secs_f64(),
             f.bytes as f64 / runs / 60.0 / cfg.routers as f64
         );
--- a/benches/admission/crash.rs
+++ b/benches/admission/crash.rs
@@ -104,7 +104,7 @@
     /// Innocent requests whose engine crashed under them.
     pub interrupted: u32,
     /// Innocent contents quarantined at some router at the end.
-    pub wronged: u32,
+    pub falsely_quarantined: u32,
     /// Longest time of an innocent request to its answer.
     pub worst: Duration,
     /// Bytes of news, all routers.
@@ -170,7 +170,7 @@
         all.innocents += f.innocents;
         all.answered += f.answered;
         all.interrupted += f.interrupted;
-        all.wronged += f.wronged;
+        all.falsely_quarantined += f.falsely_quarantined;
         all.worst = all.worst.max(f.worst);
         all.bytes += f.bytes;
     }
@@ -205,7 +205,7 @@
         world.now = at;
         world.handle(event);
     }
-    world.figures.wronged = world.wronged();
+    world.figures.falsely_quarantined = world.falsely_quarantined();
     world.figures
 }
 
@@ -476,7 +476,7 @@
         }
     }
 
-    fn wronged(&self) -> u32 {
+    fn falsely_quarantined(&self) -> u32 {
         let quarantined = |content| {
             self.routers.iter().any(|r| r.table.standing(self.now, content) == Standing::Quarantined)
         };
--- a/tests/admission_bounds.rs
+++ b/tests/admission_bounds.rs
@@ -65,7 +65,7 @@
 
         assert!(f.crashes <= 2, "{f:?}");
         assert_eq!(f.answered, f.innocents, "{f:?}");
-        assert_eq!(f.wronged, 0, "{f:?}");
+        assert_eq!(f.falsely_quarantined, 0, "{f:?}");
     }
     assert!(crash::run_seeds(Scenario::new(Protection::None), SEEDS).crashes > 20);
 }
