--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -132,7 +132,7 @@
         ("limit of 3 at each hop", Bound::PerHop),
         ("one count of 3", Bound::Count),
         ("one count and budget 0.1", Bound::Budget),
-        ("and unreachable avoided", Bound::Avoid),
+        ("and unreachable avoided", Bound::Cooldown),
     ];
     for (name, bound) in bounds {
         let f = storm::run(bound, SEED);
--- a/benches/admission/storm.rs
+++ b/benches/admission/storm.rs
@@ -36,7 +36,7 @@
     /// One count over all hops and the budget.
     Budget,
     /// The policy: these, and a router keeps away from engines that it could not reach.
-    Avoid,
+    Cooldown,
 }
 
 /// Figures of one run.
@@ -96,7 +96,7 @@
 impl Router<'_> {
     fn serve(&mut self, carried: u32, made: &mut u32, figures: &mut Figures, rng: &mut ChaCha8Rng) -> bool {
         let mut endless = RetryBudget::new(0.0, u32::MAX);
-        let bounded = matches!(self.bound, Bound::Budget | Bound::Avoid);
+        let bounded = matches!(self.bound, Bound::Budget | Bound::Cooldown);
         let budget = if bounded { &mut *self.budget } else { &mut endless };
         let limit = if self.bound == Bound::Unbounded { u32::MAX } else { 3 };
         let policy = RetryPolicy::default().with_attempts(limit);
@@ -106,7 +106,7 @@
         };
         let mut tried = Vec::new();
         loop {
-            let avoid = if self.bound == Bound::Avoid { self.avoid.active(self.now) } else { Vec::new() };
+            let avoid = if self.bound == Bound::Cooldown { self.avoid.active(self.now) } else { Vec::new() };
             let engine = pick(self.bound, &tried, &avoid, rng);
             tried.push(engine);
             attempts.record_start();
--- a/tests/admission_bounds.rs
+++ b/tests/admission_bounds.rs
@@ -73,7 +73,7 @@
 /// 30% of the engines refuse connections and no router knows it yet. Retries must stay within the budget.
 #[test]
 fn extra_attempts_stay_within_the_budget() {
-    for bound in [Bound::Budget, Bound::Avoid] {
+    for bound in [Bound::Budget, Bound::Cooldown] {
         let f = storm::run(bound, 7);
         let most = f.fresh as f64 * storm::RATIO + f64::from(storm::BURST) * storm::ROUTERS as f64;
 
@@ -87,7 +87,7 @@
 /// that almost no request is refused.
 #[test]
 fn hardly_a_request_is_lost_while_a_third_of_the_fleet_fails() {
-    let f = storm::run(Bound::Avoid, 7);
+    let f = storm::run(Bound::Cooldown, 7);
 
     assert!(f.answered as f64 >= 0.99 * f.fresh as f64, "{f:?}");
 }
