--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -130,7 +130,7 @@
     let bounds = [
         ("unbounded", Bound::Unbounded),
         ("limit of 3 at each hop", Bound::PerHop),
-        ("one count of 3", Bound::Count),
+        ("one count of 3", Bound::GlobalLimit),
         ("one count and budget 0.1", Bound::Budget),
         ("and unreachable avoided", Bound::Cooldown),
     ];
--- a/benches/admission/storm.rs
+++ b/benches/admission/storm.rs
@@ -32,7 +32,7 @@
     /// An attempt limit at each hop, which starts anew when the caller comes back.
     PerHop,
     /// One attempt count over all hops, without a budget.
-    Count,
+    GlobalLimit,
     /// One count over all hops and the budget.
     Budget,
     /// The policy: these, and a router keeps away from engines that it could not reach.
