--- a/benches/admission/crash.rs
+++ b/benches/admission/crash.rs
@@ -32,7 +32,7 @@
     /// Every crash is retried on another engine, up to three attempts.
     None,
     /// Each router for itself: suspects, its own permits, no news.
-    Alone,
+    Local,
     /// News by gossip only, its own permits.
     Gossip,
     /// News at once and by gossip, its own permits.
--- a/benches/admission/surge.rs
+++ b/benches/admission/surge.rs
@@ -140,8 +140,8 @@
         let name: Arc<str> = format!("workspace-{workspace}").into();
         let mut at = 0.0;
         loop {
-            let surging = SURGE.contains(&Duration::from_secs_f64(at));
-            let rate = per_second * weight * if surging { pattern.factor(workspace) } else { 1.0 };
+            let is_surging = SURGE.contains(&Duration::from_secs_f64(at));
+            let rate = per_second * weight * if is_surging { pattern.factor(workspace) } else { 1.0 };
             at += -(1.0 - rng.random::<f64>()).ln() / rate;
             if at >= RUN.as_secs_f64() {
                 break;
