--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -63,7 +63,7 @@
 }
 
 fn show(g: Group) -> String {
-    format!("{:.2} {}/{}", g.worst.as_secs_f64(), g.lost, g.sent)
+    format!("{:.2} {}/{}", g.max_time.as_secs_f64(), g.lost, g.sent)
 }
 
 fn crash_table() {
@@ -76,7 +76,7 @@
     );
     let base = Scenario::new;
     let no_retry = |guard| Scenario { retry: false, gap: Duration::from_millis(12), ..base(guard) };
-    let dc = |guard| Scenario { routers: 22, engines: 730, innocents: 1500.0, ..base(guard) };
+    let dc = |guard| Scenario { routers: 22, engines: 730, normal_per_s: 1500.0, ..base(guard) };
     let flaps = |flapping, senders, steady_only| Scenario {
         flapping,
         senders,
@@ -115,10 +115,10 @@
             "{name:<44} {:>6} {:>5} {:>16} {:>5} {:>8} {:>7.2} {:>8.0}",
             f.sent,
             f.crashes,
-            format!("{}/{}", f.answered, f.innocents),
+            format!("{}/{}", f.answered, f.normal_requests),
             f.interrupted,
             f.falsely_quarantined,
-            f.worst.as_secs_f64(),
+            f.max_time.as_secs_f64(),
             f.bytes as f64 / runs / 60.0 / cfg.routers as f64
         );
     }
@@ -137,7 +137,7 @@
     for (name, bound) in bounds {
         let f = storm::run(bound, SEED);
         let ratio = f.extra() as f64 / f.fresh as f64;
-        println!("{name:<28} {:>10} {ratio:>8.3} {:>9} {:>6}", f.extra(), f.answered, f.worst);
+        println!("{name:<28} {:>10} {ratio:>8.3} {:>9} {:>6}", f.extra(), f.answered, f.max_attempts);
     }
 }
 
--- a/benches/admission/crash.rs
+++ b/benches/admission/crash.rs
@@ -51,7 +51,7 @@
     /// Engines.
     pub engines: usize,
     /// Innocent requests a second over the fleet.
-    pub innocents: f64,
+    pub normal_per_s: f64,
     /// Callers that send the crashing content at the same time, each waiting for its answer before the next.
     pub senders: usize,
     /// Time from an answer to the same caller's next try.
@@ -76,7 +76,7 @@
             guard,
             routers: 8,
             engines: 9,
-            innocents: 20.0,
+            normal_per_s: 20.0,
             senders: 1,
             gap: Duration::from_millis(100),
             lost: 0.0,
@@ -98,7 +98,7 @@
     /// Times that the crashing content was sent.
     pub sent: u32,
     /// Innocent requests.
-    pub innocents: u32,
+    pub normal_requests: u32,
     /// Of these, answered.
     pub answered: u32,
     /// Innocent requests whose engine crashed under them.
@@ -106,7 +106,7 @@
     /// Innocent contents quarantined at some router at the end.
     pub falsely_quarantined: u32,
     /// Longest time of an innocent request to its answer.
-    pub worst: Duration,
+    pub max_time: Duration,
     /// Bytes of news, all routers.
     pub bytes: usize,
 }
@@ -167,11 +167,11 @@
         all.crashes = all.crashes.max(f.crashes);
         all.flaps += f.flaps;
         all.sent += f.sent;
-        all.innocents += f.innocents;
+        all.normal_requests += f.normal_requests;
         all.answered += f.answered;
         all.interrupted += f.interrupted;
         all.falsely_quarantined += f.falsely_quarantined;
-        all.worst = all.worst.max(f.worst);
+        all.max_time = all.max_time.max(f.max_time);
         all.bytes += f.bytes;
     }
     all
@@ -237,10 +237,10 @@
         if self.now >= LENGTH {
             return;
         }
-        let pause = -(1.0 - self.rng.random::<f64>()).ln() / self.cfg.innocents;
+        let pause = -(1.0 - self.rng.random::<f64>()).ln() / self.cfg.normal_per_s;
         self.after(Duration::from_secs_f64(pause), Event::Innocent);
-        self.figures.innocents += 1;
-        let content = Fingerprint::call("/innocent", &self.figures.innocents.to_le_bytes());
+        self.figures.normal_requests += 1;
+        let content = Fingerprint::call("/innocent", &self.figures.normal_requests.to_le_bytes());
         let router = self.rng.random_range(0..self.cfg.routers);
         self.request(content, false, 0, router);
     }
@@ -472,7 +472,7 @@
         }
         if whole {
             self.figures.answered += 1;
-            self.figures.worst = self.figures.worst.max(took);
+            self.figures.max_time = self.figures.max_time.max(took);
         }
     }
 
--- a/benches/admission/storm.rs
+++ b/benches/admission/storm.rs
@@ -49,7 +49,7 @@
     /// Requests answered in the end.
     pub answered: u64,
     /// Most attempts that one request cost.
-    pub worst: u64,
+    pub max_attempts: u64,
 }
 
 impl Figures {
@@ -79,7 +79,7 @@
                 break;
             }
         }
-        figures.worst = figures.worst.max(figures.attempts - before);
+        figures.max_attempts = figures.max_attempts.max(figures.attempts - before);
         // Every request costs one attempt at least in the account, also one that was refused.
         figures.attempts = figures.attempts.max(before + 1);
     }
--- a/benches/admission/surge.rs
+++ b/benches/admission/surge.rs
@@ -48,7 +48,7 @@
     /// Refused, or answered late.
     pub lost: u32,
     /// Longest time from arrival to the end of the answer, or to the refusal.
-    pub worst: Duration,
+    pub max_time: Duration,
     /// Refused at the moment of arrival.
     pub refused_on_arrival: u32,
 }
@@ -101,7 +101,7 @@
         self.sent += other.sent;
         self.answered += other.answered;
         self.lost += other.lost;
-        self.worst = self.worst.max(other.worst);
+        self.max_time = self.max_time.max(other.max_time);
         self.refused_on_arrival += other.refused_on_arrival;
     }
 }
@@ -174,7 +174,7 @@
     let g = group(f, a);
     let took = end - a.at;
     g.sent += 1;
-    g.worst = g.worst.max(took);
+    g.max_time = g.max_time.max(took);
     if answered && end <= a.demand.deadline {
         g.answered += 1;
     } else {
--- a/tests/admission_bounds.rs
+++ b/tests/admission_bounds.rs
@@ -27,11 +27,11 @@
         let ours = surge::run_seeds(Order::Fair(BURST), pattern, SEEDS);
         let fifo = surge::run_seeds(Order::BoundedFifo, pattern, SEEDS);
 
-        assert!(ours.small_high.worst < Duration::from_millis(1300), "{pattern:?} {ours:?}");
-        assert!(ours.small_normal.worst < Duration::from_millis(3300), "{pattern:?} {ours:?}");
+        assert!(ours.small_high.max_time < Duration::from_millis(1300), "{pattern:?} {ours:?}");
+        assert!(ours.small_normal.max_time < Duration::from_millis(3300), "{pattern:?} {ours:?}");
         assert_eq!(ours.small_high.lost + ours.small_normal.lost, 0, "{pattern:?} {ours:?}");
         assert_eq!(ours.others_high.lost + ours.others_normal.lost, 0, "{pattern:?} {ours:?}");
-        assert!(fifo.small_high.worst > ours.small_high.worst * 3, "{pattern:?} {fifo:?}");
+        assert!(fifo.small_high.max_time > ours.small_high.max_time * 3, "{pattern:?} {fifo:?}");
     }
 }
 
@@ -40,7 +40,7 @@
 fn translations_go_before_dialogues_under_general_overload() {
     let ours = surge::run_seeds(Order::Fair(BURST), LoadPattern::Overload, SEEDS);
 
-    assert!(ours.others_high.worst < Duration::from_millis(1600), "{ours:?}");
+    assert!(ours.others_high.max_time < Duration::from_millis(1600), "{ours:?}");
 }
 
 /// Refusals are sent immediately on arrival, however long the queue is.
@@ -64,7 +64,7 @@
         let f = crash::run_seeds(cfg, 0..20);
 
         assert!(f.crashes <= 2, "{f:?}");
-        assert_eq!(f.answered, f.innocents, "{f:?}");
+        assert_eq!(f.answered, f.normal_requests, "{f:?}");
         assert_eq!(f.falsely_quarantined, 0, "{f:?}");
     }
     assert!(crash::run_seeds(Scenario::new(Protection::None), SEEDS).crashes > 20);
@@ -78,7 +78,7 @@
         let most = f.fresh as f64 * storm::RATIO + f64::from(storm::BURST) * storm::ROUTERS as f64;
 
         assert!(f.extra() as f64 <= most, "{bound:?} {f:?} {most}");
-        assert!(f.worst <= 3, "{bound:?} {f:?}");
+        assert!(f.max_attempts <= 3, "{bound:?} {f:?}");
         assert!(storm::run(Bound::Unbounded, 7).extra() > 4 * f.extra(), "{bound:?} {f:?}");
     }
 }
