--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -75,7 +75,7 @@
         "guard", "sent", "lost", "answered/all", "hit", "wronged", "worst s", "bytes/s"
     );
     let base = Scenario::new;
-    let no_retry = |guard| Scenario { retry: false, gap: Duration::from_millis(12), ..base(guard) };
+    let no_retry = |guard| Scenario { retry: false, resend_delay: Duration::from_millis(12), ..base(guard) };
     let dc = |guard| Scenario { routers: 22, engines: 730, normal_per_s: 1500.0, ..base(guard) };
     let flaps = |flapping, senders, steady_only| Scenario {
         flapping,
--- a/benches/admission/crash.rs
+++ b/benches/admission/crash.rs
@@ -55,7 +55,7 @@
     /// Callers that send the crashing content at the same time, each waiting for its answer before the next.
     pub senders: usize,
     /// Time from an answer to the same caller's next try.
-    pub gap: Duration,
+    pub resend_delay: Duration,
     /// Share of the messages with news that are lost.
     pub lost: f64,
     /// Routers that give permits, each believed in by a part of the others: more than one while member lists
@@ -78,7 +78,7 @@
             engines: 9,
             normal_per_s: 20.0,
             senders: 1,
-            gap: Duration::from_millis(100),
+            resend_delay: Duration::from_millis(100),
             lost: 0.0,
             arbiters: 1,
             flapping: 0,
@@ -468,7 +468,7 @@
         }
         let (guilty, sender, took) = (r.guilty, r.sender, self.now - r.since);
         if guilty {
-            return self.after(self.cfg.gap, Event::Send(sender));
+            return self.after(self.cfg.resend_delay, Event::Send(sender));
         }
         if whole {
             self.figures.answered += 1;
--- a/tests/admission_bounds.rs
+++ b/tests/admission_bounds.rs
@@ -58,7 +58,7 @@
 fn a_crashing_content_costs_two_engines_at_most() {
     let scenarios = [
         Scenario::new(Protection::Full),
-        Scenario { retry: false, gap: Duration::from_millis(12), ..Scenario::new(Protection::Full) },
+        Scenario { retry: false, resend_delay: Duration::from_millis(12), ..Scenario::new(Protection::Full) },
     ];
     for cfg in scenarios {
         let f = crash::run_seeds(cfg, 0..20);
