--- a/benches/admission/storm.rs
+++ b/benches/admission/storm.rs
@@ -14,7 +14,7 @@
 /// Share of fresh requests that the budget allows as retries.
 pub const RETRY_RATIO: f64 = 0.1;
 /// Retries that a router may make at once.
-pub const BURST: u32 = 10;
+pub const RETRY_BURST: u32 = 10;
 const ENGINES: usize = 20;
 const FAILING: usize = 6;
 const REQUESTS: usize = 100_000;
@@ -62,7 +62,7 @@
 /// Sends the requests while 30% of the engines refuse every connection and no router knows of it yet.
 pub fn run(bound: Bound, seed: u64) -> Figures {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut budgets = [RetryBudget::new(RETRY_RATIO, BURST); ROUTERS];
+    let mut budgets = [RetryBudget::new(RETRY_RATIO, RETRY_BURST); ROUTERS];
     let mut avoids = vec![Cooldowns::default(); ROUTERS];
     let mut figures = Figures::default();
     for i in 0..REQUESTS {
