--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -1,4 +1,4 @@
-//! Admission, retries and crashing requests under virtual time, with fixed seeds.
+//! Simulations of admission, retries and crashing requests in virtual time, with fixed seeds.
 //!
 //! `cargo bench --bench admission` prints the tables of docs/DESIGN.md.
 
@@ -23,11 +23,16 @@
 use storm::Bound;
 use surge::{Group, LoadPattern, Order};
 
+/// Seed of single runs.
 const SEED: u64 = 7;
+/// Seeds of the surge simulations.
 const SURGE_SEEDS: std::ops::Range<u64> = 0..10;
+/// Seeds of the crash simulations.
 const CRASH_SEEDS: std::ops::Range<u64> = 0..20;
+/// Seeds of the crash simulations of large fleets, which take longer.
 const FLEET_SEEDS: std::ops::Range<u64> = 0..3;
-const ROUNDS: u32 = 200_000;
+/// Number of iterations of each cost measurement.
+const ITERATIONS: u32 = 200_000;
 
 fn main() {
     surge_table("one workspace surges tenfold", LoadPattern::Surge);
@@ -56,52 +61,57 @@
         let f = surge::run_seeds(order, pattern, SURGE_SEEDS);
         print!("{name:<26}");
         for g in [f.small_high, f.small_normal, f.others_high, f.others_normal, f.surging] {
-            print!(" {:>18}", show(g));
+            print!(" {:>18}", format_group(g));
         }
         println!();
     }
 }
 
-fn show(g: Group) -> String {
+/// Formats a group as its longest time, lost requests and all requests.
+fn format_group(g: Group) -> String {
     format!("{:.2} {}/{}", g.max_time.as_secs_f64(), g.lost, g.sent)
 }
 
 fn crash_table() {
     println!(
-        "\none crashing content sent again and again to different routers, 60 s; worst of 20 seeds (3 at 730)"
+        "\none crashing content sent repeatedly to different routers, 60 s; worst of 20 seeds (3 at 730)"
     );
     println!(
         "{:<44} {:>6} {:>5} {:>16} {:>5} {:>8} {:>7} {:>8}",
         "guard", "sent", "lost", "answered/all", "hit", "wronged", "worst s", "bytes/s"
     );
     let base = Scenario::new;
-    let no_retry = |guard| Scenario { retry: false, resend_delay: Duration::from_millis(12), ..base(guard) };
-    let dc = |guard| Scenario { routers: 22, engines: 730, normal_per_s: 1500.0, ..base(guard) };
-    let flaps = |flapping, senders, steady_only| Scenario {
+    let no_retry =
+        |protection| Scenario { retry: false, resend_delay: Duration::from_millis(12), ..base(protection) };
+    let dc = |protection| Scenario { routers: 22, engines: 730, normal_per_s: 1500.0, ..base(protection) };
+    let flaps = |flapping, senders, stable_engines_only| Scenario {
         flapping,
         senders,
-        steady_only,
+        stable_engines_only,
         ..base(Protection::Full)
     };
     let rows = [
         ("none", base(Protection::None)),
-        ("each router alone", base(Protection::Local)),
+        ("each router on its own", base(Protection::Local)),
         ("gossip, own permits", base(Protection::Gossip)),
-        ("news at once, own permits", base(Protection::News)),
-        ("news at once, one router's permits", base(Protection::Full)),
+        ("broadcast, own permits", base(Protection::Broadcast)),
+        ("broadcast, one router's permits", base(Protection::Full)),
         ("caller only retries, 12 ms: none", no_retry(Protection::None)),
         ("caller only retries, 12 ms: alone", no_retry(Protection::Local)),
         ("caller only retries, 12 ms: gossip", no_retry(Protection::Gossip)),
         ("caller only retries, 12 ms: full", no_retry(Protection::Full)),
-        ("same, 20% of news lost", Scenario { lost: 0.2, ..no_retry(Protection::Full) }),
-        ("same, two routers give permits", Scenario { arbiters: 2, ..no_retry(Protection::Full) }),
-        ("full, two routers give permits", Scenario { arbiters: 2, ..base(Protection::Full) }),
+        ("same, 20% of updates lost", Scenario { loss_rate: 0.2, ..no_retry(Protection::Full) }),
+        ("same, two routers grant permits", Scenario { arbiters: 2, ..no_retry(Protection::Full) }),
+        ("full, two routers grant permits", Scenario { arbiters: 2, ..base(Protection::Full) }),
         ("none sent, 2 engines flap: any engine", flaps(2, 0, false)),
         ("none sent, 2 engines flap: full", flaps(2, 0, true)),
         ("none sent, 4 engines flap: full", flaps(4, 0, true)),
         ("sent, 2 engines flap: full", flaps(2, 1, true)),
         ("three callers at once: none", Scenario { senders: 3, ..base(Protection::None) }),
-        ("three callers at once: news, own permits", Scenario { senders: 3, ..base(Protection::News) }),
+        (
+            "three callers at once: broadcast, own permits",
+            Scenario { senders: 3, ..base(Protection::Broadcast) },
+        ),
         ("three callers at once: full", Scenario { senders: 3, ..base(Protection::Full) }),
         ("22 routers, 730 engines: none", dc(Protection::None)),
         ("22 routers, 730 engines: gossip", dc(Protection::Gossip)),
@@ -130,9 +140,9 @@
     let bounds = [
         ("unbounded", Bound::Unbounded),
         ("limit of 3 at each hop", Bound::PerHop),
-        ("one count of 3", Bound::GlobalLimit),
-        ("one count and budget 0.1", Bound::Budget),
-        ("and unreachable avoided", Bound::Cooldown),
+        ("one limit of 3", Bound::GlobalLimit),
+        ("one limit and budget 0.1", Bound::Budget),
+        ("and cool-down of unreachable", Bound::Cooldown),
     ];
     for (name, bound) in bounds {
         let f = storm::run(bound, SEED);
@@ -144,15 +154,15 @@
 fn cost_table() {
     println!("\ncost of a decision");
     for waiting in [10, 256] {
-        let (demands, mut lane) = filled(waiting);
+        let (demands, mut queue) = filled_queue(waiting);
         let mut now = Duration::ZERO;
         let mut i = 0;
-        report(&format!("offer, grant, settle; {waiting} wait"), || {
+        measure(&format!("enqueue, grant, settle; {waiting} waiting"), || {
             now += Duration::from_micros(100);
             i = (i + 1) % demands.len();
-            black_box(lane.enqueue(now, demands[i].clone()));
-            if let Some(ticket) = lane.start_turn() {
-                lane.end_turn(now, ticket, true);
+            black_box(queue.enqueue(now, demands[i].clone()));
+            if let Some(ticket) = queue.start_turn() {
+                queue.end_turn(now, ticket, true);
             }
         });
     }
@@ -161,13 +171,13 @@
         ConcurrencyLimit { scope: Scope::Group("group-1".into()), max: 400 },
     ];
     let mut usage = InFlight::default();
-    report("limits of a workspace and a group", || {
+    measure("limits of a workspace and a group", || {
         let _ = black_box(usage.acquire(&caps, 8));
         usage.release(&caps);
     });
     let (policy, mut budget) = (RetryPolicy::default(), RetryBudget::default());
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
-    report("attempt and retry", || {
+    measure("attempt and retry", || {
         let deadline = Duration::from_secs(1);
         if let Ok(mut a) = Attempts::begin(&policy, &mut budget, 0, true, deadline) {
             a.record_start();
@@ -183,20 +193,20 @@
     let body =
         serde_json::json!({ "model": "m", "messages": [{ "role": "user", "content": "x".repeat(4096) }] });
     let body = body.as_object().expect("an object");
-    report("fingerprint of a 4 KiB chat", || {
+    measure("fingerprint of a 4 KiB chat", || {
         black_box(Fingerprint::chat(body));
     });
     let mut table = SuspectTable::default();
     let contents: Vec<_> = (0..4096u32).map(|i| Fingerprint::call("/", &i.to_le_bytes())).collect();
     table.mark_suspects(Duration::ZERO, &contents, CrashId::new("engine", "1"));
     let mut i = 0;
-    report("standing, table of 4096", || {
+    measure("standing, table of 4096", || {
         i = (i + 1) % contents.len();
         black_box(table.standing(Duration::ZERO, contents[i]));
     });
     let mut permits = Permits::default();
     let engine: Arc<str> = "engine".into();
-    report("permit asked and given back", || {
+    measure("permit acquired and released", || {
         let _ =
             black_box(permits.acquire(Duration::ZERO, contents[0], engine.clone(), Duration::from_secs(1)));
         permits.release(contents[0], &engine);
@@ -204,12 +214,13 @@
     for allowed in [256, 4096] {
         let digest = table.digest(Duration::ZERO, allowed);
         let bytes = postcard::to_stdvec(&digest).map_or(0, |b| b.len());
-        println!("digest of {allowed} bytes allowed: {} contents in {bytes} bytes", digest.entries.len());
+        println!("digest of at most {allowed} bytes: {} contents in {bytes} bytes", digest.entries.len());
     }
 }
 
-fn filled(waiting: usize) -> (Vec<Demand>, FairQueue) {
-    let mut lane = FairQueue::new(QueueLimits::default().with_max_waiting(waiting + 1));
+/// Fills a queue with waiting requests; returns the requests as well.
+fn filled_queue(waiting: usize) -> (Vec<Demand>, FairQueue) {
+    let mut queue = FairQueue::new(QueueLimits::default().with_max_waiting(waiting + 1));
     let demands: Vec<_> = (0..waiting)
         .map(|i| Demand {
             workspace: format!("workspace-{}", i % 10).into(),
@@ -219,17 +230,18 @@
         })
         .collect();
     for demand in &demands {
-        if let EnqueueResult::Refused(r) = lane.enqueue(Duration::ZERO, demand.clone()) {
+        if let EnqueueResult::Refused(r) = queue.enqueue(Duration::ZERO, demand.clone()) {
             println!("refused while filling: {r:?}");
         }
     }
-    (demands, lane)
+    (demands, queue)
 }
 
-fn report(name: &str, mut step: impl FnMut()) {
-    let began = Instant::now();
-    for _ in 0..ROUNDS {
+/// Prints the mean time of a step.
+fn measure(name: &str, mut step: impl FnMut()) {
+    let start = Instant::now();
+    for _ in 0..ITERATIONS {
         step();
     }
-    println!("{name:<40} {:>8.0} ns", began.elapsed().as_nanos() as f64 / f64::from(ROUNDS));
+    println!("{name:<40} {:>8.0} ns", start.elapsed().as_nanos() as f64 / f64::from(ITERATIONS));
 }
--- a/benches/admission/crash.rs
+++ b/benches/admission/crash.rs
@@ -1,4 +1,4 @@
-//! One content crashes each engine that runs it and is sent again and again to different routers.
+//! Simulation of a content that crashes each engine that executes it and is sent repeatedly to different routers.
 
 use std::{cmp::Reverse, collections::BinaryHeap, sync::Arc, time::Duration};
 
@@ -12,77 +12,89 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const LENGTH: Duration = Duration::from_secs(60);
-const RESTART: Duration = Duration::from_secs(10);
-const KILL: Duration = Duration::from_millis(200);
-const RUN: Duration = Duration::from_secs(2);
-const GOSSIP: Duration = Duration::from_secs(1);
-const FANOUT: usize = 3;
-const DIGEST: usize = 256;
-const NEWS: usize = 4096;
-const PAUSE: Duration = Duration::from_millis(50);
-const ONE_WAY: Duration = Duration::from_millis(2);
-const FLAP: Duration = Duration::from_secs(3);
-const FLAP_RESTART: Duration = Duration::from_secs(1);
-const FIRST: Duration = Duration::from_secs(5);
-
-/// What guards the engines.
+/// Duration of a run.
+const RUN_TIME: Duration = Duration::from_secs(60);
+/// Time that a crashed engine takes to restart.
+const RESTART_TIME: Duration = Duration::from_secs(10);
+/// Time from the start of the crashing content until its engine crashes.
+const CRASH_DELAY: Duration = Duration::from_millis(200);
+/// Execution time of a normal request.
+const EXECUTION_TIME: Duration = Duration::from_secs(2);
+/// Time between two gossip rounds.
+const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of routers to which each router gossips per round.
+const GOSSIP_FANOUT: usize = 3;
+/// Size limit of a gossiped digest.
+const MAX_DIGEST_BYTES: usize = 256;
+/// Size limit of a broadcast digest.
+const MAX_BROADCAST_BYTES: usize = 4096;
+/// Time until a request without an engine or a permit is tried again.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// One-way delay between routers.
+const LINK_DELAY: Duration = Duration::from_millis(2);
+/// Mean time between two crashes of a flapping engine.
+const FLAP_INTERVAL: Duration = Duration::from_secs(3);
+/// Time that a flapping engine takes to restart.
+const FLAP_RESTART_TIME: Duration = Duration::from_secs(1);
+/// Time at which the crashing content is first sent.
+const FIRST_CRASHING_SEND: Duration = Duration::from_secs(5);
+
+/// Protection of the engines against crashing contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protection {
-    /// Every crash is retried on another engine, up to three attempts.
+    /// None: requests whose engine crashes are retried on another engine, up to three attempts.
     None,
-    /// Each router for itself: suspects, its own permits, no news.
+    /// Each router has its own suspects and permits, and nothing is shared.
     Local,
-    /// News by gossip only, its own permits.
+    /// Suspects are shared by gossip only; each router has its own permits.
     Gossip,
-    /// News at once and by gossip, its own permits.
-    News,
-    /// News at once and by gossip, permits from one router.
+    /// Suspects are broadcast immediately and gossiped; each router has its own permits.
+    Broadcast,
+    /// Suspects are broadcast immediately and gossiped; one router grants the permits.
     Full,
 }
 
-/// One scenario.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// What guards the engines.
-    pub guard: Protection,
-    /// Routers.
+    /// Protection of the engines.
+    pub protection: Protection,
+    /// Number of routers.
     pub routers: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Innocent requests a second over the fleet.
+    /// Normal requests per second, in the whole fleet.
     pub normal_per_s: f64,
-    /// Callers that send the crashing content at the same time, each waiting for its answer before the next.
+    /// Number of callers that send the crashing content concurrently, each waiting for an answer before it sends again.
     pub senders: usize,
-    /// Time from an answer to the same caller's next try.
+    /// Time from an answer until the same caller sends again.
     pub resend_delay: Duration,
-    /// Share of the messages with news that are lost.
-    pub lost: f64,
-    /// Routers that give permits, each believed in by a part of the others: more than one while member lists
-    /// differ.
+    /// Share of the messages with suspects that are lost.
+    pub loss_rate: f64,
+    /// Number of routers that grant permits, each to a part of the others; more than one while member lists differ.
     pub arbiters: usize,
-    /// Engines that crash by themselves every few seconds.
+    /// Number of engines that crash every few seconds without a crashing content.
     pub flapping: usize,
-    /// Whether suspects keep away from engines that crashed lately.
-    pub steady_only: bool,
-    /// Whether the router itself tries again what an engine's crash broke.
+    /// Whether suspects avoid engines that crashed recently.
+    pub stable_engines_only: bool,
+    /// Whether the router retries crashing requests after an engine's crash.
     pub retry: bool,
 }
 
 impl Scenario {
-    /// A data centre of today with one caller.
-    pub fn new(guard: Protection) -> Self {
+    /// A data centre of 8 routers and 9 engines, with one caller of the crashing content.
+    pub fn new(protection: Protection) -> Self {
         Self {
-            guard,
+            protection,
             routers: 8,
             engines: 9,
             normal_per_s: 20.0,
             senders: 1,
             resend_delay: Duration::from_millis(100),
-            lost: 0.0,
+            loss_rate: 0.0,
             arbiters: 1,
             flapping: 0,
-            steady_only: true,
+            stable_engines_only: true,
             retry: true,
         }
     }
@@ -91,50 +103,50 @@
 /// Figures of one run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Figures {
-    /// Engines that crashed.
+    /// Crashes of engines by the crashing content.
     pub crashes: u32,
-    /// Crashes of engines by themselves.
+    /// Crashes of flapping engines.
     pub flaps: u32,
-    /// Times that the crashing content was sent.
+    /// Number of times that the crashing content was sent.
     pub sent: u32,
-    /// Innocent requests.
+    /// Number of normal requests.
     pub normal_requests: u32,
-    /// Of these, answered.
+    /// Number of normal requests that were answered.
     pub answered: u32,
-    /// Innocent requests whose engine crashed under them.
+    /// Number of executions of normal requests that a crash interrupted.
     pub interrupted: u32,
-    /// Innocent contents quarantined at some router at the end.
+    /// Number of contents of normal requests that some router has quarantined at the end.
     pub falsely_quarantined: u32,
-    /// Longest time of an innocent request to its answer.
+    /// Longest time from a normal request's arrival to its answer.
     pub max_time: Duration,
-    /// Bytes of news, all routers.
+    /// Bytes of digests sent by all routers.
     pub bytes: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Innocent,
+    NormalRequest,
     Send(usize),
-    Try(usize),
+    Attempt(usize),
     Finish(usize, u32),
-    Kill(usize, u32),
+    Crash(usize, u32),
     Restart(usize),
     Gossip,
     Flap(usize),
-    News(usize, usize),
+    UpdateReceived(usize, usize),
 }
 
 #[derive(Clone, Debug)]
 struct Request {
     content: Fingerprint,
-    guilty: bool,
+    crashing: bool,
     sender: usize,
     router: usize,
-    since: Instant,
+    arrived_at: Instant,
     attempt: u32,
     engine: Option<(usize, RunKey)>,
     permit: bool,
-    waits: u32,
+    wait_count: u32,
     done: bool,
 }
 
@@ -145,22 +157,22 @@
     permits: Permits,
 }
 
-struct World {
+struct Simulation {
     cfg: Scenario,
     rng: ChaCha8Rng,
     now: Instant,
-    seq: u64,
+    event_seq: u64,
     events: BinaryHeap<Reverse<(Instant, u64, Event)>>,
     requests: Vec<Request>,
     routers: Vec<Router>,
-    names: Vec<Arc<str>>,
-    up: Vec<bool>,
-    starts: Vec<u32>,
-    digests: Vec<Digest>,
+    engine_names: Vec<Arc<str>>,
+    is_up: Vec<bool>,
+    engine_starts: Vec<u32>,
+    sent_digests: Vec<Digest>,
     figures: Figures,
 }
 
-/// Sums over several seeds; crashes and the worst time are those of the worst seed.
+/// Runs a scenario with several seeds; returns the sums of the figures, but the maximum of crashes and time.
 pub fn run_seeds(cfg: Scenario, seeds: std::ops::Range<u64>) -> Figures {
     let mut all = Figures::default();
     for f in seeds.map(|seed| run(cfg, seed)) {
@@ -177,68 +189,72 @@
     all
 }
 
-/// Runs one scenario.
+/// Runs a scenario with one seed.
 pub fn run(cfg: Scenario, seed: u64) -> Figures {
-    let mut world = World {
+    let mut simulation = Simulation {
         cfg,
         rng: ChaCha8Rng::seed_from_u64(seed),
         now: Duration::ZERO,
-        seq: 0,
+        event_seq: 0,
         events: BinaryHeap::new(),
         requests: Vec::new(),
         routers: (0..cfg.routers).map(|_| Router::default()).collect(),
-        names: (0..cfg.engines).map(|i| format!("engine-{i}").into()).collect(),
-        up: vec![true; cfg.engines],
-        starts: vec![0; cfg.engines],
-        digests: Vec::new(),
+        engine_names: (0..cfg.engines).map(|i| format!("engine-{i}").into()).collect(),
+        is_up: vec![true; cfg.engines],
+        engine_starts: vec![0; cfg.engines],
+        sent_digests: Vec::new(),
         figures: Figures::default(),
     };
-    world.after(Duration::ZERO, Event::Innocent);
-    world.after(Duration::ZERO, Event::Gossip);
+    simulation.schedule(Duration::ZERO, Event::NormalRequest);
+    simulation.schedule(Duration::ZERO, Event::Gossip);
     for engine in 0..cfg.flapping {
-        world.after(FLAP * (engine as u32 + 1) / 2, Event::Flap(engine));
+        simulation.schedule(FLAP_INTERVAL * (engine as u32 + 1) / 2, Event::Flap(engine));
     }
     for sender in 0..cfg.senders {
-        world.after(FIRST, Event::Send(sender));
+        simulation.schedule(FIRST_CRASHING_SEND, Event::Send(sender));
     }
-    while let Some(Reverse((at, _, event))) = world.events.pop() {
-        world.now = at;
-        world.handle(event);
+    while let Some(Reverse((at, _, event))) = simulation.events.pop() {
+        simulation.now = at;
+        simulation.handle(event);
     }
-    world.figures.falsely_quarantined = world.falsely_quarantined();
-    world.figures
+    simulation.figures.falsely_quarantined = simulation.falsely_quarantined();
+    simulation.figures
 }
 
-fn guilty() -> Fingerprint {
+/// The content that crashes engines.
+fn crashing_content() -> Fingerprint {
     Fingerprint::call("/guilty", b"")
 }
 
-impl World {
-    fn after(&mut self, pause: Duration, event: Event) {
-        self.seq += 1;
-        self.events.push(Reverse((self.now + pause, self.seq, event)));
+impl Simulation {
+    /// Schedules an event after a delay.
+    fn schedule(&mut self, pause: Duration, event: Event) {
+        self.event_seq += 1;
+        self.events.push(Reverse((self.now + pause, self.event_seq, event)));
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Innocent => self.innocent(),
+            Event::NormalRequest => self.start_normal_request(),
             Event::Send(sender) => self.send(sender),
-            Event::Try(id) => self.attempt(id),
+            Event::Attempt(id) => self.attempt(id),
             Event::Finish(id, attempt) => self.finish(id, attempt),
-            Event::Kill(id, attempt) => self.kill(id, attempt),
-            Event::Restart(engine) => self.up[engine] = true,
+            Event::Crash(id, attempt) => self.crash_attempt(id, attempt),
+            Event::Restart(engine) => self.is_up[engine] = true,
             Event::Gossip => self.gossip(),
             Event::Flap(engine) => self.flap(engine),
-            Event::News(to, digest) => self.routers[to].table.merge(self.now, &self.digests[digest]),
+            Event::UpdateReceived(to, digest) => {
+                self.routers[to].table.merge(self.now, &self.sent_digests[digest])
+            }
         }
     }
 
-    fn innocent(&mut self) {
-        if self.now >= LENGTH {
+    fn start_normal_request(&mut self) {
+        if self.now >= RUN_TIME {
             return;
         }
         let pause = -(1.0 - self.rng.random::<f64>()).ln() / self.cfg.normal_per_s;
-        self.after(Duration::from_secs_f64(pause), Event::Innocent);
+        self.schedule(Duration::from_secs_f64(pause), Event::NormalRequest);
         self.figures.normal_requests += 1;
         let content = Fingerprint::call("/innocent", &self.figures.normal_requests.to_le_bytes());
         let router = self.rng.random_range(0..self.cfg.routers);
@@ -246,166 +262,171 @@
     }
 
     fn send(&mut self, sender: usize) {
-        if self.now >= LENGTH {
+        if self.now >= RUN_TIME {
             return;
         }
         let router = (sender + self.figures.sent as usize) % self.cfg.routers;
         self.figures.sent += 1;
-        self.request(guilty(), true, sender, router);
+        self.request(crashing_content(), true, sender, router);
     }
 
-    fn request(&mut self, content: Fingerprint, guilty: bool, sender: usize, router: usize) {
+    fn request(&mut self, content: Fingerprint, crashing: bool, sender: usize, router: usize) {
         self.requests.push(Request {
             content,
-            guilty,
+            crashing,
             sender,
             router,
-            since: self.now,
+            arrived_at: self.now,
             attempt: 0,
             engine: None,
             permit: false,
-            waits: 0,
+            wait_count: 0,
             done: false,
         });
-        self.after(Duration::ZERO, Event::Try(self.requests.len() - 1));
+        self.schedule(Duration::ZERO, Event::Attempt(self.requests.len() - 1));
     }
 
     fn attempt(&mut self, id: usize) {
         let (content, router) = (self.requests[id].content, self.requests[id].router);
-        let standing = match self.cfg.guard {
+        let standing = match self.cfg.protection {
             Protection::None => Standing::Cleared,
             _ => self.routers[router].table.standing(self.now, content),
         };
-        let up: Vec<_> = (0..self.cfg.engines).filter(|&e| self.up[e]).collect();
-        if standing == Standing::Quarantined || self.requests[id].waits > 400 {
-            return self.answer(id, false);
+        let up: Vec<_> = (0..self.cfg.engines).filter(|&e| self.is_up[e]).collect();
+        if standing == Standing::Quarantined || self.requests[id].wait_count > 400 {
+            return self.complete_request(id, false);
         }
         if up.is_empty() {
-            return self.wait(id);
+            return self.retry_later(id);
         }
-        let steady = self.steady(router, up.clone());
-        let up = if standing == Standing::Suspect && !steady.is_empty() { steady } else { up };
+        let stable_engines = self.stable_engines(router, up.clone());
+        let up =
+            if standing == Standing::Suspect && !stable_engines.is_empty() { stable_engines } else { up };
         let first = self.rng.random_range(0..up.len());
         if standing == Standing::Cleared {
             return self.start(id, up[first], false);
         }
         for i in 0..up.len() {
             let engine = up[(first + i) % up.len()];
-            match self.ask(router, content, engine) {
+            match self.acquire_permit(router, content, engine) {
                 Verdict::Granted => return self.start(id, engine, true),
                 Verdict::EngineTaken => continue,
                 _ => break,
             }
         }
-        self.wait(id);
+        self.retry_later(id);
     }
 
-    fn steady(&self, router: usize, mut engines: Vec<usize>) -> Vec<usize> {
-        if self.cfg.steady_only {
-            let unsteady = self.routers[router].table.unstable_engines(self.now);
-            engines.retain(|&e| !unsteady.contains(&EngineHash::new(&self.names[e])));
+    /// The engines that have not crashed recently, as far as a router knows.
+    fn stable_engines(&self, router: usize, mut engines: Vec<usize>) -> Vec<usize> {
+        if self.cfg.stable_engines_only {
+            let unstable = self.routers[router].table.unstable_engines(self.now);
+            engines.retain(|&e| !unstable.contains(&EngineHash::new(&self.engine_names[e])));
         }
         engines
     }
 
     fn flap(&mut self, engine: usize) {
-        if self.now >= LENGTH {
+        if self.now >= RUN_TIME {
             return;
         }
-        let pause = FLAP.mul_f64(self.rng.random_range(0.5..1.5));
-        self.after(pause, Event::Flap(engine));
-        if self.up[engine] {
+        let pause = FLAP_INTERVAL.mul_f64(self.rng.random_range(0.5..1.5));
+        self.schedule(pause, Event::Flap(engine));
+        if self.is_up[engine] {
             self.figures.flaps += 1;
-            self.crash(engine, FLAP_RESTART);
+            self.crash(engine, FLAP_RESTART_TIME);
         }
     }
 
-    fn wait(&mut self, id: usize) {
-        self.requests[id].waits += 1;
-        self.after(PAUSE, Event::Try(id));
+    fn retry_later(&mut self, id: usize) {
+        self.requests[id].wait_count += 1;
+        self.schedule(RETRY_PAUSE, Event::Attempt(id));
     }
 
+    /// The router that grants permits to a router.
     fn arbiter(&self, router: usize) -> usize {
-        if self.cfg.guard == Protection::Full { router % self.cfg.arbiters } else { router }
+        if self.cfg.protection == Protection::Full { router % self.cfg.arbiters } else { router }
     }
 
-    fn ask(&mut self, router: usize, content: Fingerprint, engine: usize) -> Verdict {
+    fn acquire_permit(&mut self, router: usize, content: Fingerprint, engine: usize) -> Verdict {
         let arbiter = self.arbiter(router);
-        let name = self.names[engine].clone();
+        let name = self.engine_names[engine].clone();
         self.routers[arbiter].permits.acquire(self.now, content, name, Duration::from_secs(30))
     }
 
     fn start(&mut self, id: usize, engine: usize, permit: bool) {
         let r = &mut self.requests[id];
         r.attempt += 1;
-        let run = self.routers[r.router].running.start(&self.names[engine], r.content);
+        let run = self.routers[r.router].running.start(&self.engine_names[engine], r.content);
         (r.engine, r.permit) = (Some((engine, run)), permit);
-        let (attempt, guilty) = (r.attempt, r.guilty);
-        if guilty {
-            self.after(KILL, Event::Kill(id, attempt));
+        let (attempt, crashing) = (r.attempt, r.crashing);
+        if crashing {
+            self.schedule(CRASH_DELAY, Event::Crash(id, attempt));
         } else {
-            self.after(RUN, Event::Finish(id, attempt));
+            self.schedule(EXECUTION_TIME, Event::Finish(id, attempt));
         }
     }
 
-    /// Ends the attempt's run at its engine; returns the engine and whether the attempt had a permit.
-    fn end(&mut self, id: usize) -> Option<(usize, bool)> {
+    /// Ends an attempt's execution on its engine; returns the engine and whether the attempt had a permit.
+    fn end_run(&mut self, id: usize) -> Option<(usize, bool)> {
         let r = &mut self.requests[id];
         let (engine, run) = r.engine.take()?;
         let (router, permit, content) = (r.router, std::mem::take(&mut r.permit), r.content);
-        self.routers[router].running.finish(&self.names[engine], run);
+        self.routers[router].running.finish(&self.engine_names[engine], run);
         if permit {
             let arbiter = self.arbiter(router);
-            self.routers[arbiter].permits.release(content, &self.names[engine]);
+            self.routers[arbiter].permits.release(content, &self.engine_names[engine]);
         }
         Some((engine, permit))
     }
 
     fn finish(&mut self, id: usize, attempt: u32) {
-        if self.requests[id].attempt != attempt || self.end(id).is_none() {
+        if self.requests[id].attempt != attempt || self.end_run(id).is_none() {
             return;
         }
         let (router, content) = (self.requests[id].router, self.requests[id].content);
         self.routers[router].table.clear(self.now, content);
-        self.answer(id, true);
+        self.complete_request(id, true);
     }
 
-    fn kill(&mut self, id: usize, attempt: u32) {
+    fn crash_attempt(&mut self, id: usize, attempt: u32) {
         let Some((engine, _)) = self.requests[id].engine else { return };
         if self.requests[id].attempt != attempt {
             return;
         }
         self.figures.crashes += 1;
-        self.crash(engine, RESTART);
+        self.crash(engine, RESTART_TIME);
     }
 
+    /// Crashes an engine, which interrupts all attempts on it.
     fn crash(&mut self, engine: usize, restart: Duration) {
-        let crash = CrashId::new(&self.names[engine], &self.starts[engine].to_string());
-        self.starts[engine] += 1;
-        self.up[engine] = false;
-        self.after(restart, Event::Restart(engine));
+        let crash = CrashId::new(&self.engine_names[engine], &self.engine_starts[engine].to_string());
+        self.engine_starts[engine] += 1;
+        self.is_up[engine] = false;
+        self.schedule(restart, Event::Restart(engine));
         let victims: Vec<_> = (0..self.requests.len())
             .filter(|&v| self.requests[v].engine.is_some_and(|(e, _)| e == engine))
             .collect();
-        self.judge(&victims, engine, crash);
+        self.record_crash(&victims, engine, crash);
         for victim in victims {
-            self.end(victim);
-            self.broken(victim);
+            self.end_run(victim);
+            self.fail_attempt(victim);
         }
     }
 
-    /// What each router that had requests on the engine makes of the crash.
-    fn judge(&mut self, victims: &[usize], engine: usize, crash: CrashId) {
-        if self.cfg.guard == Protection::None {
+    /// Records a crash at each router that had requests on the engine, and broadcasts the resulting suspects.
+    fn record_crash(&mut self, victims: &[usize], engine: usize, crash: CrashId) {
+        if self.cfg.protection == Protection::None {
             return;
         }
         let mut routers: Vec<_> = victims.iter().map(|&v| self.requests[v].router).collect();
         routers.sort_unstable();
         routers.dedup();
         for router in routers {
-            let alone = victims.iter().map(|&v| &self.requests[v]).find(|r| r.router == router && r.permit);
-            let contents = self.routers[router].running.contents_on(&self.names[engine]);
-            match alone {
+            let isolated =
+                victims.iter().map(|&v| &self.requests[v]).find(|r| r.router == router && r.permit);
+            let contents = self.routers[router].running.contents_on(&self.engine_names[engine]);
+            match isolated {
                 Some(r) => {
                     self.routers[router].table.record_isolated_crash(self.now, r.content, &contents, crash);
                 }
@@ -413,74 +434,76 @@
                     self.routers[router].table.mark_suspects(self.now, &contents, crash);
                 }
             }
-            if matches!(self.cfg.guard, Protection::News | Protection::Full) {
+            if matches!(self.cfg.protection, Protection::Broadcast | Protection::Full) {
                 let all = (0..self.cfg.routers).filter(|&r| r != router).collect::<Vec<_>>();
-                let news = self.routers[router].table.unsent(self.now, NEWS);
-                self.tell(news, &all);
+                let update = self.routers[router].table.unsent(self.now, MAX_BROADCAST_BYTES);
+                self.send_digest(update, &all);
             }
         }
     }
 
-    fn tell(&mut self, digest: Digest, to: &[usize]) {
+    /// Sends a digest to some routers.
+    fn send_digest(&mut self, digest: Digest, to: &[usize]) {
         if digest.entries.is_empty() {
             return;
         }
         let size = postcard::to_stdvec(&digest).map_or(0, |b| b.len());
-        self.digests.push(digest);
-        let index = self.digests.len() - 1;
+        self.sent_digests.push(digest);
+        let index = self.sent_digests.len() - 1;
         for &router in to {
             self.figures.bytes += size;
-            if !self.rng.random_bool(self.cfg.lost) {
-                self.after(ONE_WAY, Event::News(router, index));
+            if !self.rng.random_bool(self.cfg.loss_rate) {
+                self.schedule(LINK_DELAY, Event::UpdateReceived(router, index));
             }
         }
     }
 
     fn gossip(&mut self) {
-        if self.now >= LENGTH {
+        if self.now >= RUN_TIME {
             return;
         }
-        self.after(GOSSIP, Event::Gossip);
-        if matches!(self.cfg.guard, Protection::None | Protection::Local) {
+        self.schedule(GOSSIP_INTERVAL, Event::Gossip);
+        if matches!(self.cfg.protection, Protection::None | Protection::Local) {
             return;
         }
         for from in 0..self.cfg.routers {
-            let to: Vec<_> = (0..FANOUT).map(|_| self.rng.random_range(0..self.cfg.routers)).collect();
-            let digest = self.routers[from].table.digest(self.now, DIGEST);
-            self.tell(digest, &to);
+            let to: Vec<_> = (0..GOSSIP_FANOUT).map(|_| self.rng.random_range(0..self.cfg.routers)).collect();
+            let digest = self.routers[from].table.digest(self.now, MAX_DIGEST_BYTES);
+            self.send_digest(digest, &to);
         }
     }
 
-    fn broken(&mut self, id: usize) {
+    fn fail_attempt(&mut self, id: usize) {
         let r = &self.requests[id];
-        self.figures.interrupted += u32::from(!r.guilty);
-        if (self.cfg.retry || !r.guilty) && r.attempt < 3 {
-            self.after(Duration::from_millis(10), Event::Try(id));
+        self.figures.interrupted += u32::from(!r.crashing);
+        if (self.cfg.retry || !r.crashing) && r.attempt < 3 {
+            self.schedule(Duration::from_millis(10), Event::Attempt(id));
         } else {
-            self.answer(id, false);
+            self.complete_request(id, false);
         }
     }
 
-    fn answer(&mut self, id: usize, whole: bool) {
+    fn complete_request(&mut self, id: usize, is_answered: bool) {
         let r = &mut self.requests[id];
         if std::mem::replace(&mut r.done, true) {
             return;
         }
-        let (guilty, sender, took) = (r.guilty, r.sender, self.now - r.since);
-        if guilty {
-            return self.after(self.cfg.resend_delay, Event::Send(sender));
+        let (crashing, sender, time) = (r.crashing, r.sender, self.now - r.arrived_at);
+        if crashing {
+            return self.schedule(self.cfg.resend_delay, Event::Send(sender));
         }
-        if whole {
+        if is_answered {
             self.figures.answered += 1;
-            self.figures.max_time = self.figures.max_time.max(took);
+            self.figures.max_time = self.figures.max_time.max(time);
         }
     }
 
+    /// Number of contents of normal requests that some router has quarantined.
     fn falsely_quarantined(&self) -> u32 {
         let quarantined = |content| {
             self.routers.iter().any(|r| r.table.standing(self.now, content) == Standing::Quarantined)
         };
-        let innocent = self.requests.iter().filter(|r| !r.guilty);
-        innocent.filter(|r| quarantined(r.content)).count() as u32
+        let start_normal_request = self.requests.iter().filter(|r| !r.crashing);
+        start_normal_request.filter(|r| quarantined(r.content)).count() as u32
     }
 }
--- a/benches/admission/surge.rs
+++ b/benches/admission/surge.rs
@@ -1,4 +1,4 @@
-//! One workspace surges tenfold, or all send too much: how long each waits, under each order of the queue.
+//! Simulation of a workspace that sends ten times its load, or of a general overload: waiting times under each queue order.
 
 use std::{
     cmp::Reverse,
@@ -14,57 +14,61 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Sizes of today: 9 engines, 8 requests at once each.
+/// Number of requests that run at once: 8 on each of 9 engines.
 const SLOTS: usize = 72;
-const WORKSPACES: usize = 10;
-const RUN: Duration = Duration::from_secs(60);
-const SURGE: std::ops::Range<Duration> = Duration::from_secs(10)..Duration::from_secs(40);
-/// Time that one unit of work takes in a slot.
-const UNIT: Duration = Duration::from_millis(4);
-/// Share of the slots in use without the surge.
-const LOAD: f64 = 0.6;
-/// The workspace that surges, and the small one that is watched.
-const LOUD: usize = 0;
-const SMALL: usize = 9;
+/// Number of workspaces.
+const WORKSPACE_COUNT: usize = 10;
+/// Time during which requests arrive.
+const RUN_TIME: Duration = Duration::from_secs(60);
+/// Time span of the surge.
+const SURGE_TIME: std::ops::Range<Duration> = Duration::from_secs(10)..Duration::from_secs(40);
+/// Execution time of one unit of work.
+const UNIT_TIME: Duration = Duration::from_millis(4);
+/// Share of the slots in use outside the surge.
+const BASE_LOAD: f64 = 0.6;
+/// Index of the workspace that surges.
+const SURGING_WORKSPACE: usize = 0;
+/// Index of the small workspace whose waiting times are reported.
+const SMALL_WORKSPACE: usize = 9;
 
 /// Order of the queue.
 #[derive(Clone, Copy, Debug)]
 pub enum Order {
-    /// Arrival, without a bound on the queue.
+    /// By arrival, in an unbounded queue.
     Fifo,
-    /// Arrival, the queue bounded as the lane's is.
+    /// By arrival, in a queue with the bound of the fair queue.
     BoundedFifo,
-    /// The lane, with this burst.
+    /// The fair queue with the given priority burst.
     Fair(u32),
 }
 
-/// What came of the requests of one group.
+/// Outcomes of the requests of one group.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Group {
-    /// Requests.
+    /// Number of requests.
     pub sent: u32,
-    /// Answered within the deadline.
+    /// Number of requests answered within their deadline.
     pub answered: u32,
-    /// Refused, or answered late.
+    /// Number of requests refused or answered after their deadline.
     pub lost: u32,
-    /// Longest time from arrival to the end of the answer, or to the refusal.
+    /// Longest time from a request's arrival to the end of its answer, or to its refusal.
     pub max_time: Duration,
-    /// Refused at the moment of arrival.
+    /// Number of requests refused on arrival.
     pub refused_on_arrival: u32,
 }
 
 /// Figures of one run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Figures {
-    /// The small workspace's translations.
+    /// Translations of the small workspace.
     pub small_high: Group,
-    /// The small workspace's dialogues.
+    /// Dialogues of the small workspace.
     pub small_normal: Group,
-    /// Translations of every other workspace but the loud one.
+    /// Translations of all other workspaces except the surging one.
     pub others_high: Group,
-    /// Dialogues of every other workspace but the loud one.
+    /// Dialogues of all other workspaces except the surging one.
     pub others_normal: Group,
-    /// The workspace that surges.
+    /// All requests of the surging workspace.
     pub surging: Group,
 }
 
@@ -75,22 +79,23 @@
     demand: Demand,
 }
 
-/// What goes wrong.
+/// Pattern of the load during the surge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadPattern {
-    /// One workspace sends ten times as much.
+    /// One workspace sends ten times its load.
     Surge,
-    /// One workspace sends ten times as much, all of it as urgent.
+    /// One workspace sends ten times its load, all with high priority.
     UrgentSurge,
-    /// Every workspace sends 2.2 times as much.
+    /// Every workspace sends 2.2 times its load.
     Overload,
 }
 
 impl LoadPattern {
+    /// Factor on a workspace's load.
     fn factor(self, workspace: usize) -> f64 {
         match self {
             LoadPattern::Overload => 2.2,
-            _ if workspace == LOUD => 10.0,
+            _ if workspace == SURGING_WORKSPACE => 10.0,
             _ => 1.0,
         }
     }
@@ -106,7 +111,7 @@
     }
 }
 
-/// Sums and worst cases over several seeds.
+/// Runs several seeds; returns the sums of the counts and the longest times.
 pub fn run_seeds(order: Order, pattern: LoadPattern, seeds: std::ops::Range<u64>) -> Figures {
     let mut all = Figures::default();
     for f in seeds.map(|seed| run(order, pattern, seed)) {
@@ -119,36 +124,37 @@
     all
 }
 
-/// Runs the table of arrivals under one order.
+/// Runs the arrivals of one seed under a queue order.
 pub fn run(order: Order, pattern: LoadPattern, seed: u64) -> Figures {
     let arrivals = arrivals(pattern, seed);
     match order {
         Order::Fifo => fifo(&arrivals, usize::MAX),
         Order::BoundedFifo => fifo(&arrivals, 256),
-        Order::Fair(burst) => lane(&arrivals, QueueLimits::default().with_burst(burst)),
+        Order::Fair(burst) => fair_queue(&arrivals, QueueLimits::default().with_burst(burst)),
     }
 }
 
+/// Draws the arrivals of all workspaces.
 fn arrivals(pattern: LoadPattern, seed: u64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     // Three large workspaces, the rest small.
-    let weights: [f64; WORKSPACES] = [0.2, 0.25, 0.25, 0.08, 0.06, 0.05, 0.04, 0.03, 0.02, 0.02];
+    let weights: [f64; WORKSPACE_COUNT] = [0.2, 0.25, 0.25, 0.08, 0.06, 0.05, 0.04, 0.03, 0.02, 0.02];
     let mean_work = 300.0;
-    let per_second = LOAD * SLOTS as f64 / (mean_work * UNIT.as_secs_f64());
+    let per_second = BASE_LOAD * SLOTS as f64 / (mean_work * UNIT_TIME.as_secs_f64());
     let mut list = Vec::new();
     for (workspace, weight) in weights.into_iter().enumerate() {
         let name: Arc<str> = format!("workspace-{workspace}").into();
         let mut at = 0.0;
         loop {
-            let is_surging = SURGE.contains(&Duration::from_secs_f64(at));
+            let is_surging = SURGE_TIME.contains(&Duration::from_secs_f64(at));
             let rate = per_second * weight * if is_surging { pattern.factor(workspace) } else { 1.0 };
             at += -(1.0 - rng.random::<f64>()).ln() / rate;
-            if at >= RUN.as_secs_f64() {
+            if at >= RUN_TIME.as_secs_f64() {
                 break;
             }
             let short = rng.random_bool(0.5);
             let work = if short { rng.random_range(50..250) } else { rng.random_range(250..650) };
-            let urgent = short || (workspace == LOUD && pattern == LoadPattern::UrgentSurge);
+            let urgent = short || (workspace == SURGING_WORKSPACE && pattern == LoadPattern::UrgentSurge);
             let priority = if urgent { Priority::High } else { Priority::Normal };
             let at = Duration::from_secs_f64(at);
             let limit = Duration::from_secs(if urgent { 8 } else { 20 });
@@ -160,21 +166,23 @@
     list
 }
 
-fn group<'a>(f: &'a mut Figures, a: &Arrival) -> &'a mut Group {
+/// The group of a request.
+fn group_mut<'a>(f: &'a mut Figures, a: &Arrival) -> &'a mut Group {
     match (a.workspace, a.demand.priority) {
-        (SMALL, Priority::High) => &mut f.small_high,
-        (SMALL, _) => &mut f.small_normal,
-        (LOUD, _) => &mut f.surging,
+        (SMALL_WORKSPACE, Priority::High) => &mut f.small_high,
+        (SMALL_WORKSPACE, _) => &mut f.small_normal,
+        (SURGING_WORKSPACE, _) => &mut f.surging,
         (_, Priority::High) => &mut f.others_high,
         _ => &mut f.others_normal,
     }
 }
 
-fn note(f: &mut Figures, a: &Arrival, end: Instant, answered: bool) {
-    let g = group(f, a);
-    let took = end - a.at;
+/// Records the end of a request, by an answer or a refusal.
+fn record_outcome(f: &mut Figures, a: &Arrival, end: Instant, answered: bool) {
+    let g = group_mut(f, a);
+    let time = end - a.at;
     g.sent += 1;
-    g.max_time = g.max_time.max(took);
+    g.max_time = g.max_time.max(time);
     if answered && end <= a.demand.deadline {
         g.answered += 1;
     } else {
@@ -183,103 +191,108 @@
     g.refused_on_arrival += u32::from(!answered && end == a.at);
 }
 
-fn runtime(a: &Arrival) -> Duration {
-    UNIT * a.demand.work
+fn execution_time(a: &Arrival) -> Duration {
+    UNIT_TIME * a.demand.work
 }
 
-fn fifo(arrivals: &[Arrival], most: usize) -> Figures {
+/// Runs the arrivals through a FIFO queue.
+fn fifo(arrivals: &[Arrival], max_queued: usize) -> Figures {
     let mut figures = Figures::default();
     let mut queue: VecDeque<usize> = VecDeque::new();
-    let mut ends: BinaryHeap<Reverse<Instant>> = BinaryHeap::new();
-    let start = |ends: &mut BinaryHeap<_>, figures: &mut Figures, now: Instant, i: usize| {
-        let end = now + runtime(&arrivals[i]);
-        ends.push(Reverse(end));
-        note(figures, &arrivals[i], end, true);
+    let mut running: BinaryHeap<Reverse<Instant>> = BinaryHeap::new();
+    let start = |running: &mut BinaryHeap<_>, figures: &mut Figures, now: Instant, i: usize| {
+        let end = now + execution_time(&arrivals[i]);
+        running.push(Reverse(end));
+        record_outcome(figures, &arrivals[i], end, true);
     };
     for (i, a) in arrivals.iter().enumerate() {
-        while let Some(&Reverse(end)) = ends.peek().filter(|e| e.0 <= a.at) {
-            ends.pop();
+        while let Some(&Reverse(end)) = running.peek().filter(|e| e.0 <= a.at) {
+            running.pop();
             if let Some(next) = queue.pop_front() {
-                start(&mut ends, &mut figures, end, next);
+                start(&mut running, &mut figures, end, next);
             }
         }
-        if ends.len() < SLOTS {
-            start(&mut ends, &mut figures, a.at, i);
-        } else if queue.len() < most {
+        if running.len() < SLOTS {
+            start(&mut running, &mut figures, a.at, i);
+        } else if queue.len() < max_queued {
             queue.push_back(i);
         } else {
-            note(&mut figures, a, a.at, false);
+            record_outcome(&mut figures, a, a.at, false);
         }
     }
-    while let Some(Reverse(end)) = ends.pop() {
+    while let Some(Reverse(end)) = running.pop() {
         if let Some(next) = queue.pop_front() {
-            start(&mut ends, &mut figures, end, next);
+            start(&mut running, &mut figures, end, next);
         }
     }
     figures
 }
 
-struct LaneRun<'a> {
+/// State of a run with the fair queue.
+struct FairQueueRun<'a> {
     arrivals: &'a [Arrival],
-    lane: FairQueue,
+    queue: FairQueue,
     tickets: Map<Ticket, usize>,
-    ends: BinaryHeap<Reverse<(Instant, usize, Instant)>>,
+    running: BinaryHeap<Reverse<(Instant, usize, Instant)>>,
     figures: Figures,
 }
 
-fn lane(arrivals: &[Arrival], limits: QueueLimits) -> Figures {
-    let mut run = LaneRun {
+/// Runs the arrivals through the fair queue.
+fn fair_queue(arrivals: &[Arrival], limits: QueueLimits) -> Figures {
+    let mut run = FairQueueRun {
         arrivals,
-        lane: FairQueue::new(limits),
+        queue: FairQueue::new(limits),
         tickets: Map::default(),
-        ends: BinaryHeap::new(),
+        running: BinaryHeap::new(),
         figures: Figures::default(),
     };
     for (i, a) in arrivals.iter().enumerate() {
         run.advance(a.at);
         run.arrive(i, a);
     }
-    run.advance(RUN * 10);
+    run.advance(RUN_TIME * 10);
     run.figures
 }
 
-impl LaneRun<'_> {
+impl FairQueueRun<'_> {
     fn arrive(&mut self, i: usize, a: &Arrival) {
-        if self.lane.is_empty() && self.ends.len() < SLOTS {
+        if self.queue.is_empty() && self.running.len() < SLOTS {
             return self.start(a.at, i);
         }
-        match self.lane.enqueue(a.at, a.demand.clone()) {
+        match self.queue.enqueue(a.at, a.demand.clone()) {
             EnqueueResult::Queued(ticket) => drop(self.tickets.insert(ticket, i)),
             EnqueueResult::Displaced(ticket, victim, _) => {
                 self.tickets.insert(ticket, i);
                 self.refuse(a.at, victim);
             }
-            EnqueueResult::Refused(_) => note(&mut self.figures, a, a.at, false),
+            EnqueueResult::Refused(_) => record_outcome(&mut self.figures, a, a.at, false),
         }
     }
 
     fn start(&mut self, now: Instant, i: usize) {
-        let end = now + runtime(&self.arrivals[i]);
-        self.ends.push(Reverse((end, i, now)));
-        note(&mut self.figures, &self.arrivals[i], end, true);
+        let end = now + execution_time(&self.arrivals[i]);
+        self.running.push(Reverse((end, i, now)));
+        record_outcome(&mut self.figures, &self.arrivals[i], end, true);
     }
 
     fn refuse(&mut self, now: Instant, ticket: Ticket) {
         if let Some(i) = self.tickets.remove(&ticket) {
-            note(&mut self.figures, &self.arrivals[i], now, false);
+            record_outcome(&mut self.figures, &self.arrivals[i], now, false);
         }
     }
 
+    /// Ends the executions that are due and starts waiting requests, until a time.
     fn advance(&mut self, to: Instant) {
-        while let Some(&Reverse((now, i, began))) = self.ends.peek().filter(|e| e.0.0 <= to) {
-            self.ends.pop();
-            self.lane.record_run(now - began, self.arrivals[i].demand.work);
-            for (ticket, _) in self.lane.expire(now) {
+        while let Some(&Reverse((now, i, started))) = self.running.peek().filter(|e| e.0.0 <= to) {
+            self.running.pop();
+            self.queue.record_run(now - started, self.arrivals[i].demand.work);
+            for (ticket, _) in self.queue.expire(now) {
                 self.refuse(now, ticket);
             }
-            if let Some(ticket) = self.lane.start_turn() {
-                self.lane.end_turn(now, ticket, true);
-                let next = self.tickets.remove(&ticket).expect("a granted ticket waits");
+            if let Some(ticket) = self.queue.start_turn() {
+                self.queue.end_turn(now, ticket, true);
+                let next =
+                    self.tickets.remove(&ticket).expect("the granted ticket belongs to a waiting request");
                 self.start(now, next);
             }
         }
--- a/tests/admission_bounds.rs
+++ b/tests/admission_bounds.rs
@@ -75,7 +75,8 @@
 fn extra_attempts_stay_within_the_budget() {
     for bound in [Bound::Budget, Bound::Cooldown] {
         let f = storm::run(bound, 7);
-        let most = f.fresh as f64 * storm::RETRY_RATIO + f64::from(storm::RETRY_BURST) * storm::ROUTERS as f64;
+        let most =
+            f.fresh as f64 * storm::RETRY_RATIO + f64::from(storm::RETRY_BURST) * storm::ROUTERS as f64;
 
         assert!(f.extra() as f64 <= most, "{bound:?} {f:?} {most}");
         assert!(f.max_attempts <= 3, "{bound:?} {f:?}");
