--- a/benches/relay.rs
+++ b/benches/relay.rs
@@ -1,4 +1,4 @@
-//! Cost of the relay's decisions by size of the service, and memory of what it knows.
+//! Cost of the relay's decisions by number of backend servers, and size of the server list.
 
 use std::{
     sync::Arc,
@@ -19,13 +19,18 @@
 };
 use rand::{SeedableRng, rngs::SmallRng};
 
-const SIZES: [usize; 4] = [9, 112, 733, 2_750];
-const ROUNDS: u32 = 20_000;
-const LINES: u32 = 5_000;
-/// Lines between two pauses, fewer than the output's queue holds.
-const LINES_AT_ONCE: u64 = 500;
-const LINES_PAUSE: Duration = Duration::from_millis(20);
+/// Numbers of backend servers for which costs are measured.
+const SERVER_COUNTS: [usize; 4] = [9, 112, 733, 2_750];
+/// Number of iterations of each measurement.
+const ITERATIONS: u32 = 20_000;
+/// Number of log lines written with an output.
+const LOG_LINES: u32 = 5_000;
+/// Number of log lines between two pauses, below the capacity of the output's queue.
+const LOG_LINES_PER_PAUSE: u64 = 500;
+/// Pause in which the output's thread empties its queue.
+const LOG_PAUSE: Duration = Duration::from_millis(20);
 
+/// A server list with its placement candidates.
 fn servers(n: usize) -> (Backends, Vec<Candidate>) {
     let item = |i: usize| Backend {
         id: format!("i-{i:010x}"),
@@ -53,18 +58,19 @@
     (backends, candidates)
 }
 
-fn per_round(rounds: u32, mut round: impl FnMut(u64)) -> f64 {
+/// Mean time of an iteration, in microseconds.
+fn mean_us(iterations: u32, mut step: impl FnMut(u64)) -> f64 {
     let start = Instant::now();
-    (0..u64::from(rounds)).for_each(&mut round);
-    start.elapsed().as_secs_f64() * 1e6 / f64::from(rounds)
+    (0..u64::from(iterations)).for_each(&mut step);
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(iterations)
 }
 
 fn main() {
     println!(
-        "| servers | choose by parts, us | the same with all places taken, us | choose by load, us | hear a beat of 40 loads, us | list, bytes |"
+        "| servers | choose by parts, us | choose by parts with all slots taken, us | choose by load, us | receive a heartbeat of 40 loads, us | list, bytes |"
     );
     println!("| --- | --- | --- | --- | --- | --- |");
-    for n in SIZES {
+    for n in SERVER_COUNTS {
         let (backends, candidates) = servers(n);
         let mut rng = SmallRng::seed_from_u64(1);
         let mut holders = Holders::default();
@@ -72,54 +78,59 @@
             holders.insert(Duration::ZERO, i as u64, c.key);
         }
         let placer = Placer::default();
-        let by_parts = per_round(ROUNDS, |i| {
+        let by_parts = mean_us(ITERATIONS, |i| {
             let parts = [Part { id: i % 4_000, tokens: 10_000 }, Part { id: i << 20, tokens: 300 }];
             placer.choose(&candidates, &parts, &holders, |_| true, &mut rng);
         });
         let full: Vec<_> = candidates.iter().map(|c| Candidate { load: 64.0 + c.load, ..*c }).collect();
-        let at_places = per_round(ROUNDS, |i| {
+        let all_slots_taken = mean_us(ITERATIONS, |i| {
             let parts = [Part { id: i % 4_000, tokens: 10_000 }, Part { id: i << 20, tokens: 300 }];
             placer.choose(&full, &parts, &holders, |_| true, &mut rng);
         });
-        let by_load = per_round(ROUNDS, |_| {
+        let by_load = mean_us(ITERATIONS, |_| {
             placer.choose(&candidates, &[], &holders, |_| true, &mut rng);
         });
         let list = postcard::to_allocvec(&backends.snapshot(Duration::ZERO)).map_or(0, |b| b.len());
-        println!("| {n} | {by_parts:.1} | {at_places:.1} | {by_load:.1} | {:.1} | {list} |", hear(n));
+        println!(
+            "| {n} | {by_parts:.1} | {all_slots_taken:.1} | {by_load:.1} | {:.1} | {list} |",
+            heartbeat_us(n)
+        );
     }
-    println!("\nadmission: {:.2} us", admission());
+    println!("\nadmission: {:.2} us", admission_us());
     log_lines();
 }
 
-/// Time to decide whether a request is sent, the sum of what is in progress not counted.
-fn admission() -> f64 {
+/// Mean time of an admission decision, without summing the requests in progress.
+fn admission_us() -> f64 {
     let (service, mut admission): (Arc<str>, _) = ("llm".into(), Admission::default());
     let (objective, time_left) = (Duration::from_millis(600), Duration::from_secs(10));
-    per_round(ROUNDS, |i| {
+    mean_us(ITERATIONS, |i| {
         let load = ServiceLoad { own: 60, all: 300 + (i % 100) as u32, slots: 384 };
-        let ask = AdmissionRequest { route: i % 5, rank: 1, route_rank: 1, objective, time_left, load };
+        let admission_req =
+            AdmissionRequest { route: i % 5, rank: 1, route_rank: 1, objective, time_left, load };
         let now = Duration::from_micros(i * 100);
         let draw = (i % 100) as f64 / 100.0;
-        let _ = std::hint::black_box(admission.admit(now, &service, ask, [draw, draw]));
+        let _ = std::hint::black_box(admission.admit(now, &service, admission_req, [draw, draw]));
     })
 }
 
-/// Cost of a line as it is written for each attempt: without an output, within the budget, and over it. The output's own
-/// thread is not counted.
+/// Measures the cost of the log line that is written for each attempt, without and with an output. The output's own thread is
+/// not counted.
 fn log_lines() {
-    let off = per_round(ROUNDS, write_line);
-    lines::start(std::io::sink(), u32::MAX).expect("the output starts");
-    let on = per_round(LINES, |n| {
+    let off = mean_us(ITERATIONS, write_line);
+    lines::start(std::io::sink(), u32::MAX).expect("the log output did not start");
+    let on = mean_us(LOG_LINES, |n| {
         write_line(n);
-        // The output's thread keeps up, as it does at the rate of a host.
-        if n % LINES_AT_ONCE == 0 {
-            std::thread::sleep(LINES_PAUSE);
+        // Let the output's thread keep up, as it does at the rate of a host.
+        if n % LOG_LINES_PER_PAUSE == 0 {
+            std::thread::sleep(LOG_PAUSE);
         }
     });
-    let on = on - LINES_PAUSE.as_secs_f64() * 1e6 / LINES_AT_ONCE as f64;
+    let on = on - LOG_PAUSE.as_secs_f64() * 1e6 / LOG_LINES_PER_PAUSE as f64;
     println!("\na log line: {off:.2} us without an output, {on:.2} us with one");
 }
 
+/// Writes the log line of an attempt.
 fn write_line(n: u64) {
     line(Weight::Routine, "sent", |l| {
         let l = l.text("request", "9c41d07be2a35f68").text("route", "r-5hsvxxt");
@@ -133,12 +144,12 @@
     });
 }
 
-/// Time to take one beat in.
-fn hear(n: usize) -> f64 {
+/// Mean time to process a heartbeat.
+fn heartbeat_us(n: usize) -> f64 {
     let mut peers = Peers::new("10.0.0.1:1".parse().unwrap(), "a", &[]);
     let loads = (0..40).map(|i| InProgress { backend: (i * n / 40) as u32, requests: 3 }).collect::<Vec<_>>();
     let sender = Member { data_centre: "a".into(), peers: "10.0.0.2:1".into(), ..Member::default() };
-    per_round(ROUNDS, |i| {
+    mean_us(ITERATIONS, |i| {
         let beat = Beat {
             start: 1,
             number: i + 1,
