--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -7,7 +7,7 @@
 #[allow(dead_code)]
 mod world;
 
-use world::{Violations, Way, Weak, schedule};
+use world::{ClaimStorage, Violations, Weak, schedule};
 
 const SECONDS: u64 = 20;
 const INTERVAL: u64 = 100;
@@ -27,9 +27,9 @@
         "way             routers  saves/s  p50 ms  p99 ms  writes/s  reads/s  frames/s  largest B  answered"
     );
     let ways = [
-        ("16 shards", Way::Shards(16)),
-        ("log a router", Way::RouterLogs),
-        ("object a key", Way::ObjectPerKey),
+        ("16 shards", ClaimStorage::Shards(16)),
+        ("log a router", ClaimStorage::RouterLogs),
+        ("object a key", ClaimStorage::ObjectPerKey),
     ];
     for (name, way) in ways {
         for routers in [8, 330] {
@@ -49,7 +49,7 @@
     println!("interval ms  saves/s  p50 ms  p99 ms  writes/s");
     for interval in [40, 80, 100, 160, 320] {
         for rate in [10, 100, 1000] {
-            let c = cases::cost(Way::Shards(16), 8, rate, SECONDS, interval);
+            let c = cases::cost(ClaimStorage::Shards(16), 8, rate, SECONDS, interval);
             println!("{interval:11} {rate:8} {:7} {:7} {:9.1}", c.p50_ms, c.p99_ms, c.writes_s);
         }
     }
--- a/benches/claims/holder.rs
+++ b/benches/claims/holder.rs
@@ -75,8 +75,8 @@
     /// Which router this one takes for the owner of the key's shard.
     pub(super) fn owner(&self, router: usize, key: KeyDigest) -> usize {
         match self.way {
-            Way::Shards(n) if n > 1 => usize::from(key.shard() % n) % self.routers.len(),
-            Way::Shards(_) => self.routers[router].owner,
+            ClaimStorage::Shards(n) if n > 1 => usize::from(key.shard() % n) % self.routers.len(),
+            ClaimStorage::Shards(_) => self.routers[router].owner,
             _ => router,
         }
     }
--- a/benches/claims/keeper.rs
+++ b/benches/claims/keeper.rs
@@ -141,9 +141,9 @@
 
     pub(super) fn book_id(&self, router: usize, key: KeyDigest) -> u64 {
         match self.way {
-            Way::Shards(n) => u64::from(key.shard() % n),
-            Way::RouterLogs => router as u64,
-            Way::ObjectPerKey => u64::from_le_bytes(key.0[..8].try_into().unwrap_or_default()),
+            ClaimStorage::Shards(n) => u64::from(key.shard() % n),
+            ClaimStorage::RouterLogs => router as u64,
+            ClaimStorage::ObjectPerKey => u64::from_le_bytes(key.0[..8].try_into().unwrap_or_default()),
         }
     }
 
@@ -167,7 +167,7 @@
             let at = (at.as_millis() as Ms).max(self.now + 1);
             self.at(at, Event::Wake { router, start, book: id });
         }
-        if self.way == Way::ObjectPerKey && self.book(router, id).is_idle() {
+        if self.way == ClaimStorage::ObjectPerKey && self.book(router, id).is_idle() {
             self.routers[router].books.remove(&id);
         }
     }
--- a/benches/claims/options.rs
+++ b/benches/claims/options.rs
@@ -43,7 +43,7 @@
 
 /// Where claims are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum ClaimStorage {
     /// This many shards; each has an owner.
     Shards(u16),
     /// A log of its own for each router.
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -28,7 +28,7 @@
 mod options;
 mod store;
 
-pub use options::{Faults, Way, Weak};
+pub use options::{ClaimStorage, Faults, Weak};
 
 pub type Ms = u64;
 
@@ -212,7 +212,7 @@
     queue: BinaryHeap<Reverse<(Ms, u64)>>,
     events: BTreeMap<u64, Event>,
     weak: Weak,
-    way: Way,
+    way: ClaimStorage,
     faults: Faults,
     cfg: ShardClaimsConfig,
     outage: bool,
@@ -236,7 +236,7 @@
 const RUN_OUT_MS: Ms = 1500;
 
 impl World {
-    pub fn new(seed: u64, routers: usize, way: Way, faults: Faults, weak: Weak) -> Self {
+    pub fn new(seed: u64, routers: usize, way: ClaimStorage, faults: Faults, weak: Weak) -> Self {
         let mut world = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
@@ -503,7 +503,7 @@
 /// One seeded schedule of all faults over three routers and one shard.
 pub fn schedule(seed: u64, weak: Weak) -> World {
     let mut world =
-        World::new(seed, 3, Way::Shards(1), Faults::many(), weak).with_config(ShardClaimsConfig {
+        World::new(seed, 3, ClaimStorage::Shards(1), Faults::many(), weak).with_config(ShardClaimsConfig {
             max_shard_bytes: 2048,
             record_delay: Duration::from_millis(300),
             write_interval: Duration::from_millis(40),
--- a/tests/claim_costs.rs
+++ b/tests/claim_costs.rs
@@ -7,16 +7,16 @@
 #[allow(dead_code)]
 mod world;
 
-use world::Way;
+use world::ClaimStorage;
 
 const INTERVAL_MS: u64 = 100;
-const SHARDS: Way = Way::Shards(16);
+const SHARDS: ClaimStorage = ClaimStorage::Shards(16);
 
 #[test]
 fn writes_grow_with_shards_and_not_with_requests_or_routers() {
     let few = cases::cost(SHARDS, 8, 1000, 5, INTERVAL_MS);
     let many = cases::cost(SHARDS, 330, 1000, 5, INTERVAL_MS);
-    let object_a_key = cases::cost(Way::ObjectPerKey, 8, 1000, 5, INTERVAL_MS);
+    let object_a_key = cases::cost(ClaimStorage::ObjectPerKey, 8, 1000, 5, INTERVAL_MS);
 
     assert!(few.writes_s <= 170.0, "{few:?}");
     assert!((many.writes_s / few.writes_s - 1.0).abs() < 0.05, "{few:?} {many:?}");
--- a/tests/claim_stories.rs
+++ b/tests/claim_stories.rs
@@ -5,7 +5,7 @@
 #[allow(dead_code)]
 mod world;
 
-use world::{Faults, Ms, Violations, Way, Weak, World};
+use world::{ClaimStorage, Faults, Ms, Violations, Weak, World};
 
 /// A request takes about 25 ms from the first frame to the response; its record is written about a second later.
 const ANSWERED: Ms = 40;
@@ -15,7 +15,7 @@
 
 /// Three routers, each of which considers itself the owner of the only shard.
 fn world(faults: Faults, weak: Weak) -> World {
-    World::new(3, 3, Way::Shards(1), faults, weak)
+    World::new(3, 3, ClaimStorage::Shards(1), faults, weak)
 }
 
 fn every_point() -> impl Iterator<Item = Ms> {
@@ -98,7 +98,7 @@
     let faults = Faults { repeat_frame: 1000, late_frame: 500, ..Faults::none() };
     let mut late_grants = 0;
     for seed in 0..60 {
-        let mut world = World::new(seed, 3, Way::Shards(4), faults, Weak::Nothing);
+        let mut world = World::new(seed, 3, ClaimStorage::Shards(4), faults, Weak::Nothing);
         for i in 0..10 {
             world.call(i * 30, i as usize % 3, i % 2 == 0, 4, true);
         }
@@ -133,7 +133,7 @@
     let faults = Faults { lose_answer: 500, late_effect: 300, ..Faults::none() };
     let mut answered = 0;
     for seed in 0..60 {
-        let mut world = World::new(seed, 3, Way::Shards(1), faults, Weak::Nothing);
+        let mut world = World::new(seed, 3, ClaimStorage::Shards(1), faults, Weak::Nothing);
         for i in 0..10 {
             world.call(i * 50, i as usize % 3, false, 5, i % 3 == 0);
         }
