--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -7,7 +7,7 @@
 #[allow(dead_code)]
 mod world;
 
-use world::{ClaimStorage, Violations, Weak, schedule};
+use world::{ClaimStorage, Violations, Weakening, schedule};
 
 const SECONDS: u64 = 20;
 const INTERVAL: u64 = 100;
@@ -84,20 +84,20 @@
 fn schedules() {
     println!("\nseeded schedules of all faults: 3 routers, 24 keys each");
     println!("version           schedules    runs  second runs  false not run  another's answer");
-    row(Weak::Nothing, SCHEDULES);
-    for weak in Weak::ALL {
+    row(Weakening::Nothing, SCHEDULES);
+    for weak in Weakening::ALL {
         row(weak, WEAK_SCHEDULES);
     }
 }
 
-fn row(weak: Weak, schedules: u64) {
+fn row(weak: Weakening, schedules: u64) {
     let (mut all, mut runs) = (Violations::default(), 0);
     for seed in 0..schedules {
         let world = schedule(seed, weak);
         all.add(world.violations());
         runs += world.stats.runs;
     }
-    let name = if weak == Weak::Nothing { "as built".to_owned() } else { format!("{weak:?}") };
+    let name = if weak == Weakening::Nothing { "as built".to_owned() } else { format!("{weak:?}") };
     println!(
         "{name:16} {schedules:10} {runs:7} {:12} {:14} {:17}",
         all.second_run, all.false_not_run, all.foreign_answer
--- a/benches/claims/keeper.rs
+++ b/benches/claims/keeper.rs
@@ -30,7 +30,9 @@
                     Some(_) if mine => {
                         self.ask_local(to, ask, from, start, req);
                     }
-                    Some(named) if self.weak != Weak::TicketAnywhere && !self.closed.contains(&named) => {
+                    Some(named)
+                        if self.weak != Weakening::TicketAnywhere && !self.closed.contains(&named) =>
+                    {
                         let ask = ClaimRequest { lookup_only: true, ..ask };
                         self.ask_book(to, ask, Asker::Look { from, start, req });
                     }
@@ -103,7 +105,7 @@
         let waiter = self.id();
         let verdict = self.book(router, id).request_claim(clock, ask, waiter);
         let verdict = match verdict {
-            None if self.weak == Weak::GrantAtOnce && !ask.lookup_only => Some(Verdict::Granted),
+            None if self.weak == Weakening::GrantAtOnce && !ask.lookup_only => Some(Verdict::Granted),
             verdict => verdict,
         };
         match verdict {
--- a/benches/claims/options.rs
+++ b/benches/claims/options.rs
@@ -4,7 +4,7 @@
 
 /// A step of the protocol left out or done wrong, to show that the schedules find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weak {
+pub enum Weakening {
     /// Nothing: the decisions as they are.
     Nothing,
     /// The claim is granted before it is known to be durable.
@@ -27,17 +27,17 @@
     UncheckedAnswer,
 }
 
-impl Weak {
-    pub const ALL: [Weak; 9] = [
-        Weak::GrantAtOnce,
-        Weak::Unconditional,
-        Weak::LostIsDone,
-        Weak::ClaimsRunOut,
-        Weak::LateGrant,
-        Weak::TicketAnywhere,
-        Weak::HandOverAnyway,
-        Weak::BrokenIsNotRun,
-        Weak::UncheckedAnswer,
+impl Weakening {
+    pub const ALL: [Weakening; 9] = [
+        Weakening::GrantAtOnce,
+        Weakening::Unconditional,
+        Weakening::LostIsDone,
+        Weakening::ClaimsRunOut,
+        Weakening::LateGrant,
+        Weakening::TicketAnywhere,
+        Weakening::HandOverAnyway,
+        Weakening::BrokenIsNotRun,
+        Weakening::UncheckedAnswer,
     ];
 }
 
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -1,5 +1,5 @@
 //! Claims in virtual time: the routers' real decisions, with small fakes of the platform, the links, a backend
-//! server and callers between them. Seeded; faults come from a [`Faults`] table, weakenings from [`Weak`].
+//! server and callers between them. Seeded; faults come from a [`Faults`] table, weakenings from [`Weakening`].
 
 use std::{
     cmp::Reverse,
@@ -28,7 +28,7 @@
 mod options;
 mod store;
 
-pub use options::{ClaimStorage, Faults, Weak};
+pub use options::{ClaimStorage, Faults, Weakening};
 
 pub type Ms = u64;
 
@@ -211,7 +211,7 @@
     seq: u64,
     queue: BinaryHeap<Reverse<(Ms, u64)>>,
     events: BTreeMap<u64, Event>,
-    weak: Weak,
+    weak: Weakening,
     way: ClaimStorage,
     faults: Faults,
     cfg: ShardClaimsConfig,
@@ -236,7 +236,7 @@
 const RUN_OUT_MS: Ms = 1500;
 
 impl World {
-    pub fn new(seed: u64, routers: usize, way: ClaimStorage, faults: Faults, weak: Weak) -> Self {
+    pub fn new(seed: u64, routers: usize, way: ClaimStorage, faults: Faults, weak: Weakening) -> Self {
         let mut world = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
@@ -483,7 +483,7 @@
     /// The process grants nothing from memory any more, and hands the keys of its tickets over if it never did.
     fn leave(&mut self, router: usize) {
         let clean = self.routers[router].local.close();
-        if clean || self.weak == Weak::HandOverAnyway {
+        if clean || self.weak == Weakening::HandOverAnyway {
             self.closed.insert((router, self.routers[router].start));
         }
     }
@@ -501,7 +501,7 @@
 }
 
 /// One seeded schedule of all faults over three routers and one shard.
-pub fn schedule(seed: u64, weak: Weak) -> World {
+pub fn schedule(seed: u64, weak: Weakening) -> World {
     let mut world =
         World::new(seed, 3, ClaimStorage::Shards(1), Faults::many(), weak).with_config(ShardClaimsConfig {
             max_shard_bytes: 2048,
--- a/tests/claim_stories.rs
+++ b/tests/claim_stories.rs
@@ -5,7 +5,7 @@
 #[allow(dead_code)]
 mod world;
 
-use world::{ClaimStorage, Faults, Ms, Violations, Weak, World};
+use world::{ClaimStorage, Faults, Ms, Violations, Weakening, World};
 
 /// A request takes about 25 ms from the first frame to the response; its record is written about a second later.
 const ANSWERED: Ms = 40;
@@ -14,7 +14,7 @@
 const NONE: Violations = Violations { second_run: 0, false_not_run: 0, foreign_answer: 0 };
 
 /// Three routers, each of which considers itself the owner of the only shard.
-fn world(faults: Faults, weak: Weak) -> World {
+fn world(faults: Faults, weak: Weakening) -> World {
     World::new(3, 3, ClaimStorage::Shards(1), faults, weak)
 }
 
@@ -30,7 +30,7 @@
     let (mut not_made, mut made) = (0, 0);
     for ticket in [false, true] {
         for at in every_point() {
-            let mut world = world(Faults::none(), Weak::Nothing);
+            let mut world = world(Faults::none(), Weakening::Nothing);
             world.call(0, HOLDER, ticket, 5, false);
             world.crash_at(at, HOLDER);
 
@@ -49,7 +49,7 @@
 #[test]
 fn a_router_paused_for_a_minute_makes_the_only_booking() {
     for at in every_point() {
-        let mut world = world(Faults::none(), Weak::Nothing);
+        let mut world = world(Faults::none(), Weakening::Nothing);
         let caller = world.call(0, HOLDER, false, 5, false);
         world.pause_at(at, HOLDER, 70_000);
         world.send_at(at + 5_000, caller, 1);
@@ -64,7 +64,7 @@
 #[test]
 fn expiring_claims_would_duplicate_the_booking() {
     let doubled = every_point().filter(|at| {
-        let mut world = world(Faults::none(), Weak::ClaimsRunOut);
+        let mut world = world(Faults::none(), Weakening::ClaimsRunOut);
         let caller = world.call(0, HOLDER, false, 5, false);
         world.pause_at(*at, HOLDER, 70_000);
         world.send_at(at + 5_000, caller, 1);
@@ -80,7 +80,7 @@
 #[test]
 fn two_owners_of_a_shard_grant_one_claim() {
     for gap in 0..ANSWERED {
-        let mut world = world(Faults::none(), Weak::Nothing);
+        let mut world = world(Faults::none(), Weakening::Nothing);
         let caller = world.call(0, 0, false, 5, false);
         world.send_at(gap, caller, 1);
         world.send_at(gap, caller, 2);
@@ -98,7 +98,7 @@
     let faults = Faults { repeat_frame: 1000, late_frame: 500, ..Faults::none() };
     let mut late_grants = 0;
     for seed in 0..60 {
-        let mut world = World::new(seed, 3, ClaimStorage::Shards(4), faults, Weak::Nothing);
+        let mut world = World::new(seed, 3, ClaimStorage::Shards(4), faults, Weakening::Nothing);
         for i in 0..10 {
             world.call(i * 30, i as usize % 3, i % 2 == 0, 4, true);
         }
@@ -116,7 +116,7 @@
 #[test]
 fn a_response_after_the_timeout_changes_nothing() {
     let faults = Faults { late_answer: 1000, ..Faults::none() };
-    let mut world = world(faults, Weak::Nothing);
+    let mut world = world(faults, Weakening::Nothing);
     for i in 0..20 {
         world.call(i * 100, i as usize % 3, i % 2 == 0, 5, false);
     }
@@ -133,7 +133,7 @@
     let faults = Faults { lose_answer: 500, late_effect: 300, ..Faults::none() };
     let mut answered = 0;
     for seed in 0..60 {
-        let mut world = World::new(seed, 3, ClaimStorage::Shards(1), faults, Weak::Nothing);
+        let mut world = World::new(seed, 3, ClaimStorage::Shards(1), faults, Weakening::Nothing);
         for i in 0..10 {
             world.call(i * 50, i as usize % 3, false, 5, i % 3 == 0);
         }
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -5,11 +5,11 @@
 #[allow(dead_code)]
 mod world;
 
-use world::{Violations, Weak, schedule};
+use world::{Violations, Weakening, schedule};
 
 const SCHEDULES: u64 = 400;
 
-fn violations(weak: Weak, schedules: u64) -> Violations {
+fn violations(weak: Weakening, schedules: u64) -> Violations {
     let mut all = Violations::default();
     for seed in 0..schedules {
         all.add(schedule(seed, weak).violations());
@@ -23,7 +23,7 @@
 #[test]
 fn no_schedule_violates_a_guarantee() {
     for seed in 0..SCHEDULES {
-        let world = schedule(seed, Weak::Nothing);
+        let world = schedule(seed, Weakening::Nothing);
 
         let violations = world.violations();
 
@@ -34,7 +34,7 @@
 /// Each step that the protocol relies on is left out in one version; the schedules must detect that.
 #[test]
 fn each_weakened_version_is_detected() {
-    for weak in Weak::ALL {
+    for weak in Weakening::ALL {
         let violations = violations(weak, SCHEDULES / 4);
 
         assert!(violations.total() > 0, "no violation found with {weak:?} in {} schedules", SCHEDULES / 4);
@@ -46,7 +46,7 @@
 fn schedules_run_requests_and_are_deterministic() {
     let (mut callers, mut runs, mut repeated, mut not_run) = (0, 0, 0, 0);
     for seed in 0..50 {
-        let (one, two) = (schedule(seed, Weak::Nothing), schedule(seed, Weak::Nothing));
+        let (one, two) = (schedule(seed, Weakening::Nothing), schedule(seed, Weakening::Nothing));
 
         assert_eq!((one.stats.runs, one.stats.frames), (two.stats.runs, two.stats.frames), "seed {seed}");
         callers += one.callers.len() as u64;
