--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -85,19 +85,19 @@
     println!("\nseeded schedules of all faults: 3 routers, 24 keys each");
     println!("version           schedules    runs  second runs  false not run  another's answer");
     row(Weakening::Nothing, SCHEDULES);
-    for weak in Weakening::ALL {
-        row(weak, WEAK_SCHEDULES);
+    for weakening in Weakening::ALL {
+        row(weakening, WEAK_SCHEDULES);
     }
 }
 
-fn row(weak: Weakening, schedules: u64) {
+fn row(weakening: Weakening, schedules: u64) {
     let (mut all, mut runs) = (Violations::default(), 0);
     for seed in 0..schedules {
-        let world = schedule(seed, weak);
+        let world = schedule(seed, weakening);
         all.add(world.violations());
         runs += world.stats.runs;
     }
-    let name = if weak == Weakening::Nothing { "as built".to_owned() } else { format!("{weak:?}") };
+    let name = if weakening == Weakening::Nothing { "as built".to_owned() } else { format!("{weakening:?}") };
     println!(
         "{name:16} {schedules:10} {runs:7} {:12} {:14} {:17}",
         all.second_run, all.false_not_run, all.foreign_answer
--- a/benches/claims/holder.rs
+++ b/benches/claims/holder.rs
@@ -62,7 +62,7 @@
         let start = self.routers[router].start;
         let owner = match ticket {
             // Asking one's own router for another's ticket is what the guard in `receive` must refuse.
-            Some(_) if self.weak == Weakening::TicketAnywhere => router,
+            Some(_) if self.weakening == Weakening::TicketAnywhere => router,
             Some((named, _)) => named,
             None => self.owner(router, ask.key),
         };
@@ -116,7 +116,7 @@
     }
 
     pub(super) fn late_grant(&mut self, router: usize, attempt: AttemptId, verdict: &Verdict) {
-        if self.weak == Weakening::LateGrant
+        if self.weakening == Weakening::LateGrant
             && *verdict == Verdict::Granted
             && let Some((caller, req)) = self.routers[router].late.remove(&attempt)
         {
@@ -186,7 +186,7 @@
 
     pub(super) fn reply(&mut self, router: usize, req: ReqId, run: Option<u64>) {
         let mut req = req;
-        if self.weak == Weakening::UncheckedAnswer && !self.routers[router].reqs.contains_key(&req) {
+        if self.weakening == Weakening::UncheckedAnswer && !self.routers[router].reqs.contains_key(&req) {
             let waits = |(_, r): &(&ReqId, &Req)| matches!(r.stage, Some(Stage::Running(_)));
             let Some((id, _)) = self.routers[router].reqs.iter().find(waits) else { return };
             req = *id;
@@ -204,7 +204,7 @@
                 self.finish(router, &r.asked, finish.request, finish.record, ticket);
                 self.told_ran(r.caller, run, false);
             }
-            None if self.weak == Weakening::BrokenIsNotRun => {
+            None if self.weakening == Weakening::BrokenIsNotRun => {
                 self.release(router, &r.asked, running.request().key, attempt, ticket);
                 self.told_not_run(r.caller, attempt);
             }
--- a/benches/claims/keeper.rs
+++ b/benches/claims/keeper.rs
@@ -31,7 +31,7 @@
                         self.ask_local(to, ask, from, start, req);
                     }
                     Some(named)
-                        if self.weak != Weakening::TicketAnywhere && !self.closed.contains(&named) =>
+                        if self.weakening != Weakening::TicketAnywhere && !self.closed.contains(&named) =>
                     {
                         let ask = ClaimRequest { lookup_only: true, ..ask };
                         self.ask_book(to, ask, Asker::Look { from, start, req });
@@ -105,7 +105,7 @@
         let waiter = self.id();
         let verdict = self.book(router, id).request_claim(clock, ask, waiter);
         let verdict = match verdict {
-            None if self.weak == Weakening::GrantAtOnce && !ask.lookup_only => Some(Verdict::Granted),
+            None if self.weakening == Weakening::GrantAtOnce && !ask.lookup_only => Some(Verdict::Granted),
             verdict => verdict,
         };
         match verdict {
--- a/benches/claims/store.rs
+++ b/benches/claims/store.rs
@@ -42,7 +42,7 @@
         if written && self.chance(self.faults.lose_answer) {
             done = OpResult::Write(Write::Unknown);
         }
-        if self.weak == Weakening::LostIsDone
+        if self.weakening == Weakening::LostIsDone
             && done == OpResult::Write(Write::Unknown)
             && let Op::Write(obj) = shown
         {
@@ -56,7 +56,7 @@
     pub(super) fn read(&mut self, kind: &str, name: &str) -> OpResult {
         self.stats.reads += 1;
         let mut obj = self.objects.get(&(kind.to_owned(), name.to_owned())).cloned();
-        if self.weak == Weakening::ClaimsRunOut
+        if self.weakening == Weakening::ClaimsRunOut
             && kind == SHARD_KIND
             && let Some(o) = &mut obj
             && let Ok(mut shard) = Shard::from_object(Some(o))
@@ -75,7 +75,7 @@
         let key = (obj.kind.clone(), obj.metadata.name.clone());
         let current = self.objects.get(&key);
         let version = current.map_or("", |o| o.metadata.resource_version.as_str());
-        if version != obj.metadata.resource_version && self.weak != Weakening::Unconditional {
+        if version != obj.metadata.resource_version && self.weakening != Weakening::Unconditional {
             return OpResult::Write(Write::Conflict(current.cloned()));
         }
         self.version += 1;
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -211,7 +211,7 @@
     seq: u64,
     queue: BinaryHeap<Reverse<(Ms, u64)>>,
     events: BTreeMap<u64, Event>,
-    weak: Weakening,
+    weakening: Weakening,
     way: ClaimStorage,
     faults: Faults,
     cfg: ShardClaimsConfig,
@@ -236,14 +236,14 @@
 const RUN_OUT_MS: Ms = 1500;
 
 impl World {
-    pub fn new(seed: u64, routers: usize, way: ClaimStorage, faults: Faults, weak: Weakening) -> Self {
+    pub fn new(seed: u64, routers: usize, way: ClaimStorage, faults: Faults, weakening: Weakening) -> Self {
         let mut world = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             seq: 0,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            weak,
+            weakening,
             way,
             faults,
             cfg: ShardClaimsConfig::default(),
@@ -483,7 +483,7 @@
     /// The process grants nothing from memory any more, and hands the keys of its tickets over if it never did.
     fn leave(&mut self, router: usize) {
         let clean = self.routers[router].local.close();
-        if clean || self.weak == Weakening::HandOverAnyway {
+        if clean || self.weakening == Weakening::HandOverAnyway {
             self.closed.insert((router, self.routers[router].start));
         }
     }
@@ -501,14 +501,15 @@
 }
 
 /// One seeded schedule of all faults over three routers and one shard.
-pub fn schedule(seed: u64, weak: Weakening) -> World {
-    let mut world =
-        World::new(seed, 3, ClaimStorage::Shards(1), Faults::many(), weak).with_config(ShardClaimsConfig {
+pub fn schedule(seed: u64, weakening: Weakening) -> World {
+    let mut world = World::new(seed, 3, ClaimStorage::Shards(1), Faults::many(), weakening).with_config(
+        ShardClaimsConfig {
             max_shard_bytes: 2048,
             record_delay: Duration::from_millis(300),
             write_interval: Duration::from_millis(40),
             ..ShardClaimsConfig::default()
-        });
+        },
+    );
     const SPAN: Ms = 6_000;
     for _ in 0..24 {
         let at = world.rng.random_range(0..SPAN);
--- a/tests/claim_stories.rs
+++ b/tests/claim_stories.rs
@@ -14,8 +14,8 @@
 const NONE: Violations = Violations { second_run: 0, false_not_run: 0, foreign_answer: 0 };
 
 /// Three routers, each of which considers itself the owner of the only shard.
-fn world(faults: Faults, weak: Weakening) -> World {
-    World::new(3, 3, ClaimStorage::Shards(1), faults, weak)
+fn world(faults: Faults, weakening: Weakening) -> World {
+    World::new(3, 3, ClaimStorage::Shards(1), faults, weakening)
 }
 
 fn every_point() -> impl Iterator<Item = Ms> {
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -9,10 +9,10 @@
 
 const SCHEDULES: u64 = 400;
 
-fn violations(weak: Weakening, schedules: u64) -> Violations {
+fn violations(weakening: Weakening, schedules: u64) -> Violations {
     let mut all = Violations::default();
     for seed in 0..schedules {
-        all.add(schedule(seed, weak).violations());
+        all.add(schedule(seed, weakening).violations());
     }
     all
 }
@@ -34,10 +34,14 @@
 /// Each step that the protocol relies on is left out in one version; the schedules must detect that.
 #[test]
 fn each_weakened_version_is_detected() {
-    for weak in Weakening::ALL {
-        let violations = violations(weak, SCHEDULES / 4);
-
-        assert!(violations.total() > 0, "no violation found with {weak:?} in {} schedules", SCHEDULES / 4);
+    for weakening in Weakening::ALL {
+        let violations = violations(weakening, SCHEDULES / 4);
+
+        assert!(
+            violations.total() > 0,
+            "no violation found with {weakening:?} in {} schedules",
+            SCHEDULES / 4
+        );
     }
 }
 
