--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -84,7 +84,7 @@
 fn schedules() {
     println!("\nseeded schedules of all faults: 3 routers, 24 keys each");
     println!("version           schedules    runs  second runs  false not run  another's answer");
-    row(Weakening::Nothing, SCHEDULES);
+    row(Weakening::None, SCHEDULES);
     for weakening in Weakening::ALL {
         row(weakening, WEAK_SCHEDULES);
     }
@@ -97,7 +97,7 @@
         all.add(world.violations());
         runs += world.stats.runs;
     }
-    let name = if weakening == Weakening::Nothing { "as built".to_owned() } else { format!("{weakening:?}") };
+    let name = if weakening == Weakening::None { "as built".to_owned() } else { format!("{weakening:?}") };
     println!(
         "{name:16} {schedules:10} {runs:7} {:12} {:14} {:17}",
         all.second_run, all.false_not_run, all.foreign_answer
--- a/benches/claims/cases.rs
+++ b/benches/claims/cases.rs
@@ -22,7 +22,7 @@
 pub fn cost(way: ClaimStorage, routers: usize, rate: u64, seconds: u64, interval: Ms) -> Cost {
     let cfg =
         ShardClaimsConfig { write_interval: Duration::from_millis(interval), ..ShardClaimsConfig::default() };
-    let mut world = World::new(7, routers, way, Faults::none(), Weakening::Nothing).with_config(cfg);
+    let mut world = World::new(7, routers, way, Faults::none(), Weakening::None).with_config(cfg);
     let calls = rate * seconds;
     for i in 0..calls {
         let router = (i.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) as usize % routers;
@@ -69,7 +69,7 @@
 
 /// Saves at `rate` a second before, in and after an outage of five minutes; counts those that start in it.
 pub fn outage(ticket: bool, routers: usize, rate: u64) -> Outage {
-    let mut world = World::new(11, routers, ClaimStorage::Shards(16), Faults::none(), Weakening::Nothing);
+    let mut world = World::new(11, routers, ClaimStorage::Shards(16), Faults::none(), Weakening::None);
     world.outage(BEFORE, BEFORE + OUT);
     let mut during = Vec::new();
     let calls = (BEFORE + OUT + AFTER) / 1000 * rate;
--- a/benches/claims/options.rs
+++ b/benches/claims/options.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weakening {
     /// Nothing: the decisions as they are.
-    Nothing,
+    None,
     /// The claim is granted before it is known to be durable.
     GrantAtOnce,
     /// The platform's writes are not conditional.
--- a/tests/claim_stories.rs
+++ b/tests/claim_stories.rs
@@ -30,7 +30,7 @@
     let (mut not_made, mut made) = (0, 0);
     for ticket in [false, true] {
         for at in every_point() {
-            let mut world = world(Faults::none(), Weakening::Nothing);
+            let mut world = world(Faults::none(), Weakening::None);
             world.call(0, HOLDER, ticket, 5, false);
             world.crash_at(at, HOLDER);
 
@@ -49,7 +49,7 @@
 #[test]
 fn a_router_paused_for_a_minute_makes_the_only_booking() {
     for at in every_point() {
-        let mut world = world(Faults::none(), Weakening::Nothing);
+        let mut world = world(Faults::none(), Weakening::None);
         let caller = world.call(0, HOLDER, false, 5, false);
         world.pause_at(at, HOLDER, 70_000);
         world.send_at(at + 5_000, caller, 1);
@@ -80,7 +80,7 @@
 #[test]
 fn two_owners_of_a_shard_grant_one_claim() {
     for gap in 0..ANSWERED {
-        let mut world = world(Faults::none(), Weakening::Nothing);
+        let mut world = world(Faults::none(), Weakening::None);
         let caller = world.call(0, 0, false, 5, false);
         world.send_at(gap, caller, 1);
         world.send_at(gap, caller, 2);
@@ -98,7 +98,7 @@
     let faults = Faults { repeat_frame: 1000, late_frame: 500, ..Faults::none() };
     let mut late_grants = 0;
     for seed in 0..60 {
-        let mut world = World::new(seed, 3, ClaimStorage::Shards(4), faults, Weakening::Nothing);
+        let mut world = World::new(seed, 3, ClaimStorage::Shards(4), faults, Weakening::None);
         for i in 0..10 {
             world.call(i * 30, i as usize % 3, i % 2 == 0, 4, true);
         }
@@ -116,7 +116,7 @@
 #[test]
 fn a_response_after_the_timeout_changes_nothing() {
     let faults = Faults { late_answer: 1000, ..Faults::none() };
-    let mut world = world(faults, Weakening::Nothing);
+    let mut world = world(faults, Weakening::None);
     for i in 0..20 {
         world.call(i * 100, i as usize % 3, i % 2 == 0, 5, false);
     }
@@ -133,7 +133,7 @@
     let faults = Faults { lose_answer: 500, late_effect: 300, ..Faults::none() };
     let mut answered = 0;
     for seed in 0..60 {
-        let mut world = World::new(seed, 3, ClaimStorage::Shards(1), faults, Weakening::Nothing);
+        let mut world = World::new(seed, 3, ClaimStorage::Shards(1), faults, Weakening::None);
         for i in 0..10 {
             world.call(i * 50, i as usize % 3, false, 5, i % 3 == 0);
         }
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -23,7 +23,7 @@
 #[test]
 fn no_schedule_violates_a_guarantee() {
     for seed in 0..SCHEDULES {
-        let world = schedule(seed, Weakening::Nothing);
+        let world = schedule(seed, Weakening::None);
 
         let violations = world.violations();
 
@@ -50,7 +50,7 @@
 fn schedules_run_requests_and_are_deterministic() {
     let (mut callers, mut runs, mut repeated, mut not_run) = (0, 0, 0, 0);
     for seed in 0..50 {
-        let (one, two) = (schedule(seed, Weakening::Nothing), schedule(seed, Weakening::Nothing));
+        let (one, two) = (schedule(seed, Weakening::None), schedule(seed, Weakening::None));
 
         assert_eq!((one.stats.runs, one.stats.frames), (two.stats.runs, two.stats.frames), "seed {seed}");
         callers += one.callers.len() as u64;
