--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -37,7 +37,7 @@
                 let c = cases::cost(way, routers, rate, SECONDS, INTERVAL);
                 println!(
                     "{name:14} {routers:8} {rate:8} {:7} {:7} {:9.1} {:8.1} {:9.1} {:10} {:9.3}",
-                    c.p50_ms, c.p99_ms, c.writes_s, c.reads_s, c.frames_s, c.largest, c.answered
+                    c.p50_ms, c.p99_ms, c.writes_s, c.reads_s, c.frames_s, c.largest_bytes, c.answered
                 );
             }
         }
@@ -71,7 +71,7 @@
                 o.not_run,
                 o.unknown,
                 o.violations,
-                o.largest,
+                o.largest_bytes,
                 o.writes_after_s,
                 o.recorded,
                 o.granted_p99_ms,
--- a/benches/claims/cases.rs
+++ b/benches/claims/cases.rs
@@ -14,7 +14,7 @@
     pub writes_s: f64,
     pub reads_s: f64,
     pub frames_s: f64,
-    pub largest: usize,
+    pub largest_bytes: usize,
     pub answered: f64,
 }
 
@@ -36,7 +36,7 @@
         writes_s: per_second(world.stats.writes),
         reads_s: per_second(world.stats.reads),
         frames_s: per_second(world.stats.frames),
-        largest: world.stats.largest,
+        largest_bytes: world.stats.largest_bytes,
         answered: world.stats.answered as f64 / calls as f64,
     }
 }
@@ -56,7 +56,7 @@
     pub not_run: u64,
     pub unknown: u64,
     pub violations: u32,
-    pub largest: usize,
+    pub largest_bytes: usize,
     pub writes_after_s: f64,
     pub recorded: usize,
     pub granted_p99_ms: Ms,
@@ -91,7 +91,7 @@
         not_run: world.stats.not_run,
         unknown: world.stats.unknown,
         violations: world.violations().total(),
-        largest: world.stats.largest,
+        largest_bytes: world.stats.largest_bytes,
         recorded: world.recorded(),
         granted_p99_ms: part(&world.stats.granted_ms, 99),
         refused_p99_ms: part(&world.stats.refused_ms, 99),
--- a/benches/claims/store.rs
+++ b/benches/claims/store.rs
@@ -71,7 +71,7 @@
     pub(super) fn write(&mut self, mut obj: AnyObject) -> OpResult {
         self.stats.writes += 1;
         let size = serde_json::to_vec(&obj).map_or(0, |b| b.len());
-        self.stats.largest = self.stats.largest.max(size);
+        self.stats.largest_bytes = self.stats.largest_bytes.max(size);
         let key = (obj.kind.clone(), obj.metadata.name.clone());
         let current = self.objects.get(&key);
         let version = current.map_or("", |o| o.metadata.resource_version.as_str());
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -192,7 +192,7 @@
     pub writes: u64,
     pub reads: u64,
     pub frames: u64,
-    pub largest: usize,
+    pub largest_bytes: usize,
     pub granted_ms: Vec<Ms>,
     /// Waits of attempts that were told "not run".
     pub refused_ms: Vec<Ms>,
--- a/tests/claim_costs.rs
+++ b/tests/claim_costs.rs
@@ -30,7 +30,7 @@
 
     assert!(slow.p50_ms <= 10 && slow.p99_ms <= 110, "{slow:?}");
     assert!(fast.p50_ms <= 65 && fast.p99_ms <= 115, "{fast:?}");
-    assert!(fast.largest < 1 << 20, "{fast:?}");
+    assert!(fast.largest_bytes < 1 << 20, "{fast:?}");
 }
 
 #[test]
@@ -43,5 +43,5 @@
     assert_eq!((own.answered, own.violations), (0, 0), "{own:?}");
     assert!(own.not_run >= u64::from(own.asked), "{own:?}");
     assert!(ticket.granted_p99_ms <= 210 && own.refused_p99_ms <= 210, "{ticket:?} {own:?}");
-    assert!(ticket.largest < 1 << 20 && own.largest < 1 << 20);
+    assert!(ticket.largest_bytes < 1 << 20 && own.largest_bytes < 1 << 20);
 }
