--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -65,9 +65,9 @@
             let o = cases::outage(ticket, 8, rate);
             println!(
                 "{name:12} {rate:8} {:7} {:9} {:6.3} {:8} {:8} {:11} {:10} {:15.1} {:9} {:15} {:15}",
-                o.asked,
+                o.first_attempts,
                 o.answered,
-                f64::from(o.answered) / f64::from(o.asked),
+                f64::from(o.answered) / f64::from(o.first_attempts),
                 o.not_run,
                 o.unknown,
                 o.violations,
--- a/benches/claims/cases.rs
+++ b/benches/claims/cases.rs
@@ -51,7 +51,7 @@
 /// First attempts through an outage.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outage {
-    pub asked: u32,
+    pub first_attempts: u32,
     pub answered: u32,
     pub not_run: u64,
     pub unknown: u64,
@@ -86,7 +86,7 @@
     world.run(BEFORE + OUT + AFTER + 10_000);
     let told = &world.stats.first_told;
     Outage {
-        asked: during.len() as u32,
+        first_attempts: during.len() as u32,
         answered: during.iter().filter(|id| told.get(id) == Some(&true)).count() as u32,
         not_run: world.stats.not_run,
         unknown: world.stats.unknown,
--- a/tests/claim_costs.rs
+++ b/tests/claim_costs.rs
@@ -38,10 +38,10 @@
     let ticket = cases::outage(true, 8, 10);
     let own = cases::outage(false, 8, 10);
 
-    assert_eq!((ticket.answered, ticket.violations), (ticket.asked, 0), "{ticket:?}");
+    assert_eq!((ticket.answered, ticket.violations), (ticket.first_attempts, 0), "{ticket:?}");
     assert_eq!(ticket.recorded, 3600, "{ticket:?}");
     assert_eq!((own.answered, own.violations), (0, 0), "{own:?}");
-    assert!(own.not_run >= u64::from(own.asked), "{own:?}");
+    assert!(own.not_run >= u64::from(own.first_attempts), "{own:?}");
     assert!(ticket.granted_p99_ms <= 210 && own.refused_p99_ms <= 210, "{ticket:?} {own:?}");
     assert!(ticket.largest_bytes < 1 << 20 && own.largest_bytes < 1 << 20);
 }
