--- a/benches/claims/cases.rs
+++ b/benches/claims/cases.rs
@@ -1,4 +1,4 @@
-//! The cases that the bench prints and that the regression tests bound.
+//! Cases whose figures the bench prints and the regression tests limit.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use super::world::{ClaimStorage, Faults, Ms, Weakening, World};
 
-/// Cost of saves at a rate.
+/// Cost of claims for saves at a given rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
     pub p50_ms: Ms,
@@ -18,11 +18,11 @@
     pub answered: f64,
 }
 
-/// Saves at `rate` a second for `seconds`, spread over `routers`.
-pub fn cost(way: ClaimStorage, routers: usize, rate: u64, seconds: u64, interval: Ms) -> Cost {
+/// Measures `rate` saves per second for `seconds`, spread over `routers`.
+pub fn cost(storage: ClaimStorage, routers: usize, rate: u64, seconds: u64, interval: Ms) -> Cost {
     let cfg =
         ShardClaimsConfig { write_interval: Duration::from_millis(interval), ..ShardClaimsConfig::default() };
-    let mut world = World::new(7, routers, way, Faults::none(), Weakening::None).with_config(cfg);
+    let mut world = World::new(7, routers, storage, Faults::none(), Weakening::None).with_config(cfg);
     let calls = rate * seconds;
     for i in 0..calls {
         let router = (i.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) as usize % routers;
@@ -31,8 +31,8 @@
     world.run(seconds * 1000);
     let per_second = |n: u64| n as f64 / seconds as f64;
     Cost {
-        p50_ms: part(&world.stats.granted_ms, 50),
-        p99_ms: part(&world.stats.granted_ms, 99),
+        p50_ms: percentile(&world.stats.granted_ms, 50),
+        p99_ms: percentile(&world.stats.granted_ms, 99),
         writes_s: per_second(world.stats.writes),
         reads_s: per_second(world.stats.reads),
         frames_s: per_second(world.stats.frames),
@@ -41,14 +41,14 @@
     }
 }
 
-/// The wait that `percent` of all do not exceed.
-fn part(waits: &[Ms], percent: usize) -> Ms {
+/// The waiting time that `percent` of all waits do not exceed.
+fn percentile(waits: &[Ms], percent: usize) -> Ms {
     let mut waits = waits.to_vec();
     waits.sort_unstable();
     waits.get((waits.len().max(1) - 1) * percent / 100).copied().unwrap_or(0)
 }
 
-/// First attempts through an outage.
+/// Outcomes of first attempts during an outage of the platform.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outage {
     pub first_attempts: u32,
@@ -63,38 +63,41 @@
     pub refused_p99_ms: Ms,
 }
 
-const BEFORE: Ms = 30_000;
-const OUT: Ms = 300_000;
-const AFTER: Ms = 30_000;
+/// Time before the outage.
+const BEFORE_MS: Ms = 30_000;
+/// Duration of the outage.
+const OUTAGE_MS: Ms = 300_000;
+/// Time after the outage during which callers send requests.
+const AFTER_MS: Ms = 30_000;
 
-/// Saves at `rate` a second before, in and after an outage of five minutes; counts those that start in it.
+/// Runs `rate` saves per second before, during and after an outage of five minutes; counts those that start during it.
 pub fn outage(ticket: bool, routers: usize, rate: u64) -> Outage {
     let mut world = World::new(11, routers, ClaimStorage::Shards(16), Faults::none(), Weakening::None);
-    world.outage(BEFORE, BEFORE + OUT);
-    let mut during = Vec::new();
-    let calls = (BEFORE + OUT + AFTER) / 1000 * rate;
+    world.outage(BEFORE_MS, BEFORE_MS + OUTAGE_MS);
+    let mut first_attempt_ids = Vec::new();
+    let calls = (BEFORE_MS + OUTAGE_MS + AFTER_MS) / 1000 * rate;
     for i in 0..calls {
         let at = i * 1000 / rate;
         let id = world.call(at, i as usize % routers, ticket, 1, false);
-        // The last moments count for after the outage: their claims are still waiting when it ends.
-        if (BEFORE..BEFORE + OUT - 2_000).contains(&at) {
-            during.push(id);
+        // Requests of the last two seconds are not counted, since their claims are still waiting when the outage ends.
+        if (BEFORE_MS..BEFORE_MS + OUTAGE_MS - 2_000).contains(&at) {
+            first_attempt_ids.push(id);
         }
     }
-    world.run(BEFORE + OUT);
+    world.run(BEFORE_MS + OUTAGE_MS);
     let writes = world.stats.writes;
-    world.run(BEFORE + OUT + AFTER + 10_000);
-    let told = &world.stats.first_told;
+    world.run(BEFORE_MS + OUTAGE_MS + AFTER_MS + 10_000);
+    let first_answered = &world.stats.first_answered;
     Outage {
-        first_attempts: during.len() as u32,
-        answered: during.iter().filter(|id| told.get(id) == Some(&true)).count() as u32,
+        first_attempts: first_attempt_ids.len() as u32,
+        answered: first_attempt_ids.iter().filter(|id| first_answered.get(id) == Some(&true)).count() as u32,
         not_run: world.stats.not_run,
         unknown: world.stats.unknown,
         violations: world.violations().total(),
         largest_bytes: world.stats.largest_bytes,
         recorded: world.recorded(),
-        granted_p99_ms: part(&world.stats.granted_ms, 99),
-        refused_p99_ms: part(&world.stats.refused_ms, 99),
-        writes_after_s: (world.stats.writes - writes) as f64 / ((AFTER + 10_000) / 1000) as f64,
+        granted_p99_ms: percentile(&world.stats.granted_ms, 99),
+        refused_p99_ms: percentile(&world.stats.refused_ms, 99),
+        writes_after_s: (world.stats.writes - writes) as f64 / ((AFTER_MS + 10_000) / 1000) as f64,
     }
 }
--- a/benches/claims/keeper.rs
+++ b/benches/claims/keeper.rs
@@ -1,176 +1,216 @@
-//! Links between routers, and the routers that keep the claims.
+//! Links between routers, and the routers that own the claims.
 
 use super::*;
 
 impl World {
-    pub(super) fn frame(&mut self, from: usize, to: usize, msg: Msg) {
+    /// Sends a message over a link, subject to loss, repetition and delay.
+    pub(super) fn send_msg(&mut self, from: usize, to: usize, msg: Msg) {
         let start = self.routers[to].start;
         if from == to {
-            return self.after(0, Event::Link { to, start, msg });
+            return self.schedule_after(0, Event::Deliver { to, start, msg });
         }
         self.stats.frames += 1;
-        if self.chance(self.faults.lose_frame) {
+        if self.draw(self.faults.lose_frame) {
             return;
         }
-        let (least, most) = self.faults.link_ms;
-        let copies = 1 + u32::from(self.chance(self.faults.repeat_frame));
+        let (min, max) = self.faults.link_ms;
+        let copies = 1 + u32::from(self.draw(self.faults.repeat_frame));
         for _ in 0..copies {
-            let late = if self.chance(self.faults.late_frame) { 2500 } else { 0 };
-            let ms = self.rng.random_range(least..=most) + late;
-            self.after(ms, Event::Link { to, start, msg: msg.clone() });
+            let delay = if self.draw(self.faults.late_frame) { 2500 } else { 0 };
+            let ms = self.rng.random_range(min..=max) + delay;
+            self.schedule_after(ms, Event::Deliver { to, start, msg: msg.clone() });
         }
     }
 
-    pub(super) fn receive(&mut self, to: usize, msg: Msg) {
+    /// Handles a message at its receiver.
+    pub(super) fn handle_msg(&mut self, to: usize, msg: Msg) {
         let clock = self.clock();
         match msg {
-            Msg::Ask { from, start, req, ask, ticket } => {
-                let mine = ticket.is_some_and(|(r, s)| r == to && s == self.routers[to].start);
+            Msg::Request { from, start, req, claim_req, ticket } => {
+                let is_own = ticket.is_some_and(|(r, s)| r == to && s == self.routers[to].start);
                 match ticket {
-                    Some(_) if mine => {
-                        self.ask_local(to, ask, from, start, req);
+                    Some(_) if is_own => {
+                        self.request_from_ticket(to, claim_req, from, start, req);
                     }
-                    Some(named)
-                        if self.weakening != Weakening::TicketAnywhere && !self.closed.contains(&named) =>
+                    Some(other)
+                        if self.weakening != Weakening::TicketAnywhere
+                            && !self.closed_tickets.contains(&other) =>
                     {
-                        let ask = ClaimRequest { lookup_only: true, ..ask };
-                        self.ask_book(to, ask, Asker::Look { from, start, req });
+                        let claim_req = ClaimRequest { lookup_only: true, ..claim_req };
+                        self.request_from_shard(to, claim_req, Requester::Lookup { from, start, req });
+                    }
+                    _ => {
+                        self.request_from_shard(to, claim_req, Requester::Remote { router: from, start, req })
                     }
-                    _ => self.ask_book(to, ask, Asker::Remote { router: from, start, req }),
                 }
             }
-            Msg::Verdict { req, attempt, verdict } => self.verdict(to, req, attempt, verdict),
-            Msg::Finish { ask, record, ticket } => {
+            Msg::Verdict { req, attempt, verdict } => self.handle_verdict(to, req, attempt, verdict),
+            Msg::Finish { claim_req, record, ticket } => {
                 if ticket.is_none() {
-                    return self.keep(to, ask, record, false);
+                    return self.store_record(to, claim_req, record, false);
                 }
-                self.routers[to].local.finish(ask.key, ask.attempt, record.clone());
-                self.frame(to, self.owner(to, ask.key), Msg::Keep { ask, record });
+                self.routers[to].ticket_claims.finish(claim_req.key, claim_req.attempt, record.clone());
+                self.send_msg(to, self.owner_of(to, claim_req.key), Msg::ForwardRecord { claim_req, record });
             }
             Msg::Release { key, attempt, ticket } => {
                 if ticket.is_none() {
-                    return self.drop_claim(to, key, attempt);
+                    return self.release_claim(to, key, attempt);
                 }
-                self.routers[to].local.release(clock, key, attempt);
-                self.frame(to, self.owner(to, key), Msg::Drop { key, attempt });
+                self.routers[to].ticket_claims.release(clock, key, attempt);
+                self.send_msg(to, self.owner_of(to, key), Msg::ForwardRelease { key, attempt });
             }
-            Msg::Keep { ask, record } => self.keep(to, ask, record, true),
-            Msg::Drop { key, attempt } => self.drop_claim(to, key, attempt),
+            Msg::ForwardRecord { claim_req, record } => self.store_record(to, claim_req, record, true),
+            Msg::ForwardRelease { key, attempt } => self.release_claim(to, key, attempt),
         }
     }
 
-    pub(super) fn keep(&mut self, router: usize, ask: ClaimRequest, record: Record, authority: bool) {
+    /// Stores a record in the key's shard.
+    pub(super) fn store_record(
+        &mut self,
+        router: usize,
+        claim_req: ClaimRequest,
+        record: Record,
+        authority: bool,
+    ) {
         let clock = self.clock();
-        let id = self.book_id(router, ask.key);
-        self.book(router, id).finish(clock, &ask, record, authority);
-        self.drive(router, id);
+        let id = self.shard_id(router, claim_req.key);
+        self.shard(router, id).finish(clock, &claim_req, record, authority);
+        self.drive_shard(router, id);
     }
 
-    pub(super) fn drop_claim(&mut self, router: usize, key: KeyDigest, attempt: AttemptId) {
+    /// Releases a claim in the key's shard.
+    pub(super) fn release_claim(&mut self, router: usize, key: KeyDigest, attempt: AttemptId) {
         let clock = self.clock();
-        let id = self.book_id(router, key);
-        self.book(router, id).release(clock, key, attempt);
-        self.drive(router, id);
+        let id = self.shard_id(router, key);
+        self.shard(router, id).release(clock, key, attempt);
+        self.drive_shard(router, id);
     }
 
-    pub(super) fn ask_local(
+    /// Requests a claim from the ticket claims of the ticket's owner, which has it recorded in the shard if necessary.
+    pub(super) fn request_from_ticket(
         &mut self,
         router: usize,
-        ask: ClaimRequest,
+        claim_req: ClaimRequest,
         from: usize,
         start: Start,
         req: ReqId,
     ) {
         let clock = self.clock();
-        let step = self.routers[router].local.request_claim(clock, &ask, true);
+        let step = self.routers[router].ticket_claims.request_claim(clock, &claim_req, true);
         match step {
             Step::Answer(verdict) => {
-                self.frame(router, from, Msg::Verdict { req, attempt: ask.attempt, verdict });
+                self.send_msg(router, from, Msg::Verdict { req, attempt: claim_req.attempt, verdict });
             }
             Step::Record | Step::Lookup => {
-                let waiter = self.id();
-                let asker = Asker::Authority { ask, from, start, req };
-                self.routers[router].askers.insert(waiter, (asker, ask.attempt));
+                let waiter = self.new_id();
+                let requester = Requester::TicketOwner { claim_req, from, start, req };
+                self.routers[router].requesters.insert(waiter, (requester, claim_req.attempt));
                 let start = self.routers[router].start;
-                self.after(RECORD_MS, Event::Recorded { router, start, waiter });
-                let to = self.owner(router, ask.key);
-                self.frame(router, to, Msg::Ask { from: router, start, req: waiter, ask, ticket: None });
+                self.schedule_after(RECORD_TIMEOUT_MS, Event::RecordTimeout { router, start, waiter });
+                let to = self.owner_of(router, claim_req.key);
+                self.send_msg(
+                    router,
+                    to,
+                    Msg::Request { from: router, start, req: waiter, claim_req, ticket: None },
+                );
             }
         }
     }
 
-    pub(super) fn ask_book(&mut self, router: usize, ask: ClaimRequest, asker: Asker) {
+    /// Requests a claim from the key's shard.
+    pub(super) fn request_from_shard(
+        &mut self,
+        router: usize,
+        claim_req: ClaimRequest,
+        requester: Requester,
+    ) {
         let clock = self.clock();
-        let id = self.book_id(router, ask.key);
-        let waiter = self.id();
-        let verdict = self.book(router, id).request_claim(clock, ask, waiter);
+        let id = self.shard_id(router, claim_req.key);
+        let waiter = self.new_id();
+        let verdict = self.shard(router, id).request_claim(clock, claim_req, waiter);
         let verdict = match verdict {
-            None if self.weakening == Weakening::GrantAtOnce && !ask.lookup_only => Some(Verdict::Granted),
+            None if self.weakening == Weakening::GrantAtOnce && !claim_req.lookup_only => {
+                Some(Verdict::Granted)
+            }
             verdict => verdict,
         };
         match verdict {
-            Some(verdict) => self.tell(router, asker, ask.attempt, verdict),
+            Some(verdict) => self.send_verdict(router, requester, claim_req.attempt, verdict),
             None => {
-                self.routers[router].askers.insert(waiter, (asker, ask.attempt));
+                self.routers[router].requesters.insert(waiter, (requester, claim_req.attempt));
             }
         }
-        self.drive(router, id);
+        self.drive_shard(router, id);
     }
 
-    pub(super) fn tell(&mut self, router: usize, asker: Asker, attempt: AttemptId, verdict: Verdict) {
-        let (to, start, req, verdict) = match asker {
-            Asker::Remote { router: to, start, req } => (to, start, req, verdict),
-            Asker::Authority { ask, from, start, req } => {
-                (from, start, req, self.routers[router].local.apply_shard_verdict(&ask, verdict))
-            }
-            Asker::Look { from, start, req } => {
+    /// Sends a verdict to its requester, unless the requester's process has ended.
+    pub(super) fn send_verdict(
+        &mut self,
+        router: usize,
+        requester: Requester,
+        attempt: AttemptId,
+        verdict: Verdict,
+    ) {
+        let (to, start, req, verdict) = match requester {
+            Requester::Remote { router: to, start, req } => (to, start, req, verdict),
+            Requester::TicketOwner { claim_req, from, start, req } => (
+                from,
+                start,
+                req,
+                self.routers[router].ticket_claims.apply_shard_verdict(&claim_req, verdict),
+            ),
+            Requester::Lookup { from, start, req } => {
                 let verdict = if verdict == Verdict::Expired { Verdict::Unknown } else { verdict };
                 (from, start, req, verdict)
             }
         };
         if self.routers[to].start == start {
-            self.frame(router, to, Msg::Verdict { req, attempt, verdict });
+            self.send_msg(router, to, Msg::Verdict { req, attempt, verdict });
         }
     }
 
-    pub(super) fn settle(&mut self, router: usize, verdicts: Vec<(u64, Verdict)>) {
+    /// Sends verdicts to the requesters that wait for them.
+    pub(super) fn send_verdicts(&mut self, router: usize, verdicts: Vec<(u64, Verdict)>) {
         for (waiter, verdict) in verdicts {
-            if let Some((asker, attempt)) = self.routers[router].askers.remove(&waiter) {
-                self.tell(router, asker, attempt, verdict);
+            if let Some((requester, attempt)) = self.routers[router].requesters.remove(&waiter) {
+                self.send_verdict(router, requester, attempt, verdict);
             }
         }
     }
 
-    pub(super) fn book_id(&self, router: usize, key: KeyDigest) -> u64 {
-        match self.way {
+    /// Identifier of the shard of a key, or of the log or the object with other kinds of storage.
+    pub(super) fn shard_id(&self, router: usize, key: KeyDigest) -> u64 {
+        match self.storage {
             ClaimStorage::Shards(n) => u64::from(key.shard() % n),
             ClaimStorage::RouterLogs => router as u64,
             ClaimStorage::ObjectPerKey => u64::from_le_bytes(key.0[..8].try_into().unwrap_or_default()),
         }
     }
 
-    pub(super) fn book(&mut self, router: usize, id: u64) -> &mut ShardClaims {
+    /// A router's claims of a shard, created if necessary.
+    pub(super) fn shard(&mut self, router: usize, id: u64) -> &mut ShardClaims {
         let cfg = self.cfg;
         let start = self.routers[router].start;
         let new = || ShardClaims::new(format!("claims-{id}"), format!("r{router}-{start}"), cfg);
-        self.routers[router].books.entry(id).or_insert_with(new)
+        self.routers[router].shards.entry(id).or_insert_with(new)
     }
 
-    pub(super) fn drive(&mut self, router: usize, id: u64) {
+    /// Expires waiting requests of a shard, starts its next platform call and schedules its wake-up.
+    pub(super) fn drive_shard(&mut self, router: usize, id: u64) {
         let clock = self.clock();
-        let late = self.book(router, id).expire(clock);
-        self.settle(router, late);
+        let expired = self.shard(router, id).expire(clock);
+        self.send_verdicts(router, expired);
         let start = self.routers[router].start;
-        if let Some(op) = self.book(router, id).next_op(clock) {
+        if let Some(op) = self.shard(router, id).next_op(clock) {
             self.call_platform(router, start, id, op);
         }
-        let wake = self.book(router, id).wake_at();
+        let wake = self.shard(router, id).wake_at();
         if let Some(at) = wake {
             let at = (at.as_millis() as Ms).max(self.now + 1);
-            self.at(at, Event::Wake { router, start, book: id });
+            self.schedule_at(at, Event::Wake { router, start, shard_id: id });
         }
-        if self.way == ClaimStorage::ObjectPerKey && self.book(router, id).is_idle() {
-            self.routers[router].books.remove(&id);
+        if self.storage == ClaimStorage::ObjectPerKey && self.shard(router, id).is_idle() {
+            self.routers[router].shards.remove(&id);
         }
     }
 }
--- a/benches/claims/options.rs
+++ b/benches/claims/options.rs
@@ -1,29 +1,29 @@
-//! What a world can be set to: weakenings, ways to keep claims, faults.
+//! Options of a simulation: weakenings of the protocol, storage of claims, and faults.
 
 use super::Ms;
 
-/// A step of the protocol left out or done wrong, to show that the schedules find it.
+/// A step of the protocol that is omitted or wrong, to verify that the schedules detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weakening {
-    /// Nothing: the decisions as they are.
+    /// The protocol as it is.
     None,
-    /// The claim is granted before it is known to be durable.
+    /// Claims are granted before they are durable.
     GrantAtOnce,
-    /// The platform's writes are not conditional.
+    /// Writes to the platform are not conditional.
     Unconditional,
-    /// A write whose answer was lost is taken for done.
+    /// A write whose answer was lost is treated as successful.
     LostIsDone,
-    /// A claim without a record runs out, as a lock with a lease would.
+    /// A claim without a record expires, like a lock with a lease.
     ClaimsRunOut,
-    /// A grant that comes after the router gave up is used all the same.
+    /// A grant that arrives after the router's timeout is used.
     LateGrant,
-    /// Keys of a router's ticket are granted by any router.
+    /// Any router grants the keys of another router's ticket.
     TicketAnywhere,
-    /// A router that stops hands its tickets' keys over although it granted some from memory.
+    /// A router that stops hands over its tickets' keys although it granted some from memory.
     HandOverAnyway,
-    /// A connection that broke is told as "not run".
+    /// A broken connection is reported as "not run".
     BrokenIsNotRun,
-    /// An answer is matched to whoever waits, not by its identifier.
+    /// An answer is matched to any waiting request instead of by its identifier.
     UncheckedAnswer,
 }
 
@@ -41,18 +41,18 @@
     ];
 }
 
-/// Where claims are kept.
+/// Storage of claims on the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimStorage {
-    /// This many shards; each has an owner.
+    /// The given number of shards, each with an owner.
     Shards(u16),
-    /// A log of its own for each router.
+    /// A log for each router.
     RouterLogs,
     /// An object for each key.
     ObjectPerKey,
 }
 
-/// Probabilities in thousandths, and delays in milliseconds.
+/// Probabilities of faults in thousandths, and ranges of delays in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub platform_ms: (Ms, Ms),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// All faults at once.
+    /// All faults.
     pub fn many() -> Self {
         Self {
             platform_ms: (2, 60),
--- a/benches/claims/store.rs
+++ b/benches/claims/store.rs
@@ -1,33 +1,46 @@
-//! The platform, as the books' calls reach it.
+//! The platform's store, and its faults.
 
 use super::*;
 
 impl World {
-    pub(super) fn call_platform(&mut self, router: usize, start: Start, book: u64, op: Op) {
-        let (least, most) = self.faults.platform_ms;
-        let ms = self.rng.random_range(least..=most) / 2;
+    /// Starts a platform call, which may be lost, remain unanswered or take effect late.
+    pub(super) fn call_platform(&mut self, router: usize, start: Start, shard_id: u64, op: Op) {
+        let (min, max) = self.faults.platform_ms;
+        let ms = self.rng.random_range(min..=max) / 2;
         let unanswered = |op: &Op| match op {
             Op::Write(_) | Op::Delete(_) => OpResult::Write(Write::Unknown),
             _ => OpResult::Failed,
         };
-        if self.outage || self.chance(self.faults.lose_call) {
-            let done = unanswered(&op);
-            return self.after(2 * ms + 50, Event::Stored { router, start, book, done });
+        if self.outage || self.draw(self.faults.lose_call) {
+            let result = unanswered(&op);
+            return self
+                .schedule_after(2 * ms + 50, Event::PlatformResult { router, start, shard_id, result });
         }
-        if self.chance(self.faults.late_effect) {
-            let done = unanswered(&op);
-            self.after(2 * ms + 50, Event::Stored { router, start, book, done });
-            let late = self.rng.random_range(20..1500);
-            return self.after(late, Event::Store { router, start, book, op, tell: false });
+        if self.draw(self.faults.late_effect) {
+            let result = unanswered(&op);
+            self.schedule_after(2 * ms + 50, Event::PlatformResult { router, start, shard_id, result });
+            let delay = self.rng.random_range(20..1500);
+            return self.schedule_after(
+                delay,
+                Event::PlatformCall { router, start, shard_id, op, send_result: false },
+            );
         }
-        self.after(ms, Event::Store { router, start, book, op, tell: true });
+        self.schedule_after(ms, Event::PlatformCall { router, start, shard_id, op, send_result: true });
     }
 
-    pub(super) fn store(&mut self, router: usize, start: Start, book: u64, op: Op, tell: bool) {
-        let written = matches!(op, Op::Write(_));
-        let shown = op.clone();
-        let mut done = match op {
-            Op::Read => self.read(SHARD_KIND, &format!("claims-{book}")),
+    /// Executes a call at the platform and, if wanted, sends its result.
+    pub(super) fn execute_op(
+        &mut self,
+        router: usize,
+        start: Start,
+        shard_id: u64,
+        op: Op,
+        send_result: bool,
+    ) {
+        let is_write = matches!(op, Op::Write(_));
+        let written_op = op.clone();
+        let mut result = match op {
+            Op::Read => self.read(SHARD_KIND, &format!("claims-{shard_id}")),
             Op::ReadArchive(name) => self.read("ClaimArchive", &name),
             Op::Write(obj) => self.write(obj),
             Op::Delete(obj) => {
@@ -36,23 +49,24 @@
                 OpResult::Write(Write::Conflict(None))
             }
         };
-        if !tell {
+        if !send_result {
             return;
         }
-        if written && self.chance(self.faults.lose_answer) {
-            done = OpResult::Write(Write::Unknown);
+        if is_write && self.draw(self.faults.lose_answer) {
+            result = OpResult::Write(Write::Unknown);
         }
         if self.weakening == Weakening::LostIsDone
-            && done == OpResult::Write(Write::Unknown)
-            && let Op::Write(obj) = shown
+            && result == OpResult::Write(Write::Unknown)
+            && let Op::Write(obj) = written_op
         {
-            done = OpResult::Write(Write::Done(obj));
+            result = OpResult::Write(Write::Done(obj));
         }
-        let (least, most) = self.faults.platform_ms;
-        let ms = self.rng.random_range(least..=most) / 2;
-        self.after(ms, Event::Stored { router, start, book, done });
+        let (min, max) = self.faults.platform_ms;
+        let ms = self.rng.random_range(min..=max) / 2;
+        self.schedule_after(ms, Event::PlatformResult { router, start, shard_id, result });
     }
 
+    /// Reads an object.
     pub(super) fn read(&mut self, kind: &str, name: &str) -> OpResult {
         self.stats.reads += 1;
         let mut obj = self.objects.get(&(kind.to_owned(), name.to_owned())).cloned();
@@ -61,13 +75,14 @@
             && let Some(o) = &mut obj
             && let Ok(mut shard) = Shard::from_object(Some(o))
         {
-            let oldest = WALL + self.now.saturating_sub(RUN_OUT_MS);
+            let oldest = WALL_CLOCK_START_MS + self.now.saturating_sub(CLAIM_TTL_MS);
             shard.entries.retain(|(_, e)| e.record.is_some() || e.claimed_at_ms > oldest);
             *o = shard.to_object(name, "");
         }
         OpResult::Read(obj)
     }
 
+    /// Writes an object if its version is current.
     pub(super) fn write(&mut self, mut obj: AnyObject) -> OpResult {
         self.stats.writes += 1;
         let size = serde_json::to_vec(&obj).map_or(0, |b| b.len());
--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -1,5 +1,5 @@
-//! Claims in virtual time: the routers' real decisions, with small fakes of the platform, the links, a backend
-//! server and callers between them. Seeded; faults come from a [`Faults`] table, weakenings from [`Weakening`].
+//! Seeded simulation of claims in virtual time: the routers' real decisions, with fakes of the platform, the links, a backend
+//! server and callers. Faults are set by [`Faults`], weakenings of the protocol by [`Weakening`].
 
 use std::{
     cmp::Reverse,
@@ -30,18 +30,21 @@
 
 pub use options::{ClaimStorage, Faults, Weakening};
 
+/// Time in milliseconds.
 pub type Ms = u64;
 
+/// Number of a router's process; each restart increments it.
 type Start = u32;
 type ReqId = u64;
 
+/// Messages between routers.
 #[derive(Clone, Debug)]
 enum Msg {
-    Ask {
+    Request {
         from: usize,
         start: Start,
         req: ReqId,
-        ask: ClaimRequest,
+        claim_req: ClaimRequest,
         ticket: Option<(usize, Start)>,
     },
     Verdict {
@@ -50,7 +53,7 @@
         verdict: Verdict,
     },
     Finish {
-        ask: ClaimRequest,
+        claim_req: ClaimRequest,
         record: Record,
         ticket: Option<(usize, Start)>,
     },
@@ -59,98 +62,102 @@
         attempt: AttemptId,
         ticket: Option<(usize, Start)>,
     },
-    /// The authority of a ticket hands a record on to the key's shard.
-    Keep {
-        ask: ClaimRequest,
+    /// The owner of a ticket forwards a record to the key's shard.
+    ForwardRecord {
+        claim_req: ClaimRequest,
         record: Record,
     },
-    /// The authority of a ticket hands a release on to the key's shard.
-    Drop {
+    /// The owner of a ticket forwards a release to the key's shard.
+    ForwardRelease {
         key: KeyDigest,
         attempt: AttemptId,
     },
 }
 
+/// Scheduled events.
 #[derive(Clone, Debug)]
 enum Event {
     Send { caller: usize, router: usize },
-    Link { to: usize, start: Start, msg: Msg },
-    Store { router: usize, start: Start, book: u64, op: Op, tell: bool },
-    Stored { router: usize, start: Start, book: u64, done: OpResult },
-    Wake { router: usize, start: Start, book: u64 },
-    Recorded { router: usize, start: Start, waiter: u64 },
+    Deliver { to: usize, start: Start, msg: Msg },
+    PlatformCall { router: usize, start: Start, shard_id: u64, op: Op, send_result: bool },
+    PlatformResult { router: usize, start: Start, shard_id: u64, result: OpResult },
+    Wake { router: usize, start: Start, shard_id: u64 },
+    RecordTimeout { router: usize, start: Start, waiter: u64 },
     Dispatch { router: usize, start: Start, req: ReqId },
-    Backend { router: usize, start: Start, req: ReqId, caller: usize, attempt: AttemptId, broken: bool },
+    Execute { router: usize, start: Start, req: ReqId, caller: usize, attempt: AttemptId, broken: bool },
     Reply { router: usize, start: Start, req: ReqId, run: Option<u64> },
-    GiveUp { router: usize, start: Start, req: ReqId },
+    RequestTimeout { router: usize, start: Start, req: ReqId },
     Crash { router: usize },
-    Leave { router: usize },
+    Stop { router: usize },
     Pause { router: usize, ms: Ms },
-    Views,
+    ChangeOwners,
     Outage { on: bool },
 }
 
 impl Event {
-    /// The process that must run for the event to happen.
+    /// The process that must be running when the event occurs, if any.
     fn process(&self) -> Option<(usize, Start)> {
         match self {
-            Event::Link { to: router, start, .. }
-            | Event::Stored { router, start, .. }
+            Event::Deliver { to: router, start, .. }
+            | Event::PlatformResult { router, start, .. }
             | Event::Wake { router, start, .. }
-            | Event::Recorded { router, start, .. }
+            | Event::RecordTimeout { router, start, .. }
             | Event::Dispatch { router, start, .. }
             | Event::Reply { router, start, .. }
-            | Event::GiveUp { router, start, .. } => Some((*router, *start)),
+            | Event::RequestTimeout { router, start, .. } => Some((*router, *start)),
             _ => None,
         }
     }
 }
 
+/// Stage of a request's claim.
 enum Stage {
-    Asking(RequestedClaim),
-    Held(GrantedClaim),
-    Running(DispatchedClaim),
+    Requested(RequestedClaim),
+    Granted(GrantedClaim),
+    Dispatched(DispatchedClaim),
 }
 
+/// A request at a router.
 struct Req {
     caller: usize,
-    since: Ms,
-    asked: Vec<usize>,
+    received_at: Ms,
+    asked_routers: Vec<usize>,
     stage: Option<Stage>,
 }
 
-/// Where a verdict of a book goes.
+/// Requester of a claim, to which the shard's verdict goes.
 #[derive(Clone, Debug)]
-enum Asker {
+enum Requester {
     Remote {
         router: usize,
         start: Start,
         req: ReqId,
     },
-    /// The authority of a ticket, which asked for durability; it answers the asker behind it.
-    Authority {
-        ask: ClaimRequest,
+    /// The owner of a ticket, which needs the claim to be durable before it answers its own requester.
+    TicketOwner {
+        claim_req: ClaimRequest,
         from: usize,
         start: Start,
         req: ReqId,
     },
-    /// A look by the authority for a key whose ticket has run out.
-    Look {
+    /// A lookup by the router that is asked for a key of another process's ticket.
+    Lookup {
         from: usize,
         start: Start,
         req: ReqId,
     },
 }
 
+/// A router's process.
 struct Router {
     start: Start,
     paused_until: Ms,
-    books: BTreeMap<u64, ShardClaims>,
-    local: TicketClaims,
+    shards: BTreeMap<u64, ShardClaims>,
+    ticket_claims: TicketClaims,
     reqs: BTreeMap<ReqId, Req>,
-    askers: BTreeMap<u64, (Asker, AttemptId)>,
-    late: BTreeMap<AttemptId, (usize, ReqId)>,
-    /// Which router this one takes for the owner of the shards.
+    requesters: BTreeMap<u64, (Requester, AttemptId)>,
+    timed_out: BTreeMap<AttemptId, (usize, ReqId)>,
+    /// The router that this one considers the owner of the shards.
     owner: usize,
 }
 
@@ -160,13 +167,13 @@
     key: KeyDigest,
     content: ContentDigest,
     ticket: Option<(usize, Start)>,
-    tries: u32,
-    everywhere: bool,
+    attempts_left: u32,
+    to_all_routers: bool,
     done: bool,
     first_ms: Ms,
 }
 
-/// Violations by kind; all zero when the promises hold.
+/// Number of violations by kind; all zero if the guarantees hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Violations {
     pub second_run: u32,
@@ -186,7 +193,7 @@
     }
 }
 
-/// What a run of the world came to.
+/// Figures of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Stats {
     pub writes: u64,
@@ -194,17 +201,18 @@
     pub frames: u64,
     pub largest_bytes: usize,
     pub granted_ms: Vec<Ms>,
-    /// Waits of attempts that were told "not run".
+    /// Waiting times of attempts that were answered "not run".
     pub refused_ms: Vec<Ms>,
     pub answered: u64,
     pub repeated: u64,
     pub not_run: u64,
     pub unknown: u64,
     pub runs: u64,
-    /// Whether each caller's first attempt was answered.
-    pub first_told: BTreeMap<usize, bool>,
+    /// Whether each caller's first attempt received an answer.
+    pub first_answered: BTreeMap<usize, bool>,
 }
 
+/// State of a simulation.
 pub struct World {
     rng: ChaCha8Rng,
     now: Ms,
@@ -212,31 +220,43 @@
     queue: BinaryHeap<Reverse<(Ms, u64)>>,
     events: BTreeMap<u64, Event>,
     weakening: Weakening,
-    way: ClaimStorage,
+    storage: ClaimStorage,
     faults: Faults,
     cfg: ShardClaimsConfig,
     outage: bool,
-    closed: BTreeSet<(usize, Start)>,
+    closed_tickets: BTreeSet<(usize, Start)>,
     objects: BTreeMap<(String, String), AnyObject>,
     version: u64,
     routers: Vec<Router>,
     pub callers: Vec<Caller>,
     runs: Vec<(usize, AttemptId)>,
     not_run: Vec<AttemptId>,
-    foreign: u32,
+    foreign_answers: u32,
     next: u64,
     pub stats: Stats,
 }
 
-const WALL: Ms = 1_700_000_000_000;
-const ASK_MS: Ms = 1800;
-const RECORD_MS: Ms = 500;
-const RUN_MS: Ms = 1000;
-const SERVE_MS: Ms = 5;
-const RUN_OUT_MS: Ms = 1500;
+/// Wall-clock time at the start of a run.
+const WALL_CLOCK_START_MS: Ms = 1_700_000_000_000;
+/// Timeout of a router for a claim.
+const CLAIM_TIMEOUT_MS: Ms = 1800;
+/// Timeout of a ticket's owner for the shard to record a claim.
+const RECORD_TIMEOUT_MS: Ms = 500;
+/// Timeout of a router for the backend server's answer.
+const EXECUTION_TIMEOUT_MS: Ms = 1000;
+/// Time that the backend server takes for a request.
+const EXECUTION_MS: Ms = 5;
+/// Time until a claim expires in the weakened protocol.
+const CLAIM_TTL_MS: Ms = 1500;
 
 impl World {
-    pub fn new(seed: u64, routers: usize, way: ClaimStorage, faults: Faults, weakening: Weakening) -> Self {
+    pub fn new(
+        seed: u64,
+        routers: usize,
+        storage: ClaimStorage,
+        faults: Faults,
+        weakening: Weakening,
+    ) -> Self {
         let mut world = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
@@ -244,23 +264,23 @@
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             weakening,
-            way,
+            storage,
             faults,
             cfg: ShardClaimsConfig::default(),
             outage: false,
-            closed: BTreeSet::new(),
+            closed_tickets: BTreeSet::new(),
             objects: BTreeMap::new(),
             version: 0,
             routers: Vec::new(),
             callers: Vec::new(),
             runs: Vec::new(),
             not_run: Vec::new(),
-            foreign: 0,
+            foreign_answers: 0,
             next: 1,
             stats: Stats::default(),
         };
         for i in 0..routers {
-            let router = world.boot(0, i);
+            let router = world.new_router(0, i);
             world.routers.push(router);
         }
         world
@@ -271,73 +291,82 @@
         self
     }
 
-    /// A caller that sends its request to `router` at `at`. With `ticket`, its key names that router.
-    pub fn call(&mut self, at: Ms, router: usize, ticket: bool, tries: u32, everywhere: bool) -> usize {
+    /// Adds a caller that sends its request to `router` at the time `at`. With `ticket`, that router owns its key's ticket.
+    pub fn call(
+        &mut self,
+        at: Ms,
+        router: usize,
+        ticket: bool,
+        attempts_left: u32,
+        to_all_routers: bool,
+    ) -> usize {
         let id = self.callers.len();
         let start = self.routers[router].start;
         self.callers.push(Caller {
             key: KeyDigest::new("workspace", "lessons", &id.to_string()),
             content: ContentDigest::new("POST", "/progress", id.to_string().as_bytes()),
             ticket: ticket.then_some((router, start)),
-            tries,
-            everywhere,
+            attempts_left,
+            to_all_routers,
             done: false,
             first_ms: at,
         });
-        self.at(at, Event::Send { caller: id, router });
+        self.schedule_at(at, Event::Send { caller: id, router });
         id
     }
 
-    /// The caller sends the request again, to `router`, without waiting for an answer.
+    /// Makes a caller send its request again to `router`, without waiting for an answer.
     pub fn send_at(&mut self, at: Ms, caller: usize, router: usize) {
-        self.at(at, Event::Send { caller, router });
+        self.schedule_at(at, Event::Send { caller, router });
     }
 
+    /// Schedules an outage of the platform.
     pub fn outage(&mut self, from: Ms, to: Ms) {
-        self.at(from, Event::Outage { on: true });
-        self.at(to, Event::Outage { on: false });
+        self.schedule_at(from, Event::Outage { on: true });
+        self.schedule_at(to, Event::Outage { on: false });
     }
 
     pub fn crash_at(&mut self, at: Ms, router: usize) {
-        self.at(at, Event::Crash { router });
+        self.schedule_at(at, Event::Crash { router });
     }
 
-    /// A planned stop, `ms` after which the process ends.
+    /// Stops a router gracefully; its process ends `ms` later.
     pub fn leave_at(&mut self, at: Ms, router: usize, ms: Ms) {
-        self.at(at, Event::Leave { router });
-        self.at(at + ms, Event::Crash { router });
+        self.schedule_at(at, Event::Stop { router });
+        self.schedule_at(at + ms, Event::Crash { router });
     }
 
     pub fn pause_at(&mut self, at: Ms, router: usize, ms: Ms) {
-        self.at(at, Event::Pause { router, ms });
+        self.schedule_at(at, Event::Pause { router, ms });
     }
 
-    /// Crashes, pauses and changes of the owner in everybody's view, at random times until `until`.
-    pub fn disturb(&mut self, until: Ms) {
+    /// Schedules crashes, pauses, a stop, changes of the owners that routers assume, and possibly an outage, at random times
+    /// before `until`.
+    pub fn inject_faults(&mut self, until: Ms) {
         for _ in 0..3 {
-            let (at, router) = self.pick(until);
-            self.at(at, Event::Crash { router });
-            let (at, router) = self.pick(until);
+            let (at, router) = self.pick_time_and_router(until);
+            self.schedule_at(at, Event::Crash { router });
+            let (at, router) = self.pick_time_and_router(until);
             let ms = self.rng.random_range(50..3000);
-            self.at(at, Event::Pause { router, ms });
-            let (at, _) = self.pick(until);
-            self.at(at, Event::Views);
+            self.schedule_at(at, Event::Pause { router, ms });
+            let (at, _) = self.pick_time_and_router(until);
+            self.schedule_at(at, Event::ChangeOwners);
         }
-        let (at, router) = self.pick(until);
+        let (at, router) = self.pick_time_and_router(until);
         self.leave_at(at, router, 400);
         if self.rng.random_bool(0.5) {
-            let (from, _) = self.pick(until);
+            let (from, _) = self.pick_time_and_router(until);
             let ms = self.rng.random_range(200..4000);
             self.outage(from, from + ms);
         }
     }
 
-    fn pick(&mut self, until: Ms) -> (Ms, usize) {
+    fn pick_time_and_router(&mut self, until: Ms) -> (Ms, usize) {
         let router = self.rng.random_range(0..self.routers.len());
         (self.rng.random_range(0..until), router)
     }
 
-    /// Runs until nothing is left to do or `until`.
+    /// Runs until `until`, or until there are no more events.
     pub fn run(&mut self, until: Ms) {
         while let Some(Reverse((at, seq))) = self.queue.pop() {
             if at > until {
@@ -345,11 +374,12 @@
             }
             self.now = self.now.max(at);
             if let Some(event) = self.events.remove(&seq) {
-                self.step(event);
+                self.handle(event);
             }
         }
     }
 
+    /// Counts the violations so far.
     pub fn violations(&self) -> Violations {
         let mut by_caller: BTreeMap<usize, u32> = BTreeMap::new();
         for (caller, _) in &self.runs {
@@ -358,10 +388,10 @@
         let second_run = by_caller.values().filter(|n| **n > 1).count() as u32;
         let ran = |a: &&AttemptId| self.runs.iter().any(|(_, r)| r == *a);
         let false_not_run = self.not_run.iter().filter(ran).count() as u32;
-        Violations { second_run, false_not_run, foreign_answer: self.foreign }
+        Violations { second_run, false_not_run, foreign_answer: self.foreign_answers }
     }
 
-    /// Runs whose records the platform holds.
+    /// Number of keys with a record on the platform.
     pub fn recorded(&self) -> usize {
         let mut keys = BTreeMap::new();
         for ((kind, _), obj) in &self.objects {
@@ -376,102 +406,106 @@
         keys.len()
     }
 
-    fn boot(&mut self, start: Start, index: usize) -> Router {
+    fn new_router(&mut self, start: Start, index: usize) -> Router {
         Router {
             start,
             paused_until: 0,
-            books: BTreeMap::new(),
-            local: TicketClaims::default(),
+            shards: BTreeMap::new(),
+            ticket_claims: TicketClaims::default(),
             reqs: BTreeMap::new(),
-            askers: BTreeMap::new(),
-            late: BTreeMap::new(),
+            requesters: BTreeMap::new(),
+            timed_out: BTreeMap::new(),
             owner: index,
         }
     }
 
     fn clock(&self) -> Clock {
-        Clock { now: Duration::from_millis(self.now), wall_ms: WALL + self.now }
+        Clock { now: Duration::from_millis(self.now), wall_ms: WALL_CLOCK_START_MS + self.now }
     }
 
-    fn at(&mut self, at: Ms, event: Event) {
+    fn schedule_at(&mut self, at: Ms, event: Event) {
         self.seq += 1;
         self.queue.push(Reverse((at, self.seq)));
         self.events.insert(self.seq, event);
     }
 
-    fn after(&mut self, ms: Ms, event: Event) {
-        self.at(self.now + ms, event);
+    fn schedule_after(&mut self, ms: Ms, event: Event) {
+        self.schedule_at(self.now + ms, event);
     }
 
-    fn chance(&mut self, milli: u32) -> bool {
+    /// Draws whether an event with a probability in thousandths occurs.
+    fn draw(&mut self, milli: u32) -> bool {
         milli > 0 && self.rng.random_range(0..1000) < milli
     }
 
-    fn id(&mut self) -> u64 {
+    fn new_id(&mut self) -> u64 {
         self.next += 1;
         self.next
     }
 
     fn attempt_id(&mut self) -> AttemptId {
         let mut bytes = [0; 16];
-        bytes[..8].copy_from_slice(&self.id().to_le_bytes());
+        bytes[..8].copy_from_slice(&self.new_id().to_le_bytes());
         AttemptId(bytes)
     }
 
-    /// Whether the event is for a process that runs now; one for a paused process comes when it wakes up.
-    fn alive(&mut self, router: usize, start: Start, event: &Event) -> bool {
+    /// Whether an event's process is running; an event of a paused process is rescheduled to the end of the pause.
+    fn is_deliverable(&mut self, router: usize, start: Start, event: &Event) -> bool {
         if self.routers[router].start != start {
             return false;
         }
         let until = self.routers[router].paused_until;
         if until > self.now {
-            self.at(until, event.clone());
+            self.schedule_at(until, event.clone());
             return false;
         }
         true
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         if let Some((router, start)) = event.process()
-            && !self.alive(router, start, &event)
+            && !self.is_deliverable(router, start, &event)
         {
             return;
         }
         match event {
             Event::Send { caller, router } => self.send(caller, router),
-            Event::Link { to, msg, .. } => self.receive(to, msg),
-            Event::Store { router, start, book, op, tell } => self.store(router, start, book, op, tell),
-            Event::Stored { router, book, done, .. } => {
+            Event::Deliver { to, msg, .. } => self.handle_msg(to, msg),
+            Event::PlatformCall { router, start, shard_id, op, send_result } => {
+                self.execute_op(router, start, shard_id, op, send_result)
+            }
+            Event::PlatformResult { router, shard_id, result, .. } => {
                 let clock = self.clock();
-                let Some(b) = self.routers[router].books.get_mut(&book) else { return };
-                let verdicts = b.handle_result(clock, done);
-                self.settle(router, verdicts);
-                self.drive(router, book);
+                let Some(b) = self.routers[router].shards.get_mut(&shard_id) else { return };
+                let verdicts = b.handle_result(clock, result);
+                self.send_verdicts(router, verdicts);
+                self.drive_shard(router, shard_id);
             }
-            Event::Wake { router, book, .. } => self.drive(router, book),
-            Event::Recorded { router, waiter, .. } => {
-                if let Some((asker, attempt)) = self.routers[router].askers.remove(&waiter) {
-                    self.tell(router, asker, attempt, Verdict::Unavailable);
+            Event::Wake { router, shard_id, .. } => self.drive_shard(router, shard_id),
+            Event::RecordTimeout { router, waiter, .. } => {
+                if let Some((requester, attempt)) = self.routers[router].requesters.remove(&waiter) {
+                    self.send_verdict(router, requester, attempt, Verdict::Unavailable);
                 }
             }
             Event::Dispatch { router, req, .. } => self.dispatch(router, req),
-            Event::Backend { router, start, req, caller, attempt, broken } => {
+            Event::Execute { router, start, req, caller, attempt, broken } => {
                 let run = self.runs.len() as u64;
                 self.runs.push((caller, attempt));
                 self.stats.runs += 1;
-                let late = if self.chance(self.faults.late_answer) { 3 * RUN_MS } else { SERVE_MS };
+                let delay =
+                    if self.draw(self.faults.late_answer) { 3 * EXECUTION_TIMEOUT_MS } else { EXECUTION_MS };
                 let run = (!broken).then_some(run);
-                self.after(late, Event::Reply { router, start, req, run });
+                self.schedule_after(delay, Event::Reply { router, start, req, run });
             }
-            Event::Reply { router, req, run, .. } => self.reply(router, req, run),
-            Event::GiveUp { router, req, .. } => self.give_up(router, req),
+            Event::Reply { router, req, run, .. } => self.handle_reply(router, req, run),
+            Event::RequestTimeout { router, req, .. } => self.handle_timeout(router, req),
             Event::Crash { router } => self.crash(router),
-            Event::Leave { router } => self.leave(router),
+            Event::Stop { router } => self.stop(router),
             Event::Pause { router, ms } => {
                 let until = self.now + ms;
                 self.routers[router].paused_until = until;
             }
-            Event::Views => {
+            Event::ChangeOwners => {
                 for i in 0..self.routers.len() {
                     self.routers[i].owner = self.rng.random_range(0..self.routers.len());
                 }
@@ -480,27 +514,27 @@
         }
     }
 
-    /// The process grants nothing from memory any more, and hands the keys of its tickets over if it never did.
-    fn leave(&mut self, router: usize) {
-        let clean = self.routers[router].local.close();
+    /// Stops granting claims from memory, and hands over the keys of the tickets if none was granted so.
+    fn stop(&mut self, router: usize) {
+        let clean = self.routers[router].ticket_claims.close();
         if clean || self.weakening == Weakening::HandOverAnyway {
-            self.closed.insert((router, self.routers[router].start));
+            self.closed_tickets.insert((router, self.routers[router].start));
         }
     }
 
-    /// The process is gone with all that it knew; callers see their connections cut and send again.
+    /// Restarts a router's process without its state; callers lose their connections and send again.
     fn crash(&mut self, router: usize) {
         let start = self.routers[router].start + 1;
-        let fresh = self.boot(start, self.routers[router].owner);
+        let fresh = self.new_router(start, self.routers[router].owner);
         let old = std::mem::replace(&mut self.routers[router], fresh);
         for req in old.reqs.into_values() {
-            self.stats.first_told.entry(req.caller).or_insert(false);
-            self.again(req.caller);
+            self.stats.first_answered.entry(req.caller).or_insert(false);
+            self.resend(req.caller);
         }
     }
 }
 
-/// One seeded schedule of all faults over three routers and one shard.
+/// Runs one seeded schedule of all faults with three routers and one shard.
 pub fn schedule(seed: u64, weakening: Weakening) -> World {
     let mut world = World::new(seed, 3, ClaimStorage::Shards(1), Faults::many(), weakening).with_config(
         ShardClaimsConfig {
@@ -514,10 +548,10 @@
     for _ in 0..24 {
         let at = world.rng.random_range(0..SPAN);
         let router = *[0, 1, 2].choose(&mut world.rng).unwrap_or(&0);
-        let (ticket, everywhere) = (world.rng.random_bool(0.4), world.rng.random_bool(0.3));
-        world.call(at, router, ticket, 5, everywhere);
+        let (ticket, to_all_routers) = (world.rng.random_bool(0.4), world.rng.random_bool(0.3));
+        world.call(at, router, ticket, 5, to_all_routers);
     }
-    world.disturb(SPAN);
+    world.inject_faults(SPAN);
     world.run(120_000);
     world
 }
