--- a/tests/relay_restore.rs
+++ b/tests/relay_restore.rs
@@ -191,12 +191,12 @@
     let (_second, _) = host("host-2", &[seed]).await;
     let following = tokio::spawn(follow::follow_backends(first.clone(), StoreClient::new(store.addr())));
     let registering = tokio::spawn(follow::sync_hosts(first, StoreClient::new(store.addr())));
-    until("the entry", || store.is_present("hosts", "a")).await;
+    until("the entry", || store.contains("hosts", "a")).await;
 
     store.restore(&backup);
-    let lost = !store.is_present("hosts", "a");
+    let lost = !store.contains("hosts", "a");
     put(&store, "i-2", "ready");
-    until("the entry again", || store.is_present("hosts", "a")).await;
+    until("the entry again", || store.contains("hosts", "a")).await;
 
     registering.abort();
     following.abort();
--- a/tests/support/soak/store.rs
+++ b/tests/support/soak/store.rs
@@ -235,7 +235,7 @@
     }
 
     /// Whether an object exists.
-    pub fn is_present(&self, kind: &str, name: &str) -> bool {
+    pub fn contains(&self, kind: &str, name: &str) -> bool {
         self.state.lock().unwrap().objects.contains_key(&(kind.to_owned(), name.to_owned()))
     }
 
@@ -281,7 +281,7 @@
         let body = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
         let object: Value = serde_json::from_slice(&body).unwrap_or_default();
         let object_name = object["metadata"]["name"].as_str().unwrap_or(name).to_owned();
-        let exists = self.is_present(kind, &object_name);
+        let exists = self.contains(kind, &object_name);
         match (head.method, exists) {
             (Method::PUT, false) => respond(404, json!({})),
             (Method::POST, true) => respond(409, json!({})),
