--- a/benches/claims/world.rs
+++ b/benches/claims/world.rs
@@ -121,6 +121,7 @@
 struct Req {
     caller: usize,
     received_at: Ms,
+    /// Routers that were asked for the claim.
     asked_routers: Vec<usize>,
     stage: Option<Stage>,
 }
@@ -152,10 +153,13 @@
 struct Router {
     start: Start,
     paused_until: Ms,
+    /// Claims of the shards that this router keeps, by identifier.
     shards: BTreeMap<u64, ShardClaims>,
     ticket_claims: TicketClaims,
     reqs: BTreeMap<ReqId, Req>,
+    /// Requesters that wait for a verdict of a shard.
     requesters: BTreeMap<u64, (Requester, AttemptId)>,
+    /// Requests whose claim timed out, for the weakening that uses late grants.
     timed_out: BTreeMap<AttemptId, (usize, ReqId)>,
     /// The router that this one considers the owner of the shards.
     owner: usize,
@@ -198,7 +202,9 @@
 pub struct Stats {
     pub writes: u64,
     pub reads: u64,
+    /// Messages between routers.
     pub frames: u64,
+    /// Size of the largest object written.
     pub largest_bytes: usize,
     pub granted_ms: Vec<Ms>,
     /// Waiting times of attempts that were answered "not run".
@@ -224,6 +230,7 @@
     faults: Faults,
     cfg: ShardClaimsConfig,
     outage: bool,
+    /// Processes that have handed over the keys of their tickets.
     closed_tickets: BTreeSet<(usize, Start)>,
     objects: BTreeMap<(String, String), AnyObject>,
     version: u64,
@@ -514,7 +521,7 @@
         }
     }
 
-    /// Stops granting claims from memory, and hands over the keys of the tickets if none was granted so.
+    /// Stops granting claims from memory, and hands over the keys of the tickets if no claim was granted from memory before.
     fn stop(&mut self, router: usize) {
         let clean = self.routers[router].ticket_claims.close();
         if clean || self.weakening == Weakening::HandOverAnyway {
--- a/tests/support/soak/checks.rs
+++ b/tests/support/soak/checks.rs
@@ -140,6 +140,7 @@
     server_events: Vec<(String, ServerEvent)>,
 }
 
+/// A request as its caller sent it.
 #[derive(Clone, Debug)]
 struct Sent {
     kind: Kind,
@@ -149,6 +150,7 @@
     at: Instant,
 }
 
+/// A request as a backend server executed it.
 #[derive(Clone, Debug)]
 struct Execution {
     target: String,
@@ -213,25 +215,26 @@
 
     /// When a backend server's entry was set to draining, unless the store was out of contact then.
     fn drain_announced_at(&self, engine: &str) -> Option<Instant> {
-        let left = self.0.lock().unwrap().iter().find_map(|observation| match observation {
+        let announced_at = self.0.lock().unwrap().iter().find_map(|observation| match observation {
             Observation::DrainAnnounced { engine: e, at } if e == engine => Some(*at),
             _ => None,
         });
-        left.filter(|at| !self.was_out_of_contact(STORE, *at))
+        announced_at.filter(|at| !self.was_out_of_contact(STORE, *at))
     }
 
     /// Checks that a host in contact sends no request to a server whose entry in the store is draining.
     fn check_store_drain(&self, sent: &Sent, execution: &Execution) -> Option<String> {
-        let left = self.drain_announced_at(&execution.engine)?;
+        let announced_at = self.drain_announced_at(&execution.engine)?;
         let in_contact = |subject| {
             !self.was_out_of_contact(subject, sent.at) && !self.was_out_of_contact(subject, execution.at)
         };
-        let late = sent.at > left + DRAIN_NOTICE_DEADLINE && in_contact(STORE) && in_contact(&sent.host);
-        late.then(|| {
+        let is_late =
+            sent.at > announced_at + DRAIN_NOTICE_DEADLINE && in_contact(STORE) && in_contact(&sent.host);
+        is_late.then(|| {
             format!(
                 "{} executed the request {:?} after its entry was set to draining",
                 execution.engine,
-                execution.at - left
+                execution.at - announced_at
             )
         })
     }
@@ -247,8 +250,8 @@
 
     /// Checks that a host sends no request to a server that announced in an earlier answer to it that it is draining.
     fn check_announced_drain(&self, traces: &BTreeMap<String, RequestTrace>) -> Vec<String> {
-        // When each host relayed the first answer in which a server announces that it is draining.
-        let mut announced: BTreeMap<(&str, &str), Instant> = BTreeMap::new();
+        // Time at which each host relayed the first answer in which a server announces that it is draining.
+        let mut drain_announced: BTreeMap<(&str, &str), Instant> = BTreeMap::new();
         for trace in traces.values() {
             let (Some(sent), Some((Outcome::Complete { .. }, at))) = (&trace.sent, &trace.outcome) else {
                 continue;
@@ -256,7 +259,7 @@
             for (engine, _) in
                 trace.server_events.iter().filter(|(_, event)| matches!(event, ServerEvent::AnnouncedDrain))
             {
-                let first = announced.entry((&sent.host, engine)).or_insert(*at);
+                let first = drain_announced.entry((&sent.host, engine)).or_insert(*at);
                 *first = (*first).min(*at);
             }
         }
@@ -265,7 +268,7 @@
             let Some(sent) = &trace.sent else { continue };
             for (engine, event) in &trace.server_events {
                 let (ServerEvent::Arrived(at), Some(first)) =
-                    (event, announced.get(&(&*sent.host, &**engine)))
+                    (event, drain_announced.get(&(&*sent.host, &**engine)))
                 else {
                     continue;
                 };
@@ -364,11 +367,12 @@
     /// Violations of the guarantees, one line each.
     pub fn violations(&self) -> Vec<String> {
         let traces = self.traces();
-        let single = traces.iter().flat_map(|(id, trace)| {
+        let per_request = traces.iter().flat_map(|(id, trace)| {
             self.check_request(trace).into_iter().map(move |violation| format!("{id}: {violation}"))
         });
-        let announced = self.check_announced_drain(&traces).into_iter().chain(self.check_pauses(&traces));
-        single.chain(announced).chain(self.check_versions(&traces)).collect()
+        let drain_announced =
+            self.check_announced_drain(&traces).into_iter().chain(self.check_pauses(&traces));
+        per_request.chain(drain_announced).chain(self.check_versions(&traces)).collect()
     }
 
     /// Checks one request on its own.
--- a/tests/support/soak/store.rs
+++ b/tests/support/soak/store.rs
@@ -134,8 +134,8 @@
         self.busy.store(busy, Ordering::Relaxed);
     }
 
-    /// Sets whether waiting watches are left without an answer while their connections stay open. Watches that were left
-    /// so are never answered, also after it is unset.
+    /// Sets whether waiting watches are left without an answer while their connections stay open. Unsetting it does not
+    /// revive such watches.
     pub fn set_watches_unanswered(&self, unanswered: bool) {
         self.watches_unanswered.store(unanswered, Ordering::Relaxed);
     }
@@ -162,11 +162,11 @@
         let mut state = self.state.lock().unwrap();
         let before = std::mem::replace(&mut *state, backup.0.clone());
         state.epoch = before.epoch + 1;
-        let kept = state.log.len();
+        let kept_len = state.log.len();
         drop(state);
-        self.revision.send_replace(kept as u64 + 1);
+        self.revision.send_replace(kept_len as u64 + 1);
         let mut undone: BTreeMap<_, _> = BTreeMap::new();
-        for change in &before.log[kept..] {
+        for change in &before.log[kept_len..] {
             undone.insert((change.kind.clone(), change.name.clone()), change.spec.clone());
         }
         undone.into_iter().map(|((kind, name), spec)| (kind, name, spec)).collect()
@@ -174,9 +174,9 @@
 
     /// Replays a write that a restore of the backup has undone, unless the object was written since.
     pub fn replay(&self, backup: &Backup, (kind, name, spec): UndoneWrite) {
-        let kept = backup.0.log.len();
+        let kept_len = backup.0.log.len();
         let is_newer =
-            self.state.lock().unwrap().log[kept..].iter().any(|e| e.kind == kind && e.name == name);
+            self.state.lock().unwrap().log[kept_len..].iter().any(|e| e.kind == kind && e.name == name);
         if !is_newer {
             self.write(&kind, &name, spec);
         }
@@ -197,10 +197,10 @@
     }
 
     /// The store that answers the next call: every other one goes to the store of the old epoch, if it is set.
-    fn next_answerer(&self) -> Self {
-        let is_odd = self.calls.fetch_add(1, Ordering::Relaxed) % 2 == 1;
+    fn next_responder(&self) -> Self {
+        let use_old_epoch = self.calls.fetch_add(1, Ordering::Relaxed) % 2 == 1;
         let old_epoch_store = self.old_epoch_store.lock().unwrap().as_deref().cloned();
-        old_epoch_store.filter(|_| is_odd).unwrap_or_else(|| self.clone())
+        old_epoch_store.filter(|_| use_old_epoch).unwrap_or_else(|| self.clone())
     }
 
     /// Revision of the last change.
@@ -224,14 +224,14 @@
     }
 
     /// The latest change of each object of a kind after a revision.
-    fn latest(&self, kind: &str, after: u64) -> Vec<Arc<Change>> {
+    fn latest_changes(&self, kind: &str, after: u64) -> Vec<Arc<Change>> {
         let state = self.state.lock().unwrap();
         let newer = state.log.iter().rev().take_while(|e| e.revision > after).filter(|e| e.kind == kind);
-        let mut latest: BTreeMap<&str, &Arc<Change>> = BTreeMap::new();
+        let mut latest_changes: BTreeMap<&str, &Arc<Change>> = BTreeMap::new();
         for change in newer {
-            latest.entry(&change.name).or_insert(change);
+            latest_changes.entry(&change.name).or_insert(change);
         }
-        latest.into_values().cloned().collect()
+        latest_changes.into_values().cloned().collect()
     }
 
     /// Whether an object exists.
@@ -239,19 +239,20 @@
         self.state.lock().unwrap().objects.contains_key(&(kind.to_owned(), name.to_owned()))
     }
 
+    /// Serves connections until the listener fails, and adds the epoch to each answer.
     async fn accept(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             let store = self.clone();
             let service = service_fn(move |req| {
-                let store = store.next_answerer();
+                let store = store.next_responder();
                 async move {
                     let mut response = store.answer(req).await;
                     let epoch = store.state.lock().unwrap().epoch;
-                    let sent = match store.wrong_epoch.swap(0, Ordering::Relaxed) {
+                    let sent_epoch = match store.wrong_epoch.swap(0, Ordering::Relaxed) {
                         0 => FIRST_EPOCH + epoch,
                         wrong => wrong,
                     };
-                    response.headers_mut().insert("store-era", sent.into());
+                    response.headers_mut().insert("store-era", sent_epoch.into());
                     Ok::<_, Infallible>(response)
                 }
             });
@@ -260,6 +261,7 @@
         }
     }
 
+    /// Answers one call.
     async fn answer(&self, req: Request<Incoming>) -> Response<Full<Bytes>> {
         if self.busy.load(Ordering::Relaxed) {
             return respond(503, json!({}));
@@ -296,6 +298,7 @@
         }
     }
 
+    /// Answers a list call with a page of objects.
     fn list(&self, kind: &str, query: &str) -> Response<Full<Bytes>> {
         let stale_backup = self.stale_backup.lock().unwrap().clone().filter(|_| query.contains("staleOk=1"));
         let state = stale_backup.map_or_else(|| self.state.lock().unwrap().clone(), |Backup(state)| state);
@@ -309,17 +312,18 @@
         respond(200, json!({ "items": items, "hasMore": more, "currentRev": revision }))
     }
 
+    /// Answers a watch call with the changes after a revision, or waits for them up to a limit.
     async fn watch(&self, kind: &str, after: u64, wait_ms: u64) -> Response<Full<Bytes>> {
         let mut changed = self.revision.subscribe();
-        let new_changes = async {
-            while after <= self.last_revision() && self.latest(kind, after).is_empty() {
+        let until_changed = async {
+            while after <= self.last_revision() && self.latest_changes(kind, after).is_empty() {
                 let _ = changed.changed().await;
                 if self.watches_unanswered.load(Ordering::Relaxed) {
                     std::future::pending::<()>().await;
                 }
             }
         };
-        if timeout(Duration::from_millis(wait_ms), new_changes).await.is_err()
+        if timeout(Duration::from_millis(wait_ms), until_changed).await.is_err()
             && self.watches_unanswered.load(Ordering::Relaxed)
             && wait_ms > 0
         {
@@ -329,13 +333,16 @@
         if after > revision {
             return respond(410, json!({}));
         }
-        let latest = self.latest(kind, after);
-        let events: Vec<_> =
-            latest.iter().map(|e| json!({ "object": e.object(), "deleted": e.spec.is_none() })).collect();
+        let latest_changes = self.latest_changes(kind, after);
+        let events: Vec<_> = latest_changes
+            .iter()
+            .map(|e| json!({ "object": e.object(), "deleted": e.spec.is_none() }))
+            .collect();
         respond(200, json!({ "events": events, "currentRev": revision }))
     }
 }
 
+/// A JSON answer with a status.
 fn respond(status: u16, body: Value) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body.to_string().into()));
     *response.status_mut() = StatusCode::from_u16(status).unwrap();
