--- a/benches/admission/crash.rs
+++ b/benches/admission/crash.rs
@@ -123,6 +123,7 @@
     pub bytes: usize,
 }
 
+/// Scheduled events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     NormalRequest,
@@ -136,6 +137,7 @@
     UpdateReceived(usize, usize),
 }
 
+/// A request and its current attempt.
 #[derive(Clone, Debug)]
 struct Request {
     content: Fingerprint,
@@ -157,6 +159,7 @@
     permits: Permits,
 }
 
+/// State of a run.
 struct Simulation {
     cfg: Scenario,
     rng: ChaCha8Rng,
@@ -249,6 +252,7 @@
         }
     }
 
+    /// Sends a normal request to a random router, and schedules the next one.
     fn start_normal_request(&mut self) {
         if self.now >= RUN_TIME {
             return;
@@ -261,6 +265,7 @@
         self.request(content, false, 0, router);
     }
 
+    /// Sends the crashing content to the next router.
     fn send(&mut self, sender: usize) {
         if self.now >= RUN_TIME {
             return;
@@ -286,6 +291,7 @@
         self.schedule(Duration::ZERO, Event::Attempt(self.requests.len() - 1));
     }
 
+    /// Starts an attempt of a request, if its content's standing and the engines allow it.
     fn attempt(&mut self, id: usize) {
         let (content, router) = (self.requests[id].content, self.requests[id].router);
         let standing = match self.cfg.protection {
@@ -326,6 +332,7 @@
         engines
     }
 
+    /// Crashes a flapping engine, and schedules its next crash.
     fn flap(&mut self, engine: usize) {
         if self.now >= RUN_TIME {
             return;
@@ -348,6 +355,7 @@
         if self.cfg.protection == Protection::Full { router % self.cfg.arbiters } else { router }
     }
 
+    /// Requests a permit from the router's arbiter.
     fn acquire_permit(&mut self, router: usize, content: Fingerprint, engine: usize) -> Verdict {
         let arbiter = self.arbiter(router);
         let name = self.engine_names[engine].clone();
@@ -389,6 +397,7 @@
         self.complete_request(id, true);
     }
 
+    /// Crashes the engine of an attempt with the crashing content.
     fn crash_attempt(&mut self, id: usize, attempt: u32) {
         let Some((engine, _)) = self.requests[id].engine else { return };
         if self.requests[id].attempt != attempt {
@@ -458,6 +467,7 @@
         }
     }
 
+    /// Runs a gossip round.
     fn gossip(&mut self) {
         if self.now >= RUN_TIME {
             return;
@@ -473,6 +483,7 @@
         }
     }
 
+    /// Handles an attempt that a crash interrupted: retries the request, or fails it.
     fn fail_attempt(&mut self, id: usize) {
         let r = &self.requests[id];
         self.figures.interrupted += u32::from(!r.crashing);
@@ -483,6 +494,7 @@
         }
     }
 
+    /// Completes a request with an answer or a refusal; callers of the crashing content send again.
     fn complete_request(&mut self, id: usize, is_answered: bool) {
         let r = &mut self.requests[id];
         if std::mem::replace(&mut r.done, true) {
--- a/benches/admission/surge.rs
+++ b/benches/admission/surge.rs
@@ -72,6 +72,7 @@
     pub surging: Group,
 }
 
+/// A request with its arrival time.
 #[derive(Clone)]
 struct Arrival {
     at: Instant,
@@ -255,6 +256,7 @@
 }
 
 impl FairQueueRun<'_> {
+    /// Starts a request, or queues or refuses it.
     fn arrive(&mut self, i: usize, a: &Arrival) {
         if self.queue.is_empty() && self.running.len() < SLOTS {
             return self.start(a.at, i);
