--- a/tests/admission_bounds.rs
+++ b/tests/admission_bounds.rs
@@ -12,9 +12,9 @@
 #[path = "../benches/admission/surge.rs"]
 mod surge;
 
-use crash::{Guard, Scenario};
+use crash::{Protection, Scenario};
 use storm::Bound;
-use surge::{Order, Trouble};
+use surge::{LoadPattern, Order};
 
 const SEEDS: std::ops::Range<u64> = 0..5;
 const BURST: u32 = 2048;
@@ -23,32 +23,32 @@
 /// wait behind its surge.
 #[test]
 fn a_surge_delays_the_workspace_that_surges() {
-    for trouble in [Trouble::Surge, Trouble::UrgentSurge] {
-        let ours = surge::over(Order::Lane(BURST), trouble, SEEDS);
-        let fifo = surge::over(Order::BoundedFifo, trouble, SEEDS);
-
-        assert!(ours.small_high.worst < Duration::from_millis(1300), "{trouble:?} {ours:?}");
-        assert!(ours.small_normal.worst < Duration::from_millis(3300), "{trouble:?} {ours:?}");
-        assert_eq!(ours.small_high.lost + ours.small_normal.lost, 0, "{trouble:?} {ours:?}");
-        assert_eq!(ours.others_high.lost + ours.others_normal.lost, 0, "{trouble:?} {ours:?}");
-        assert!(fifo.small_high.worst > ours.small_high.worst * 3, "{trouble:?} {fifo:?}");
+    for pattern in [LoadPattern::Surge, LoadPattern::UrgentSurge] {
+        let ours = surge::run_seeds(Order::Fair(BURST), pattern, SEEDS);
+        let fifo = surge::run_seeds(Order::BoundedFifo, pattern, SEEDS);
+
+        assert!(ours.small_high.max_time < Duration::from_millis(1300), "{pattern:?} {ours:?}");
+        assert!(ours.small_normal.max_time < Duration::from_millis(3300), "{pattern:?} {ours:?}");
+        assert_eq!(ours.small_high.lost + ours.small_normal.lost, 0, "{pattern:?} {ours:?}");
+        assert_eq!(ours.others_high.lost + ours.others_normal.lost, 0, "{pattern:?} {ours:?}");
+        assert!(fifo.small_high.max_time > ours.small_high.max_time * 3, "{pattern:?} {fifo:?}");
     }
 }
 
 /// When all workspaces send too much, translations take precedence over dialogues, also those of other workspaces.
 #[test]
 fn translations_go_before_dialogues_under_general_overload() {
-    let ours = surge::over(Order::Lane(BURST), Trouble::Overload, SEEDS);
+    let ours = surge::run_seeds(Order::Fair(BURST), LoadPattern::Overload, SEEDS);
 
-    assert!(ours.others_high.worst < Duration::from_millis(1600), "{ours:?}");
+    assert!(ours.others_high.max_time < Duration::from_millis(1600), "{ours:?}");
 }
 
 /// Refusals are sent immediately on arrival, however long the queue is.
 #[test]
 fn a_refusal_on_arrival_takes_no_time() {
-    let ours = surge::over(Order::Lane(BURST), Trouble::Surge, SEEDS);
+    let ours = surge::run_seeds(Order::Fair(BURST), LoadPattern::Surge, SEEDS);
 
-    assert!(ours.loud.refused_on_arrival > 1000, "{ours:?}");
+    assert!(ours.surging.refused_on_arrival > 1000, "{ours:?}");
     assert_eq!(ours.small_high.refused_on_arrival, 0, "{ours:?}");
 }
 
@@ -57,28 +57,29 @@
 #[test]
 fn a_crashing_content_costs_two_engines_at_most() {
     let scenarios = [
-        Scenario::new(Guard::Full),
-        Scenario { retry: false, gap: Duration::from_millis(12), ..Scenario::new(Guard::Full) },
+        Scenario::new(Protection::Full),
+        Scenario { retry: false, resend_delay: Duration::from_millis(12), ..Scenario::new(Protection::Full) },
     ];
     for cfg in scenarios {
-        let f = crash::over(cfg, 0..20);
+        let f = crash::run_seeds(cfg, 0..20);
 
         assert!(f.crashes <= 2, "{f:?}");
-        assert_eq!(f.answered, f.innocents, "{f:?}");
-        assert_eq!(f.wronged, 0, "{f:?}");
+        assert_eq!(f.answered, f.normal_requests, "{f:?}");
+        assert_eq!(f.falsely_quarantined, 0, "{f:?}");
     }
-    assert!(crash::over(Scenario::new(Guard::None), SEEDS).crashes > 20);
+    assert!(crash::run_seeds(Scenario::new(Protection::None), SEEDS).crashes > 20);
 }
 
 /// 30% of the engines refuse connections and no router knows it yet. Retries must stay within the budget.
 #[test]
 fn extra_attempts_stay_within_the_budget() {
-    for bound in [Bound::Budget, Bound::Avoid] {
+    for bound in [Bound::Budget, Bound::Cooldown] {
         let f = storm::run(bound, 7);
-        let most = f.fresh as f64 * storm::RATIO + f64::from(storm::BURST) * storm::ROUTERS as f64;
+        let most =
+            f.fresh as f64 * storm::RETRY_RATIO + f64::from(storm::RETRY_BURST) * storm::ROUTERS as f64;
 
         assert!(f.extra() as f64 <= most, "{bound:?} {f:?} {most}");
-        assert!(f.worst <= 3, "{bound:?} {f:?}");
+        assert!(f.max_attempts <= 3, "{bound:?} {f:?}");
         assert!(storm::run(Bound::Unbounded, 7).extra() > 4 * f.extra(), "{bound:?} {f:?}");
     }
 }
@@ -87,7 +88,7 @@
 /// that almost no request is refused.
 #[test]
 fn hardly_a_request_is_lost_while_a_third_of_the_fleet_fails() {
-    let f = storm::run(Bound::Avoid, 7);
+    let f = storm::run(Bound::Cooldown, 7);
 
     assert!(f.answered as f64 >= 0.99 * f.fresh as f64, "{f:?}");
 }
--- a/tests/relay_confirmed.rs
+++ b/tests/relay_confirmed.rs
@@ -7,7 +7,7 @@
 
 use soak::{
     caller::{KEY, call},
-    checks::{End, Kind, Record},
+    checks::{History, Kind, Outcome},
     hosts::Hosts,
     store::{self, Store},
 };
@@ -25,12 +25,12 @@
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(7);
 
 /// Waits until a host serves a newly added route; returns whether it does.
-async fn serves_added(hosts: &Hosts, n: usize, record: &Record) -> bool {
+async fn serves_added(hosts: &Hosts, n: usize, history: &History) -> bool {
     let until = Instant::now() + CHANGE_TIMEOUT;
     while Instant::now() < until {
-        let end = call(hosts.addresses()[n], Kind::Safe, KEY, store::ADDED, record).await;
+        let end = call(hosts.addresses()[n], Kind::Idempotent, KEY, store::ADDED_ROUTE, history).await;
         // There are no servers, so a request on a known route is refused as unavailable instead of not found.
-        if matches!(end, End::Whole { status: 503, .. }) {
+        if matches!(end, Outcome::Complete { status: 503, .. }) {
             return true;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -41,13 +41,13 @@
 /// Guards against a configuration that takes 15 s to take effect on a host without peers whose watch is never answered.
 #[tokio::test]
 async fn a_change_takes_effect_although_its_watch_is_never_answered() {
-    let (record, store) = (Arc::new(Record::default()), Store::start().await);
+    let (history, store) = (Arc::new(History::default()), Store::start().await);
     store.put("config", "main", store::configuration(1, false));
-    let hosts = Hosts::start(1, store.addr(), record.clone());
-    hosts.until_ready(START_TIMEOUT).await;
+    let hosts = Hosts::start(1, store.addr(), history.clone());
+    hosts.wait_until_ready(START_TIMEOUT).await;
 
-    store.set_deaf(true);
+    store.set_watches_unanswered(true);
     store.put("config", "main", store::configuration(2, true));
 
-    assert!(serves_added(&hosts, 0, &record).await);
+    assert!(serves_added(&hosts, 0, &history).await);
 }
