--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -82,8 +82,10 @@
 
 async fn run_demo(chats: usize) -> Result<ExitCode> {
     print_flushed(&format!("starting {ROUTERS} routers, 9 engines, 3 backend servers of a plain service\n"));
-    let mut outside =
-        Standins::start(StandinConfig::default().with_tokens(TOKENS_PER_ANSWER, TOKEN_INTERVAL).with_capacity(ENGINE_CAPACITY),
+    let mut outside = Standins::start(
+        StandinConfig::default()
+            .with_tokens(TOKENS_PER_ANSWER, TOKEN_INTERVAL)
+            .with_capacity(ENGINE_CAPACITY),
     )
     .await?;
     let routers = start_routers(&outside)?;
--- a/src/relay/peers/duty.rs
+++ b/src/relay/peers/duty.rs
@@ -48,7 +48,8 @@
                 let direct = self.neighbours(now);
                 self.duty.decide(
                     now,
-                    me, direct,
+                    me,
+                    direct,
                     followers::followers_per_data_centre(self.data_centre_count()),
                 )
             }
