--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -32,7 +32,7 @@
     files.into_iter().chain(dirs.iter().flat_map(|d| sources(d))).collect()
 }
 
-/// Names of the log events in the source: the literal after each weight, as in `line(Level::Notable, "start", ..)`.
+/// Names of the log events in the source: the literal after each level, as in `line(Level::Notable, "start", ..)`.
 fn log_events() -> BTreeSet<String> {
     let mut files = sources(Path::new("src/relay"));
     files.extend(sources(Path::new("src/platform")));
